--- a/src/local/mod.rs
+++ b/src/local/mod.rs
@@ -2,7 +2,7 @@
 //! controller processes on loopback, speaking the protocol over real HTTP.
 
 mod faults;
-mod keep;
+pub mod keep;
 mod link;
 mod model;
 mod outside;
@@ -10,7 +10,8 @@
 mod serve;
 
 pub use faults::Fault;
-pub use model::{Model, Ports};
+pub use model::{Model, Ports, write_files};
+pub use outside::Standing;
 pub use serve::path;
 
 use crate::constants::*;
@@ -19,7 +20,7 @@
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
 use keep::Keep;
-use outside::{HowIsIt, Outside, Standing};
+use outside::{HowIsIt, Outside};
 use processes::Processes;
 use std::collections::BTreeSet;
 use std::error::Error;
--- /dev/null
+++ b/tests/recorded_bytes/keys.rs
@@ -0,0 +1,85 @@
+//! The keys of the state service and the paths of every interface.
+
+use swiftsail_amounts::records::Key;
+use swiftsail_core::accounts;
+use swiftsail_core::job::{chunk_key, keys};
+use swiftsail_dispatch::Arrival;
+use swiftsail_wire::{cloud, controllers, state, users, workers};
+
+#[test]
+fn keys_are_as_before() {
+    let fixed = [
+        (keys::JOBS, "job/"),
+        (keys::FINALS, "end/"),
+        (keys::BINDINGS, "bind/"),
+        (keys::SHEETS, "sheet/"),
+        (keys::PLUGINS, "plug/"),
+        (keys::ORDER, "order/"),
+        (keys::FORM, "term/form"),
+        (keys::LEADER, "term/leader"),
+        (keys::TERM, "term/"),
+        (keys::TYPES, "types/all"),
+        (accounts::PREFIX, "amount/"),
+    ];
+    fixed.iter().for_each(|(now, before)| assert_eq!(now, before));
+    let built = [
+        (keys::job("wk-1"), "job/wk-1"),
+        (keys::sheet(7), "sheet/007"),
+        (keys::end("wk-1"), "end/wk-1"),
+        (keys::place("wk-1", true), "end/wk-1"),
+        (keys::place("wk-1", false), "job/wk-1"),
+        (chunk_key(&"wk-1".into(), 12), "bind/wk-1/00012"),
+        (accounts::key(2, &Key::Token("d".into())), "term/leader"),
+        (accounts::key(2, &Key::Pool), "amount/2/pool"),
+        (accounts::key(2, &Key::Of("north".into())), "amount/2/of/north"),
+        (Arrival::key("north", 1_700_000_600_000), "01700000600000-north"),
+    ];
+    built.iter().for_each(|(now, before)| assert_eq!(now, before));
+}
+
+#[test]
+fn paths_are_as_before() {
+    let paths = [
+        (users::path::JOBS, "/v1/jobs"),
+        (users::path::JOB, "/v1/jobs/{id}"),
+        (users::path::CANCEL, "/v1/jobs/{id}/withdraw"),
+        (users::path::HEALTH, "/up"),
+        (workers::path::REPORT, "/v1/report"),
+        (workers::path::COMMANDS, "/commands"),
+        (workers::path::INSPECT, "/inspect"),
+        (cloud::path::TYPES, "/machine_types"),
+        (cloud::path::MACHINES, "/machines"),
+        (cloud::path::RETURN, "/machines/return"),
+        (cloud::NO_CAPACITY, "no capacity"),
+        (state::path::KV, "/kv"),
+        (state::path::COMMIT, "/commit"),
+        (state::path::GRANTS, "/grants"),
+        (state::path::EXTEND, "extend"),
+        (state::path::FOLLOW, "/follow"),
+        (controllers::path::BEAT, "/beat"),
+        (controllers::path::RELAY, "/relay"),
+    ];
+    paths.iter().for_each(|(now, before)| assert_eq!(now, before));
+}
+
+#[test]
+fn paths_of_operators_are_as_before() {
+    use swiftsail::admin::path;
+    let paths = [
+        (path::JOBS, "/admin/jobs"),
+        (path::EXPLAIN, "/admin/jobs/{id}/explain"),
+        (path::TIER_OF, "/admin/jobs/{id}/tier"),
+        (path::PIPELINE, "/admin/jobs/{id}/pipeline"),
+        (path::TIERS, "/admin/tiers"),
+        (path::DISPATCH, "/admin/dispatch"),
+        (path::LOANS, "/admin/loans"),
+        (path::PLUGINS, "/admin/plugins"),
+        (path::PLUGIN, "/admin/plugins/{name}"),
+        (path::ENABLE, "/admin/plugins/{name}/enable"),
+        (path::DISABLE, "/admin/plugins/{name}/disable"),
+        (swiftsail::local::path::FAULT, "/fault"),
+        (swiftsail::local::path::STANDING, "/standing"),
+        (swiftsail::front::FORMAT, "application/msgpack"),
+    ];
+    paths.iter().for_each(|(now, before)| assert_eq!(now, before));
+}
--- /dev/null
+++ b/tests/recorded_bytes/store.rs
@@ -0,0 +1,215 @@
+//! What controllers themselves keep in the state service: a world in simulated time, with everything switched on that
+//! is stored, beside values that such a world held before.
+
+use serde::{Serialize, de::DeserializeOwned};
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use swiftsail_amounts::records::{Holding, Pool};
+use swiftsail_core::job::{Chunk, FinalRecord, JobRecord};
+use swiftsail_core::node::{AdminAsk, Node};
+use swiftsail_core::tables::SheetRecord;
+use swiftsail_core::term::LeaderRecord;
+use swiftsail_dispatch::board::Took;
+use swiftsail_dispatch::{Arrival, Plan};
+use swiftsail_loans::Lent;
+use swiftsail_order::Versioned;
+use swiftsail_policy::operator::Operator;
+use swiftsail_policy::plugin::{Kind, Offer, PluginRecord};
+use swiftsail_standin::world::{Weather, World, accelerated, gpu_job, job};
+use swiftsail_tiers::TableRecord;
+use swiftsail_wire::cloud::Types;
+
+const RECORDED: &str = include_str!("fixtures/store.txt");
+const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
+const OPERATOR: &str = r#"
+[plugins]
+enabled = true
+[amounts]
+durable = true
+[loans]
+durable = true
+[tiers]
+version = 1
+[[tiers.tier]]
+name = "core"
+when = 'job.priority == "production" && job.kind == "service"'
+ordered = true
+[dispatch]
+version = 1
+[[dispatch.chain]]
+name = "lists"
+[[dispatch.chain.step]]
+name = "count"
+when = 'job.class == "count"'
+"#;
+
+/// The kinds of keys, and how each begins.
+const KINDS: [(&str, &str); 16] = [
+    ("job", "job/"),
+    ("end", "end/"),
+    ("chunk", "bind/"),
+    ("sheet", "sheet/"),
+    ("plug-in", "plug/evening"),
+    ("source", "plug/evening/"),
+    ("form", "term/form"),
+    ("leader", "term/leader"),
+    ("types", "types/all"),
+    ("pool", "amount/0/pool"),
+    ("holding", "amount/0/of/"),
+    ("tiers", "order/tiers"),
+    ("plan", "order/dispatch"),
+    ("arrival", "order/due/"),
+    ("took", "order/took/"),
+    ("loans", "order/loan/"),
+];
+
+/// The kind of a key: the longest beginning counts.
+fn kind(key: &str) -> Option<&'static str> {
+    let found = KINDS.iter().filter(|(_, begins)| key.starts_with(begins));
+    found.max_by_key(|(_, begins)| begins.len()).map(|(kind, _)| *kind)
+}
+
+fn plain<T: Serialize + DeserializeOwned>(value: &Value) -> Option<Value> {
+    let found: T = serde_json::from_value(value.clone()).ok()?;
+    serde_json::to_value(&found).ok()
+}
+
+fn versioned<T: Versioned>(value: &Value) -> Option<Value> {
+    T::read("key", value).ok().map(|found| found.record())
+}
+
+/// A value read into today's type of its kind and written again.
+fn again(kind: &str, value: &Value) -> Option<Value> {
+    match kind {
+        "job" => plain::<JobRecord>(value).or_else(|| plain::<FinalRecord>(value)),
+        "end" => plain::<FinalRecord>(value),
+        "chunk" => plain::<Chunk>(value),
+        "sheet" => plain::<SheetRecord>(value),
+        "plug-in" => plain::<PluginRecord>(value),
+        "source" => plain::<String>(value),
+        "form" => (*value == json!({"form": 1})).then(|| value.clone()),
+        "leader" => plain::<LeaderRecord>(value),
+        "types" => plain::<Types>(value),
+        "pool" => plain::<Pool>(value),
+        "holding" => plain::<Holding>(value),
+        "tiers" => versioned::<TableRecord>(value),
+        "plan" => versioned::<Plan>(value),
+        "arrival" => versioned::<Arrival>(value),
+        "took" => versioned::<Took>(value),
+        "loans" => versioned::<Lent>(value),
+        _ => None,
+    }
+}
+
+fn load(world: &mut World) {
+    for n in 0..4 {
+        let id = format!("wk-b{n}");
+        world.submit(500 + n * 500, None, gpu_job(&id, "array", "lab", 8, 1.0, 400.0));
+    }
+    let mut count = job("wk-count", "array", "blue", 4, 1.0, 5.0);
+    count["jobclass"] = "count".into();
+    world.submit(14_000, None, count);
+    world.submit(3_000, Some(40_000), job("wk-s1", "service", "red", 2, 1.0, 0.0));
+    let mut after = job("wk-after", "array", "red", 2, 1.0, 30.0);
+    after["awaits"] = json!(["wk-count"]);
+    world.submit(20_000, None, after);
+}
+
+/// Fine-tuning borrows what serving is guaranteed, and gives it back.
+fn lend(world: &mut World) {
+    for n in 0..4 {
+        let id = format!("wk-t{n}");
+        world.submit(500 + n * 900, None, gpu_job(&id, "gang", "tuning", 2, 1.0, 200.0));
+    }
+    for n in 0..3 {
+        let mut body = gpu_job(&format!("wk-s{n}"), "service", "serving", 2, 1.0, 0.0);
+        body["scatter"] = false.into();
+        world.submit(90_000 + n * 2_000, Some(172_000 + n * 4_000), body);
+    }
+}
+
+fn ask(world: &mut World) {
+    let node = (0..3).find(|n| world.nodes[*n].as_ref().is_some_and(Node::leads));
+    let node = node.expect("somebody leads");
+    let source = "fn priority(job, cluster) { 1 }".to_string();
+    let offer = Offer { kind: Kind::Decision, source, precedence: 10, enable: true };
+    let offer = serde_json::to_vec(&offer).expect("our own type");
+    world.ask(8_100, node, AdminAsk::Offer("evening".into(), offer));
+    let at_ms = 1_700_000_000_000 + world.now + 240_000;
+    let arrival = json!({"name": "north", "chain": "lists", "at_ms": at_ms}).to_string();
+    world.ask(8_200, node, AdminAsk::AddArrival(arrival.into_bytes()));
+}
+
+type Seen = BTreeMap<String, Vec<Value>>;
+
+/// Plays a world on, and notes all values that each key of the state service holds on the way.
+fn watch(world: &mut World, until_ms: u64, seen: &mut Seen) {
+    for at in (17..until_ms / 500).map(|n| n * 500) {
+        world.run(at);
+        for pair in world.store.list("", None, 10_000).pairs {
+            let held = seen.entry(pair.key).or_default();
+            if held.last() != Some(&pair.value) {
+                held.push(pair.value);
+            }
+        }
+    }
+}
+
+/// All values of each key that were seen in the state service of two worlds.
+fn seen() -> Seen {
+    let mut seen = Seen::new();
+    let mut world = World::offering(1, CALM, 400_000, accelerated(1));
+    world.operator = Operator::parse("test", OPERATOR).expect("the file is sound");
+    load(&mut world);
+    world.run(8_000);
+    ask(&mut world);
+    watch(&mut world, 90_000, &mut seen);
+    let mut world = World::offering(1, CALM, 400_000, accelerated(1));
+    let text = "[loans]\ndurable = true\n";
+    world.operator = Operator::parse("test", text).expect("the file is sound");
+    lend(&mut world);
+    watch(&mut world, 200_000, &mut seen);
+    seen
+}
+
+#[test]
+fn what_controllers_keep_is_read_and_written_as_it_is() {
+    let seen = seen();
+    let mut dump = String::new();
+    for (of, _) in KINDS {
+        let mut keys = seen.iter().filter(|(key, _)| kind(key) == Some(of)).peekable();
+        assert!(keys.peek().is_some(), "nothing of kind {of} was kept");
+        for (key, values) in keys {
+            // The longest: most of what may be left out is there.
+            let most = values.iter().max_by_key(|v| v.to_string().len()).expect("a value");
+            dump.push_str(&format!(
+                "{key}\n{most}\n{}\n\n",
+                crate::to_hex(&swiftsail_wire::write(most))
+            ));
+            for value in values {
+                assert_eq!(again(of, value).as_ref(), Some(value), "{key}");
+            }
+        }
+    }
+    for key in ["amount/0/of/all", "amount/0/of/seen-n0", "plug/evening/1/000", "sheet/000"] {
+        assert!(seen.contains_key(key), "{key} is not kept");
+    }
+    let odd: Vec<&String> = seen.keys().filter(|key| kind(key).is_none()).collect();
+    assert!(odd.is_empty(), "keys of no known kind: {odd:?}");
+    let path = format!("{}/store.txt", env!("CARGO_TARGET_TMPDIR"));
+    std::fs::write(path, dump).expect("the folder for trials can be written");
+}
+
+/// What a world held before the renaming; what a world holds today need not be the same.
+#[test]
+fn what_controllers_kept_before_is_read_and_written_as_it_was() {
+    let held = crate::entries(RECORDED);
+    for (of, _) in KINDS {
+        assert!(held.keys().any(|key| kind(key) == Some(of)), "nothing of kind {of} is recorded");
+    }
+    for (key, bytes) in held {
+        let value: Value = swiftsail_wire::read(&bytes).expect("it is MessagePack");
+        let found = kind(&key).and_then(|of| again(of, &value));
+        assert_eq!(found.map(|v| swiftsail_wire::write(&v)), Some(bytes), "{key}: {value}");
+    }
+}
