--- a/crates/standin/src/world/actions.rs
+++ b/crates/standin/src/world/actions.rs
@@ -10,6 +10,7 @@
 
 impl World {
     pub(super) fn act(&mut self, n: usize, life: u64, action: Action) {
+        self.record(n, life, &action);
         let at = self.now + self.delay();
         match action {
             Action::Reply(id, reply) => match self.askers.remove(&(n, life, id)) {
--- a/crates/standin/src/world/mod.rs
+++ b/crates/standin/src/world/mod.rs
@@ -8,6 +8,7 @@
 mod looks;
 mod pipelines;
 mod processor;
+mod record;
 mod rules;
 mod scene;
 mod served;
@@ -18,6 +19,7 @@
 mod users;
 
 use processor::Processor;
+pub use record::Recorder;
 use scene::{NODES, free_limits};
 pub use scene::{accelerated, gpu_job, job, mixed_load, offered, settings, spec};
 pub use spells::{Fate, Judge, Spell, Trouble};
@@ -232,6 +234,8 @@
     odd: u64,
     /// Until when each controller's heartbeats are those of a version that knows no pipelines, ms from the beginning.
     pub earlier_until_ms: [u64; NODES],
+    /// Is given all that controllers send; none: nothing is recorded.
+    pub recorder: Option<Recorder>,
 }
 
 impl World {
@@ -309,6 +313,7 @@
             watches_waiting: false,
             odd: 0,
             earlier_until_ms: [0; NODES],
+            recorder: None,
             rng: StdRng::seed_from_u64(seed ^ 0xabcd),
         };
         for n in 0..NODES {
--- a/crates/standin/src/world/steps.rs
+++ b/crates/standin/src/world/steps.rs
@@ -71,6 +71,7 @@
                     return;
                 }
                 if let Some(ours) = self.nodes[to].as_mut().map(|n| n.beat(brief)) {
+                    self.record_beat_answer(to, &ours);
                     let ours = self.as_of(from, self.as_of(to, ours));
                     let at = self.now + self.delay();
                     self.at(at, Ev::ToNode(from, life, Box::new(Event::Beat(ours))));
--- /dev/null
+++ b/examples/trace/scenarios.rs
@@ -0,0 +1,343 @@
+//! The fixed worlds: what each is, and what happens in it.
+
+use serde_json::{Value, json};
+use swiftsail_core::node::{AdminAsk, Node};
+use swiftsail_policy::operator::Operator;
+use swiftsail_policy::plugin::{Kind, Offer};
+use swiftsail_standin::world::{
+    Cut, Deafness, Trouble, Weather, World, accelerated, gpu_job, job, mixed_load,
+};
+
+/// Seeds under which every scenario is played.
+pub const SEEDS: [u64; 3] = [1, 2, 3];
+
+const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
+const CHAIN: &str = r#"
+[dispatch]
+version = 1
+[[dispatch.chain]]
+name = "lists"
+[[dispatch.chain.step]]
+name = "count"
+when = 'job.class == "count"'
+margin_s = 60.0
+[[dispatch.chain.step]]
+name = "list"
+when = 'job.class == "list"'
+after = ["count"]
+margin_s = 300.0
+"#;
+const REPORT_HOOK: &str = "to = \"127.0.0.1:9\"\npath = \"/events\"\n";
+
+/// A world of a seed, and what happens in it.
+pub struct Scenario {
+    /// Its name.
+    pub name: &'static str,
+    /// Builds the world of a seed.
+    pub build: fn(u64) -> World,
+    /// Plays it to the end.
+    pub play: fn(&mut World),
+}
+
+/// All scenarios, in a fixed order.
+#[rustfmt::skip]
+pub fn all() -> Vec<Scenario> {
+    vec![
+        Scenario { name: "calm", build: calm, play: |w| mixed(w, 180_000) },
+        Scenario { name: "faults", build: |s| weather(s, 0.03, 0.01, 4, 2), play: |w| mixed(w, 240_000) },
+        Scenario { name: "late-messages", build: |s| weather(s, 0.02, 0.05, 0, 0), play: |w| mixed(w, 240_000) },
+        Scenario { name: "leader-crashes", build: calm, play: leader_crashes },
+        Scenario { name: "network-cuts", build: calm, play: network_cuts },
+        Scenario { name: "zone-away", build: calm, play: zone_away },
+        Scenario { name: "store-outages", build: calm, play: store_outages },
+        Scenario { name: "store-limits", build: calm, play: store_limits },
+        Scenario { name: "lost-and-late-writes", build: calm, play: lost_and_late_writes },
+        Scenario { name: "cloud-trouble", build: calm, play: cloud_trouble },
+        Scenario { name: "frozen-controllers", build: calm, play: frozen },
+        Scenario { name: "rolling-restarts", build: durable, play: rolling_restarts },
+        Scenario { name: "two-controllers", build: calm, play: |w| without(w, &[2]) },
+        Scenario { name: "one-controller", build: calm, play: |w| without(w, &[1, 2]) },
+        Scenario { name: "memory-pressure", build: calm, play: memory_pressure },
+        Scenario { name: "memory-pressure-one", build: calm, play: memory_pressure_one },
+        Scenario { name: "scarce-processor", build: calm, play: scarce_processor },
+        Scenario { name: "gangs", build: calm, play: gangs },
+        Scenario { name: "pipelines", build: calm, play: pipelines },
+        Scenario { name: "mixed-versions", build: calm, play: mixed_versions },
+        Scenario { name: "tiers", build: tiers, play: leader_crashes },
+        Scenario { name: "dispatch-deadlines", build: dispatch, play: dispatch_deadlines },
+        Scenario { name: "gpu-loans", build: gpus, play: gpu_loans },
+        Scenario { name: "plugins", build: plugins, play: play_plugins },
+        Scenario { name: "durable-limits", build: durable, play: binding_limits },
+        Scenario { name: "binding-limits", build: calm, play: binding_limits },
+        Scenario { name: "odd-users", build: calm, play: odd_users },
+        Scenario { name: "deaf-machines", build: calm, play: deaf_machines },
+    ]
+}
+
+// ---- worlds --------------------------------------------------------------------------------------
+
+fn calm(seed: u64) -> World {
+    World::new(seed, CALM, 150_000)
+}
+
+fn weather(seed: u64, loss: f64, late: f64, crashes: u32, outages: u32) -> World {
+    World::new(seed, Weather { loss, late, crashes, outages }, 90_000)
+}
+
+fn operated(seed: u64, text: &str) -> World {
+    let mut world = calm(seed);
+    world.operator = Operator::parse("trace", text).expect("it is sound");
+    world
+}
+
+fn durable(seed: u64) -> World {
+    operated(seed, "[amounts]\ndurable = true\n")
+}
+
+fn tiers(seed: u64) -> World {
+    operated(seed, include_str!("../../deploy/tiers.toml"))
+}
+
+fn dispatch(seed: u64) -> World {
+    operated(seed, CHAIN)
+}
+
+fn plugins(seed: u64) -> World {
+    operated(seed, "[plugins]\nenabled = true\n")
+}
+
+fn gpus(seed: u64) -> World {
+    let mut world = World::offering(seed, CALM, 400_000, accelerated(1));
+    world.operator = Operator::parse("trace", "[loans]\ndurable = true\n").expect("it is sound");
+    world
+}
+
+// ---- what happens --------------------------------------------------------------------------------
+
+fn leader(world: &World) -> Option<usize> {
+    (0..3).find(|n| world.nodes[*n].as_ref().is_some_and(Node::leads))
+}
+
+fn crash_leader(world: &mut World, at_ms: u64) {
+    world.run(at_ms);
+    if let Some(node) = leader(world) {
+        world.crash(at_ms, node);
+    }
+}
+
+fn mixed(world: &mut World, until_ms: u64) {
+    mixed_load(world, 6);
+    world.run(until_ms);
+}
+
+fn leader_crashes(world: &mut World) {
+    mixed_load(world, 6);
+    (1..6).for_each(|n| crash_leader(world, n * 14_000));
+    world.run(180_000);
+}
+
+fn network_cuts(world: &mut World) {
+    let cut = |node, from_ms| Cut::of(node, from_ms, 15_000);
+    world.cuts.push(Cut { workers: true, ..cut(0, 10_000) });
+    world.cuts.push(Cut { peers: true, ..cut(1, 30_000) });
+    world.cuts.push(Cut { store: true, ..cut(2, 50_000) });
+    world.cuts.push(Cut { workers: true, peers: true, hold: true, ..cut(0, 70_000) });
+    mixed(world, 200_000);
+}
+
+fn zone_away(world: &mut World) {
+    world.spell(30_000, 30_000, Trouble::ZoneAway { zone: "b".into(), node: 1 });
+    mixed(world, 180_000);
+}
+
+fn store_outages(world: &mut World) {
+    world.outage(20_000, 12_000);
+    world.slow(45_000, 20_000);
+    world.outage(80_000, 4_000);
+    mixed(world, 200_000);
+}
+
+fn store_limits(world: &mut World) {
+    world.limit_store(40.0, 12.0);
+    mixed(world, 200_000);
+}
+
+fn lost_and_late_writes(world: &mut World) {
+    world.spell(10_000, 40_000, Trouble::AnswersLost(0.2));
+    world.spell(60_000, 40_000, Trouble::WritesLate(0.1));
+    mixed(world, 200_000);
+}
+
+fn cloud_trouble(world: &mut World) {
+    world.spell(2_000, 20_000, Trouble::CloudSlow(6_000));
+    world.spell(40_000, 20_000, Trouble::CloudAway);
+    mixed(world, 180_000);
+}
+
+fn frozen(world: &mut World) {
+    for (n, for_ms) in [1_000, 2_600, 25_000, 7_000].into_iter().enumerate() {
+        world.freeze(12_000 + n as u64 * 22_000, n % 3, for_ms);
+    }
+    mixed(world, 200_000);
+}
+
+fn rolling_restarts(world: &mut World) {
+    world.restart_ms = Some(800);
+    for node in 0..3 {
+        world.crash(30_000 + node as u64 * 15_000, node);
+    }
+    mixed(world, 180_000);
+}
+
+fn without(world: &mut World, nodes: &[usize]) {
+    world.restart_ms = Some(10_000_000);
+    nodes.iter().for_each(|node| world.crash(500, *node));
+    mixed(world, 180_000);
+}
+
+fn memory_pressure(world: &mut World) {
+    world.memory_mb = 0.2;
+    mixed(world, 180_000);
+}
+
+fn memory_pressure_one(world: &mut World) {
+    world.memory_mb = 0.2;
+    without(world, &[0, 2]);
+}
+
+fn scarce_processor(world: &mut World) {
+    world.cores = Some(0.02);
+    mixed(world, 150_000);
+}
+
+fn gangs(world: &mut World) {
+    for n in 0..8u64 {
+        let body = job(&format!("wk-g{n}"), "gang", "blue", 2 + n as u32, 4.0, 12.0);
+        world.submit(500 + n * 4_000, (n == 5).then_some(40_000), body);
+    }
+    world.run(40_000);
+    let now = world.now;
+    world.plant.hang(2, 13_000, now);
+    world.run(60_000);
+    world.die(1, 4);
+    crash_leader(world, 75_000);
+    world.run(180_000);
+}
+
+fn awaiting(id: &str, awaits: &[&str], tasks: u32) -> Value {
+    let mut body = job(id, "array", "blue", tasks, 1.0, 4.0);
+    (body["awaits"], body["due_s"]) = (json!(awaits), Value::Null);
+    body
+}
+
+fn submit_pipelines(world: &mut World) {
+    for (n, line) in ["a", "b", "c"].into_iter().enumerate() {
+        let id = |k: u32| format!("wk-{line}{k}");
+        let at = 6_000 + n as u64 * 9_000;
+        world.submit(at, None, awaiting(&id(0), &[], 6));
+        world.submit(at + 200, None, awaiting(&id(1), &[&id(0)], 3));
+        let cancel = (n == 1).then_some(at + 9_000);
+        world.submit(at + 400, cancel, awaiting(&id(2), &[&id(0)], 4));
+        world.submit(at + 600, None, awaiting(&id(3), &[&id(1), &id(2)], 2));
+    }
+}
+
+fn pipelines(world: &mut World) {
+    submit_pipelines(world);
+    crash_leader(world, 20_000);
+    crash_leader(world, 32_000);
+    world.run(150_000);
+}
+
+fn mixed_versions(world: &mut World) {
+    world.earlier_until_ms[1] = 40_000;
+    world.crash(30_000, 2);
+    submit_pipelines(world);
+    world.run(150_000);
+}
+
+fn dispatch_deadlines(world: &mut World) {
+    world.run(8_000);
+    let at_ms = 1_700_000_000_000 + world.now + 240_000;
+    let body = json!({"name": "north", "chain": "lists", "at_ms": at_ms}).to_string();
+    (0..3).for_each(|node| {
+        world.ask(8_000, node, AdminAsk::AddArrival(body.clone().into_bytes()));
+        world.ask(60_000, node, AdminAsk::Dispatch(None));
+    });
+    for (n, class) in ["count", "list"].into_iter().enumerate() {
+        let mut body = job(&format!("wk-{class}"), "array", "blue", 4, 1.0, 20.0);
+        (body["jobclass"], body["due_s"]) = (class.into(), 3_000.0.into());
+        world.submit(14_000 + n as u64 * 45_000, None, body);
+    }
+    [20_000, 40_000, 75_000].into_iter().for_each(|at| crash_leader(world, at));
+    world.run(160_000);
+}
+
+fn gpu_loans(world: &mut World) {
+    for n in 0..4u64 {
+        let body = gpu_job(&format!("wk-t{n}"), "gang", "tuning", 2, 1.0, 200.0);
+        world.submit(500 + n * 900, None, body);
+        let body = gpu_job(&format!("wk-b{n}"), "array", "lab", 4, 1.0, 60.0);
+        world.submit(30_000 + n * 500, None, body);
+    }
+    for n in 0..3u64 {
+        let mut body = gpu_job(&format!("wk-s{n}"), "service", "serving", 2, 1.0, 0.0);
+        body["scatter"] = false.into();
+        world.submit(90_000 + n * 2_000, Some(172_000 + n * 4_000), body);
+    }
+    for node in 0..3 {
+        world.ask(120_000, node, AdminAsk::Loans(None));
+    }
+    [100_000, 130_000, 180_000].into_iter().for_each(|at| crash_leader(world, at));
+    world.run(400_000);
+}
+
+fn offer(name: &str, kind: Kind, source: &str) -> AdminAsk {
+    let offer = Offer { kind, source: source.into(), precedence: 10, enable: true };
+    AdminAsk::Offer(name.into(), serde_json::to_vec(&offer).expect("our own type"))
+}
+
+fn play_plugins(world: &mut World) {
+    let advice = "fn priority(job, cluster) { if job.waiting > 3 { 50 } else { -50 } }\n\
+                  fn spot_share(job, cluster) { 0.5 }";
+    world.ask(5_000, 0, offer("advice", Kind::Decision, advice));
+    world.ask(5_500, 1, offer("faulty", Kind::Decision, "fn class_order(c, l) { \"soon\" }"));
+    world.ask(6_000, 2, offer("events", Kind::Report, REPORT_HOOK));
+    for node in 0..3 {
+        world.ask(30_000, node, AdminAsk::Plugins);
+        world.ask(31_000, node, AdminAsk::Explain("wk-s0".into()));
+    }
+    mixed_load(world, 6);
+    crash_leader(world, 40_000);
+    world.run(150_000);
+    assert!(!world.delivered.is_empty(), "the report hook was sent nothing");
+}
+
+fn binding_limits(world: &mut World) {
+    let mut long = job("wk-long", "array", "red", 90, 2.0, 30.0);
+    long["due_s"] = Value::Null;
+    world.submit(500, None, long);
+    mixed_load(world, 4);
+    world.run(40_000);
+    world.red_most[1] = 24.0;
+    world.crash(40_000, 1);
+    crash_leader(world, 70_000);
+    world.run(160_000);
+}
+
+fn odd_users(world: &mut World) {
+    world.spell(5_000, 60_000, Trouble::OddRequests);
+    world.spell(5_000, 60_000, Trouble::CloseLooks);
+    world.spell(5_000, 90_000, Trouble::CancelAtEnd(0.3));
+    world.cancel_now(45_000, 3, Some(6_000));
+    mixed(world, 180_000);
+}
+
+fn deaf_machines(world: &mut World) {
+    let zone = Some("a".to_string());
+    let names = Vec::new();
+    world.deafness.push(Deafness { from_ms: 25_000, for_ms: 20_000, zone, names, hears_each: 0 });
+    world.copies = Some((0.05, 20_000));
+    world.spell(60_000, 40_000, Trouble::SlowLinks(300));
+    mixed(world, 180_000);
+}
--- /dev/null
+++ b/tests/trace.rs
@@ -0,0 +1,23 @@
+//! Recordings of what controllers send: the same for the same seed, and another for another.
+
+#[path = "../examples/trace/recording.rs"]
+mod recording;
+
+use recording::Recording;
+use swiftsail_standin::world::{Weather, World, mixed_load};
+
+fn recorded(seed: u64) -> Recording {
+    let weather = Weather { loss: 0.02, late: 0.01, crashes: 2, outages: 1 };
+    Recording::of(World::new(seed, weather, 40_000), |world| {
+        mixed_load(world, 3);
+        world.run(60_000);
+    })
+}
+
+#[test]
+fn recordings_differ_by_seed_alone() {
+    let (one, again, other) = (recorded(1), recorded(1), recorded(2));
+    assert!(one.bytes > 10_000, "{one:?}");
+    assert_eq!(one, again, "one seed, played twice");
+    assert_ne!(one.digest, other.digest, "two seeds");
+}
