--- a/crates/core/src/accounts.rs
+++ b/crates/controller/src/accounts.rs
@@ -1,8 +1,8 @@
 //! Amounts in the state service: pages, holdings and their transactions as keys and values.
 
 use crate::job::keys;
-use swiftsail_amounts::records::{Holding, Key, Page, Pool, Record, Team, Txn};
-use swiftsail_wire::state::{Change, Commit, Page as Listed, When};
+use swiftsail_quota::records::{Holding, Key, Page, Pool, Record, Team, Txn};
+use swiftsail_protocol::state::{Change, Commit, Page as Listed, When};
 
 /// Everything about amounts stands under this.
 pub const PREFIX: &str = "amount/";
--- a/crates/core/src/chance/mod.rs
+++ b/crates/controller/src/chance/mod.rs
@@ -5,7 +5,7 @@
 pub use history::{Histories, History};
 
 use crate::constants::BINS;
-use swiftsail_pipelines::Span;
+use swiftsail_dag::Span;
 
 /// A probability mass function over time: mass `k` lies at `origin + k * step` ms. Its last bin
 /// also holds all that lies beyond.
--- a/crates/core/src/cloud/mod.rs
+++ b/crates/controller/src/cloud/mod.rs
@@ -4,7 +4,7 @@
 use crate::constants::*;
 use crate::store::Bucket;
 use std::collections::VecDeque;
-use swiftsail_wire::cloud::{Berths, Listing, Rent, Types};
+use swiftsail_protocol::cloud::{Berths, Listing, Rent, Types};
 
 /// A call to the cloud.
 #[derive(Debug, Clone)]
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -14,8 +14,8 @@
 use demand::Demand;
 use reserve::Reserve;
 use std::collections::BTreeSet;
-use swiftsail_membership::Hearing;
-use swiftsail_membership::constants::{
+use swiftsail_failure_detector::Hearing;
+use swiftsail_failure_detector::constants::{
     CUT_PATIENCE, DEAF_RETURN_LEAST, DEAF_RETURN_SHARE, LOST_SHARE,
 };
 
--- a/crates/core/src/job/mod.rs
+++ b/crates/controller/src/job/mod.rs
@@ -8,13 +8,13 @@
 };
 
 use crate::constants::*;
-pub use swiftsail_wire::users::{Kind, Priority, Spec};
+pub use swiftsail_protocol::users::{Kind, Priority, Spec};
 
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use swiftsail_tiers::Tiers;
-use swiftsail_wire::workers::Cause;
+use swiftsail_protocol::workers::Cause;
 pub use trust::Trust;
 
 /// A job's id.
--- a/crates/core/src/job/record.rs
+++ b/crates/controller/src/job/record.rs
@@ -5,7 +5,7 @@
 use crate::settings::State;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
-use swiftsail_pipelines::Fate;
+use swiftsail_dag::Fate;
 
 /// Prefixes and keys in the state service.
 pub mod keys {
--- a/crates/core/src/machine/mod.rs
+++ b/crates/controller/src/machine/mod.rs
@@ -5,10 +5,10 @@
 use crate::job::{JobId, MachineId, Spec};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
-use swiftsail_membership::constants::{ANSWERED_LEAST, ANSWERED_SHARE, LASTED_SHARE, LOST_SHARE};
-use swiftsail_membership::{Ear, Sign};
-use swiftsail_wire::cloud::{Hull, Listed};
-use swiftsail_wire::workers::Report;
+use swiftsail_failure_detector::constants::{ANSWERED_LEAST, ANSWERED_SHARE, LASTED_SHARE, LOST_SHARE};
+use swiftsail_failure_detector::{Ear, Sign};
+use swiftsail_protocol::cloud::{Hull, Listed};
+use swiftsail_protocol::workers::Report;
 
 /// A machine type.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/core/src/node/calls.rs
+++ b/crates/controller/src/node/calls.rs
@@ -8,9 +8,9 @@
 use crate::store::{Call, Finished, Outcome, Patience, Urgency};
 use crate::tables::Tables;
 use std::sync::Arc;
-use swiftsail_wire::cloud::Types;
-use swiftsail_wire::state::{Change, Commit, When};
-use swiftsail_wire::users::Status;
+use swiftsail_protocol::cloud::Types;
+use swiftsail_protocol::state::{Change, Commit, When};
+use swiftsail_protocol::users::Status;
 
 /// What a store call was for; `era` tells answers to an earlier term.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/core/src/node/chunks.rs
+++ b/crates/controller/src/node/chunks.rs
@@ -10,8 +10,8 @@
 use crate::tables::{Tables, split_task};
 use std::cmp::Reverse;
 use std::collections::HashMap;
-use swiftsail_wire::state::{Change, Commit, Page, When};
-use swiftsail_wire::workers::Cause;
+use swiftsail_protocol::state::{Change, Commit, Page, When};
+use swiftsail_protocol::workers::Cause;
 
 impl Tables {
     /// Takes over a page of bindings. Keys of jobs that are over are left-overs to remove.
--- a/crates/core/src/node/desk.rs
+++ b/crates/controller/src/node/desk.rs
@@ -11,10 +11,10 @@
 use crate::store::{Call, Outcome, Patience, Urgency};
 use crate::tables::{Tables, amounts_of};
 use std::collections::BTreeMap;
-use swiftsail_amounts::account::{self, Next, Phase};
-use swiftsail_amounts::records::{Decider, Key, Txn};
-use swiftsail_amounts::{Account, Amount, Amounts};
-use swiftsail_wire::state::Page;
+use swiftsail_quota::account::{self, Next, Phase};
+use swiftsail_quota::records::{Decider, Key, Txn};
+use swiftsail_quota::{Account, Amount, Amounts};
+use swiftsail_protocol::state::Page;
 
 /// The one decider.
 const ALL: &str = "all";
--- a/crates/core/src/node/dispatch.rs
+++ b/crates/controller/src/node/dispatch.rs
@@ -9,10 +9,10 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use swiftsail_dispatch::board::Took;
-use swiftsail_dispatch::constants::CHANCE;
-use swiftsail_dispatch::{Arrival, Board, Calendar, Phase, Plan, Work};
-use swiftsail_order::Versioned;
+use swiftsail_deadline_planning::board::Took;
+use swiftsail_deadline_planning::constants::CHANCE;
+use swiftsail_deadline_planning::{Arrival, Board, Calendar, Phase, Plan, Work};
+use swiftsail_replicated_records::Versioned;
 
 /// Keys among the records of the order.
 const PLAN: &str = "dispatch";
@@ -241,7 +241,7 @@
         };
         let Single { name, chain, at_ms } = single;
         let named = !name.is_empty()
-            && name.len() <= swiftsail_dispatch::constants::NAME_MOST
+            && name.len() <= swiftsail_deadline_planning::constants::NAME_MOST
             && name.chars().all(|c| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-');
         if !named || at_ms <= self.now.wall {
             let why =
--- a/crates/core/src/node/effort.rs
+++ b/crates/controller/src/node/effort.rs
@@ -8,11 +8,11 @@
 use crate::steering::Bounds;
 use crate::store::Outcome;
 use crate::tables::{Tables, Wish};
-use swiftsail_overload::budget::Budget;
-use swiftsail_overload::constants::{INTERVAL_MS, LOAD_MOST, LOAD_SMOOTH_MS};
-use swiftsail_overload::headroom::{Bound, machines_most};
-use swiftsail_overload::pressure::Level;
-use swiftsail_wire::controllers::Passed;
+use swiftsail_overload_control::budget::Budget;
+use swiftsail_overload_control::constants::{INTERVAL_MS, LOAD_MOST, LOAD_SMOOTH_MS};
+use swiftsail_overload_control::headroom::{Bound, machines_most};
+use swiftsail_overload_control::pressure::Level;
+use swiftsail_protocol::controllers::Passed;
 
 impl Node {
     /// A timer step has come: how late tells how long work waits for the processor.
--- a/crates/core/src/node/lead.rs
+++ b/crates/controller/src/node/lead.rs
@@ -8,7 +8,7 @@
 use crate::tables::Tables;
 use crate::term::{LeaderRecord, Phase, Voice};
 use rand::Rng;
-use swiftsail_wire::state::{Change, Commit, News, When};
+use swiftsail_protocol::state::{Change, Commit, News, When};
 
 impl Node {
     pub(super) fn read_term(&mut self) {
--- a/crates/core/src/node/ledger.rs
+++ b/crates/controller/src/node/ledger.rs
@@ -14,7 +14,7 @@
 use crate::tables::{Passage, Sheet, SheetRecord, Tables};
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
-use swiftsail_wire::state::{Commit, Page, When};
+use swiftsail_protocol::state::{Commit, Page, When};
 
 impl Tables {
     /// Takes over a page of sheets. To be called after all chunks are known.
--- a/crates/core/src/node/loans.rs
+++ b/crates/controller/src/node/loans.rs
@@ -7,8 +7,8 @@
 use crate::machine::Standing;
 use crate::tables::Tables;
 use serde_json::json;
-use swiftsail_loans::{Lent, Loan, Seen, Todo};
-use swiftsail_order::Versioned;
+use swiftsail_gpu_lending::{Lent, Loan, Seen, Todo};
+use swiftsail_replicated_records::Versioned;
 
 /// Prefix of loans' records among those of the order.
 const PREFIX: &str = "loan/";
--- a/crates/core/src/node/mirror.rs
+++ b/crates/controller/src/node/mirror.rs
@@ -10,8 +10,8 @@
 use crate::store::{Call, Outcome, Patience, Urgency};
 use std::collections::HashMap;
 use std::sync::Arc;
-use swiftsail_pipelines::{Fate, Seen};
-use swiftsail_wire::state::{Item, Page};
+use swiftsail_dag::{Fate, Seen};
+use swiftsail_protocol::state::{Item, Page};
 
 /// How much of the jobs is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/core/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -71,16 +71,16 @@
 use rollout::Rollout;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
-use swiftsail_membership::Probe;
-use swiftsail_overload::budget::Budget;
-use swiftsail_overload::headroom::Load;
-use swiftsail_overload::pressure::Pressure;
+use swiftsail_failure_detector::Probe;
+use swiftsail_overload_control::budget::Budget;
+use swiftsail_overload_control::headroom::Load;
+use swiftsail_overload_control::pressure::Pressure;
 use swiftsail_policy::host::Host;
 use swiftsail_policy::operator::Operator;
 use swiftsail_policy::outbox::Delivery;
 use swiftsail_policy::policy::Policy;
-use swiftsail_wire::controllers::{Answers, Batch, Beat};
-use swiftsail_wire::workers::{Direct, Report};
+use swiftsail_protocol::controllers::{Answers, Batch, Beat};
+use swiftsail_protocol::workers::{Direct, Report};
 use workers::Passed;
 
 /// Steady time and time of day, ms.
@@ -109,11 +109,11 @@
 impl Reply {
     /// An answer with a body.
     pub fn new<T: serde::Serialize>(status: u16, body: &T) -> Reply {
-        Reply { status, body: swiftsail_wire::write(body), retry_after: None }
+        Reply { status, body: swiftsail_protocol::write(body), retry_after: None }
     }
     /// "Come back later."
     pub fn later(why: &str) -> Reply {
-        let problem = swiftsail_wire::users::Problem { error: format!("{why}; try again later") };
+        let problem = swiftsail_protocol::users::Problem { error: format!("{why}; try again later") };
         Reply { retry_after: Some(RETRY_AFTER_S), ..Reply::new(503, &problem) }
     }
 }
--- a/crates/core/src/node/order.rs
+++ b/crates/controller/src/node/order.rs
@@ -11,12 +11,12 @@
 use crate::tables::{Tables, facts_of};
 use serde_json::json;
 use std::rc::Rc;
-use swiftsail_dispatch::{Board, Calendar, Plan};
-use swiftsail_order::{Book, Limits, Txn, Versioned};
+use swiftsail_deadline_planning::{Board, Calendar, Plan};
+use swiftsail_replicated_records::{Book, Limits, Txn, Versioned};
 use swiftsail_policy::operator::Operator;
 use swiftsail_tiers::{Table, TableRecord};
-use swiftsail_wire::state::{Change, Commit, Item, Page, When};
-use swiftsail_wire::users::Spec;
+use swiftsail_protocol::state::{Change, Commit, Item, Page, When};
+use swiftsail_protocol::users::Spec;
 
 /// Key of the table of tiers.
 const TIERS: &str = "tiers";
@@ -224,7 +224,7 @@
     }
 
     fn follow_order(&mut self) {
-        let swiftsail_order::Phase::Known(from) = self.order.book.phase() else { return };
+        let swiftsail_replicated_records::Phase::Known(from) = self.order.book.phase() else { return };
         if std::mem::replace(&mut self.order.following, true) {
             return;
         }
@@ -287,7 +287,7 @@
 
     /// A transaction of the leader's has ended.
     pub(super) fn order_written(&mut self, nonce: u64, outcome: &Outcome) {
-        use swiftsail_order::Outcome as End;
+        use swiftsail_replicated_records::Outcome as End;
         let end = match outcome {
             Outcome::Committed(stamp) => End::Committed(*stamp),
             Outcome::Conflict(failed) if failed.iter().any(|k| k == keys::LEADER) => {
--- a/crates/core/src/node/owed.rs
+++ b/crates/controller/src/node/owed.rs
@@ -14,7 +14,7 @@
 use crate::job::{Attempt, JobId, MachineId};
 use crate::tables::Tables;
 use std::collections::BTreeMap;
-use swiftsail_wire::controllers::Beat;
+use swiftsail_protocol::controllers::Beat;
 
 /// Machines with cancelled tasks that are not proved gone, and when the first of them was cancelled.
 #[derive(Debug, Default)]
--- a/crates/core/src/node/passes.rs
+++ b/crates/controller/src/node/passes.rs
@@ -12,9 +12,9 @@
 use crate::tables::{Guard, Line, Tables, Wish, usable};
 use std::cmp::Reverse;
 use std::sync::Arc;
-use swiftsail_membership::Probe;
+use swiftsail_failure_detector::Probe;
 use swiftsail_tiers::Tiers;
-use swiftsail_wire::workers::Report;
+use swiftsail_protocol::workers::Report;
 
 /// What came of a pass.
 #[derive(Debug)]
--- a/crates/core/src/node/peers.rs
+++ b/crates/controller/src/node/peers.rs
@@ -4,7 +4,7 @@
 use crate::constants::*;
 use crate::tables::Tables;
 use crate::term::{Lead, Voucher};
-use swiftsail_wire::controllers::Beat;
+use swiftsail_protocol::controllers::Beat;
 
 /// What is known of another controller.
 pub(super) struct Peer {
--- a/crates/core/src/node/pipelines.rs
+++ b/crates/controller/src/node/pipelines.rs
@@ -9,8 +9,8 @@
 use crate::store::{Call, Outcome, Patience, Urgency};
 use crate::tables::Tables;
 use std::collections::HashMap;
-use swiftsail_pipelines::{Fate, Seen, Verdict, Walk};
-use swiftsail_wire::users::{Status, valid_id};
+use swiftsail_dag::{Fate, Seen, Verdict, Walk};
+use swiftsail_protocol::users::{Status, valid_id};
 
 /// Whom a walk serves.
 #[derive(Debug)]
--- a/crates/core/src/node/plugins.rs
+++ b/crates/controller/src/node/plugins.rs
@@ -10,8 +10,8 @@
 use swiftsail_policy::constants::PLUGINS_MOST;
 use swiftsail_policy::outbox::Event;
 use swiftsail_policy::plugin::{Offer, PluginRecord, State, Step, chunks, hash, valid_name};
-use swiftsail_wire::state::{Change, Commit, Pair, When};
-use swiftsail_wire::users::Problem;
+use swiftsail_protocol::state::{Change, Commit, Pair, When};
+use swiftsail_protocol::users::Problem;
 
 /// Where this controller stands with the plug-ins of the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/core/src/node/relay.rs
+++ b/crates/controller/src/node/relay.rs
@@ -11,10 +11,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
-use swiftsail_overload::constants::{CONNECTION_KB, CONNECTIONS_SPARE, DUTY_MS};
-use swiftsail_overload::duty::{Duty, Turn};
-use swiftsail_wire::controllers::{Answers, Batch, Passed, Well};
-use swiftsail_wire::workers::{Orders, Redirect, Report};
+use swiftsail_overload_control::constants::{CONNECTION_KB, CONNECTIONS_SPARE, DUTY_MS};
+use swiftsail_overload_control::duty::{Duty, Turn};
+use swiftsail_protocol::controllers::{Answers, Batch, Passed, Well};
+use swiftsail_protocol::workers::{Orders, Redirect, Report};
 
 /// A report that waits to be passed on, or for its answer.
 #[derive(Debug)]
--- a/crates/core/src/node/requests.rs
+++ b/crates/controller/src/node/requests.rs
@@ -8,8 +8,8 @@
 use crate::job::*;
 use crate::store::{Call, Finished, Outcome, Patience, Urgency};
 use std::collections::HashMap;
-use swiftsail_wire::state::{Change, Commit, When};
-use swiftsail_wire::users::{JobAnswer, Problem, Status, read_submission, valid_id};
+use swiftsail_protocol::state::{Change, Commit, When};
+use swiftsail_protocol::users::{JobAnswer, Problem, Status, read_submission, valid_id};
 
 /// What to do once a job's record is known.
 #[derive(Debug)]
--- a/crates/core/src/node/rollout.rs
+++ b/crates/controller/src/node/rollout.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeSet;
-use swiftsail_wire::state::{Commit, When};
+use swiftsail_protocol::state::{Commit, When};
 
 /// Where the form stands, as this controller knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
--- a/crates/core/src/node/steer.rs
+++ b/crates/controller/src/node/steer.rs
@@ -9,12 +9,12 @@
 use crate::steering::{JobSteering, Steering};
 use crate::tables::{Tables, amounts_of};
 use std::collections::{BTreeMap, HashMap};
-use swiftsail_amounts::Amounts;
+use swiftsail_quota::Amounts;
 use swiftsail_policy::facts::{CLASS, CLUSTER, Facts, JOB, TEAM, Value};
 use swiftsail_policy::hooks::{Answer, Hook};
 use swiftsail_policy::host::{Host, Second, Verdict};
 use swiftsail_policy::policy::{Knob, Policy};
-use swiftsail_wire::users::Problem;
+use swiftsail_protocol::users::Problem;
 
 /// Milliseconds of a day.
 const DAY_MS: u64 = 86_400_000;
--- a/crates/core/src/node/workers.rs
+++ b/crates/controller/src/node/workers.rs
@@ -5,7 +5,7 @@
 use crate::constants::*;
 use crate::tables::Source;
 use crate::term::Voice;
-use swiftsail_wire::workers::{Redirect, Report};
+use swiftsail_protocol::workers::{Redirect, Report};
 
 /// What this node, not leading, has done with a worker's reports.
 #[derive(Debug, Default, Clone, Copy)]
--- a/crates/core/src/placement/limits.rs
+++ b/crates/controller/src/placement/limits.rs
@@ -11,8 +11,8 @@
 use crate::tables::{Tables, amounts_of};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use swiftsail_amounts::order::{Claim, share_out};
-use swiftsail_amounts::{Amount, Amounts};
+use swiftsail_quota::order::{Claim, share_out};
+use swiftsail_quota::{Amount, Amounts};
 
 /// The time by which users want a job without a deadline to be done: as the aims of its class ask of its
 /// end, or of its start.
--- a/crates/core/src/placement/preempt.rs
+++ b/crates/controller/src/placement/preempt.rs
@@ -11,7 +11,7 @@
 use crate::job::*;
 use crate::machine::Room;
 use crate::tables::{amounts_of, usable};
-use swiftsail_amounts::Amounts;
+use swiftsail_quota::Amounts;
 
 /// Tasks of several jobs.
 type Tasks = Vec<(JobId, u32)>;
--- a/crates/core/src/placement/teams.rs
+++ b/crates/controller/src/placement/teams.rs
@@ -3,7 +3,7 @@
 use crate::job::*;
 use crate::settings::Team;
 use crate::tables::{Tables, amounts_of};
-use swiftsail_amounts::{Amount, Amounts, Cap};
+use swiftsail_quota::{Amount, Amounts, Cap};
 
 /// A team as a round sees it.
 pub(super) struct TeamRoom {
--- a/crates/core/src/placement/victims.rs
+++ b/crates/controller/src/placement/victims.rs
@@ -2,7 +2,7 @@
 
 use crate::job::*;
 use crate::machine::Room;
-use swiftsail_amounts::Amounts;
+use swiftsail_quota::Amounts;
 
 /// A machine with tasks that could be stopped: what runs in idle hours first, then arrays, then whole gangs; of
 /// each the least work lost first.
--- a/crates/core/src/store/mod.rs
+++ b/crates/controller/src/store/mod.rs
@@ -5,8 +5,8 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use std::collections::{HashMap, VecDeque};
-use swiftsail_overload::retry::{RetryBudget, pause_ms};
-use swiftsail_wire::state::{Commit, News, Page, Pair};
+use swiftsail_overload_control::retry::{RetryBudget, pause_ms};
+use swiftsail_protocol::state::{Commit, News, Page, Pair};
 
 /// A call to the state service.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/core/src/tables/mod.rs
+++ b/crates/controller/src/tables/mod.rs
@@ -27,14 +27,14 @@
 use crate::settings::{Platform, Workers};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
-use swiftsail_amounts::Amounts;
-use swiftsail_loans::Loans;
-use swiftsail_membership::{Detector, Seen, State};
-use swiftsail_pipelines::{Fate, Graph};
+use swiftsail_quota::Amounts;
+use swiftsail_gpu_lending::Loans;
+use swiftsail_failure_detector::{Detector, Seen, State};
+use swiftsail_dag::{Fate, Graph};
 use swiftsail_tiers::Table;
-use swiftsail_wire::cloud::{ListedState, Listing};
-use swiftsail_wire::state::{News, Page};
-use swiftsail_wire::workers::Cause;
+use swiftsail_protocol::cloud::{ListedState, Listing};
+use swiftsail_protocol::state::{News, Page};
+use swiftsail_protocol::workers::Cause;
 
 /// Everything the leader holds under one term.
 pub struct Tables {
--- a/crates/core/src/tables/pipelines.rs
+++ b/crates/controller/src/tables/pipelines.rs
@@ -8,8 +8,8 @@
 use crate::job::*;
 use crate::machine::MachineType;
 use serde_json::{Value, json};
-use swiftsail_pipelines::constants::REST_CHANCE;
-use swiftsail_pipelines::{Asked, Fate, Standing, backward};
+use swiftsail_dag::constants::REST_CHANCE;
+use swiftsail_dag::{Asked, Fate, Standing, backward};
 
 impl Tables {
     /// A job is over, or cancelled for good: what follows for those that await it.
--- a/crates/core/src/tables/rentals.rs
+++ b/crates/controller/src/tables/rentals.rs
@@ -8,8 +8,8 @@
 use rustc_hash::FxHashSet;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
-use swiftsail_membership::constants::DEAF_WINDOW_MS;
-use swiftsail_wire::cloud::Rent;
+use swiftsail_failure_detector::constants::DEAF_WINDOW_MS;
+use swiftsail_protocol::cloud::Rent;
 
 /// A market: machine type, zone, and whether spot.
 pub type Market = (String, String, bool);
--- a/crates/core/src/tables/reports.rs
+++ b/crates/controller/src/tables/reports.rs
@@ -6,8 +6,8 @@
 use crate::job::*;
 use crate::machine::{Machine, MachineType, Room, Standing};
 use std::collections::{BTreeMap, HashMap};
-use swiftsail_membership::{Hearing, Probe, Sign};
-use swiftsail_wire::workers::{Cause, Command, Direct, Orders, Phase, Report, Shard, Verb};
+use swiftsail_failure_detector::{Hearing, Probe, Sign};
+use swiftsail_protocol::workers::{Cause, Command, Direct, Orders, Phase, Report, Shard, Verb};
 
 /// Where a report came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/core/src/tables/rooms.rs
+++ b/crates/controller/src/tables/rooms.rs
@@ -7,7 +7,7 @@
 use crate::machine::{Machine, MachineType, Room, Standing};
 use crate::settings::Team;
 use std::collections::BTreeMap;
-use swiftsail_amounts::{Amounts, Cap};
+use swiftsail_quota::{Amounts, Cap};
 
 impl Tables {
     /// Counts the free room of the machines whose work has changed.
--- a/crates/core/src/term/held.rs
+++ b/crates/controller/src/term/held.rs
@@ -17,8 +17,8 @@
 use crate::constants::*;
 use crate::job::JobId;
 use std::collections::{BTreeMap, VecDeque};
-use swiftsail_wire::controllers::Beat;
-use swiftsail_wire::users::valid_id;
+use swiftsail_protocol::controllers::Beat;
+use swiftsail_protocol::users::valid_id;
 
 /// Controllers, the leader among them, on whose word it may go on.
 pub fn vouchers_needed(controllers: usize) -> usize {
--- a/crates/dispatch/src/arrival.rs
+++ b/crates/deadline-planning/src/arrival.rs
@@ -1,7 +1,7 @@
 //! One arrival, as its record holds it.
 
 use serde::{Deserialize, Serialize};
-use swiftsail_order::Versioned;
+use swiftsail_replicated_records::Versioned;
 
 /// Where an arrival stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
--- a/crates/dispatch/src/board.rs
+++ b/crates/deadline-planning/src/board.rs
@@ -6,7 +6,7 @@
 use crate::constants::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
-use swiftsail_order::Versioned;
+use swiftsail_replicated_records::Versioned;
 use swiftsail_tiers::Facts;
 
 /// What is known of a job that may serve a step.
--- a/crates/dispatch/src/calendar.rs
+++ b/crates/deadline-planning/src/calendar.rs
@@ -9,7 +9,7 @@
 use rhai::AST;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
-use swiftsail_order::Versioned;
+use swiftsail_replicated_records::Versioned;
 use swiftsail_policy::lang::{Flaw, Lang, unknown};
 use swiftsail_tiers::Facts;
 
--- a/crates/loans/src/lent.rs
+++ b/crates/gpu-lending/src/lent.rs
@@ -3,7 +3,7 @@
 use crate::constants::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
-use swiftsail_order::Versioned;
+use swiftsail_replicated_records::Versioned;
 
 /// Where a loan stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
--- a/crates/standin/src/amounts.rs
+++ b/crates/simulation/src/amounts.rs
@@ -3,9 +3,9 @@
 
 use crate::explorer::Small;
 use std::collections::BTreeMap;
-use swiftsail_amounts::account::{Account, Next, Outcome, Phase};
-use swiftsail_amounts::records::{Holding, Key, Page, Pool, Record, Txn};
-use swiftsail_amounts::{Amount, Amounts};
+use swiftsail_quota::account::{Account, Next, Outcome, Phase};
+use swiftsail_quota::records::{Holding, Key, Page, Pool, Record, Txn};
+use swiftsail_quota::{Amount, Amounts};
 
 /// The one team.
 const TEAM: &str = "t";
@@ -369,7 +369,7 @@
 /// The records of a page as they would be with this in the pool and nothing held: where worlds begin that
 /// are not about how a team becomes known.
 pub fn begun(limit: i64, deciders: usize) -> Page {
-    let kept = swiftsail_amounts::records::Kept {
+    let kept = swiftsail_quota::records::Kept {
         limit: one(limit),
         target: one(limit),
         free: one(limit),
--- a/crates/standin/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -5,9 +5,9 @@
 use rand::rngs::StdRng;
 use rand_distr::{Distribution, LogNormal};
 use std::collections::BTreeMap;
-use swiftsail_core::settings::Cloud as Limits;
-use swiftsail_core::store::Bucket;
-use swiftsail_wire::cloud::{Hull, Listed, ListedState, Listing, Rent, Types};
+use swiftsail_controller::settings::Cloud as Limits;
+use swiftsail_controller::store::Bucket;
+use swiftsail_protocol::cloud::{Hull, Listed, ListedState, Listing, Rent, Types};
 
 /// A machine type with what is to be had of it.
 #[derive(Debug, Clone)]
--- a/crates/standin/src/plant.rs
+++ b/crates/simulation/src/plant.rs
@@ -9,10 +9,10 @@
 use rand_distr::{Distribution, LogNormal};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use swiftsail_core::job::{Kind, Spec};
-use swiftsail_core::settings::Platform;
-use swiftsail_wire::cloud::Rent;
-use swiftsail_wire::workers::{Cause, Command, Direct, Orders, Report, Verb};
+use swiftsail_controller::job::{Kind, Spec};
+use swiftsail_controller::settings::Platform;
+use swiftsail_protocol::cloud::Rent;
+use swiftsail_protocol::workers::{Cause, Command, Direct, Orders, Report, Verb};
 
 /// A job as the plant runs it.
 #[derive(Debug, Clone)]
--- a/crates/standin/src/store.rs
+++ b/crates/simulation/src/store.rs
@@ -3,9 +3,9 @@
 use crate::constants::*;
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
-use swiftsail_core::settings::State;
-use swiftsail_core::store::Bucket;
-use swiftsail_wire::state::{Change, Commit, Item, News, Page, Pair};
+use swiftsail_controller::settings::State;
+use swiftsail_controller::store::Bucket;
+use swiftsail_protocol::state::{Change, Commit, Item, News, Page, Pair};
 
 /// What came of a transaction.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/standin/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -2,9 +2,9 @@
 
 use crate::constants::*;
 use std::collections::VecDeque;
-use swiftsail_core::job::Spec;
-use swiftsail_core::settings::Workers;
-use swiftsail_wire::workers::{Cause, Direct, Orders, Phase, Report, Shard};
+use swiftsail_controller::job::Spec;
+use swiftsail_controller::settings::Workers;
+use swiftsail_protocol::workers::{Cause, Direct, Orders, Phase, Report, Shard};
 
 /// Where a task stands.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/standin/src/world/actions.rs
+++ b/crates/simulation/src/world/actions.rs
@@ -1,12 +1,12 @@
 //! What controllers ask of the world outside.
 
 use super::{Asker, Ev, NODES, World};
-use swiftsail_core::job::keys;
-use swiftsail_core::node::{Action, Event, Node, Reply};
-use swiftsail_membership::Probe;
-use swiftsail_wire as wire;
-use swiftsail_wire::controllers::Answers;
-use swiftsail_wire::workers::{Direct, Orders};
+use swiftsail_controller::job::keys;
+use swiftsail_controller::node::{Action, Event, Node, Reply};
+use swiftsail_failure_detector::Probe;
+use swiftsail_protocol as wire;
+use swiftsail_protocol::controllers::Answers;
+use swiftsail_protocol::workers::{Direct, Orders};
 
 impl World {
     pub(super) fn act(&mut self, n: usize, life: u64, action: Action) {
--- a/crates/standin/src/world/beside_room.rs
+++ b/crates/simulation/src/world/beside_room.rs
@@ -4,7 +4,7 @@
 use super::{BEGIN, UserJob, World};
 use crate::worker::Worker;
 use std::collections::{BTreeMap, BTreeSet};
-use swiftsail_core::job::{Kind, Spec};
+use swiftsail_controller::job::{Kind, Spec};
 
 /// Longest time that a job may wait beside room, ms (the operators' page).
 const WAITS_MOST_MS: u64 = 90_000;
--- a/crates/standin/src/world/inversions.rs
+++ b/crates/simulation/src/world/inversions.rs
@@ -4,16 +4,16 @@
 
 use super::World;
 use std::collections::BTreeSet;
-use swiftsail_core::job::{Job, JobId, JobState, Kind, Stage};
-use swiftsail_core::machine::{Machine, Room};
-use swiftsail_core::node::Node;
-use swiftsail_core::tables::{Tables, amounts_of, rank_of};
+use swiftsail_controller::job::{Job, JobId, JobState, Kind, Stage};
+use swiftsail_controller::machine::{Machine, Room};
+use swiftsail_controller::node::Node;
+use swiftsail_controller::tables::{Tables, amounts_of, rank_of};
 
 /// Whether a replica of a job could have had a machine that has so much room.
 fn could_use(tables: &Tables, world: &World, job: &Job, machine: &Machine, room: Room) -> bool {
     let spec = &job.spec;
     let zone_of =
-        |m: &swiftsail_core::job::MachineId| tables.machines.get(m).map(|m| m.zone.as_str());
+        |m: &swiftsail_controller::job::MachineId| tables.machines.get(m).map(|m| m.zone.as_str());
     let there = job.in_zone(zone_of, &machine.zone);
     let offered = world.plant.cloud.offered().iter().map(|o| &o.hull);
     let wasteful =
--- a/crates/standin/src/world/looks.rs
+++ b/crates/simulation/src/world/looks.rs
@@ -4,7 +4,7 @@
 use super::{Asker, Ev, NODES, Trouble, World, job};
 use rand::Rng;
 use serde_json::Value;
-use swiftsail_core::node::{Ask, Event, Reply};
+use swiftsail_controller::node::{Ask, Event, Reply};
 
 /// Time within which users look, ms.
 const LOOK_WITHIN_MS: u64 = 8;
--- a/crates/standin/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -34,16 +34,16 @@
 use serde_json::Value;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
-use swiftsail_core::cloud;
-use swiftsail_core::job::JobId;
-use swiftsail_core::node::{AdminAsk, Event, Node, Now, Reply};
-use swiftsail_core::store::Call;
-use swiftsail_overload::turned::Turned;
+use swiftsail_controller::cloud;
+use swiftsail_controller::job::JobId;
+use swiftsail_controller::node::{AdminAsk, Event, Node, Now, Reply};
+use swiftsail_controller::store::Call;
+use swiftsail_overload_control::turned::Turned;
 use swiftsail_policy::operator::Operator;
 use swiftsail_policy::outbox::Delivery;
-use swiftsail_wire as wire;
-use swiftsail_wire::controllers::{Batch, Beat};
-use swiftsail_wire::workers::{Direct, Report};
+use swiftsail_protocol as wire;
+use swiftsail_protocol::controllers::{Batch, Beat};
+use swiftsail_protocol::workers::{Direct, Report};
 
 /// Where the steady clock of the stand-in begins.
 pub const BEGIN: u64 = 1_000_000_000;
--- a/crates/standin/src/world/pipelines.rs
+++ b/crates/simulation/src/world/pipelines.rs
@@ -2,7 +2,7 @@
 
 use super::{BEGIN, World};
 use std::collections::HashSet;
-use swiftsail_wire::controllers::Beat;
+use swiftsail_protocol::controllers::Beat;
 
 impl World {
     /// When the user of a job before this one, directly or through others, was first told that it is cancelled.
--- a/crates/standin/src/world/processor.rs
+++ b/crates/simulation/src/world/processor.rs
@@ -4,9 +4,9 @@
 
 use super::{Ev, World};
 use std::collections::VecDeque;
-use swiftsail_core::node::{Action, Ask, Event, Node, Reply};
-use swiftsail_overload::budget::Budget;
-use swiftsail_overload::gate::{Gate, Urgency};
+use swiftsail_controller::node::{Action, Ask, Event, Node, Reply};
+use swiftsail_overload_control::budget::Budget;
+use swiftsail_overload_control::gate::{Gate, Urgency};
 
 /// A node's processor.
 #[derive(Debug, Default)]
--- a/crates/standin/src/world/record.rs
+++ b/crates/simulation/src/world/record.rs
@@ -3,11 +3,11 @@
 use super::World;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use swiftsail_core::node::Action;
-use swiftsail_core::{cloud, store};
-use swiftsail_wire as wire;
-use swiftsail_wire::controllers::{Answers, Beat};
-use swiftsail_wire::workers::{Command, Orders, Verb};
+use swiftsail_controller::node::Action;
+use swiftsail_controller::{cloud, store};
+use swiftsail_protocol as wire;
+use swiftsail_protocol::controllers::{Answers, Beat};
+use swiftsail_protocol::workers::{Command, Orders, Verb};
 
 /// Takes what a controller sends: simulated time, the controller, its life (counted from 1), and the bytes, which
 /// begin with the kind of message as a MessagePack string.
--- a/crates/standin/src/world/rules.rs
+++ b/crates/simulation/src/world/rules.rs
@@ -4,7 +4,7 @@
 use crate::worker::Worker;
 use serde_json::json;
 use std::collections::{BTreeMap, HashMap};
-use swiftsail_core::node::Node;
+use swiftsail_controller::node::Node;
 
 impl World {
     /// Checks every rule on what is on the machines now.
--- a/crates/standin/src/world/scene.rs
+++ b/crates/simulation/src/world/scene.rs
@@ -4,9 +4,9 @@
 use crate::cloud::Offered;
 use serde_json::{Value, json};
 use std::sync::Arc;
-use swiftsail_core::job::{Kind, Priority, Spec};
-use swiftsail_core::settings::{Settings, State};
-use swiftsail_wire::cloud::Hull;
+use swiftsail_controller::job::{Kind, Priority, Spec};
+use swiftsail_controller::settings::{Settings, State};
+use swiftsail_protocol::cloud::Hull;
 
 /// Controllers of the deployment.
 pub(super) const NODES: usize = 3;
--- a/crates/standin/src/world/services.rs
+++ b/crates/simulation/src/world/services.rs
@@ -5,10 +5,10 @@
 use crate::store::{Committed, TooOld};
 use rand::Rng;
 use std::collections::BTreeSet;
-use swiftsail_core::cloud;
-use swiftsail_core::node::Event;
-use swiftsail_core::store::{Call, Outcome};
-use swiftsail_wire::cloud::Berths;
+use swiftsail_controller::cloud;
+use swiftsail_controller::node::Event;
+use swiftsail_controller::store::{Call, Outcome};
+use swiftsail_protocol::cloud::Berths;
 
 impl World {
     pub(super) fn store_call(&mut self, n: usize, life: u64, id: u64, call: Call) {
--- a/crates/standin/src/world/spells.rs
+++ b/crates/simulation/src/world/spells.rs
@@ -2,11 +2,11 @@
 
 use super::{BEGIN, Ev, NODES, World};
 use rand::Rng;
-use swiftsail_core::cloud;
-use swiftsail_core::node::{Event, Node};
-use swiftsail_core::store::{Call, Outcome};
-use swiftsail_wire::state::Commit;
-use swiftsail_wire::workers::Report;
+use swiftsail_controller::cloud;
+use swiftsail_controller::node::{Event, Node};
+use swiftsail_controller::store::{Call, Outcome};
+use swiftsail_protocol::state::Commit;
+use swiftsail_protocol::workers::Report;
 
 /// Time after which a controller gives a call to the state service up, ms.
 const GIVEN_UP_MS: u64 = 1_500;
--- a/crates/standin/src/world/steps.rs
+++ b/crates/simulation/src/world/steps.rs
@@ -3,11 +3,11 @@
 use super::{Asker, Ev, Processor, STEP_MS, World, settings};
 use rand::Rng;
 use std::sync::Arc;
-use swiftsail_core::cloud;
-use swiftsail_core::node::{Event, Node, Now};
-use swiftsail_core::settings::Settings;
-use swiftsail_wire as wire;
-use swiftsail_wire::workers::Orders;
+use swiftsail_controller::cloud;
+use swiftsail_controller::node::{Event, Node, Now};
+use swiftsail_controller::settings::Settings;
+use swiftsail_protocol as wire;
+use swiftsail_protocol::workers::Orders;
 
 impl World {
     pub(super) fn step(&mut self, ev: Ev) {
--- a/crates/standin/src/world/troubles.rs
+++ b/crates/simulation/src/world/troubles.rs
@@ -3,8 +3,8 @@
 
 use super::{Ev, World};
 use rand::Rng;
-use swiftsail_core::node::Event;
-use swiftsail_wire::workers::Report;
+use swiftsail_controller::node::Event;
+use swiftsail_protocol::workers::Report;
 
 /// Machines that do not hear for a time.
 #[derive(Debug, Clone)]
--- a/crates/standin/src/world/users.rs
+++ b/crates/simulation/src/world/users.rs
@@ -3,7 +3,7 @@
 use super::{Asker, Ev, NODES, World};
 use rand::Rng;
 use serde_json::Value;
-use swiftsail_core::node::{Ask, Event, Node, Reply};
+use swiftsail_controller::node::{Ask, Event, Node, Reply};
 
 /// Time between two looks of a user whether the jobs that a next one needs are accepted, ms.
 const PIPELINE_MS: u64 = 100;
--- a/crates/tiers/src/table.rs
+++ b/crates/tiers/src/table.rs
@@ -6,7 +6,7 @@
 use rhai::{AST, Dynamic, Map};
 use serde::{Deserialize, Serialize};
 use std::fmt;
-use swiftsail_order::Versioned;
+use swiftsail_replicated_records::Versioned;
 use swiftsail_policy::lang::{Flaw, Lang};
 
 /// A job's priority, the highest last.
--- a/examples/explore.rs
+++ b/examples/explore.rs
@@ -3,8 +3,8 @@
 
 use clap::Parser;
 use std::time::Instant;
-use swiftsail_standin::amounts::{Chances, Deciders, Without};
-use swiftsail_standin::explorer::explore;
+use swiftsail_simulation::amounts::{Chances, Deciders, Without};
+use swiftsail_simulation::explorer::explore;
 
 #[derive(Parser)]
 struct Args {
--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -2,17 +2,17 @@
 //! `cargo run --release --example pass_cost`. Figures go into docs/plugins.md.
 
 use std::time::Instant;
-use swiftsail_core::job::{JobRecord, Kind, keys};
-use swiftsail_core::machine::MachineType;
-use swiftsail_core::node::{self, Asking, Now};
-use swiftsail_core::placement::View;
-use swiftsail_core::steering::Steering;
-use swiftsail_core::tables::{Source, Tables};
+use swiftsail_controller::job::{JobRecord, Kind, keys};
+use swiftsail_controller::machine::MachineType;
+use swiftsail_controller::node::{self, Asking, Now};
+use swiftsail_controller::placement::View;
+use swiftsail_controller::steering::Steering;
+use swiftsail_controller::tables::{Source, Tables};
 use swiftsail_policy::host::Host;
 use swiftsail_policy::plugin::{Kind as PluginKind, PluginRecord, State, hash};
 use swiftsail_policy::policy::Policy;
-use swiftsail_standin::world::{BEGIN, offered, settings, spec};
-use swiftsail_wire::workers::{Phase, Report, Shard};
+use swiftsail_simulation::world::{BEGIN, offered, settings, spec};
+use swiftsail_protocol::workers::{Phase, Report, Shard};
 
 const MACHINES: usize = 800;
 const JOBS: usize = 190;
--- a/examples/trace/scenarios.rs
+++ b/examples/trace/scenarios.rs
@@ -1,10 +1,10 @@
 //! The fixed worlds: what each is, and what happens in it.
 
 use serde_json::{Value, json};
-use swiftsail_core::node::{AdminAsk, Node};
+use swiftsail_controller::node::{AdminAsk, Node};
 use swiftsail_policy::operator::Operator;
 use swiftsail_policy::plugin::{Kind, Offer};
-use swiftsail_standin::world::{
+use swiftsail_simulation::world::{
     Cut, Deafness, Trouble, Weather, World, accelerated, gpu_job, job, mixed_load,
 };
 
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
-use swiftsail_core::node::{AdminAsk, Reply};
+use swiftsail_controller::node::{AdminAsk, Reply};
 use swiftsail_policy::plugin::Step;
 
 /// Paths of this listener.
--- a/src/client.rs
+++ b/src/client.rs
@@ -6,9 +6,9 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use swiftsail_core::job::{JobId, Spec};
-use swiftsail_wire::users::{JobAnswer, Problem, write_submission};
-use swiftsail_wire::{read, users};
+use swiftsail_controller::job::{JobId, Spec};
+use swiftsail_protocol::users::{JobAnswer, Problem, write_submission};
+use swiftsail_protocol::{read, users};
 
 /// Why a request came to nothing.
 #[derive(Debug, thiserror::Error)]
--- a/src/commands/dispatch.rs
+++ b/src/commands/dispatch.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use std::error::Error;
 use std::path::{Path, PathBuf};
-use swiftsail_core::node::plan_of_file;
+use swiftsail_controller::node::plan_of_file;
 use swiftsail_policy::operator::Operator;
 
 /// What may be done with arrivals.
--- a/src/commands/jobs.rs
+++ b/src/commands/jobs.rs
@@ -8,8 +8,8 @@
 use serde_json::{Value, json};
 use std::error::Error;
 use std::path::{Path, PathBuf};
-use swiftsail_core::job::{JobId, Kind, Priority, Spec};
-use swiftsail_wire::users::{JobAnswer, valid_id};
+use swiftsail_controller::job::{JobId, Kind, Priority, Spec};
+use swiftsail_protocol::users::{JobAnswer, valid_id};
 
 /// What may be done with jobs.
 #[derive(Debug, Subcommand)]
--- a/src/commands/tiers.rs
+++ b/src/commands/tiers.rs
@@ -5,7 +5,7 @@
 use clap::Subcommand;
 use std::error::Error;
 use std::path::PathBuf;
-use swiftsail_core::node::tiers_of_file;
+use swiftsail_controller::node::tiers_of_file;
 use swiftsail_policy::operator::{Operator, line_of};
 use swiftsail_tiers::{Flawed, Table, TableRecord};
 
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -8,12 +8,12 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
-use swiftsail_core::node::Reply;
-use swiftsail_overload::gate::{Gate, Urgency};
-use swiftsail_overload::pressure::Level;
-use swiftsail_overload::turned::Turned;
-use swiftsail_wire::constants::BODY_MOST;
-use swiftsail_wire::users::Problem;
+use swiftsail_controller::node::Reply;
+use swiftsail_overload_control::gate::{Gate, Urgency};
+use swiftsail_overload_control::pressure::Level;
+use swiftsail_overload_control::turned::Turned;
+use swiftsail_protocol::constants::BODY_MOST;
+use swiftsail_protocol::users::Problem;
 
 struct Shared {
     gate: Mutex<Gate>,
--- a/src/front.rs
+++ b/src/front.rs
@@ -12,12 +12,12 @@
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::time::Duration;
-use swiftsail_core::node::{Ask, Reply};
-use swiftsail_core::settings::Settings;
-use swiftsail_overload::budget::Budget;
-use swiftsail_overload::gate::Urgency;
-use swiftsail_wire::users::Problem;
-use swiftsail_wire::{controllers, read, users, workers, write};
+use swiftsail_controller::node::{Ask, Reply};
+use swiftsail_controller::settings::Settings;
+use swiftsail_overload_control::budget::Budget;
+use swiftsail_overload_control::gate::Urgency;
+use swiftsail_protocol::users::Problem;
+use swiftsail_protocol::{controllers, read, users, workers, write};
 
 /// A reply as an answer in a format.
 pub fn respond(reply: Reply, format: &str) -> HttpResponse {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! swiftsail: a cluster scheduler that places work by its chance of meeting its deadline.
 //!
-//! The core (`swiftsail_core::node::Node`) is pure: an event and the time give a new state and
+//! The core (`swiftsail_controller::node::Node`) is pure: an event and the time give a new state and
 //! actions. This package is what surrounds it: thin actors ([`controller`]), the HTTP front
 //! ([`front`]) and the command line ([`program`]).
 
--- a/src/local/keep.rs
+++ b/src/local/keep.rs
@@ -2,8 +2,8 @@
 
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::path::Path;
-use swiftsail_wire::state::{Commit, Pair};
-use swiftsail_wire::{read, write};
+use swiftsail_protocol::state::{Commit, Pair};
+use swiftsail_protocol::{read, write};
 
 const PAIRS: TableDefinition<&str, &[u8]> = TableDefinition::new("pairs");
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
@@ -65,7 +65,7 @@
         epoch: u64,
         now: impl Fn(&str) -> Option<Pair>,
     ) -> Result<(), redb::Error> {
-        use swiftsail_wire::state::Change;
+        use swiftsail_protocol::state::Change;
         let txn = self.base.begin_write()?;
         {
             let mut pairs = txn.open_table(PAIRS)?;
--- a/src/local/model.rs
+++ b/src/local/model.rs
@@ -4,9 +4,9 @@
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
-use swiftsail_core::settings::{Cloud, MachineLimits, Platform, State, Team, Workers};
-use swiftsail_standin::cloud::Offered;
-use swiftsail_wire::cloud::Hull;
+use swiftsail_controller::settings::{Cloud, MachineLimits, Platform, State, Team, Workers};
+use swiftsail_simulation::cloud::Offered;
+use swiftsail_protocol::cloud::Hull;
 
 /// The file that is built in.
 const BUILT_IN: &str = include_str!("../../deploy/local.toml");
--- a/src/local/outside.rs
+++ b/src/local/outside.rs
@@ -11,15 +11,15 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
-use swiftsail_core::job::{JobRecord, keys};
-use swiftsail_core::term::LeaderRecord;
-use swiftsail_standin::constants::FOLLOW_MOST_MS;
-use swiftsail_standin::plant::Plant;
-use swiftsail_standin::store::{Committed, Store, TooOld};
-use swiftsail_wire::cloud::{Berths, NO_CAPACITY, Rent};
-use swiftsail_wire::state::{self, Commit, Granted};
-use swiftsail_wire::workers::{Direct, Orders, Redirect, Report, Verb, path};
-use swiftsail_wire::{read, write};
+use swiftsail_controller::job::{JobRecord, keys};
+use swiftsail_controller::term::LeaderRecord;
+use swiftsail_simulation::constants::FOLLOW_MOST_MS;
+use swiftsail_simulation::plant::Plant;
+use swiftsail_simulation::store::{Committed, Store, TooOld};
+use swiftsail_protocol::cloud::{Berths, NO_CAPACITY, Rent};
+use swiftsail_protocol::state::{self, Commit, Granted};
+use swiftsail_protocol::workers::{Direct, Orders, Redirect, Report, Verb, path};
+use swiftsail_protocol::{read, write};
 use tokio::sync::{mpsc, oneshot, watch};
 
 /// An answer: status and body.
@@ -165,7 +165,7 @@
         let mut plant = Plant::new(model.offered(), platform.clone(), nodes, speed, seed, 0);
         let named = keep.as_ref().map(Keep::machines).transpose()?.unwrap_or(0);
         plant.cloud.name_from(named);
-        let timeout = Duration::from_millis(swiftsail_standin::constants::ANSWER_MS);
+        let timeout = Duration::from_millis(swiftsail_simulation::constants::ANSWER_MS);
         Ok(Outside {
             store: Store::restored(platform.state.clone(), 0, pairs, epoch),
             keep,
@@ -280,7 +280,7 @@
                     (200, write(&Berths { berths: names }))
                 }
             },
-            Call::Return(names) if names.len() > swiftsail_standin::constants::RETURN_MOST => {
+            Call::Return(names) if names.len() > swiftsail_simulation::constants::RETURN_MOST => {
                 malformed("more than 100 names")
             }
             Call::Return(names) => {
--- a/src/local/serve.rs
+++ b/src/local/serve.rs
@@ -11,11 +11,11 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
-use swiftsail_standin::constants::{LIST_MOST, PAGE_MOST};
-use swiftsail_wire::cloud::{Berths, Rent, path as cloud};
-use swiftsail_wire::state::{Ask, Commit, path as state};
-use swiftsail_wire::workers::{Direct, path as workers};
-use swiftsail_wire::{read, write};
+use swiftsail_simulation::constants::{LIST_MOST, PAGE_MOST};
+use swiftsail_protocol::cloud::{Berths, Rent, path as cloud};
+use swiftsail_protocol::state::{Ask, Commit, path as state};
+use swiftsail_protocol::workers::{Direct, path as workers};
+use swiftsail_protocol::{read, write};
 
 /// Paths of faults and of how things stand.
 pub mod path {
--- a/src/program.rs
+++ b/src/program.rs
@@ -18,8 +18,8 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Arc;
-use swiftsail_core::settings::Settings;
-use swiftsail_overload::budget::Budget;
+use swiftsail_controller::settings::Settings;
+use swiftsail_overload_control::budget::Budget;
 use swiftsail_policy::operator::Operator;
 
 /// A cluster scheduler that places work by its chance of meeting its deadline.
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -6,10 +6,10 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use swiftsail_core::job::keys;
-use swiftsail_core::node::Node;
-use swiftsail_standin::world::{Cut, Fate, Trouble, Weather, World, assert_over, job};
-use swiftsail_wire::state::{Change, Commit};
+use swiftsail_controller::job::keys;
+use swiftsail_controller::node::Node;
+use swiftsail_simulation::world::{Cut, Fate, Trouble, Weather, World, assert_over, job};
+use swiftsail_protocol::state::{Change, Commit};
 
 const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
 const ROUGH: Weather = Weather { loss: 0.02, late: 0.01, crashes: 2, outages: 1 };
--- a/tests/answers_small/cases.rs
+++ b/tests/answers_small/cases.rs
@@ -82,7 +82,7 @@
 /// A call without an answer says that the state service is away, unless one that left later has its answer.
 #[test]
 fn one_lost_answer_is_no_outage() {
-    use swiftsail_core::store::{Patience, Store, Urgency};
+    use swiftsail_controller::store::{Patience, Store, Urgency};
     for (answered, away) in [(Some(1), false), (Some(0), true), (None, true)] {
         let mut store: Store<u8> = Store::new(100.0, 100.0, 0);
         let mut left = Vec::new();
@@ -358,7 +358,7 @@
 
     /// A job's record appears in the state service, as others wrote it.
     fn put(&mut self, id: &str, unreadable: bool) {
-        let spec = swiftsail_standin::world::spec(swiftsail_core::job::Kind::Array, 1, 1.0, "img");
+        let spec = swiftsail_simulation::world::spec(swiftsail_controller::job::Kind::Array, 1, 1.0, "img");
         let record = JobRecord {
             awaits: Vec::new(),
             cancelled: false,
--- a/tests/answers_small/main.rs
+++ b/tests/answers_small/main.rs
@@ -10,16 +10,16 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
 use std::sync::Arc;
-use swiftsail_core::cloud;
-use swiftsail_core::job::{Ending, FinalRecord, JobRecord, StoredJob, keys};
-use swiftsail_core::node::{Action, Ask, Event, Node, Now, Reply};
-use swiftsail_core::settings::Settings;
-use swiftsail_core::store::{Call, Outcome};
-use swiftsail_standin::store::{Committed, Store, TooOld};
-use swiftsail_standin::world::{BEGIN, job, offered, settings};
-use swiftsail_wire::cloud::{Listing, Types};
-use swiftsail_wire::controllers::Beat;
-use swiftsail_wire::state::{Change, Commit, When};
+use swiftsail_controller::cloud;
+use swiftsail_controller::job::{Ending, FinalRecord, JobRecord, StoredJob, keys};
+use swiftsail_controller::node::{Action, Ask, Event, Node, Now, Reply};
+use swiftsail_controller::settings::Settings;
+use swiftsail_controller::store::{Call, Outcome};
+use swiftsail_simulation::store::{Committed, Store, TooOld};
+use swiftsail_simulation::world::{BEGIN, job, offered, settings};
+use swiftsail_protocol::cloud::{Listing, Types};
+use swiftsail_protocol::controllers::Beat;
+use swiftsail_protocol::state::{Change, Commit, When};
 
 const NODES: usize = 3;
 /// Time that a user waits for an answer to a submission, a poll and a cancellation, ms (protocol).
@@ -103,7 +103,7 @@
 impl Small {
     fn new(seed: u64, ways: Ways, memory_mb: f64) -> Small {
         let limits = settings(0).settings.state.clone();
-        let free = swiftsail_core::settings::State { rps: 1e6, write_rps: 1e6, ..limits };
+        let free = swiftsail_controller::settings::State { rps: 1e6, write_rps: 1e6, ..limits };
         let mut small = Small {
             now: BEGIN,
             rng: StdRng::seed_from_u64(seed),
--- a/tests/beside_room.rs
+++ b/tests/beside_room.rs
@@ -4,8 +4,8 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
-use swiftsail_core::node::Node;
-use swiftsail_standin::world::{Trouble, Weather, World, job};
+use swiftsail_controller::node::Node;
+use swiftsail_simulation::world::{Trouble, Weather, World, job};
 
 const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
 const ZONES: [&str; 3] = ["a", "b", "c"];
--- a/tests/chance.rs
+++ b/tests/chance.rs
@@ -2,9 +2,9 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use swiftsail_core::chance::{Histories, Pmf};
-use swiftsail_core::job::{Kind, Spec};
-use swiftsail_standin::world::spec;
+use swiftsail_controller::chance::{Histories, Pmf};
+use swiftsail_controller::job::{Kind, Spec};
+use swiftsail_simulation::world::spec;
 
 /// A job of class `c`, its tasks estimated at 10 s.
 fn ours() -> Spec {
--- a/tests/days_end.rs
+++ b/tests/days_end.rs
@@ -7,10 +7,10 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
-use swiftsail_core::node::Node;
-use swiftsail_membership::{Ear, Hearing, Sign};
-use swiftsail_overload::turned::Turned;
-use swiftsail_standin::world::{
+use swiftsail_controller::node::Node;
+use swiftsail_failure_detector::{Ear, Hearing, Sign};
+use swiftsail_overload_control::turned::Turned;
+use swiftsail_simulation::world::{
     BEGIN, Cut, Deafness, Weather, World, assert_over, job, mixed_load,
 };
 
@@ -386,9 +386,9 @@
     for n in 0..10_000 {
         turned.away(&format!("wk-{n}"), 20_000);
     }
-    assert!(turned.len() <= swiftsail_overload::constants::TURNED_MOST);
+    assert!(turned.len() <= swiftsail_overload_control::constants::TURNED_MOST);
     let let_in = (0..10_000).filter(|n| turned.presses(&format!("wk-{n}"), 30_000)).count();
-    assert_eq!(let_in as u32, swiftsail_overload::constants::PRESSING_PER_S);
+    assert_eq!(let_in as u32, swiftsail_overload_control::constants::PRESSING_PER_S);
     turned.away("wk-x", 200_000);
     assert!(!turned.presses("wk-0", 204_000), "what was long ago is forgotten");
 }
--- a/tests/deciders.rs
+++ b/tests/deciders.rs
@@ -3,16 +3,16 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
-use swiftsail_amounts::account::{Next, Outcome};
-use swiftsail_amounts::planner::{Action, Message, Need, Planner};
-use swiftsail_amounts::records::{Key, Txn};
-use swiftsail_amounts::{Account, Amounts};
-use swiftsail_core::accounts;
-use swiftsail_core::settings::State;
-use swiftsail_standin::amounts::{Chances, Deciders, Step, Without};
-use swiftsail_standin::explorer::{Found, explore};
-use swiftsail_standin::store::{Committed, Store};
-use swiftsail_wire::state::{Change, Commit};
+use swiftsail_quota::account::{Next, Outcome};
+use swiftsail_quota::planner::{Action, Message, Need, Planner};
+use swiftsail_quota::records::{Key, Txn};
+use swiftsail_quota::{Account, Amounts};
+use swiftsail_controller::accounts;
+use swiftsail_controller::settings::State;
+use swiftsail_simulation::amounts::{Chances, Deciders, Step, Without};
+use swiftsail_simulation::explorer::{Found, explore};
+use swiftsail_simulation::store::{Committed, Store};
+use swiftsail_protocol::state::{Change, Commit};
 
 fn small(without: Without, chances: Chances, most: usize) -> Found<Step> {
     explore(Deciders::new(2, 2, without, chances).begun(2), 40, most)
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -7,13 +7,13 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use swiftsail_core::node::{AdminAsk, Node};
-use swiftsail_dispatch::backward::{backward, quantile};
-use swiftsail_dispatch::board::Took;
-use swiftsail_dispatch::{Arrival, Board, Calendar, ChainLine, Phase, Plan, Stage, StepLine, Work};
-use swiftsail_order::Versioned;
+use swiftsail_controller::node::{AdminAsk, Node};
+use swiftsail_deadline_planning::backward::{backward, quantile};
+use swiftsail_deadline_planning::board::Took;
+use swiftsail_deadline_planning::{Arrival, Board, Calendar, ChainLine, Phase, Plan, Stage, StepLine, Work};
+use swiftsail_replicated_records::Versioned;
 use swiftsail_policy::operator::Operator;
-use swiftsail_standin::world::{Weather, World, job};
+use swiftsail_simulation::world::{Weather, World, job};
 use swiftsail_tiers::{Facts, Rank, Shape};
 
 const HOUR: u64 = 3_600_000;
@@ -25,7 +25,7 @@
 
 fn plan(text: &str) -> Result<Calendar, String> {
     let table: toml::Table = toml::from_str(text).expect("it is TOML");
-    swiftsail_core::node::plan_of_file(table)
+    swiftsail_controller::node::plan_of_file(table)
 }
 
 const CHAIN: &str = r#"
@@ -96,10 +96,10 @@
     assert!(plan(&many).expect_err("too many").contains("200 at most"));
     let text = include_str!("../deploy/dispatch.toml");
     let operator = Operator::parse("deploy/dispatch.toml", text).expect("it is sound");
-    swiftsail_core::node::plan_of_file(operator.dispatch.expect("a plan")).expect("it is sound");
+    swiftsail_controller::node::plan_of_file(operator.dispatch.expect("a plan")).expect("it is sound");
     assert!(matches!(
         Plan::read("dispatch", &json!({"v": 7})),
-        Err(swiftsail_order::Unread::Newer { .. })
+        Err(swiftsail_replicated_records::Unread::Newer { .. })
     ));
 }
 
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -1,6 +1,6 @@
 //! Gangs that lose a task, on the pure cores against the stand-in.
 
-use swiftsail_standin::world::{Weather, World, job};
+use swiftsail_simulation::world::{Weather, World, job};
 
 const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
 
--- a/tests/guests.rs
+++ b/tests/guests.rs
@@ -1,9 +1,9 @@
 //! Guests: one huge array, and hundreds of jobs of a single task, with the limits of the state service kept
 //! by the stand-in's controllers as they are.
 
-use swiftsail_core::constants::LEDGER_MOST;
-use swiftsail_core::node::Node;
-use swiftsail_standin::world::{Weather, World, job};
+use swiftsail_controller::constants::LEDGER_MOST;
+use swiftsail_controller::node::Node;
+use swiftsail_simulation::world::{Weather, World, job};
 
 const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
 
--- a/tests/hung.rs
+++ b/tests/hung.rs
@@ -4,10 +4,10 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use swiftsail_core::job::MachineId;
-use swiftsail_core::node::Node;
-use swiftsail_core::tables::Tables;
-use swiftsail_standin::world::{Cut, Deafness, Trouble, Weather, World, accelerated, gpu_job, job};
+use swiftsail_controller::job::MachineId;
+use swiftsail_controller::node::Node;
+use swiftsail_controller::tables::Tables;
+use swiftsail_simulation::world::{Cut, Deafness, Trouble, Weather, World, accelerated, gpu_job, job};
 
 const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
 
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -2,13 +2,13 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use swiftsail_amounts::order::{Claim, share_out};
-use swiftsail_amounts::{Amount, Amounts, Cap};
-use swiftsail_core::accounts;
-use swiftsail_core::job::Stage;
-use swiftsail_core::node::{AdminAsk, Node};
+use swiftsail_quota::order::{Claim, share_out};
+use swiftsail_quota::{Amount, Amounts, Cap};
+use swiftsail_controller::accounts;
+use swiftsail_controller::job::Stage;
+use swiftsail_controller::node::{AdminAsk, Node};
 use swiftsail_policy::operator::Operator;
-use swiftsail_standin::world::{Weather, World, job, mixed_load};
+use swiftsail_simulation::world::{Weather, World, job, mixed_load};
 
 fn runner() -> TestRunner {
     let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
@@ -188,10 +188,10 @@
     assert_eq!(share_out(of(16.0), of(16.0), &[gang, low(5, 0.0)]), [12, 4]);
 }
 
-fn red_use(world: &World, what: impl Fn(&swiftsail_core::job::Job) -> bool) -> f64 {
+fn red_use(world: &World, what: impl Fn(&swiftsail_controller::job::Job) -> bool) -> f64 {
     let tables = world.nodes.iter().flatten().find_map(Node::tables).expect("somebody leads");
     let jobs = tables.jobs.values().filter(|j| j.spec.team == "red" && what(j));
-    let running = |j: &swiftsail_core::job::Job| {
+    let running = |j: &swiftsail_controller::job::Job| {
         let attempts = j.attempts.values().filter(|a| a.stage() == Stage::Running);
         attempts.count() as f64 * j.spec.cpus
     };
@@ -234,7 +234,7 @@
     let most = machines(&world);
     world.run(80_000);
     assert_eq!(red_use(&world, |_| true), 40.0, "red is at its limit, and more of it waits");
-    let cpus = |w: &swiftsail_standin::worker::Worker| w.hardware.room[0];
+    let cpus = |w: &swiftsail_simulation::worker::Worker| w.hardware.room[0];
     let up: f64 = world.plant.workers.values().filter(|w| !w.gone).map(cpus).sum();
     assert!(most > 30 && up <= 48.0, "{up} CPUs are paid for, {most} machines before");
     assert!(world.broken.is_empty(), "{:?}", world.broken);
@@ -262,8 +262,8 @@
 /// A page of teams fits the smallest value that a platform allows, with long names and any amounts.
 #[test]
 fn a_page_of_teams_fits_a_value() {
-    use swiftsail_amounts::records::{Holding, Kept, Pool};
-    use swiftsail_core::accounts::{PAGE_TEAMS, pages};
+    use swiftsail_quota::records::{Holding, Kept, Pool};
+    use swiftsail_controller::accounts::{PAGE_TEAMS, pages};
     let name = |n: usize| format!("{n:03}-{}", "x".repeat(40));
     let names: Vec<String> = (0..100).map(name).collect();
     let pages = pages(names);
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -6,13 +6,13 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::Value;
-use swiftsail_core::node::{AdminAsk, Node};
-use swiftsail_loans::constants::*;
-use swiftsail_loans::{Lent, Loans, Seen, Stage, Todo};
-use swiftsail_order::Versioned;
+use swiftsail_controller::node::{AdminAsk, Node};
+use swiftsail_gpu_lending::constants::*;
+use swiftsail_gpu_lending::{Lent, Loans, Seen, Stage, Todo};
+use swiftsail_replicated_records::Versioned;
 use swiftsail_policy::operator::Operator;
-use swiftsail_standin::explorer::{Small, explore};
-use swiftsail_standin::world::{BEGIN, Weather, World, accelerated, gpu_job};
+use swiftsail_simulation::explorer::{Small, explore};
+use swiftsail_simulation::world::{BEGIN, Weather, World, accelerated, gpu_job};
 
 const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
 
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -5,17 +5,17 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeSet;
 use std::hash::Hash;
-use swiftsail_core::constants::NOTES_MOST;
-use swiftsail_core::job::{JobId, MachineId};
-use swiftsail_core::node::{Action, Event, Node, Now};
-use swiftsail_core::store::Outcome;
-use swiftsail_core::tables::{Source, Tables};
-use swiftsail_core::term::{Held, Lead, Voice, holders_needed, vouchers_needed};
-use swiftsail_membership::Probe;
-use swiftsail_standin::explorer::{Found, Small, explore};
-use swiftsail_standin::world::{BEGIN, Cut, Deafness, Weather, World, job, settings};
-use swiftsail_wire::controllers::Beat;
-use swiftsail_wire::workers::Report;
+use swiftsail_controller::constants::NOTES_MOST;
+use swiftsail_controller::job::{JobId, MachineId};
+use swiftsail_controller::node::{Action, Event, Node, Now};
+use swiftsail_controller::store::Outcome;
+use swiftsail_controller::tables::{Source, Tables};
+use swiftsail_controller::term::{Held, Lead, Voice, holders_needed, vouchers_needed};
+use swiftsail_failure_detector::Probe;
+use swiftsail_simulation::explorer::{Found, Small, explore};
+use swiftsail_simulation::world::{BEGIN, Cut, Deafness, Weather, World, job, settings};
+use swiftsail_protocol::controllers::Beat;
+use swiftsail_protocol::workers::Report;
 
 const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
 const JOB: &str = "wk-000001";
@@ -144,7 +144,7 @@
             let workers = world.plant.workers.values().filter(|w| !w.gone);
             let mut tasks = workers.flat_map(|w| &w.tasks).filter(|t| t.on_machine());
             let its =
-                |t: &swiftsail_standin::worker::Task| t.name.split('/').next() == Some(&job.id);
+                |t: &swiftsail_simulation::worker::Task| t.name.split('/').next() == Some(&job.id);
             assert!(!tasks.any(its), "{} was told of and is there", job.id);
         }
     }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -3,9 +3,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
-use swiftsail_membership::constants::*;
-use swiftsail_membership::{Detector, Probe, Seen, State};
-use swiftsail_standin::world::{Weather, World, job, mixed_load};
+use swiftsail_failure_detector::constants::*;
+use swiftsail_failure_detector::{Detector, Probe, Seen, State};
+use swiftsail_simulation::world::{Weather, World, job, mixed_load};
 
 const REPORT_S: f64 = 5.0;
 const LEASE_S: f64 = 26.5;
--- a/tests/nights.rs
+++ b/tests/nights.rs
@@ -3,13 +3,13 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use swiftsail_core::constants::RELAY_TIMEOUT_MS;
-use swiftsail_core::node::{Action, Event, Node, Now};
-use swiftsail_standin::world::{
+use swiftsail_controller::constants::RELAY_TIMEOUT_MS;
+use swiftsail_controller::node::{Action, Event, Node, Now};
+use swiftsail_simulation::world::{
     BEGIN, Cut, Weather, World, assert_over, job, mixed_load, settings,
 };
-use swiftsail_wire::controllers::Beat;
-use swiftsail_wire::workers::Report;
+use swiftsail_protocol::controllers::Beat;
+use swiftsail_protocol::workers::Report;
 
 const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
 
@@ -208,7 +208,7 @@
         let bad: Vec<String> = match seed % 2 {
             0 => Vec::new(),
             _ => {
-                world.plant.spoil(2, 40_000 + swiftsail_standin::world::BEGIN);
+                world.plant.spoil(2, 40_000 + swiftsail_simulation::world::BEGIN);
                 let workers = world.plant.workers.iter();
                 workers.filter(|(_, w)| w.faulty).map(|(name, _)| name.clone()).collect()
             }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -4,15 +4,15 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use swiftsail_core::node::Node;
-use swiftsail_overload::budget::Budget;
-use swiftsail_overload::constants::*;
-use swiftsail_overload::duty::{Duty, Turn};
-use swiftsail_overload::gate::{Gate, Urgency};
-use swiftsail_overload::headroom::{Bound, Load, machines_most};
-use swiftsail_overload::pressure::{Level, Pressure};
-use swiftsail_overload::retry::{RetryBudget, pause_ms};
-use swiftsail_standin::world::{Weather, World, job, mixed_load};
+use swiftsail_controller::node::Node;
+use swiftsail_overload_control::budget::Budget;
+use swiftsail_overload_control::constants::*;
+use swiftsail_overload_control::duty::{Duty, Turn};
+use swiftsail_overload_control::gate::{Gate, Urgency};
+use swiftsail_overload_control::headroom::{Bound, Load, machines_most};
+use swiftsail_overload_control::pressure::{Level, Pressure};
+use swiftsail_overload_control::retry::{RetryBudget, pause_ms};
+use swiftsail_simulation::world::{Weather, World, job, mixed_load};
 
 fn runner() -> TestRunner {
     let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
--- a/tests/overtaken.rs
+++ b/tests/overtaken.rs
@@ -3,20 +3,20 @@
 
 use serde_json::json;
 use std::collections::VecDeque;
-use swiftsail_core::accounts;
-use swiftsail_core::job::{Kind, MachineId, keys};
-use swiftsail_core::node::{Action, Event, Node, Now};
-use swiftsail_core::store::{Call, Outcome};
-use swiftsail_core::tables::Tables;
-use swiftsail_loans::{Lent, Stage};
-use swiftsail_membership::Probe;
-use swiftsail_order::Versioned;
-use swiftsail_order::{Book, Limits, Outcome as Written};
+use swiftsail_controller::accounts;
+use swiftsail_controller::job::{Kind, MachineId, keys};
+use swiftsail_controller::node::{Action, Event, Node, Now};
+use swiftsail_controller::store::{Call, Outcome};
+use swiftsail_controller::tables::Tables;
+use swiftsail_gpu_lending::{Lent, Stage};
+use swiftsail_failure_detector::Probe;
+use swiftsail_replicated_records::Versioned;
+use swiftsail_replicated_records::{Book, Limits, Outcome as Written};
 use swiftsail_policy::operator::Operator;
-use swiftsail_standin::store::{Committed, Store};
-use swiftsail_standin::world::{BEGIN, settings, spec};
-use swiftsail_wire::state::{Page, Pair};
-use swiftsail_wire::workers::Report;
+use swiftsail_simulation::store::{Committed, Store};
+use swiftsail_simulation::world::{BEGIN, settings, spec};
+use swiftsail_protocol::state::{Page, Pair};
+use swiftsail_protocol::workers::Report;
 
 // ---- answers that are overtaken ----------------------------------------------------------------
 
@@ -103,7 +103,7 @@
         let now = Now { steady: BEGIN, wall: BEGIN };
         let node = Node::operated(settings(0), operator, seed, now);
         let limits = settings(0).settings.state.clone();
-        let limits = swiftsail_core::settings::State { rps: 1e6, write_rps: 1e6, ..limits };
+        let limits = swiftsail_controller::settings::State { rps: 1e6, write_rps: 1e6, ..limits };
         let store = Store::new(limits, BEGIN);
         let way = Box::new(|_: &Call| Way::Usual);
         let (follows, slow, later) = (Vec::new(), VecDeque::new(), VecDeque::new());
@@ -231,7 +231,7 @@
     let Call::Commit(commit) = call else { return false };
     commit.apply.len() == 1
         && matches!(&commit.apply[0],
-            swiftsail_wire::state::Change::Write { write, .. } if write == keys::LEADER)
+            swiftsail_protocol::state::Change::Write { write, .. } if write == keys::LEADER)
 }
 
 /// A controller that has begun to lead, while readings of the term made before that still wait for their answers.
@@ -339,11 +339,11 @@
     let write = |alone: &mut Alone, key: &str, value: Option<serde_json::Value>| {
         let change = match value {
             Some(value) => {
-                swiftsail_wire::state::Change::Write { write: key.into(), value, mooring: None }
+                swiftsail_protocol::state::Change::Write { write: key.into(), value, mooring: None }
             }
-            None => swiftsail_wire::state::Change::Remove { remove: key.into() },
+            None => swiftsail_protocol::state::Change::Remove { remove: key.into() },
         };
-        let commit = swiftsail_wire::state::Commit { when: Vec::new(), apply: vec![change] };
+        let commit = swiftsail_protocol::state::Commit { when: Vec::new(), apply: vec![change] };
         assert!(matches!(alone.serve(&Call::Commit(commit)), Outcome::Committed(_)));
     };
     write(&mut alone, "order/loan/wk-old", Some(lent.clone()));
@@ -382,12 +382,12 @@
     let report = report("m-1", 1, 1, 99);
     alone.node.handle(Event::Report(1, Box::new(report)), alone.now);
     alone.act();
-    let change = swiftsail_wire::state::Change::Write {
+    let change = swiftsail_protocol::state::Change::Write {
         write: "order/loan/wk-new".into(),
         value: json!({"v": 1, "x": [], "l": []}),
         mooring: None,
     };
-    let commit = swiftsail_wire::state::Commit { when: Vec::new(), apply: vec![change] };
+    let commit = swiftsail_protocol::state::Commit { when: Vec::new(), apply: vec![change] };
     alone.serve(&Call::Commit(commit));
     alone.run(3_000);
     assert_eq!(alone.node.records(), ["loan/wk-new"]);
@@ -469,7 +469,7 @@
 
 /// A job's record as the state service holds it.
 fn live(id: &str, kind: Kind, tasks: u32) -> Pair {
-    let record = swiftsail_core::job::JobRecord {
+    let record = swiftsail_controller::job::JobRecord {
         awaits: Vec::new(),
         cancelled: false,
         cancelled_wall: 0,
@@ -500,9 +500,9 @@
         tables.load_jobs(&Page { pairs, has_next: false, epoch: 1 }, now, wall);
         for (id, on) in [("wk-l", lender_on), ("wk-b", borrower_on)] {
             let machine = MachineId::from("m-1");
-            let bound = swiftsail_core::job::Bound { task: 0, launch: 7, machine, watch: 1 };
+            let bound = swiftsail_controller::job::Bound { task: 0, launch: 7, machine, watch: 1 };
             let bound = if on { vec![bound] } else { Vec::new() };
-            let chunk = swiftsail_core::job::Chunk { nonce: 1, upto: 9, done: Vec::new(), bound };
+            let chunk = swiftsail_controller::job::Chunk { nonce: 1, upto: 9, done: Vec::new(), bound };
             tables.jobs.get_mut(id).expect("loaded").restore(0, &chunk, 1, now);
         }
         tables.index(now, now);
@@ -535,7 +535,7 @@
     first.run(8_000);
     let caps = |alone: &Alone| alone.node.tables().and_then(|t| t.caps.clone()).expect("limits");
     let before = caps(&first)[0];
-    assert!(before.cpus > swiftsail_amounts::Amount::ZERO);
+    assert!(before.cpus > swiftsail_quota::Amount::ZERO);
     let mut next = Alone::seeded(&operator, 2);
     std::mem::swap(&mut next.store, &mut first.store);
     let amounts =
@@ -552,8 +552,8 @@
     let key = format!("{}0/of/all", accounts::PREFIX);
     let mut record = next.store.get(&key).expect("what it holds").value.clone();
     record["has"] = json!({});
-    let change = swiftsail_wire::state::Change::Write { write: key, value: record, mooring: None };
-    let commit = swiftsail_wire::state::Commit { when: Vec::new(), apply: vec![change] };
+    let change = swiftsail_protocol::state::Change::Write { write: key, value: record, mooring: None };
+    let commit = swiftsail_protocol::state::Commit { when: Vec::new(), apply: vec![change] };
     assert!(matches!(next.serve(&Call::Commit(commit)), Outcome::Committed(_)));
     assert!(next.release(|call| matches!(call, Call::Grant { .. })));
     next.run(300);
@@ -564,7 +564,7 @@
     next.run(200);
     let now = caps(&next)[0];
     assert!(
-        now.cpus == swiftsail_amounts::Amount::ZERO,
+        now.cpus == swiftsail_quota::Amount::ZERO,
         "{now:?} may be used, as {before:?} before"
     );
 }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -6,19 +6,19 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use swiftsail_core::constants::FORM;
-use swiftsail_core::job::{Ending, FinalRecord, JobRecord, Kind, StoredJob};
-use swiftsail_core::node::{Action, Ask, Event, Node, Now};
-use swiftsail_core::settings::Settings;
-use swiftsail_core::store::{Call, Outcome};
-use swiftsail_pipelines::constants::REST_CHANCE;
-use swiftsail_pipelines::{
+use swiftsail_controller::constants::FORM;
+use swiftsail_controller::job::{Ending, FinalRecord, JobRecord, Kind, StoredJob};
+use swiftsail_controller::node::{Action, Ask, Event, Node, Now};
+use swiftsail_controller::settings::Settings;
+use swiftsail_controller::store::{Call, Outcome};
+use swiftsail_dag::constants::REST_CHANCE;
+use swiftsail_dag::{
     Asked, Fate, Graph, JobId, Seen, Span, Standing, Verdict, Walk, backward,
 };
-use swiftsail_standin::world::{BEGIN, Trouble, Weather, World, assert_over, job, settings, spec};
-use swiftsail_wire::controllers::Beat;
-use swiftsail_wire::state::Page;
-use swiftsail_wire::users::read_submission;
+use swiftsail_simulation::world::{BEGIN, Trouble, Weather, World, assert_over, job, settings, spec};
+use swiftsail_protocol::controllers::Beat;
+use swiftsail_protocol::state::Page;
+use swiftsail_protocol::users::read_submission;
 
 const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
 
@@ -324,10 +324,10 @@
     };
     let ready = || {
         let mut node = Node::new(settings(0), 3, now);
-        let types = swiftsail_standin::world::offered(1).into_iter().map(|o| o.hull).collect();
-        let types = swiftsail_wire::cloud::Types { hulls: types };
-        let call = Box::new(swiftsail_core::cloud::Call::Types);
-        node.handle(Event::Cloud(call, swiftsail_core::cloud::Outcome::Types(types)), now);
+        let types = swiftsail_simulation::world::offered(1).into_iter().map(|o| o.hull).collect();
+        let types = swiftsail_protocol::cloud::Types { hulls: types };
+        let call = Box::new(swiftsail_controller::cloud::Call::Types);
+        node.handle(Event::Cloud(call, swiftsail_controller::cloud::Outcome::Types(types)), now);
         node.take_actions();
         node
     };
@@ -344,7 +344,7 @@
     assert_eq!(ask(&mut node, 5), (true, false), "all know it");
     // The note of another is enough.
     let mut node = ready();
-    let pair = |key: &str, value| swiftsail_wire::state::Pair {
+    let pair = |key: &str, value| swiftsail_protocol::state::Pair {
         key: key.into(),
         value,
         stamp: 5,
--- a/tests/pipelines_small.rs
+++ b/tests/pipelines_small.rs
@@ -1,8 +1,8 @@
 //! Every order of events in a small world of two stages: acceptance, a cancellation, ends, moves to the last place, late
 //! bindings, leaders that begin anew, a question read step by step. Each guard left out is found.
 
-use swiftsail_pipelines::{Fate, Graph, JobId, Seen, Standing, Verdict, Walk};
-use swiftsail_standin::explorer::{Found, Small, explore};
+use swiftsail_dag::{Fate, Graph, JobId, Seen, Standing, Verdict, Walk};
+use swiftsail_simulation::explorer::{Found, Small, explore};
 
 /// What is left out to see that the explorer finds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
-use swiftsail_core::node::AdminAsk;
+use swiftsail_controller::node::AdminAsk;
 use swiftsail_policy::constants::*;
 use swiftsail_policy::facts::{CLUSTER, Facts, JOB};
 use swiftsail_policy::hooks::{Answer, Hook, compose};
@@ -12,7 +12,7 @@
 use swiftsail_policy::operator::Operator;
 use swiftsail_policy::outbox::{Event, Outbox, ReportHook};
 use swiftsail_policy::plugin::{Kind, Offer, PluginRecord, State, Step, chunks, hash};
-use swiftsail_standin::world::{Weather, World, job, mixed_load};
+use swiftsail_simulation::world::{Weather, World, job, mixed_load};
 
 const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
 const ROUGH: Weather = Weather { loss: 0.03, late: 0.01, crashes: 4, outages: 2 };
@@ -416,7 +416,7 @@
     for knob in [Knob::Threshold, Knob::SpotShare] {
         assert_eq!(deployed.job(knob, &none, &none, &none), default_of(knob), "{knob:?}");
     }
-    use swiftsail_core::steering::Steering;
+    use swiftsail_controller::steering::Steering;
     let built_in = Steering::default();
     assert_eq!(default_of(Knob::Threshold), built_in.usual.threshold);
     assert_eq!(default_of(Knob::LineCap), built_in.line_cap as f64);
--- a/tests/recorded_bytes/files.rs
+++ b/tests/recorded_bytes/files.rs
@@ -5,8 +5,8 @@
 use serde_json::json;
 use swiftsail::local::keep::Keep;
 use swiftsail::local::{Model, Ports, write_files};
-use swiftsail_core::settings::Settings;
-use swiftsail_wire::state::{Change, Commit, Pair};
+use swiftsail_controller::settings::Settings;
+use swiftsail_protocol::state::{Change, Commit, Pair};
 
 const WHOLE: &str = include_str!("fixtures/settings.toml");
 const PAIRS: TableDefinition<&str, &[u8]> = TableDefinition::new("pairs");
@@ -64,7 +64,7 @@
     let found = Settings::parse("whole", WHOLE).expect("the file is sound");
     let text = serde_json::to_string(&found.settings).expect("they have a JSON form");
     same("platform.json", include_str!("fixtures/platform.json"), &text);
-    let again = serde_json::from_str::<swiftsail_core::settings::Platform>(&text);
+    let again = serde_json::from_str::<swiftsail_controller::settings::Platform>(&text);
     let again = serde_json::to_string(&again.expect("it is read")).expect("it is written");
     assert_eq!(again, text);
 }
@@ -114,7 +114,7 @@
     let pairs = txn.open_table(PAIRS).expect("the table of pairs");
     for entry in pairs.iter().expect("its entries") {
         let (key, value) = entry.expect("an entry");
-        let json: serde_json::Value = swiftsail_wire::read(value.value()).expect("MessagePack");
+        let json: serde_json::Value = swiftsail_protocol::read(value.value()).expect("MessagePack");
         found.push_str(&format!("{}\n{json}\n{}\n\n", key.value(), to_hex(value.value())));
     }
     same("kept.txt", include_str!("fixtures/kept.txt"), &found);
--- a/tests/recorded_bytes/keys.rs
+++ b/tests/recorded_bytes/keys.rs
@@ -1,10 +1,10 @@
 //! The keys of the state service and the paths of every interface.
 
-use swiftsail_amounts::records::Key;
-use swiftsail_core::accounts;
-use swiftsail_core::job::{chunk_key, keys};
-use swiftsail_dispatch::Arrival;
-use swiftsail_wire::{cloud, controllers, state, users, workers};
+use swiftsail_quota::records::Key;
+use swiftsail_controller::accounts;
+use swiftsail_controller::job::{chunk_key, keys};
+use swiftsail_deadline_planning::Arrival;
+use swiftsail_protocol::{cloud, controllers, state, users, workers};
 
 #[test]
 fn keys_are_as_before() {
--- a/tests/recorded_bytes/main.rs
+++ b/tests/recorded_bytes/main.rs
@@ -17,8 +17,8 @@
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::Value;
 use std::collections::BTreeMap;
-use swiftsail_order::Versioned;
-use swiftsail_wire::{read, write};
+use swiftsail_replicated_records::Versioned;
+use swiftsail_protocol::{read, write};
 
 /// Reads bytes into today's type and writes them again.
 pub type Again = Box<dyn Fn(&[u8]) -> Result<Vec<u8>, String>>;
--- a/tests/recorded_bytes/messages.rs
+++ b/tests/recorded_bytes/messages.rs
@@ -3,14 +3,14 @@
 use crate::records::{hull, least_spec, whole_spec};
 use crate::{Case, compare};
 use serde_json::json;
-use swiftsail_core::job::{Kind, Priority, Spec};
-use swiftsail_wire::cloud::{Berths, Listed, ListedState, Listing, Rent, Types};
-use swiftsail_wire::controllers::{Answers, Batch, Beat, Passed};
-use swiftsail_wire::state::{
+use swiftsail_controller::job::{Kind, Priority, Spec};
+use swiftsail_protocol::cloud::{Berths, Listed, ListedState, Listing, Rent, Types};
+use swiftsail_protocol::controllers::{Answers, Batch, Beat, Passed};
+use swiftsail_protocol::state::{
     Ask, Change, Commit, Committed, Granted, Item, News, Page, Pair, When,
 };
-use swiftsail_wire::users::{JobAnswer, Problem, Status, read_submission, write_submission};
-use swiftsail_wire::workers::{
+use swiftsail_protocol::users::{JobAnswer, Problem, Status, read_submission, write_submission};
+use swiftsail_protocol::workers::{
     Cause, Command, Direct, Orders, Phase, Redirect, Report, Shard, Verb,
 };
 
--- a/tests/recorded_bytes/operators.rs
+++ b/tests/recorded_bytes/operators.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 use swiftsail::local::Model;
-use swiftsail_core::node::{plan_of_file, tiers_of_file};
-use swiftsail_dispatch::{ChainLine, Entry, Plan, StepLine};
+use swiftsail_controller::node::{plan_of_file, tiers_of_file};
+use swiftsail_deadline_planning::{ChainLine, Entry, Plan, StepLine};
 use swiftsail_policy::operator::{Operator, Setting};
 use swiftsail_tiers::{TableRecord, TierLine};
-use swiftsail_wire::cloud::Hull;
+use swiftsail_protocol::cloud::Hull;
 
 const WHOLE: &str = r#"
 [admin]
--- a/tests/recorded_bytes/published.rs
+++ b/tests/recorded_bytes/published.rs
@@ -2,16 +2,16 @@
 
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::{Value, json};
-use swiftsail_core::job::{Kind, Priority, Spec};
-use swiftsail_wire::cloud::{Berths, Hull, Listed, ListedState, Listing, Rent, Types};
-use swiftsail_wire::state::{
+use swiftsail_controller::job::{Kind, Priority, Spec};
+use swiftsail_protocol::cloud::{Berths, Hull, Listed, ListedState, Listing, Rent, Types};
+use swiftsail_protocol::state::{
     Ask, Change, Commit, Committed, Granted, Item, News, Page, Pair, When,
 };
-use swiftsail_wire::users::{JobAnswer, Problem, Status, read_submission, write_submission};
-use swiftsail_wire::workers::{
+use swiftsail_protocol::users::{JobAnswer, Problem, Status, read_submission, write_submission};
+use swiftsail_protocol::workers::{
     Cause, Command, Direct, Orders, Phase, Redirect, Report, Shard, Verb,
 };
-use swiftsail_wire::{read, write};
+use swiftsail_protocol::{read, write};
 
 /// Whether what is written says all that is shown; null may be left out, and 8 is 8.0.
 fn says(written: &Value, shown: &Value) -> bool {
--- a/tests/recorded_bytes/records.rs
+++ b/tests/recorded_bytes/records.rs
@@ -2,20 +2,20 @@
 
 use crate::{Case, compare};
 use std::collections::BTreeMap;
-use swiftsail_amounts::records::{Holding, Kept, Pool};
-use swiftsail_amounts::{Amount, Amounts};
-use swiftsail_core::job::{
+use swiftsail_quota::records::{Holding, Kept, Pool};
+use swiftsail_quota::{Amount, Amounts};
+use swiftsail_controller::job::{
     Bound, Chunk, Ending, FinalRecord, JobRecord, Kind, Priority, Spec, StoredJob,
 };
-use swiftsail_core::tables::SheetRecord;
-use swiftsail_core::term::LeaderRecord;
-use swiftsail_dispatch::board::Took;
-use swiftsail_dispatch::{Arrival, ChainLine, Entry, Plan, Stage, Step, StepLine};
-use swiftsail_loans::{Lent, Loan, Loans, Seen};
+use swiftsail_controller::tables::SheetRecord;
+use swiftsail_controller::term::LeaderRecord;
+use swiftsail_deadline_planning::board::Took;
+use swiftsail_deadline_planning::{Arrival, ChainLine, Entry, Plan, Stage, Step, StepLine};
+use swiftsail_gpu_lending::{Lent, Loan, Loans, Seen};
 use swiftsail_policy::hooks::Hook;
 use swiftsail_policy::plugin::{Kind as PluginKind, PluginRecord, State};
 use swiftsail_tiers::{TableRecord, TierLine};
-use swiftsail_wire::cloud::{Hull, Types};
+use swiftsail_protocol::cloud::{Hull, Types};
 
 const RECORDED: &str = include_str!("fixtures/records.txt");
 
@@ -310,7 +310,7 @@
 #[test]
 fn a_jobs_key_holds_a_live_job_or_its_end() {
     for (name, bytes) in crate::entries(RECORDED) {
-        let value = swiftsail_wire::read(&bytes).expect("it is MessagePack");
+        let value = swiftsail_protocol::read(&bytes).expect("it is MessagePack");
         match (StoredJob::read(&value), name.split(' ').next()) {
             (Some(StoredJob::Live(_)), kind) => assert_eq!(kind, Some("job"), "{name}"),
             (Some(StoredJob::Over(_)), kind) => assert_eq!(kind, Some("end"), "{name}"),
--- a/tests/recorded_bytes/store.rs
+++ b/tests/recorded_bytes/store.rs
@@ -4,20 +4,20 @@
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use swiftsail_amounts::records::{Holding, Pool};
-use swiftsail_core::job::{Chunk, FinalRecord, JobRecord};
-use swiftsail_core::node::{AdminAsk, Node};
-use swiftsail_core::tables::SheetRecord;
-use swiftsail_core::term::LeaderRecord;
-use swiftsail_dispatch::board::Took;
-use swiftsail_dispatch::{Arrival, Plan};
-use swiftsail_loans::Lent;
-use swiftsail_order::Versioned;
+use swiftsail_quota::records::{Holding, Pool};
+use swiftsail_controller::job::{Chunk, FinalRecord, JobRecord};
+use swiftsail_controller::node::{AdminAsk, Node};
+use swiftsail_controller::tables::SheetRecord;
+use swiftsail_controller::term::LeaderRecord;
+use swiftsail_deadline_planning::board::Took;
+use swiftsail_deadline_planning::{Arrival, Plan};
+use swiftsail_gpu_lending::Lent;
+use swiftsail_replicated_records::Versioned;
 use swiftsail_policy::operator::Operator;
 use swiftsail_policy::plugin::{Kind, Offer, PluginRecord};
-use swiftsail_standin::world::{Weather, World, accelerated, gpu_job, job};
+use swiftsail_simulation::world::{Weather, World, accelerated, gpu_job, job};
 use swiftsail_tiers::TableRecord;
-use swiftsail_wire::cloud::Types;
+use swiftsail_protocol::cloud::Types;
 
 const RECORDED: &str = include_str!("fixtures/store.txt");
 const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
@@ -184,7 +184,7 @@
             let most = values.iter().max_by_key(|v| v.to_string().len()).expect("a value");
             dump.push_str(&format!(
                 "{key}\n{most}\n{}\n\n",
-                crate::to_hex(&swiftsail_wire::write(most))
+                crate::to_hex(&swiftsail_protocol::write(most))
             ));
             for value in values {
                 assert_eq!(again(of, value).as_ref(), Some(value), "{key}");
@@ -208,8 +208,8 @@
         assert!(held.keys().any(|key| kind(key) == Some(of)), "nothing of kind {of} is recorded");
     }
     for (key, bytes) in held {
-        let value: Value = swiftsail_wire::read(&bytes).expect("it is MessagePack");
+        let value: Value = swiftsail_protocol::read(&bytes).expect("it is MessagePack");
         let found = kind(&key).and_then(|of| again(of, &value));
-        assert_eq!(found.map(|v| swiftsail_wire::write(&v)), Some(bytes), "{key}: {value}");
+        assert_eq!(found.map(|v| swiftsail_protocol::write(&v)), Some(bytes), "{key}: {value}");
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,12 +1,12 @@
 //! The rules of the protocol, on the pure cores of three controllers against the stand-in.
 
-use swiftsail_standin::world as standin;
+use swiftsail_simulation::world as standin;
 
 use standin::{Weather, World, assert_over, job, mixed_load};
-use swiftsail_core::node::{Action, Event, Node, Now};
-use swiftsail_wire::controllers::Beat;
-use swiftsail_wire::read;
-use swiftsail_wire::workers::{Redirect, Report};
+use swiftsail_controller::node::{Action, Event, Node, Now};
+use swiftsail_protocol::controllers::Beat;
+use swiftsail_protocol::read;
+use swiftsail_protocol::workers::{Redirect, Report};
 
 const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
 const ROUGH: Weather = Weather { loss: 0.03, late: 0.01, crashes: 4, outages: 2 };
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,23 +1,23 @@
 //! What a leader with a thousand machines and a hundred thousand tasks does, counted in work items
 //! and bytes: never in time.
 
-use swiftsail_standin::world::{self as standin, spec};
+use swiftsail_simulation::world::{self as standin, spec};
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use swiftsail_core::cloud::{self, Cloud};
-use swiftsail_core::constants::*;
-use swiftsail_core::job::{JobRecord, Kind, Spec, Stage, keys};
-use swiftsail_core::machine::MachineType;
-use swiftsail_core::node::{self, Ctx, Purpose};
-use swiftsail_core::placement::View;
-use swiftsail_core::settings::{Settings, Team};
-use swiftsail_core::steering::Steering;
-use swiftsail_core::store::{Call, Outcome, Store};
-use swiftsail_core::tables::{Source, Tables};
-use swiftsail_wire::cloud::{Listed, ListedState, Listing};
-use swiftsail_wire::state::{Change, Commit};
-use swiftsail_wire::workers::{Phase, Report, Shard};
+use swiftsail_controller::cloud::{self, Cloud};
+use swiftsail_controller::constants::*;
+use swiftsail_controller::job::{JobRecord, Kind, Spec, Stage, keys};
+use swiftsail_controller::machine::MachineType;
+use swiftsail_controller::node::{self, Ctx, Purpose};
+use swiftsail_controller::placement::View;
+use swiftsail_controller::settings::{Settings, Team};
+use swiftsail_controller::steering::Steering;
+use swiftsail_controller::store::{Call, Outcome, Store};
+use swiftsail_controller::tables::{Source, Tables};
+use swiftsail_protocol::cloud::{Listed, ListedState, Listing};
+use swiftsail_protocol::state::{Change, Commit};
+use swiftsail_protocol::workers::{Phase, Report, Shard};
 
 const TOKEN: u64 = 40;
 
@@ -392,7 +392,7 @@
 /// The cost of a shared worker's report: what does not change is a few bytes, whatever runs there.
 #[test]
 fn an_unchanged_report_passed_on_is_small() {
-    use swiftsail_wire::controllers::{Batch, Passed};
+    use swiftsail_protocol::controllers::{Batch, Passed};
     let same = |n: u64| Passed::Same {
         berth: format!("m-{n:06}"),
         watch: 1,
@@ -400,7 +400,7 @@
         shown: u64::MAX >> 1,
     };
     let size = |reports: Vec<Passed>| {
-        swiftsail_wire::write(&Batch { node: "berth-0".into(), reports, well: Vec::new() }).len()
+        swiftsail_protocol::write(&Batch { node: "berth-0".into(), reports, well: Vec::new() }).len()
     };
     let each = (size((0..65).map(same).collect()) - size(vec![same(0)])) / 64;
     assert!(each <= 60, "{each} bytes for a machine, with 16 tasks or none");
--- a/tests/standin.rs
+++ b/tests/standin.rs
@@ -4,15 +4,15 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::json;
 use std::collections::BTreeMap;
-use swiftsail_core::job::{Kind, Spec};
-use swiftsail_standin::constants::CHANGES_KEPT;
-use swiftsail_standin::plant::Plant;
-use swiftsail_standin::store::{Committed, Store, TooOld};
-use swiftsail_standin::worker::Stage;
-use swiftsail_standin::world::{offered, settings, spec};
-use swiftsail_wire::cloud::Rent;
-use swiftsail_wire::state::{Change, Commit, When};
-use swiftsail_wire::workers::{Cause, Command, Orders, Phase, Verb};
+use swiftsail_controller::job::{Kind, Spec};
+use swiftsail_simulation::constants::CHANGES_KEPT;
+use swiftsail_simulation::plant::Plant;
+use swiftsail_simulation::store::{Committed, Store, TooOld};
+use swiftsail_simulation::worker::Stage;
+use swiftsail_simulation::world::{offered, settings, spec};
+use swiftsail_protocol::cloud::Rent;
+use swiftsail_protocol::state::{Change, Commit, When};
+use swiftsail_protocol::workers::{Cause, Command, Orders, Phase, Verb};
 
 fn store() -> Store {
     Store::new(settings(0).settings.state.clone(), 0)
@@ -276,7 +276,7 @@
     cloud.gone(&names[1..2], false, 60_000);
     let listed = cloud.list(None, 500, 200_000).berths;
     assert_eq!(listed.len(), 2, "what was returned is gone, what died is listed as failed");
-    assert_eq!(listed[0].status, swiftsail_wire::cloud::ListedState::Failed);
+    assert_eq!(listed[0].status, swiftsail_protocol::cloud::ListedState::Failed);
     cloud.gone(&names[..1], false, 200_000);
     assert_eq!(cloud.list(None, 500, 400_000).berths.len(), 1);
 }
--- a/tests/states.rs
+++ b/tests/states.rs
@@ -2,12 +2,12 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use swiftsail_core::job::{Attempt, Bound, Chunk, Job, JobRecord, JobState, Kind, Spec, Stage};
-use swiftsail_core::machine::{Machine, Standing};
-use swiftsail_core::settings::Settings;
-use swiftsail_core::term::{Phase, Term};
-use swiftsail_standin::world::spec;
-use swiftsail_wire::workers::Cause;
+use swiftsail_controller::job::{Attempt, Bound, Chunk, Job, JobRecord, JobState, Kind, Spec, Stage};
+use swiftsail_controller::machine::{Machine, Standing};
+use swiftsail_controller::settings::Settings;
+use swiftsail_controller::term::{Phase, Term};
+use swiftsail_simulation::world::spec;
+use swiftsail_protocol::workers::Cause;
 
 fn runner() -> TestRunner {
     let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
--- a/tests/takeover_days.rs
+++ b/tests/takeover_days.rs
@@ -4,9 +4,9 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
-use swiftsail_core::node::Node;
+use swiftsail_controller::node::Node;
 use swiftsail_policy::operator::Operator;
-use swiftsail_standin::world::{Cut, Deafness, Trouble, Weather, World, accelerated, gpu_job, job};
+use swiftsail_simulation::world::{Cut, Deafness, Trouble, Weather, World, accelerated, gpu_job, job};
 
 fn leader(world: &World) -> Option<usize> {
     (0..3).find(|n| world.nodes[*n].as_ref().is_some_and(Node::leads))
--- a/tests/takeovers.rs
+++ b/tests/takeovers.rs
@@ -8,13 +8,13 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
-use swiftsail_core::job::keys;
-use swiftsail_core::node::Node;
+use swiftsail_controller::job::keys;
+use swiftsail_controller::node::Node;
 use swiftsail_policy::operator::Operator;
-use swiftsail_standin::world::{
+use swiftsail_simulation::world::{
     BEGIN, Cut, Deafness, Fate, Trouble, Weather, World, accelerated, assert_over, gpu_job, job,
 };
-use swiftsail_wire::state::{Change, Commit};
+use swiftsail_protocol::state::{Change, Commit};
 
 const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
 
@@ -170,7 +170,7 @@
                 let list = world.plant.cloud.list(None, 500, now);
                 let running = |name: &String| {
                     let listed = list.berths.iter().find(|b| b.name_id == *name);
-                    listed.is_some_and(|b| b.status == swiftsail_wire::cloud::ListedState::Running)
+                    listed.is_some_and(|b| b.status == swiftsail_protocol::cloud::ListedState::Running)
                 };
                 unlisted += fresh.iter().filter(|name| !running(name)).count();
                 world.crash(at + ms + 10, node);
@@ -518,11 +518,11 @@
         for n in 1..12 {
             let at = n * 13_000 + seed * 210;
             leads.run(&mut world, at);
-            let done = |job: &swiftsail_standin::world::UserJob| {
+            let done = |job: &swiftsail_simulation::world::UserJob| {
                 let own = |t: &u32| world.plant.done.contains(&format!("{}/{t}", job.id));
                 (0..job.tasks()).filter(own).count()
             };
-            let part = |j: &&swiftsail_standin::world::UserJob| {
+            let part = |j: &&swiftsail_simulation::world::UserJob| {
                 (1..j.tasks() as usize).contains(&done(j)) && !j.over()
             };
             apart += world.jobs.iter().filter(part).count();
--- a/tests/tiers.rs
+++ b/tests/tiers.rs
@@ -4,11 +4,11 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, HashMap};
-use swiftsail_core::node::{AdminAsk, Node};
-use swiftsail_core::settings::Settings;
-use swiftsail_order::{Book, Limits, Outcome, Unread, Versioned};
+use swiftsail_controller::node::{AdminAsk, Node};
+use swiftsail_controller::settings::Settings;
+use swiftsail_replicated_records::{Book, Limits, Outcome, Unread, Versioned};
 use swiftsail_policy::operator::Operator;
-use swiftsail_standin::world::{Weather, World, assert_over, job, mixed_load, settings};
+use swiftsail_simulation::world::{Weather, World, assert_over, job, mixed_load, settings};
 use swiftsail_tiers::{Entry, Rank, Table, TableRecord, TierLine, line};
 
 const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
@@ -61,7 +61,7 @@
 fn the_deployed_table_is_sound() {
     let text = include_str!("../deploy/tiers.toml");
     let operator = Operator::parse("deploy/tiers.toml", text).expect("it is sound");
-    let record = swiftsail_core::node::tiers_of_file(operator.tiers.as_ref().expect("a table"));
+    let record = swiftsail_controller::node::tiers_of_file(operator.tiers.as_ref().expect("a table"));
     Table::new(record).expect("its tiers are sound");
 }
 
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -4,7 +4,7 @@
 mod recording;
 
 use recording::Recording;
-use swiftsail_standin::world::{Weather, World, mixed_load};
+use swiftsail_simulation::world::{Weather, World, mixed_load};
 
 fn recorded(seed: u64) -> Recording {
     let weather = Weather { loss: 0.02, late: 0.01, crashes: 2, outages: 1 };
--- a/tests/unreachable.rs
+++ b/tests/unreachable.rs
@@ -4,13 +4,13 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeSet;
-use swiftsail_core::job::{Attempt, JobId, JobRecord, Kind, MachineId, Stage, keys};
-use swiftsail_core::node::Node;
-use swiftsail_core::tables::{Source, Tables};
-use swiftsail_standin::world::{
+use swiftsail_controller::job::{Attempt, JobId, JobRecord, Kind, MachineId, Stage, keys};
+use swiftsail_controller::node::Node;
+use swiftsail_controller::tables::{Source, Tables};
+use swiftsail_simulation::world::{
     Cut, Deafness, Trouble, Weather, World, accelerated, gpu_job, job, settings, spec,
 };
-use swiftsail_wire::workers::Report;
+use swiftsail_protocol::workers::Report;
 
 const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
 
@@ -57,8 +57,8 @@
         let its = || tables.jobs.values().filter(|j| j.spec.team == team.name);
         let cap = tables.cap(n, team);
         let waits = its().filter(|j| !j.cancelled() && !j.waiting.is_empty());
-        let each = |j: &swiftsail_core::job::Job| {
-            swiftsail_amounts::Amounts::need(j.spec.cpus, j.spec.gpus)
+        let each = |j: &swiftsail_controller::job::Job| {
+            swiftsail_quota::Amounts::need(j.spec.cpus, j.spec.gpus)
         };
         let full = waits.map(each).any(|each| !cap.allows(usage[n], each));
         let mut cancelled = its().filter(|j| j.cancelled());
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -3,15 +3,15 @@
 
 use serde_json::json;
 use std::collections::BTreeMap;
-use swiftsail_core::job::{Bound, Chunk, JobId, JobRecord, Kind, Stage, keys};
-use swiftsail_core::node::{Ctx, Purpose};
-use swiftsail_core::settings::Settings;
-use swiftsail_core::store::{Call, Outcome, Store as Client};
-use swiftsail_core::tables::Tables;
-use swiftsail_standin::store::{Committed, Store};
-use swiftsail_standin::world::{settings, spec};
-use swiftsail_wire::state::{Change, Commit};
-use swiftsail_wire::workers::Cause;
+use swiftsail_controller::job::{Bound, Chunk, JobId, JobRecord, Kind, Stage, keys};
+use swiftsail_controller::node::{Ctx, Purpose};
+use swiftsail_controller::settings::Settings;
+use swiftsail_controller::store::{Call, Outcome, Store as Client};
+use swiftsail_controller::tables::Tables;
+use swiftsail_simulation::store::{Committed, Store};
+use swiftsail_simulation::world::{settings, spec};
+use swiftsail_protocol::state::{Change, Commit};
+use swiftsail_protocol::workers::Cause;
 
 const JOB: &str = "wk-1";
 const TASKS: u32 = 256;
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -3,9 +3,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::{Value, json};
-use swiftsail_wire::users::{read_submission, valid_id};
-use swiftsail_wire::workers::{Command, Orders, Report, Verb};
-use swiftsail_wire::{controllers::Beat, read, state, write};
+use swiftsail_protocol::users::{read_submission, valid_id};
+use swiftsail_protocol::workers::{Command, Orders, Report, Verb};
+use swiftsail_protocol::{controllers::Beat, read, state, write};
 
 fn runner() -> TestRunner {
     let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
--- a/tests/world_rules.rs
+++ b/tests/world_rules.rs
@@ -1,7 +1,7 @@
 //! The world's own checks: each can fail, and each trouble really comes about.
 
 use serde_json::json;
-use swiftsail_standin::world::{
+use swiftsail_simulation::world::{
     BEGIN, Fate, Trouble, Weather, World, assert_over, job, mixed_load, offered,
 };
 
