--- a/crates/controller/src/chance/mod.rs
+++ b/crates/controller/src/chance/mod.rs
@@ -2,10 +2,10 @@
 
 mod history;
 
-pub use history::{Histories, History};
+pub use history::{JobRunTimes, RunTimeHistory};
 
 use crate::constants::BINS;
-use swiftsail_dag::Span;
+use swiftsail_dag::DurationDistribution;
 
 /// A probability mass function over time: mass `k` lies at `origin + k * step` ms. Its last bin
 /// also holds all that lies beyond.
@@ -26,7 +26,7 @@
     }
 
     /// Mass spread evenly from `low` to `high`.
-    pub fn even(low: f64, high: f64) -> Pmf {
+    pub fn uniform(low: f64, high: f64) -> Pmf {
         if high <= low {
             return Pmf::at(low);
         }
@@ -66,12 +66,12 @@
     }
 
     /// Each value `by` times as large.
-    pub fn stretched(&self, by: f64) -> Pmf {
+    pub fn scaled(&self, by: f64) -> Pmf {
         Pmf { origin: self.origin * by, step: self.step * by, mass: self.mass.clone() }
     }
 
     /// The same, `by` ms later.
-    pub fn later(mut self, by: f64) -> Pmf {
+    pub fn shifted(mut self, by: f64) -> Pmf {
         self.origin += by;
         self
     }
@@ -79,10 +79,10 @@
     /// The sum of two independent times (thesis, equation 3.1).
     pub fn convolve(&self, other: &Pmf) -> Pmf {
         if self.mass.len() == 1 {
-            return other.clone().later(self.origin);
+            return other.clone().shifted(self.origin);
         }
         if other.mass.len() == 1 {
-            return self.clone().later(other.origin);
+            return self.clone().shifted(other.origin);
         }
         let low = self.origin + other.origin;
         let span =
@@ -102,7 +102,7 @@
 
     /// Moves mass past `deadline` onto it: a task that misses is dropped there, and what follows
     /// in its line starts then at the latest (thesis, equations 3.2 to 3.4).
-    pub fn cut(self, deadline: f64) -> Pmf {
+    pub fn clamp_to_deadline(self, deadline: f64) -> Pmf {
         let last = self.origin + (self.mass.len() - 1) as f64 * self.step;
         if last <= deadline {
             return self;
@@ -120,13 +120,13 @@
     }
 
     /// The chance to end before `deadline` (thesis, equation 3.5).
-    pub fn chance(&self, deadline: f64) -> f64 {
+    pub fn probability_before(&self, deadline: f64) -> f64 {
         let before: f64 = self.points().filter(|(t, _)| *t < deadline).map(|(_, m)| m).sum();
         before.min(1.0)
     }
 
     /// The least time within which it ends with that chance at least.
-    pub fn within(&self, chance: f64) -> f64 {
+    pub fn quantile(&self, chance: f64) -> f64 {
         let mut sum = 0.0;
         let mut last = self.origin;
         for (time, mass) in self.points() {
@@ -139,7 +139,7 @@
     }
 
     /// The longest of so many independent times.
-    pub fn longest_of(&self, count: u32) -> Pmf {
+    pub fn maximum_of(&self, count: u32) -> Pmf {
         let (mut sum, mut below) = (0.0_f64, 0.0_f64);
         let longest = |m: &f32| {
             sum = (sum + f64::from(*m)).min(1.0);
@@ -160,11 +160,11 @@
     }
 }
 
-impl Span for Pmf {
-    fn then(&self, next: &Pmf) -> Pmf {
+impl DurationDistribution for Pmf {
+    fn followed_by(&self, next: &Pmf) -> Pmf {
         self.convolve(next)
     }
-    fn within(&self, chance: f64) -> f64 {
-        Pmf::within(self, chance)
+    fn quantile(&self, chance: f64) -> f64 {
+        Pmf::quantile(self, chance)
     }
 }
--- a/crates/controller/src/constants.rs
+++ b/crates/controller/src/constants.rs
@@ -7,43 +7,43 @@
 
 /// Time to live of the leader's grant, ms. Short, because a crashed leader is replaced only after
 /// it; long enough for two lost extensions and a few hundred ms of store latency.
-pub const GRANT_TTL_MS: u64 = 2_500;
+pub const LEASE_TTL_MS: u64 = 2_500;
 /// Part of that which is not counted on after a standstill, ms: clocks that differ, and the answer's way.
-pub const GRANT_SPARE_MS: u64 = 100;
+pub const LEASE_MARGIN_MS: u64 = 100;
 /// Time between two events from which on the process has stood still, ms: timer steps come every tenth of it.
-pub const STANDSTILL_MS: u64 = 1_000;
+pub const PROCESS_PAUSE_MS: u64 = 1_000;
 /// Time between extensions of the grant, ms: three tries within one time to live.
-pub const GRANT_EXTEND_MS: u64 = 700;
+pub const LEASE_RENEW_MS: u64 = 700;
 /// Most random delay before a campaign, ms, so that nodes seldom collide.
-pub const CAMPAIGN_JITTER_MS: u64 = 150;
+pub const ELECTION_JITTER_MS: u64 = 150;
 /// Pause after a campaign that failed, ms.
-pub const CAMPAIGN_RETRY_MS: u64 = 500;
+pub const ELECTION_RETRY_MS: u64 = 500;
 /// Time for which a leader that gave up its lead, since it reached nobody, does not ask for it again, ms: others
 /// take it at once if they can. Doubled each time ...
 pub const RESIGN_MS: u64 = 15_000;
 /// ... up to this.
-pub const RESIGN_MOST_MS: u64 = 120_000;
+pub const RESIGN_MAX_MS: u64 = 120_000;
 /// Machines that should be heard for their silence to say something of the leader.
 pub const RESIGN_MACHINES: usize = 3;
 /// Time between heartbeats to the other controllers, ms.
-pub const BEAT_MS: u64 = 500;
+pub const HEARTBEAT_INTERVAL_MS: u64 = 500;
 /// A heartbeat older than this, ms, vouches for nothing.
-pub const BEAT_FRESH_MS: u64 = 1_800;
+pub const HEARTBEAT_FRESH_MS: u64 = 1_800;
 /// Least time between two heartbeats, ms, where a user waits for others to hold a cancellation: what comes in
 /// between goes together.
-pub const BEAT_HURRY_MS: u64 = 50;
+pub const EXPEDITED_HEARTBEAT_MS: u64 = 50;
 /// Heartbeats of which it is remembered when they were made: some seconds of them, hurried ones among them.
-pub const BEATS_KNOWN: usize = 256;
+pub const HEARTBEATS_REMEMBERED: usize = 256;
 /// Cancellations held for a leader that may not have read them, at most: some 20 KB in a heartbeat. They are
 /// dropped within a second where the leader reads, and in an outage nothing is cancelled.
-pub const NOTES_MOST: usize = 400;
+pub const PENDING_CANCELLATIONS_MAX: usize = 400;
 /// Time after which a leader reads what has changed of the jobs, if its watch has told nothing, ms: how long
 /// it may go on without the state service counts from when it asked for the last reading.
-pub const LEADER_READ_MS: u64 = 1_000;
+pub const LEADER_POLL_MS: u64 = 1_000;
 /// Safety margin, ms, by which a fading leader stops answering reports before `cancel_s - lease_s`.
-pub const FADE_MARGIN_MS: u64 = 6_000;
+pub const ANSWER_MARGIN_MS: u64 = 6_000;
 /// Least time, ms, that a leader without a store success keeps answering.
-pub const FADE_LEAST_MS: u64 = 2_000;
+pub const ANSWER_VALIDITY_MIN_MS: u64 = 2_000;
 
 // ---- calls -------------------------------------------------------------------------------------
 
@@ -54,15 +54,15 @@
 /// A user's call to the store is answered 503 after this, ms, below the 2 s users give a poll.
 pub const USER_STORE_TIMEOUT_MS: u64 = 1_200;
 /// Block time of a follow, ms. Long, since each follow opened counts as a request.
-pub const FOLLOW_BLOCK_MS: u64 = 10_000;
+pub const WATCH_BLOCK_MS: u64 = 10_000;
 /// Timeout of a follow, ms: its block time and some latency.
-pub const FOLLOW_TIMEOUT_MS: u64 = FOLLOW_BLOCK_MS + 2_500;
+pub const WATCH_TIMEOUT_MS: u64 = WATCH_BLOCK_MS + 2_500;
 /// First pause after the store refused or was silent, ms.
 pub const STORE_BACKOFF_MS: u64 = 200;
 /// Longest pause after the store refused or was silent, ms.
-pub const STORE_BACKOFF_MOST_MS: u64 = 1_500;
+pub const STORE_BACKOFF_MAX_MS: u64 = 1_500;
 /// Most calls to the store in flight at once (sockets, memory).
-pub const STORE_IN_FLIGHT_MOST: usize = 24;
+pub const STORE_IN_FLIGHT_MAX: usize = 24;
 /// Share of the platform's state limits that all controllers together use: the rest absorbs
 /// bursts and clock differences.
 pub const STORE_SHARE_ALL: f64 = 0.9;
@@ -82,70 +82,70 @@
 /// Names asked for in one page of the machine list (protocol: 500 at most).
 pub const CLOUD_PAGE: u32 = 500;
 /// Most machines in one rental request (protocol).
-pub const RENT_MOST: u32 = 50;
+pub const RENT_BATCH_MAX: u32 = 50;
 /// Most names in one return request (protocol).
-pub const RETURN_MOST: usize = 100;
+pub const RETURN_BATCH_MAX: usize = 100;
 /// Largest transaction, bytes (protocol: 64 KiB), with room for its envelope.
 pub const TXN_BYTES: usize = 60 * 1024;
 /// Keys asked for in one page of a listing.
 pub const LIST_PAGE: u32 = 200;
 /// Timeout of a relayed report, ms: below the 4 s a worker gives a report.
-pub const RELAY_TIMEOUT_MS: u64 = 2_500;
+pub const FORWARD_TIMEOUT_MS: u64 = 2_500;
 /// Reports passed on in one message at most.
-pub const RELAY_MOST: usize = 64;
+pub const FORWARD_BATCH_MAX: usize = 64;
 /// Largest such message, bytes, counted roughly: below what a body may have.
-pub const RELAY_BYTES: usize = 40 * 1024;
+pub const FORWARD_BATCH_BYTES: usize = 40 * 1024;
 /// Bytes of a report in it, without its tasks, and of each task.
 pub const REPORT_BYTES: usize = 250;
 /// See `REPORT_BYTES`.
-pub const SHARD_BYTES: usize = 90;
+pub const TASK_STATUS_BYTES: usize = 90;
 /// Time for which reports are gathered before they are passed on, ms, where workers are shared: one
 /// timer step, a small part of the 4 s that a worker waits.
-pub const RELAY_GATHER_MS: u64 = 100;
+pub const FORWARD_GATHER_MS: u64 = 100;
 /// Messages with reports on their way at once.
-pub const RELAYS_FLYING: usize = 4;
+pub const FORWARDS_IN_FLIGHT_MAX: usize = 4;
 /// Bytes of a machine in it whose unchanged reports were answered under a duty.
-pub const WELL_BYTES: usize = 40;
+pub const UNCHANGED_MACHINE_BYTES: usize = 40;
 /// Time between two tellings of those, ms: a small part of the third of a lease after which a machine
 /// that is not heard is given nothing new.
 pub const SUMMARY_MS: u64 = 1_000;
 /// Machines named at once as those to be seen whole.
-pub const LOOK_MOST: usize = 500;
+pub const MACHINES_WITH_COMMANDS_MAX: usize = 500;
 /// Share of a controller's memory that workers' connections may take before they are shared.
-pub const SHARE_ABOVE: f64 = 0.25;
+pub const DISTRIBUTE_ABOVE: f64 = 0.25;
 /// Share of its processor that workers may cost the leader before they are shared.
-pub const SHARE_LOAD: f64 = 0.35;
+pub const DISTRIBUTE_LOAD: f64 = 0.35;
 /// Share of the processor by which the leader must be busier than another before it sends workers there.
 pub const LOAD_SLACK: f64 = 0.12;
 /// Part of a controller's workers by which the leader must be above its own before it sends one to
 /// another: a tenth, and one.
-pub const SHARE_SLACK: usize = 10;
+pub const DISTRIBUTE_SLACK: usize = 10;
 /// Time within which the leader does not send a worker away again, ms.
-pub const SEND_AGAIN_MS: u64 = 60_000;
+pub const REDIRECT_AGAIN_MS: u64 = 60_000;
 /// A worker that comes back within this time after it was sent to the leader, ms, could not
 /// reach it: its own timeout of 4 s and pauses of 1 s fit in it.
 pub const CAME_BACK_MS: u64 = 12_000;
 /// Time for which such a worker is then served through this node, ms, before it is sent to the
 /// leader again.
-pub const RELAY_MS: u64 = 30_000;
+pub const FORWARD_MS: u64 = 30_000;
 /// Workers whose redirections are remembered (memory).
-pub const RELAYED_MOST: usize = 4_000;
+pub const FORWARDING_HISTORY_MAX: usize = 4_000;
 /// Calls to the cloud in flight at once (sockets).
-pub const CLOUD_IN_FLIGHT_MOST: usize = 8;
+pub const CLOUD_IN_FLIGHT_MAX: usize = 8;
 /// Conflicts after which a cancellation is given back to its user.
-pub const CANCEL_TRIES: u32 = 5;
+pub const CANCEL_CONFLICTS_MAX: u32 = 5;
 
 /// Time between two readings of what is held of limits, where that is switched on, ms: settings change seldom,
 /// and a reading is one request.
-pub const DESK_READ_MS: u64 = 5_000;
+pub const QUOTA_READ_MS: u64 = 5_000;
 /// Time after which they are read again when that failed, ms.
-pub const DESK_AGAIN_MS: u64 = 500;
+pub const QUOTA_RETRY_MS: u64 = 500;
 /// Time after which the records that outlive controllers are read again when a read or a watch failed, ms.
-pub const ORDER_AGAIN_MS: u64 = 3_000;
+pub const RECORDS_RETRY_MS: u64 = 3_000;
 /// Time between two looks at arrivals, ms: deadlines are minutes and hours away, and each looks at all jobs.
 pub const DISPATCH_MS: u64 = 2_000;
 /// Time that an operator waits for a record to be committed, ms: records have a tenth of the changes a second.
-pub const ORDER_WRITE_MS: u64 = 8_000;
+pub const RECORD_WRITE_TIMEOUT_MS: u64 = 8_000;
 /// Time between two lines of status in the leader's log, ms.
 pub const STATUS_MS: u64 = 10_000;
 
@@ -158,80 +158,80 @@
 /// Bytes of a range of tasks done, at most: two numbers of 6 digits, brackets, commas.
 pub const RANGE_BYTES: usize = 16;
 /// Bytes of a sheet beside its bindings, and of a job on it beside its name.
-pub const SHEET_HEAD_BYTES: usize = 64;
+pub const SEGMENT_HEADER_BYTES: usize = 64;
 /// See `SHEET_HEAD_BYTES`.
-pub const SHEET_JOB_BYTES: usize = 6;
+pub const SEGMENT_JOB_BYTES: usize = 6;
 /// Most tasks in one chunk of bindings, whatever the value size allows.
-pub const CHUNK_TASKS_MOST: u32 = 256;
+pub const CHUNK_TASKS_MAX: u32 = 256;
 /// Launch numbers of one term start at its token shifted left by this many bits. A term thus
 /// has 2^24 launches, and no two terms share one.
-pub const LAUNCH_BITS: u32 = 24;
+pub const ATTEMPT_COUNTER_BITS: u32 = 24;
 /// Time to its deadline told of a job without one, s.
 pub const NO_DEADLINE_S: f64 = 1e9;
 /// Happenings held between two events at most (memory).
-pub const HAPPENINGS_MOST: usize = 1_000;
+pub const CLUSTER_EVENTS_MAX: usize = 1_000;
 /// Time after which the plug-ins are read again when a read or a watch of them failed, ms.
-pub const PLUGINS_AGAIN_MS: u64 = 3_000;
+pub const PLUGINS_RETRY_MS: u64 = 3_000;
 /// Jobs whose counts a heartbeat tells (size of the message).
-pub const COUNTS_MOST: usize = 1_000;
+pub const TASK_COUNTS_MAX: usize = 1_000;
 /// Pause before a failed task is tried again, ms, doubled with each failure.
 pub const RETRY_MS: u64 = 1_000;
 /// Longest such pause, ms.
-pub const RETRY_MOST_MS: u64 = 30_000;
+pub const RETRY_MAX_MS: u64 = 30_000;
 /// Time before a job's chunk is written, ms: bindings are in the ledger by then, and what was done
 /// is known to its worker until it is committed, so that one change holds many of both.
-pub const FOLD_MS: u64 = 2_500;
+pub const COMPACTION_MS: u64 = 2_500;
 /// Chunks that wait for the store's budget at once: what waits here holds what was known when it
 /// came, what waits in the tables goes on gathering.
-pub const FOLDS_QUEUED: usize = 2;
+pub const COMPACTIONS_QUEUED: usize = 2;
 /// Least time between two writes of the ledger, ms: a few a second leave most of 20 to 30 changes
 /// a second to chunks and ends.
-pub const LEDGER_MS: u64 = 200;
+pub const BINDING_LOG_MS: u64 = 200;
 /// A write of so many sheets is followed by a rest of this many times as long as they take of the changes
 /// a second that the leader may make.
-pub const LEDGER_PART: f64 = 2.0;
+pub const BINDING_LOG_PART: f64 = 2.0;
 /// The same while users and ends wait for changes of theirs.
-pub const LEDGER_PART_BUSY: f64 = 4.0;
+pub const BINDING_LOG_PART_BUSY: f64 = 4.0;
 /// Chunks of a job written with one transaction: more would take a second's changes at once.
-pub const FOLDS_AT_ONCE: usize = 4;
+pub const COMPACTIONS_AT_ONCE: usize = 4;
 /// Ends of jobs on their way to the store at once: those that come later are told by priority, not
 /// in the order in which they came.
 pub const ENDS_QUEUED: usize = 8;
 /// Largest sheet of the ledger, bytes, where values may be larger (processor: it is written whole).
-pub const SHEET_BYTES: usize = 8 * 1024;
+pub const SEGMENT_BYTES: usize = 8 * 1024;
 /// Bindings on all sheets at most (memory); more wait until chunks have taken some over.
-pub const LEDGER_MOST: usize = 4_000;
+pub const BINDING_LOG_MAX: usize = 4_000;
 /// Bindings that stay on the sheets until their tasks end; the oldest beyond are taken over by chunks: some
 /// seven sheets, which a new leader reads at once.
-pub const LEDGER_KEPT: usize = 1_200;
+pub const BINDING_LOG_KEPT: usize = 1_200;
 /// Bindings on the sheets beyond which work of the lowest priority binds no more: what has ended and waits for
 /// its commit is among them, and a guest's array of short tasks ends faster than that can be committed.
-pub const LEDGER_LOW: usize = 3_000;
+pub const BINDING_LOG_LOW: usize = 3_000;
 /// Bindings of a chunk from which on it takes them over.
-pub const FOLD_LEAST: usize = 12;
+pub const COMPACTION_MIN: usize = 12;
 /// Exits of a job that wait for their commit from which on its chunks are written with users' work and not
 /// after it.
-pub const FOLD_PRESSING: usize = 32;
+pub const COMPACTION_PRESSING: usize = 32;
 /// Jobs whose records are moved to their last place with one transaction: a few changes, since each takes
 /// from what a burst of users may need next.
-pub const RETIRE_AT_ONCE: usize = 2;
+pub const ARCHIVE_BATCH: usize = 2;
 /// Jobs that are over from which on their records no longer wait for idle moments: a new leader reads them.
-pub const RETIRE_SOON: usize = 1_000;
+pub const ARCHIVE_BACKLOG: usize = 1_000;
 /// Least time between two reads of what has changed, for polls, ms: a node then asks at most five a second,
 /// and a poll, for which its user gives 2 s, waits a tenth of that on average.
-pub const MIRROR_MS: u64 = 200;
+pub const JOB_CACHE_MS: u64 = 200;
 /// The same while nobody waits, ms: little has then changed when somebody does.
-pub const MIRROR_IDLE_MS: u64 = 4_000;
+pub const JOB_CACHE_IDLE_MS: u64 = 4_000;
 /// Time without such a read after which the jobs are listed anew, ms: the service retains 10,000 changes, and
 /// tells all of them at once.
-pub const MIRROR_STALE_MS: u64 = 30_000;
+pub const JOB_CACHE_STALE_MS: u64 = 30_000;
 /// Time after which the jobs are listed again where there were more than are kept for polls, ms: each try costs as
 /// many requests as it takes to find that out.
-pub const MIRROR_FULL_MS: u64 = 30_000;
+pub const JOB_CACHE_FULL_MS: u64 = 30_000;
 /// Polls that wait among which one is looked for that gives way to another that waits longer (processor).
 pub const DISPLACED_OF: usize = 100;
 /// Sheets read by a new leader at most.
-pub const SHEETS_MOST: usize = 1_000;
+pub const SEGMENTS_MAX: usize = 1_000;
 /// Seconds the user is asked to wait before trying again.
 pub const RETRY_AFTER_S: u32 = 1;
 
@@ -242,7 +242,7 @@
 /// Part of the sockets that may be used at once to ask machines whether they live: a tenth.
 pub const PROBES_PART: usize = 10;
 /// Time between two looks at which machines are silent, ms (processor).
-pub const MEMBERS_MS: u64 = 500;
+pub const LIVENESS_CHECK_MS: u64 = 500;
 /// Time before `cancel_s` ends at which a withdrawn task that is not proved gone costs its
 /// machine, ms: list, rate limits and two tries of the return fit in it.
 pub const CANCEL_MARGIN_MS: u64 = 14_000;
@@ -255,24 +255,24 @@
 /// Time between two stop commands for the same task, ms.
 pub const STOP_AGAIN_MS: u64 = 1_500;
 /// Grace beyond `stow_s` given to a stop, s.
-pub const EASE_EXTRA_S: f64 = 2.0;
+pub const STOP_GRACE_EXTRA_S: f64 = 2.0;
 /// Longest usual boot, in times of `boot_s` (protocol).
 pub const BOOT_USUAL_MOST: f64 = 1.5;
 /// Time beyond that, and after a change of leader, for which a machine never heard is planned with,
 /// ms: a worker finds a new leader within some seconds.
-pub const EXPECT_MS: u64 = 10_000;
+pub const REGISTRATION_MS: u64 = 10_000;
 /// A boot later than this many times `boot_s` is given up.
 pub const BOOT_LATE_FACTOR: f64 = 2.5;
 /// and by at least this much, ms.
 pub const BOOT_LATE_MS: u64 = 20_000;
 /// Time a machine without tasks is kept, ms: a machine returned costs 60 s at least.
-pub const IDLE_MS: u64 = 25_000;
+pub const IDLE_MACHINE_MS: u64 = 25_000;
 /// Time between looks for idle machines, ms (processor).
 pub const IDLE_CHECK_MS: u64 = 1_000;
 /// Time between two moves of replicas, ms: one replica restarts within it.
 pub const MOVES_MS: u64 = 1_500;
 /// Machines emptied by moves at once.
-pub const DRAINS_MOST: usize = 2;
+pub const DRAINS_MAX: usize = 2;
 /// A machine is emptied if it costs this many times what its replicas would on a full machine of
 /// the cheapest type: a move costs a replica a few seconds, a machine half empty costs for minutes.
 pub const MOVE_RATIO: f64 = 1.9;
@@ -289,17 +289,17 @@
 /// The same where none of those jobs has ever succeeded: they may be mistaken themselves.
 pub const SUSPECT_NEW_JOBS: usize = 3;
 /// Machines on which a job must fail, and never succeed, to be held to be mistaken.
-pub const MISTAKEN_MACHINES: usize = 3;
+pub const JOB_AT_FAULT_MACHINES: usize = 3;
 /// Pause before such a job is tried again, ms, doubled with each try that fails.
-pub const MISTAKEN_MS: u64 = 5_000;
+pub const JOB_AT_FAULT_RETRY_MS: u64 = 5_000;
 /// Longest such pause, ms.
-pub const MISTAKEN_MOST_MS: u64 = 60_000;
+pub const JOB_AT_FAULT_RETRY_MAX_MS: u64 = 60_000;
 /// Tasks of it that are tried at once.
-pub const MISTAKEN_TASKS: usize = 2;
+pub const JOB_AT_FAULT_TASKS: usize = 2;
 /// Pause of a (type, zone, kind) after "no capacity", ms, doubled each time.
 pub const NO_CAPACITY_MS: u64 = 8_000;
 /// Longest such pause, ms.
-pub const NO_CAPACITY_MOST_MS: u64 = 40_000;
+pub const NO_CAPACITY_MAX_MS: u64 = 40_000;
 /// Part of the machines of a type that one zone may hold before another is preferred. Spread evenly over three,
 /// gangs that need two machines in one zone found one here and one there.
 pub const ZONE_PART: f64 = 0.5;
@@ -323,47 +323,47 @@
 pub const SLACK: f64 = 1e-6;
 /// Names of returned machines remembered, so that an old list, or a late copy of a report, does not bring them
 /// back (memory: 24 bytes each).
-pub const RETURNED_MOST: usize = 16_000;
+pub const RETURNED_REMEMBERED: usize = 16_000;
 /// Rentals of one type, zone and kind that wait for an answer at once.
-pub const RENTALS_OPEN_MOST: usize = 3;
+pub const OPEN_REQUESTS_MAX: usize = 3;
 /// Machines remembered as bad for a job.
-pub const BAD_MACHINES_MOST: usize = 16;
+pub const BAD_MACHINES_MAX: usize = 16;
 
 // ---- pipelines ---------------------------------------------------------------------------------
 
 /// The form of records that this version reads and writes: 1 knows jobs that await others.
-pub const FORM: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 /// Time between two looks at what pipelines need of their jobs, ms (processor).
-pub const NEEDED_MS: u64 = 1_000;
+pub const DEPENDENCY_DEADLINES_MS: u64 = 1_000;
 /// Time from the end of a job's last task to the start of those of the next, ms: a report, two commits, a pass, a report.
 pub const HAND_OVER_MS: f64 = 2_500.0;
 /// Jobs that others await whose end a leader asks the state service for at once: a new one may have to ask for all
 /// those of some dozen pipelines.
-pub const STRANGERS_MOST: usize = 40;
+pub const UNKNOWN_DEPENDENCIES_MAX: usize = 40;
 /// Time after which it asks again about one of which it was told nothing, ms: what is not readable now may be soon.
-pub const STRANGER_AGAIN_MS: u64 = 2_000;
+pub const UNKNOWN_DEPENDENCY_RETRY_MS: u64 = 2_000;
 /// Time before a job may begin from which on machines are rented for it, ms: the usual boot of a machine.
-pub const COMING_MS: f64 = 30_000.0;
+pub const UPCOMING_TASKS_MS: f64 = 30_000.0;
 /// Questions under way about what comes before a job, at most (memory).
-pub const WALKS_MOST: usize = 2_000;
+pub const DEPENDENCY_LOOKUPS_MAX: usize = 2_000;
 
 // ---- pruning (PAM) -----------------------------------------------------------------------------
 
 /// Pruning threshold: a chance at or below it defers (design; thesis 4.4.2).
-pub const THRESHOLD: f64 = 0.75;
+pub const PRUNING_THRESHOLD: f64 = 0.75;
 /// Largest share of the CPUs on spot machines, unless a policy says less: spot is cheaper, and
 /// placement weighs its losses by chance.
 pub const SPOT_SHARE: f64 = 1.0;
 /// Misses since the last round that engage dropping (design; thesis 4.4.3).
-pub const TOGGLE: u32 = 1;
+pub const PRUNING_TOGGLE_MISSES: u32 = 1;
 /// Longest line of a slot, the executing task included (design; thesis 4.4.1).
-pub const LINE_CAP: usize = 6;
+pub const RUN_QUEUE_MAX: usize = 6;
 /// Steps of a plug-in's preference that placement tells apart, for one.
 pub const SCORE_STEPS: f64 = 100.0;
 /// Time between rounds, ms (design).
 pub const ROUND_MS: u64 = 2_000;
 /// Least time between two event-driven passes, ms (processor).
-pub const PASS_MS: u64 = 150;
+pub const CYCLE_MS: u64 = 150;
 /// Bins of a probability mass function: coarse, since a controller has 8% of a core.
 pub const BINS: usize = 24;
 /// A run time before anything is known lies evenly between this many times the estimate ...
@@ -403,21 +403,21 @@
 /// Age from which on a job of which too little has a place comes first within its level, whether it passes or
 /// not, ms: the largest too are to begin within four minutes, half of that is the aim, and boot and fetch
 /// take a good part of a minute.
-pub const PROMISE_MS: u64 = 100_000;
+pub const START_PROMISE_MS: u64 = 100_000;
 /// The same for a gang, ms: what is kept for one stands idle meanwhile, and smaller ones run on less; a minute and a
 /// half is left for it to begin within four.
-pub const PROMISE_GANG_MS: u64 = 150_000;
+pub const GANG_START_PROMISE_MS: u64 = 150_000;
 /// Part of an array that has a place when that ends: one task in so many.
-pub const PROMISE_PART: u32 = 8;
+pub const START_PROMISE_PART: u32 = 8;
 /// Time that a gang has run before it may be stopped for others, ms: a start counts once it has run for 30 s.
 pub const LEND_AGE_MS: u64 = 45_000;
 /// Time that room won for a gang is kept for it, ms: a save, some reports, and the slowest machine of several.
 pub const LEND_WAIT_MS: u64 = 30_000;
 /// Time that a replica waits before gangs are stopped for it, ms, ...
-pub const LEND_PRESS_MS: f64 = 20_000.0;
+pub const LEND_URGENT_MS: f64 = 20_000.0;
 /// ... or this part of the time within which its class is to begin, if that is longer: a gang gives up several
 /// machines for one room, what it takes to get it is some 30 s, and most replicas find room meanwhile.
-pub const LEND_PRESS_PART: f64 = 0.4;
+pub const LEND_URGENT_PART: f64 = 0.4;
 /// What a fetch weighs where machines for a gang are compared, as work lost, ms.
 pub const FETCH_WEIGHT: f64 = 10_000.0;
 /// What it weighs to take an array of its rank rather than idle-hours work, and a gang rather than that, ms.
@@ -425,9 +425,9 @@
 /// Gangs that have waited long and come first at once.
 pub const PROMISED_GANGS: usize = 1;
 /// Gangs and others for which a round gathers room at most (processor), ...
-pub const GATHER_GANGS: usize = 4;
+pub const GANGS_RESERVED_MAX: usize = 4;
 /// ... and machines that it looks at for one.
-pub const GATHER_LOOKS: usize = 400;
+pub const GANG_EVALUATIONS_MAX: usize = 400;
 /// Time within which a machine must come free to be gathered, ms: what is kept longer stands idle for longer than a
 /// gang gains by it.
 pub const GATHER_SOON_MS: f64 = 45_000.0;
@@ -459,12 +459,12 @@
 /// Time a service waits for room made for it, ms, before it takes any other.
 pub const PREEMPT_WAIT_MS: u64 = 9_000;
 /// Jobs of one level placed in one pass at most (processor).
-pub const PASS_JOBS: usize = 200;
+pub const CYCLE_JOBS: usize = 200;
 /// Lines that a round offers at most, the soonest first (processor): at a few thousand slots each
 /// chooser finds what it wants among them.
-pub const LINES_MOST: usize = 2_000;
+pub const RUN_QUEUES_MAX: usize = 2_000;
 /// Jobs of one level that a pass places at least, however little memory there is.
-pub const PASS_JOBS_LEAST: usize = 20;
+pub const CYCLE_JOBS_MIN: usize = 20;
 /// Memory of a place that a chooser looks at, bytes: its rank, and the scores of its end with and without
 /// the image.
 pub const PLACE_BYTES: usize = 32;
@@ -475,35 +475,35 @@
 /// report or a user's request over HTTP and its answer; ...
 pub const REPORT_US: f64 = 32.0;
 /// ... each task in a report; ...
-pub const SHARD_US: f64 = 0.6;
+pub const TASK_STATUS_US: f64 = 0.6;
 /// ... a call to or from another service or controller; ...
 pub const CALL_US: f64 = 45.0;
 /// ... a report passed on; ...
-pub const PASSED_US: f64 = 4.0;
+pub const FORWARDED_REPORT_US: f64 = 4.0;
 /// ... a machine told to be well; ...
-pub const WELL_US: f64 = 2.5;
+pub const UNCHANGED_MACHINE_US: f64 = 2.5;
 /// ... a timer step, ...
 pub const TICK_US: f64 = 40.0;
 /// ... and in it each machine.
 pub const TICK_MACHINE_US: f64 = 0.15;
 /// Time that the looks of a pass may take, ms, on the share of a core that the platform gives: with its other
 /// work a quarter of the grant.
-pub const LOOKS_MS: f64 = 600.0;
+pub const CYCLE_EVALUATION_MS: f64 = 600.0;
 /// Lines that a round offers at least, however many jobs look at them.
-pub const LINES_LEAST: usize = 50;
+pub const RUN_QUEUES_MIN: usize = 50;
 /// Tasks that join lines in one pass at most (processor): the next goes on.
-pub const PASS_JOINS: usize = 600;
+pub const CYCLE_QUEUED_MAX: usize = 600;
 /// Time of a whole core that a place looked at by a chooser takes, us, measured.
-pub const LOOK_US: f64 = 0.25;
+pub const EVALUATION_US: f64 = 0.25;
 /// Time of a whole core that a score takes, us, measured.
 pub const SCORE_US: f64 = 5.0;
 /// A pass that takes longer than this by these figures, on the share of a core that the platform
 /// gives, ms, is followed by a rest: reports and the term must have their turn.
-pub const LONG_PASS_MS: f64 = 150.0;
+pub const LONG_CYCLE_MS: f64 = 150.0;
 /// The next one begins only after this many times as long as it took.
-pub const PASS_REST: f64 = 2.0;
+pub const CYCLE_REST_FACTOR: f64 = 2.0;
 /// Tasks bound in one pass at most; the next goes on (processor).
-pub const PASS_BINDS: usize = 300;
+pub const CYCLE_BINDINGS_MAX: usize = 300;
 /// Heads that began within one such step end alike in a round's arithmetic, ms: the round's own
 /// period, so that slots share their mass functions.
 pub const END_STEP_MS: f64 = 2_000.0;
--- a/crates/controller/src/fleet/demand.rs
+++ b/crates/controller/src/fleet/demand.rs
@@ -1,67 +1,69 @@
 //! Which idle machines work that waits may use. Work that its team's limit holds back keeps none: such
 //! machines were paid for, and nobody could be placed on them.
 
-use crate::job::{Kind, Spec};
-use crate::machine::{Machine, MachineType, Room};
-use crate::placement::{Allowance, View};
-use crate::tables::Tables;
+use crate::job::{JobKind, JobSpec};
+use crate::machine::{Machine, MachineType, Resources};
+use crate::placement::{PlanningContext, TeamAllowances};
+use crate::tables::ClusterState;
 use std::collections::HashMap;
 use std::sync::Arc;
 
 /// Tasks that wait, used up by the machines that are kept for them.
-pub(super) struct Demand<'a> {
-    types: &'a [MachineType],
-    allowance: Allowance,
+pub(super) struct PendingDemand<'a> {
+    machine_types: &'a [MachineType],
+    allowances: TeamAllowances,
     /// What jobs want: a task, its team, and how many wait.
-    jobs: Vec<(Arc<Spec>, usize, u32)>,
+    jobs: Vec<(Arc<JobSpec>, usize, u32)>,
     /// Those that may use a type and kind, as numbers of the above.
-    by_market: HashMap<(usize, bool), Vec<usize>>,
+    jobs_by_type_and_spot: HashMap<(usize, bool), Vec<usize>>,
 }
 
-impl<'a> Demand<'a> {
+impl<'a> PendingDemand<'a> {
     /// Counts what waits. While only replicas do, which take room that is there, nothing is kept.
-    pub fn count(tables: &Tables, view: View<'a>) -> Demand<'a> {
+    pub fn count(tables: &ClusterState, view: PlanningContext<'a>) -> PendingDemand<'a> {
         let teams = &view.settings.settings.teams;
-        let open = tables.jobs.values().filter(|j| j.queued() && !j.cancelled());
-        let open: Vec<_> = open.chain(tables.coming(view.now)).collect();
-        let waits = open.iter().any(|j| j.spec.kind != Kind::Service);
+        let open = tables.jobs.values().filter(|j| j.has_queued_tasks() && !j.is_cancelled());
+        let open: Vec<_> = open.chain(tables.upcoming_tasks(view.now)).collect();
+        let waits = open.iter().any(|j| j.spec.kind != JobKind::Service);
         let jobs = open.into_iter().filter(|_| waits).filter_map(|j| {
             let team = teams.iter().position(|t| t.name == j.spec.team)?;
             Some((j.spec.clone(), team, j.waiting.len() as u32))
         });
-        Demand {
-            types: view.types,
-            allowance: Allowance::of(tables, teams),
+        PendingDemand {
+            machine_types: view.machine_types,
+            allowances: TeamAllowances::from_cluster(tables, teams),
             jobs: jobs.collect(),
-            by_market: HashMap::new(),
+            jobs_by_type_and_spot: HashMap::new(),
         }
     }
 
     /// Whether tasks that wait may use a machine. Those that would are then not counted for another.
-    pub fn wants(&mut self, machine: &Machine) -> bool {
-        let Some(kind) = self.types.iter().position(|t| t.name == machine.kind) else {
+    pub fn wants_machine(&mut self, machine: &Machine) -> bool {
+        let Some(kind) = self.machine_types.iter().position(|t| t.name == machine.machine_type)
+        else {
             return false;
         };
-        let (t, jobs) = (&self.types[kind], &mut self.jobs);
-        let may =
-            |spec: &Spec| t.allows(spec) && !t.wasted_on(spec) && (!machine.spot || spec.spot);
+        let (t, jobs) = (&self.machine_types[kind], &mut self.jobs);
+        let may = |spec: &JobSpec| {
+            t.allows(spec) && !t.is_wasted_on(spec) && (!machine.spot || spec.spot)
+        };
         let able = self
-            .by_market
+            .jobs_by_type_and_spot
             .entry((kind, machine.spot))
             .or_insert_with(|| (0..jobs.len()).filter(|n| may(&jobs[*n].0)).collect());
-        let mut room = t.room();
+        let mut room = t.resources();
         let mut wanted = false;
         able.retain(|n| {
             let (spec, team, want) = &mut jobs[*n];
-            let each = Room::of(spec);
-            let fits = room.fits(&each);
+            let each = Resources::for_task(spec);
+            let fits = room.task_count(&each);
             if *want == 0 || fits == 0 {
                 return *want > 0;
             }
-            let take = self.allowance.take(*team, spec, *want, fits);
+            let take = self.allowances.take_tasks(*team, spec, *want, fits);
             *want -= take;
             for _ in 0..take {
-                room.take(&each);
+                room.subtract(&each);
             }
             wanted |= take > 0;
             // What its team may not use any more it will not use on the next machine either.
--- a/crates/controller/src/fleet/reserve.rs
+++ b/crates/controller/src/fleet/reserve.rs
@@ -1,47 +1,52 @@
 //! The reserve: room for services that are still to come.
 
-use crate::job::{Kind, Spec};
-use crate::machine::{Machine, MachineType, Room, Standing};
-use crate::tables::Tables;
+use crate::job::{JobKind, JobSpec};
+use crate::machine::{Machine, MachineState, MachineType, Resources};
+use crate::tables::ClusterState;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// How many more tasks of each service class than now would find room at once: what an idle
 /// machine adds beyond the wanted reserve may be returned.
 #[derive(Debug)]
-pub(super) struct Reserve {
-    each: u32,
-    classes: Vec<(Arc<Spec>, u32)>,
+pub(super) struct ServiceHeadroom {
+    wanted_tasks: u32,
+    free_by_class: Vec<(Arc<JobSpec>, u32)>,
 }
 
-impl Reserve {
+impl ServiceHeadroom {
     /// Counts over all machines.
-    pub fn count(tables: &Tables, types: &[MachineType], each: u32) -> Reserve {
-        let mut classes: BTreeMap<&str, &Arc<Spec>> = BTreeMap::new();
-        for job in tables.jobs.values().filter(|j| j.spec.kind == Kind::Service && !j.cancelled()) {
+    pub fn count(tables: &ClusterState, types: &[MachineType], each: u32) -> ServiceHeadroom {
+        let mut classes: BTreeMap<&str, &Arc<JobSpec>> = BTreeMap::new();
+        for job in
+            tables.jobs.values().filter(|j| j.spec.kind == JobKind::Service && !j.is_cancelled())
+        {
             classes.entry(&job.spec.class).or_insert(&job.spec);
         }
-        let classes: Vec<Arc<Spec>> = classes.into_values().cloned().collect();
-        let mut reserve = Reserve { each, classes: classes.into_iter().map(|s| (s, 0)).collect() };
+        let classes: Vec<Arc<JobSpec>> = classes.into_values().cloned().collect();
+        let mut reserve = ServiceHeadroom {
+            wanted_tasks: each,
+            free_by_class: classes.into_iter().map(|s| (s, 0)).collect(),
+        };
         for machine in tables.machines.values() {
-            for (spec, found) in &mut reserve.classes {
-                *found += holds(machine, types, spec);
+            for (spec, found) in &mut reserve.free_by_class {
+                *found += replica_capacity(machine, types, spec);
             }
         }
         reserve
     }
 
     /// Whether a machine is needed for the reserve. If it is not, it no longer counts.
-    pub fn needs(&mut self, machine: &Machine, types: &[MachineType]) -> bool {
-        let needs = |(spec, found): &(Arc<Spec>, u32)| {
-            let here = holds(machine, types, spec);
-            here > 0 && *found < self.each + here
+    pub fn needs_machine(&mut self, machine: &Machine, types: &[MachineType]) -> bool {
+        let needs = |(spec, found): &(Arc<JobSpec>, u32)| {
+            let here = replica_capacity(machine, types, spec);
+            here > 0 && *found < self.wanted_tasks + here
         };
-        if self.classes.iter().any(needs) {
+        if self.free_by_class.iter().any(needs) {
             return true;
         }
-        for (spec, found) in &mut self.classes {
-            *found -= holds(machine, types, spec).min(*found);
+        for (spec, found) in &mut self.free_by_class {
+            *found -= replica_capacity(machine, types, spec).min(*found);
         }
         false
     }
@@ -49,17 +54,17 @@
 
 /// Tasks of a service that a machine could take at once. One that boots does not count: a machine
 /// that is up was returned for one that came up a minute late, and a service waited for it.
-fn holds(machine: &Machine, types: &[MachineType], spec: &Spec) -> u32 {
-    let able = machine.standing() == Standing::Ready;
-    let Some(kind) = types.iter().find(|t| t.name == machine.kind) else { return 0 };
+fn replica_capacity(machine: &Machine, types: &[MachineType], spec: &JobSpec) -> u32 {
+    let able = machine.state() == MachineState::Ready;
+    let Some(kind) = types.iter().find(|t| t.name == machine.machine_type) else { return 0 };
     if !able
-        || !machine.trusted()
-        || machine.recall_at.is_some()
+        || !machine.may_receive_work()
+        || machine.reclaimed_at.is_some()
         || machine.spot && !spec.spot
         || !kind.allows(spec)
-        || kind.wasted_on(spec)
+        || kind.is_wasted_on(spec)
     {
         return 0;
     }
-    machine.free().unwrap_or_default().fits(&Room::of(spec))
+    machine.free_resources().unwrap_or_default().task_count(&Resources::for_task(spec))
 }
--- a/crates/controller/src/job/mod.rs
+++ b/crates/controller/src/job/mod.rs
@@ -4,18 +4,19 @@
 mod trust;
 
 pub use record::{
-    Bound, Chunk, Ending, FinalRecord, JobRecord, StoredJob, chunk_key, chunk_size, keys,
+    Binding, BindingChunk, FinalRecord, FinalState, JobRecord, StoredJob, chunk_key, chunk_size,
+    keys,
 };
 
 use crate::constants::*;
-pub use swiftsail_protocol::users::{Kind, Priority, Spec};
+pub use swiftsail_protocol::users::{JobKind, JobSpec, Priority};
 
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
-use swiftsail_tiers::Tiers;
-use swiftsail_protocol::workers::Cause;
-pub use trust::Trust;
+use swiftsail_protocol::workers::ExitCause;
+use swiftsail_tiers::TierAssignment;
+pub use trust::FailureAttribution;
 
 /// A job's id.
 pub type JobId = Arc<str>;
@@ -24,7 +25,7 @@
 
 /// Where an attempt stands. The order is the order of its life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
+pub enum AttemptPhase {
     /// Its binding is being committed; no start was offered.
     Committing,
     /// Bound; its start is offered in report responses.
@@ -32,103 +33,108 @@
     /// On the machine, waits for its image.
     Fetching,
     /// On the machine, waits for its gang.
-    Waiting,
+    WaitingForGang,
     /// Runs.
     Running,
     /// Saves.
     Saving,
     /// Ended; kept until what follows from it is committed.
-    Exited(Cause),
+    Exited(ExitCause),
 }
 
 /// One attempt of a task on a machine.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     /// Its number, never used again.
-    pub launch: u64,
+    pub number: u64,
     /// Where.
     pub machine: MachineId,
     /// Session of the machine that it was bound for.
-    pub watch: u64,
+    pub worker_session: u64,
     /// Where it stands. Changed by [`Attempt::advance`] alone.
-    stage: Stage,
-    had_image: bool,
+    phase: AttemptPhase,
+    image_seen: bool,
     /// Bound under an earlier term.
-    pub old_term: bool,
+    pub from_previous_term: bool,
     /// (session, tick) of the report whose response last carried the start.
-    pub offered: Option<(u64, u64)>,
+    pub offered_in: Option<(u64, u64)>,
     /// A report has shown it.
-    pub seen: bool,
+    pub is_reported: bool,
     /// Its start is not to be offered (again).
-    pub given_up: bool,
+    pub start_withdrawn: bool,
     /// When it was bound (or first known to this term).
-    pub since: Time,
+    pub bound_at: Time,
     /// When it first was seen to run.
-    pub ran_at: Option<Time>,
+    pub running_since: Option<Time>,
     /// When a stop was first wanted, and last sent.
-    pub stop: Option<(Time, Time)>,
+    pub stop_requested: Option<(Time, Time)>,
 }
 
 impl Attempt {
     /// A new attempt whose binding is yet to be committed.
-    pub fn new(launch: u64, machine: MachineId, watch: u64, now: Time) -> Attempt {
+    pub fn new(number: u64, machine: MachineId, worker_session: u64, now: Time) -> Attempt {
         Attempt {
-            launch,
+            number,
             machine,
-            watch,
-            stage: Stage::Committing,
-            had_image: false,
-            old_term: false,
-            offered: None,
-            seen: false,
-            given_up: false,
-            since: now,
-            ran_at: None,
-            stop: None,
+            worker_session,
+            phase: AttemptPhase::Committing,
+            image_seen: false,
+            from_previous_term: false,
+            offered_in: None,
+            is_reported: false,
+            start_withdrawn: false,
+            bound_at: now,
+            running_since: None,
+            stop_requested: None,
         }
     }
 
     /// An attempt found in the store by a new leader.
-    pub fn found(bound: &Bound, now: Time) -> Attempt {
-        let mut it = Attempt::new(bound.launch, bound.machine.clone(), bound.watch, now);
-        it.stage = Stage::Bound;
-        it.old_term = true;
+    pub fn restored(bound: &Binding, now: Time) -> Attempt {
+        let mut it = Attempt::new(bound.attempt, bound.machine.clone(), bound.worker_session, now);
+        it.phase = AttemptPhase::Bound;
+        it.from_previous_term = true;
         it
     }
 
     /// Where it stands.
-    pub fn stage(&self) -> Stage {
-        self.stage
+    pub fn phase(&self) -> AttemptPhase {
+        self.phase
     }
 
     /// The one function that changes the stage. Returns whether it changed. An exited attempt
     /// stays exited: a late report cannot bring it back.
-    pub fn advance(&mut self, to: Stage, now: Time) -> bool {
-        if matches!(self.stage, Stage::Exited(_)) || self.stage == to {
+    pub fn advance(&mut self, to: AttemptPhase, now: Time) -> bool {
+        if matches!(self.phase, AttemptPhase::Exited(_)) || self.phase == to {
             return false;
         }
-        self.had_image |= matches!(to, Stage::Waiting | Stage::Running);
-        if to == Stage::Running && self.ran_at.is_none() {
-            self.ran_at = Some(now);
+        self.image_seen |= matches!(to, AttemptPhase::WaitingForGang | AttemptPhase::Running);
+        if to == AttemptPhase::Running && self.running_since.is_none() {
+            self.running_since = Some(now);
         }
-        self.stage = to;
+        self.phase = to;
         true
     }
 
     /// Whether its machine is taken to have its image: it was seen to wait or run there, or an earlier
     /// leader started it.
     pub fn had_image(&self) -> bool {
-        self.had_image || self.old_term
+        self.image_seen || self.from_previous_term
     }
 
     /// Its binding, as records hold it.
-    pub fn bound(&self, task: u32) -> Bound {
-        Bound { task, launch: self.launch, machine: self.machine.clone(), watch: self.watch }
+    pub fn binding(&self, task: u32) -> Binding {
+        Binding {
+            task,
+            attempt: self.number,
+            machine: self.machine.clone(),
+            worker_session: self.worker_session,
+        }
     }
 
     /// Whether it takes room on its machine.
-    pub fn occupies(&self) -> bool {
-        !matches!(self.stage, Stage::Exited(_))
+    pub fn occupies_resources(&self) -> bool {
+        !matches!(self.phase, AttemptPhase::Exited(_))
     }
 }
 
@@ -149,55 +155,55 @@
 
 /// How a gang stands together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Muster {
+pub enum GangState {
     /// It waits for a place, or all of it is bound.
     Whole,
     /// A task has ended `alone` while others still fetch: those go on, since a fetch that nobody
     /// waits for is given up. The gang is placed anew once its image is everywhere.
     Fetching,
     /// A task was lost or is to leave: all of it is stopped, and it is placed anew when none is left.
-    Leaving,
+    Stopping,
 }
 
 /// What a chunk's record holds in a bounded size.
-struct Split {
+struct ChunkContents {
     /// Tasks done, as ranges.
     done: Vec<(u32, u32)>,
     /// Bindings that it alone tells of and has room for, ...
-    fit: Vec<Bound>,
+    fitting: Vec<Binding>,
     /// ... and those that it has no room for.
-    over: Vec<Bound>,
+    overflowing: Vec<Binding>,
     /// Bytes left.
-    left: usize,
+    bytes_left: usize,
 }
 
 /// Deadlines of a job, by who gives them, in steady time.
 #[derive(Debug, Clone, Copy)]
-struct Dues {
+struct Deadlines {
     own: Option<Time>,
-    arrival: Option<Time>,
-    pipeline: Option<Time>,
+    occurrence: Option<Time>,
+    dependents: Option<Time>,
 }
 
-impl Dues {
-    fn soonest(&self) -> Option<Time> {
-        [self.own, self.arrival, self.pipeline].into_iter().flatten().min()
+impl Deadlines {
+    fn earliest(&self) -> Option<Time> {
+        [self.own, self.occurrence, self.dependents].into_iter().flatten().min()
     }
 }
 
 /// A transaction of a job on its way.
 #[derive(Debug, Clone)]
-pub struct Flight {
+pub struct InFlightTransaction {
     /// Number of the write, held in each chunk it writes.
-    pub nonce: u64,
+    pub write_number: u64,
     /// Chunks written.
     pub chunks: Vec<u32>,
     /// (task, launch) bound by it.
-    pub bound: Vec<(u32, u64)>,
+    pub bindings: Vec<(u32, u64)>,
     /// Tasks done by it.
     pub done: Vec<u32>,
     /// The final record, if it ends the job.
-    pub ended: Option<FinalRecord>,
+    pub final_record: Option<FinalRecord>,
 }
 
 /// A job as the leader holds it.
@@ -206,9 +212,9 @@
     /// Its id.
     pub id: JobId,
     /// What it asks for.
-    pub spec: Arc<Spec>,
+    pub spec: Arc<JobSpec>,
     /// Stamp of its record in the store.
-    pub stamp: u64,
+    pub mod_revision: u64,
     state: JobState,
     /// Time of day of its acceptance, ms since the epoch.
     pub accepted_wall: u64,
@@ -216,13 +222,13 @@
     /// or the end of the last job that it awaits. How long it has waited outlives leaders.
     pub eligible_at: Time,
     /// Name of the tier that it was accepted into, if its record has one; and where that stands.
-    pub accepted_as: Option<String>,
+    pub accepted_tier: Option<String>,
     /// See `accepted_as`.
-    pub tier: Tiers,
+    pub tier: TierAssignment,
     /// Deadline in steady time: the soonest of its own, the one that an arrival gives it, and the one that the jobs
     /// which await it do.
-    pub due: Option<Time>,
-    dues: Dues,
+    pub deadline: Option<Time>,
+    deadlines: Deadlines,
     /// Its own priority: what it asks for may carry a higher one, of a job that awaits it.
     pub own_priority: Priority,
     /// When this leader learnt that it is cancelled.
@@ -230,7 +236,7 @@
     /// Tasks that wait for a place.
     pub waiting: BTreeSet<u32>,
     /// Tasks that wait for a pause after a failure to end.
-    pub held: BTreeMap<u32, (Time, u32)>,
+    pub backing_off: BTreeMap<u32, (Time, u32)>,
     /// Failures of tasks so far.
     pub failures: BTreeMap<u32, u32>,
     /// Attempts not proved gone, and exits not yet committed.
@@ -240,59 +246,59 @@
     /// Tasks in a chunk.
     pub chunk_tasks: u32,
     /// Stamps of the chunks in the store.
-    pub chunk_stamps: BTreeMap<u32, u64>,
+    pub chunk_revisions: BTreeMap<u32, u64>,
     /// Chunks whose record differs, and since when.
-    pub dirty: BTreeMap<u32, Time>,
+    pub dirty_chunks: BTreeMap<u32, Time>,
     /// The latest launch that each chunk accounts for.
-    pub chunk_upto: BTreeMap<u32, u64>,
+    pub chunk_covers: BTreeMap<u32, u64>,
     /// Transaction on its way.
-    pub flight: Option<Flight>,
+    pub in_flight: Option<InFlightTransaction>,
     /// Machines on which a task of it failed.
     pub bad_machines: VecDeque<MachineId>,
-    trust: Trust,
-    muster: Muster,
+    failure_attribution: FailureAttribution,
+    gang_state: GangState,
     /// Gang: the machines that its tasks have left, where its image is, and when. Their room is kept
     /// for it for a while.
-    pub left: BTreeMap<MachineId, Time>,
+    pub vacated_machines: BTreeMap<MachineId, Time>,
     /// Counted as missed already.
-    pub missed: bool,
+    pub missed_deadline: bool,
 }
 
 impl Job {
     /// A job from its record.
-    pub fn new(id: JobId, record: &JobRecord, stamp: u64, now: Time, wall: u64) -> Job {
+    pub fn new(id: JobId, record: &JobRecord, mod_revision: u64, now: Time, wall: u64) -> Job {
         let spec = Arc::new(record.spec.clone());
         let passed = wall.saturating_sub(record.accepted_wall);
-        let due =
+        let deadline =
             spec.deadline_s.map(|s| (now + (s * MS_PER_S).min(1e15) as u64).saturating_sub(passed));
         Job {
             id,
             waiting: (0..spec.tasks).collect(),
             chunk_tasks: record.chunk_tasks.max(1),
             spec,
-            stamp,
-            state: if record.awaits.is_empty() { JobState::Live } else { JobState::Awaiting },
+            mod_revision,
+            state: if record.depends_on.is_empty() { JobState::Live } else { JobState::Awaiting },
             accepted_wall: record.accepted_wall,
             eligible_at: now.saturating_sub(passed),
-            accepted_as: record.tier.clone(),
-            tier: Tiers { tier: u8::MAX, ordered: false },
-            due,
-            dues: Dues { own: due, arrival: None, pipeline: None },
+            accepted_tier: record.tier.clone(),
+            tier: TierAssignment { tier: u8::MAX, ordered: false },
+            deadline,
+            deadlines: Deadlines { own: deadline, occurrence: None, dependents: None },
             own_priority: record.spec.priority,
             cancelled_at: None,
-            held: BTreeMap::new(),
+            backing_off: BTreeMap::new(),
             failures: BTreeMap::new(),
             attempts: BTreeMap::new(),
             done: BTreeSet::new(),
-            chunk_stamps: BTreeMap::new(),
-            dirty: BTreeMap::new(),
-            chunk_upto: BTreeMap::new(),
-            flight: None,
+            chunk_revisions: BTreeMap::new(),
+            dirty_chunks: BTreeMap::new(),
+            chunk_covers: BTreeMap::new(),
+            in_flight: None,
             bad_machines: VecDeque::new(),
-            trust: Trust::New,
-            muster: Muster::Whole,
-            left: BTreeMap::new(),
-            missed: false,
+            failure_attribution: FailureAttribution::New,
+            gang_state: GangState::Whole,
+            vacated_machines: BTreeMap::new(),
+            missed_deadline: false,
         }
     }
 
@@ -321,51 +327,51 @@
     }
 
     /// How a gang stands together.
-    pub fn muster(&self) -> Muster {
-        self.muster
+    pub fn gang_state(&self) -> GangState {
+        self.gang_state
     }
 
     /// The one function that changes how a gang stands together: what leaves is whole again only when
     /// none of it is left. Returns whether it changed.
-    pub fn gather(&mut self, to: Muster) -> bool {
-        let none_left = !self.attempts.values().any(Attempt::occupies);
-        let allowed = match (self.muster, to) {
-            (Muster::Whole, Muster::Fetching | Muster::Leaving)
-            | (Muster::Fetching, Muster::Leaving) => !none_left,
-            (Muster::Fetching | Muster::Leaving, Muster::Whole) => none_left,
+    pub fn set_gang_state(&mut self, to: GangState) -> bool {
+        let none_left = !self.attempts.values().any(Attempt::occupies_resources);
+        let allowed = match (self.gang_state, to) {
+            (GangState::Whole, GangState::Fetching | GangState::Stopping)
+            | (GangState::Fetching, GangState::Stopping) => !none_left,
+            (GangState::Fetching | GangState::Stopping, GangState::Whole) => none_left,
             _ => false,
         };
         if allowed {
-            self.muster = to;
+            self.gang_state = to;
         }
         allowed
     }
 
     /// Whether a task of a gang still fetches and none runs: a fetch is worth waiting for.
-    pub fn fetches(&self) -> bool {
-        let mut stages = self.attempts.values().map(Attempt::stage);
-        let fetches = stages.clone().any(|s| s == Stage::Fetching);
-        fetches && !stages.any(|s| matches!(s, Stage::Running | Stage::Saving))
+    pub fn is_fetching(&self) -> bool {
+        let mut stages = self.attempts.values().map(Attempt::phase);
+        let fetches = stages.clone().any(|s| s == AttemptPhase::Fetching);
+        fetches && !stages.any(|s| matches!(s, AttemptPhase::Running | AttemptPhase::Saving))
     }
 
     /// The machines whose room is kept for this gang until it is placed again. Where others still
     /// fetch for as long as that takes, else for a moment: what else it needs may have to boot.
-    pub fn keeps(&self, now: Time) -> impl Iterator<Item = &MachineId> {
-        let gathers = self.muster != Muster::Whole;
+    pub fn reserved_machines(&self, now: Time) -> impl Iterator<Item = &MachineId> {
+        let gathers = self.gang_state != GangState::Whole;
         let kept = move |(_, at): &(&MachineId, &Time)| gathers || now < **at + KEEP_FOR_GANG_MS;
-        self.left.iter().filter(kept).map(|(id, _)| id)
+        self.vacated_machines.iter().filter(kept).map(|(id, _)| id)
     }
 
     /// An arrival gives it a deadline, or none any more: never later than its own.
-    pub fn plan_due(&mut self, due: Option<Time>) {
-        self.dues.arrival = due;
-        self.due = self.dues.soonest();
+    pub fn set_occurrence_deadline(&mut self, due: Option<Time>) {
+        self.deadlines.occurrence = due;
+        self.deadline = self.deadlines.earliest();
     }
 
     /// What the jobs that await it need: a deadline, or none any more, and a priority that is not below its own.
-    pub fn need(&mut self, due: Option<Time>, priority: Priority) {
-        self.dues.pipeline = due;
-        self.due = self.dues.soonest();
+    pub fn set_dependent_requirements(&mut self, due: Option<Time>, priority: Priority) {
+        self.deadlines.dependents = due;
+        self.deadline = self.deadlines.earliest();
         let priority = priority.max(self.own_priority);
         if self.spec.priority != priority {
             Arc::make_mut(&mut self.spec).priority = priority;
@@ -373,12 +379,12 @@
     }
 
     /// Its own deadline, whoever else gives it one.
-    pub fn own_due(&self) -> Option<Time> {
-        self.dues.own
+    pub fn own_deadline(&self) -> Option<Time> {
+        self.deadlines.own
     }
 
     /// Whether tasks of it wait for a place, and not for another job.
-    pub fn queued(&self) -> bool {
+    pub fn has_queued_tasks(&self) -> bool {
         !self.waiting.is_empty() && self.state != JobState::Awaiting
     }
 
@@ -389,24 +395,25 @@
     }
 
     /// Whether any of its tasks has a place or had one to its end.
-    pub fn begun(&self) -> bool {
+    pub fn has_begun(&self) -> bool {
         !self.attempts.is_empty() || !self.done.is_empty()
     }
 
     /// Whether it has waited so long, at that time, that it is to begin: of a gang or a service nothing has a
     /// place, of an array less than a part. The age is durable, so no change of leader puts it off.
-    pub fn promised(&self, now: Time) -> bool {
+    pub fn is_overdue_to_start(&self, now: Time) -> bool {
         let placed = (self.attempts.len() + self.done.len()) as u32;
         let part = match self.spec.kind {
-            Kind::Array => self.spec.tasks.div_ceil(PROMISE_PART),
+            JobKind::Array => self.spec.tasks.div_ceil(START_PROMISE_PART),
             _ => 1,
         };
-        let after = if self.spec.kind == Kind::Gang { PROMISE_GANG_MS } else { PROMISE_MS };
+        let after =
+            if self.spec.kind == JobKind::Gang { GANG_START_PROMISE_MS } else { START_PROMISE_MS };
         placed < part && now >= self.eligible_at + after
     }
 
     /// Whether its user has cancelled it.
-    pub fn cancelled(&self) -> bool {
+    pub fn is_cancelled(&self) -> bool {
         self.cancelled_at.is_some()
     }
 
@@ -416,12 +423,12 @@
     }
 
     /// Notes that the record of a task's chunk must be written.
-    pub fn touch(&mut self, task: u32, now: Time) {
-        self.dirty.entry(self.chunk_of(task)).or_insert(now);
+    pub fn mark_chunk_dirty(&mut self, task: u32, now: Time) {
+        self.dirty_chunks.entry(self.chunk_of(task)).or_insert(now);
     }
 
     /// Tasks of a chunk that have an attempt.
-    pub fn tasks_of(&self, chunk: u32) -> impl Iterator<Item = u32> {
+    pub fn tasks_in_chunk(&self, chunk: u32) -> impl Iterator<Item = u32> {
         let from = chunk * self.chunk_tasks;
         let to = (from + self.chunk_tasks).min(self.spec.tasks);
         self.attempts.range(from..to).map(|(task, _)| *task)
@@ -429,17 +436,22 @@
 
     /// Bindings that a chunk alone tells of and that its record has no room for, in at most so many bytes: an earlier
     /// leader could write larger ones.
-    pub fn overflow(
+    pub fn overflowing_bindings(
         &self,
         chunk: u32,
         bytes: usize,
         elsewhere: impl Fn(u32) -> bool,
-    ) -> Vec<Bound> {
-        self.split(chunk, bytes, elsewhere).over
+    ) -> Vec<Binding> {
+        self.chunk_contents(chunk, bytes, elsewhere).overflowing
     }
 
     /// What of a chunk's tasks is done, which bindings must go beside that and do, and which do not.
-    fn split(&self, chunk: u32, bytes: usize, elsewhere: impl Fn(u32) -> bool) -> Split {
+    fn chunk_contents(
+        &self,
+        chunk: u32,
+        bytes: usize,
+        elsewhere: impl Fn(u32) -> bool,
+    ) -> ChunkContents {
         let from = chunk * self.chunk_tasks;
         let to = (from + self.chunk_tasks).min(self.spec.tasks);
         let exited = self.attempts.range(from..to).filter(|(_, a)| is_done(a)).map(|(t, _)| *t);
@@ -447,11 +459,11 @@
         let done = record::ranges(&done);
         let mut left = bytes.saturating_sub(CHUNK_BYTES + done.len() * RANGE_BYTES);
         let (mut fit, mut over) = (Vec::new(), Vec::new());
-        for (task, a) in self.attempts.range(from..to).filter(|(_, a)| a.occupies()) {
+        for (task, a) in self.attempts.range(from..to).filter(|(_, a)| a.occupies_resources()) {
             if elsewhere(*task) {
                 continue;
             }
-            let bound = a.bound(*task);
+            let bound = a.binding(*task);
             let size = bound.bytes();
             if size <= left {
                 left -= size;
@@ -460,115 +472,117 @@
                 over.push(bound);
             }
         }
-        Split { done, fit, over, left }
+        ChunkContents { done, fitting: fit, overflowing: over, bytes_left: left }
     }
 
     /// The record of a chunk as it should be, in at most so many bytes. `elsewhere` tells of which tasks a
     /// sheet of the ledger holds the binding: those are left there, or taken over as far as they fit. What fits nowhere
     /// was to be taken back by the ledger before ([`Job::overflow`]).
-    pub fn chunk(
+    pub fn chunk_record(
         &self,
         chunk: u32,
         (nonce, last_launch): (u64, u64),
         bytes: usize,
         take_over: bool,
         elsewhere: impl Fn(u32) -> bool,
-    ) -> Chunk {
-        let Split { done, fit, over, mut left } = self.split(chunk, bytes, &elsewhere);
-        let mut record = Chunk { nonce, upto: last_launch, done, bound: fit };
+    ) -> BindingChunk {
+        let ChunkContents { done, fitting: fit, overflowing: over, bytes_left: mut left } =
+            self.chunk_contents(chunk, bytes, &elsewhere);
+        let mut record =
+            BindingChunk { write_number: nonce, covers: last_launch, done, bindings: fit };
         // Whoever reads this finds later bindings on the sheets alone.
-        let mut beyond = |launch: u64| record.upto = record.upto.min(launch.saturating_sub(1));
-        over.iter().for_each(|b| beyond(b.launch));
-        let may = self.tasks_of(chunk).filter(|task| elsewhere(*task));
-        for bound in
-            may.filter_map(|t| self.attempts.get(&t).filter(|a| a.occupies()).map(|a| a.bound(t)))
-        {
+        let mut beyond = |launch: u64| record.covers = record.covers.min(launch.saturating_sub(1));
+        over.iter().for_each(|b| beyond(b.attempt));
+        let may = self.tasks_in_chunk(chunk).filter(|task| elsewhere(*task));
+        for bound in may.filter_map(|t| {
+            self.attempts.get(&t).filter(|a| a.occupies_resources()).map(|a| a.binding(t))
+        }) {
             let size = bound.bytes();
             if take_over && size <= left {
                 left -= size;
-                record.bound.push(bound);
+                record.bindings.push(bound);
             } else {
-                beyond(bound.launch);
+                beyond(bound.attempt);
             }
         }
         record
     }
 
     /// Takes over a chunk read from the store.
-    pub fn restore(&mut self, chunk: u32, record: &Chunk, stamp: u64, now: Time) {
-        self.chunk_stamps.insert(chunk, stamp);
-        self.chunk_upto.insert(chunk, record.upto);
+    pub fn restore_chunk(&mut self, chunk: u32, record: &BindingChunk, stamp: u64, now: Time) {
+        self.chunk_revisions.insert(chunk, stamp);
+        self.chunk_covers.insert(chunk, record.covers);
         for &(from, to) in &record.done {
             for task in from..=to.min(self.spec.tasks.saturating_sub(1)) {
                 self.waiting.remove(&task);
                 self.done.insert(task);
             }
         }
-        for bound in &record.bound {
+        for bound in &record.bindings {
             if bound.task < self.spec.tasks && self.waiting.remove(&bound.task) {
-                self.attempts.insert(bound.task, Attempt::found(bound, now));
+                self.attempts.insert(bound.task, Attempt::restored(bound, now));
             }
         }
     }
 
     /// Takes over a binding of the ledger, unless its chunk, or one taken over already, knows
     /// better. To be called after all chunks.
-    pub fn restore_later(&mut self, bound: &Bound, now: Time) -> bool {
-        let upto = self.chunk_upto.get(&self.chunk_of(bound.task)).copied().unwrap_or(0);
-        let older = self.attempts.get(&bound.task).is_none_or(|a| a.launch < bound.launch);
+    pub fn restore_log_binding(&mut self, bound: &Binding, now: Time) -> bool {
+        let upto = self.chunk_covers.get(&self.chunk_of(bound.task)).copied().unwrap_or(0);
+        let older = self.attempts.get(&bound.task).is_none_or(|a| a.number < bound.attempt);
         if bound.task >= self.spec.tasks
-            || bound.launch <= upto
+            || bound.attempt <= upto
             || self.done.contains(&bound.task)
             || !older
         {
             return false;
         }
         self.waiting.remove(&bound.task);
-        self.attempts.insert(bound.task, Attempt::found(bound, now));
+        self.attempts.insert(bound.task, Attempt::restored(bound, now));
         true
     }
 
     /// An attempt is proved gone, or was never started: its task waits again.
-    pub fn release(&mut self, task: u32, now: Time) -> Option<Attempt> {
+    pub fn release_attempt(&mut self, task: u32, now: Time) -> Option<Attempt> {
         let attempt = self.attempts.remove(&task)?;
         if !self.done.contains(&task) {
             self.waiting.insert(task);
         }
-        if self.spec.kind == Kind::Gang && attempt.had_image() {
-            self.left.insert(attempt.machine.clone(), now);
+        if self.spec.kind == JobKind::Gang && attempt.had_image() {
+            self.vacated_machines.insert(attempt.machine.clone(), now);
         }
-        self.touch(task, now);
+        self.mark_chunk_dirty(task, now);
         Some(attempt)
     }
 
     /// Holds a waiting task back after a failure.
-    pub fn hold(&mut self, task: u32, now: Time) {
+    pub fn back_off(&mut self, task: u32, now: Time) {
         if self.waiting.remove(&task) {
             let count = self.failures.entry(task).or_insert(0);
             *count += 1;
             let pause = RETRY_MS << (*count - 1).min(8);
-            self.held.insert(task, (now + pause.min(RETRY_MOST_MS), *count));
+            self.backing_off.insert(task, (now + pause.min(RETRY_MAX_MS), *count));
         }
     }
 
     /// Tasks whose pause is over wait again.
-    pub fn unhold(&mut self, now: Time) {
-        if self.held.is_empty() {
+    pub fn end_backoffs(&mut self, now: Time) {
+        if self.backing_off.is_empty() {
             return;
         }
         let over: Vec<u32> =
-            self.held.iter().filter(|(_, (at, _))| *at <= now).map(|(t, _)| *t).collect();
+            self.backing_off.iter().filter(|(_, (at, _))| *at <= now).map(|(t, _)| *t).collect();
         for task in over {
-            self.held.remove(&task);
+            self.backing_off.remove(&task);
             self.waiting.insert(task);
         }
-        self.ration(now);
+        self.limit_suspect_job(now);
     }
 
     /// Remembers a machine as bad for this job.
-    pub fn blame(&mut self, machine: &MachineId) {
+    pub fn note_bad_machine(&mut self, machine: &MachineId) {
         if !self.bad_machines.contains(machine) {
-            if self.bad_machines.len() >= BAD_MACHINES_MOST {
+            if self.bad_machines.len() >= BAD_MACHINES_MAX {
                 self.bad_machines.pop_front();
             }
             self.bad_machines.push_back(machine.clone());
@@ -576,19 +590,23 @@
     }
 
     /// Tasks in one zone that are not proved gone.
-    pub fn in_zone<'a>(&self, zone_of: impl Fn(&MachineId) -> Option<&'a str>, zone: &str) -> u32 {
+    pub fn tasks_in_zone<'a>(
+        &self,
+        zone_of: impl Fn(&MachineId) -> Option<&'a str>,
+        zone: &str,
+    ) -> u32 {
         let there =
             self.attempts.values().filter(|a| zone_of(&a.machine).is_none_or(|z| z == zone));
-        there.filter(|a| a.occupies()).count() as u32
+        there.filter(|a| a.occupies_resources()).count() as u32
     }
 
     /// (done, running) for display.
-    pub fn counts(&self) -> (u32, u32) {
-        let running = self.attempts.values().filter(|a| a.stage() == Stage::Running).count();
+    pub fn task_counts(&self) -> (u32, u32) {
+        let running = self.attempts.values().filter(|a| a.phase() == AttemptPhase::Running).count();
         (self.done.len() as u32, running as u32)
     }
 }
 
 fn is_done(attempt: &Attempt) -> bool {
-    attempt.stage() == Stage::Exited(Cause::Done)
+    attempt.phase() == AttemptPhase::Exited(ExitCause::Completed)
 }
--- a/crates/controller/src/job/record.rs
+++ b/crates/controller/src/job/record.rs
@@ -1,11 +1,11 @@
 //! What the state service holds of a job, in compact form.
 
-use super::{JobId, MachineId, Spec};
+use super::{JobId, JobSpec, MachineId};
 use crate::constants::*;
-use crate::settings::State;
+use crate::settings::StoreSettings;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
-use swiftsail_dag::Fate;
+use swiftsail_dag::JobOutcome;
 
 /// Prefixes and keys in the state service.
 pub mod keys {
@@ -55,16 +55,16 @@
 
 /// Tasks in a chunk, so that what is done of them fits in a value however it is scattered. Bindings that
 /// find no room beside it stay in the ledger.
-pub fn chunk_size(state: &State) -> u32 {
+pub fn chunk_size(state: &StoreSettings) -> u32 {
     let bytes = (state.value_kb * 1024.0) as usize;
     let ranges = bytes.saturating_sub(CHUNK_BYTES) / RANGE_BYTES;
     // Scattered at worst, every second task is done.
-    (ranges as u32).saturating_mul(2).clamp(1, CHUNK_TASKS_MOST)
+    (ranges as u32).saturating_mul(2).clamp(1, CHUNK_TASKS_MAX)
 }
 
 /// A live job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-#[serde(try_from = "Written", into = "Written")]
+#[serde(try_from = "EncodedRecord", into = "EncodedRecord")]
 pub struct JobRecord {
     /// Whether its user has cancelled it.
     pub cancelled: bool,
@@ -75,19 +75,21 @@
     /// Tasks in a chunk: fixed at acceptance, so that no change of settings moves a task.
     pub chunk_tasks: u32,
     /// Number that tells this writing from any other.
-    pub nonce: u64,
+    #[serde(rename = "nonce")]
+    pub write_number: u64,
     /// Name of the tier that it was accepted into, where tiers are held in the state service.
     pub tier: Option<String>,
     /// The jobs that have to be done before any task of it starts.
-    pub awaits: Vec<JobId>,
+    #[serde(rename = "awaits")]
+    pub depends_on: Vec<JobId>,
     /// What it asks for.
-    pub spec: Spec,
+    pub spec: JobSpec,
 }
 
 /// A live job as it is written. What a job that awaits others asks for stands under another name than ever before:
 /// an earlier version, which would start it at once, cannot read it and leaves it as it is.
 #[derive(Serialize, Deserialize)]
-struct Written {
+struct EncodedRecord {
     #[serde(rename = "x", default)]
     cancelled: bool,
     #[serde(rename = "xat", default)]
@@ -101,15 +103,15 @@
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     tier: Option<String>,
     #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
-    spec: Option<Spec>,
+    spec: Option<JobSpec>,
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
-    waiting: Option<(Vec<String>, Spec)>,
+    waiting: Option<(Vec<String>, JobSpec)>,
 }
 
-impl TryFrom<Written> for JobRecord {
+impl TryFrom<EncodedRecord> for JobRecord {
     type Error = &'static str;
 
-    fn try_from(w: Written) -> Result<JobRecord, &'static str> {
+    fn try_from(w: EncodedRecord) -> Result<JobRecord, &'static str> {
         let (awaits, spec) = match (w.spec, w.waiting) {
             (Some(spec), None) => (Vec::new(), spec),
             (None, Some((awaits, spec))) => (awaits.into_iter().map(JobId::from).collect(), spec),
@@ -120,27 +122,27 @@
             cancelled_wall: w.cancelled_wall,
             accepted_wall: w.accepted_wall,
             chunk_tasks: w.chunk_tasks,
-            nonce: w.nonce,
+            write_number: w.nonce,
             tier: w.tier,
-            awaits,
+            depends_on: awaits,
             spec,
         })
     }
 }
 
-impl From<JobRecord> for Written {
-    fn from(r: JobRecord) -> Written {
-        let awaits: Vec<String> = r.awaits.iter().map(|id| id.to_string()).collect();
+impl From<JobRecord> for EncodedRecord {
+    fn from(r: JobRecord) -> EncodedRecord {
+        let awaits: Vec<String> = r.depends_on.iter().map(|id| id.to_string()).collect();
         let (spec, waiting) = match awaits.is_empty() {
             true => (Some(r.spec), None),
             false => (None, Some((awaits, r.spec))),
         };
-        Written {
+        EncodedRecord {
             cancelled: r.cancelled,
             cancelled_wall: r.cancelled_wall,
             accepted_wall: r.accepted_wall,
             chunk_tasks: r.chunk_tasks,
-            nonce: r.nonce,
+            nonce: r.write_number,
             tier: r.tier,
             spec,
             waiting,
@@ -150,7 +152,7 @@
 
 /// How a job ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ending {
+pub enum FinalState {
     /// Every task is done.
     #[serde(rename = "d")]
     Done,
@@ -164,7 +166,7 @@
 pub struct FinalRecord {
     /// How.
     #[serde(rename = "e")]
-    pub ending: Ending,
+    pub state: FinalState,
     /// Tasks done.
     #[serde(rename = "n")]
     pub done: u32,
@@ -175,10 +177,10 @@
 
 impl FinalRecord {
     /// What follows from it for jobs that await this one; of an earlier version's the time is that of the look.
-    pub fn fate(&self, now_wall: u64) -> Fate {
-        match self.ending {
-            Ending::Done => Fate::Done(self.at_wall.unwrap_or(now_wall)),
-            Ending::Cancelled => Fate::CalledOff,
+    pub fn fate(&self, now_wall: u64) -> JobOutcome {
+        match self.state {
+            FinalState::Done => JobOutcome::Done(self.at_wall.unwrap_or(now_wall)),
+            FinalState::Cancelled => JobOutcome::Cancelled,
         }
     }
 }
@@ -189,68 +191,71 @@
     /// It is not over.
     Live(Box<JobRecord>),
     /// It is over, and its record has not moved to its last place yet.
-    Over(FinalRecord),
+    Finished(FinalRecord),
 }
 
 impl StoredJob {
     /// Reads a value; none if it is neither.
     pub fn read(value: &serde_json::Value) -> Option<StoredJob> {
         let live = JobRecord::deserialize(value).map(|r| StoredJob::Live(Box::new(r)));
-        live.or_else(|_| FinalRecord::deserialize(value).map(StoredJob::Over)).ok()
+        live.or_else(|_| FinalRecord::deserialize(value).map(StoredJob::Finished)).ok()
     }
 }
 
 /// One binding.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u32, u64, String, u64)", into = "(u32, u64, String, u64)")]
-pub struct Bound {
+pub struct Binding {
     /// Task.
     pub task: u32,
     /// Attempt.
-    pub launch: u64,
+    #[serde(rename = "launch")]
+    pub attempt: u64,
     /// Machine.
     pub machine: MachineId,
     /// Its session.
-    pub watch: u64,
+    #[serde(rename = "watch")]
+    pub worker_session: u64,
 }
 
-impl Bound {
+impl Binding {
     /// Its size in JSON form, with the comma behind it.
     pub fn bytes(&self) -> usize {
         let digits = |n: u64| n.checked_ilog10().unwrap_or(0) as usize + 1;
-        let numbers = digits(u64::from(self.task)) + digits(self.launch) + digits(self.watch);
+        let numbers =
+            digits(u64::from(self.task)) + digits(self.attempt) + digits(self.worker_session);
         numbers + self.machine.len() + BINDING_BYTES
     }
 }
 
-impl From<(u32, u64, String, u64)> for Bound {
-    fn from((task, launch, machine, watch): (u32, u64, String, u64)) -> Bound {
-        Bound { task, launch, machine: machine.into(), watch }
+impl From<(u32, u64, String, u64)> for Binding {
+    fn from((task, launch, machine, watch): (u32, u64, String, u64)) -> Binding {
+        Binding { task, attempt: launch, machine: machine.into(), worker_session: watch }
     }
 }
 
-impl From<Bound> for (u32, u64, String, u64) {
-    fn from(b: Bound) -> Self {
-        (b.task, b.launch, b.machine.to_string(), b.watch)
+impl From<Binding> for (u32, u64, String, u64) {
+    fn from(b: Binding) -> Self {
+        (b.task, b.attempt, b.machine.to_string(), b.worker_session)
     }
 }
 
 /// Bindings and finishes of a range of tasks.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Chunk {
+pub struct BindingChunk {
     /// Number of the write.
     #[serde(rename = "w")]
-    pub nonce: u64,
+    pub write_number: u64,
     /// The latest launch given out when it was written: of its tasks, it holds every binding up to
     /// that one. Later ones are in the ledger.
     #[serde(rename = "l", default)]
-    pub upto: u64,
+    pub covers: u64,
     /// Tasks done, as ranges with both ends.
     #[serde(rename = "d", default)]
     pub done: Vec<(u32, u32)>,
     /// Attempts not proved gone.
     #[serde(rename = "b", default)]
-    pub bound: Vec<Bound>,
+    pub bindings: Vec<Binding>,
 }
 
 /// Tasks as ranges with both ends.
--- a/crates/controller/src/node/admin.rs
+++ b/crates/controller/src/node/admin.rs
@@ -1,17 +1,17 @@
 //! What operators ask of a controller: jobs, plug-ins, and why a job is steered as it is. Answers are
 //! JSON.
 
-use super::plugins::problem;
-use super::{Action, Node, Purpose, Reply, RequestId};
+use super::plugins::plugin_error_reply;
+use super::{Action, CallContext, Controller, Reply, RequestId};
 use crate::constants::*;
 use crate::job::{JobId, StoredJob, keys};
-use crate::store::{Call, Outcome, Patience, Urgency};
+use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
 use serde_json::json;
-use swiftsail_policy::plugin::{Offer, Step};
+use swiftsail_policy::plugin::{PluginOffer, PluginTransition};
 
 /// What an operator asks.
 #[derive(Debug)]
-pub enum AdminAsk {
+pub enum AdminRequest {
     /// A page of the jobs that are not over, after this id.
     Jobs(Option<String>),
     /// All plug-ins.
@@ -19,7 +19,7 @@
     /// Offer a plug-in: its name, and the offer as JSON.
     Offer(String, Vec<u8>),
     /// Switch a plug-in on or off, or remove it.
-    Change(String, Step),
+    Change(String, PluginTransition),
     /// Who said what of a job, and what was taken.
     Explain(String),
     /// The table of tiers in force, and what waits in each.
@@ -47,81 +47,88 @@
     }
 }
 
-impl Node {
+impl Controller {
     pub(super) fn answer(&mut self, request: RequestId, reply: Reply) {
         self.actions.push(Action::Reply(request, reply));
     }
 
-    pub(super) fn on_admin(&mut self, request: RequestId, ask: AdminAsk) {
-        let plugins = matches!(ask, AdminAsk::Plugins | AdminAsk::Offer(..) | AdminAsk::Change(..));
+    pub(super) fn on_admin(&mut self, request: RequestId, ask: AdminRequest) {
+        let plugins = matches!(
+            ask,
+            AdminRequest::Plugins | AdminRequest::Offer(..) | AdminRequest::Change(..)
+        );
         if plugins && !self.plugins.enabled() {
             let why = "plug-ins are switched off; set `enabled = true` under [plugins] in the \
                        operators' file";
-            return self.answer(request, problem(409, why));
+            return self.answer(request, plugin_error_reply(409, why));
         }
         match ask {
-            AdminAsk::Jobs(after) => {
+            AdminRequest::Jobs(after) => {
                 let from = after.map(|id| keys::job(&id));
-                let call = Call::List { prefix: keys::JOBS.into(), from };
-                let until = self.now.steady + USER_STORE_TIMEOUT_MS;
-                let purpose = Purpose::ListJobs { request };
-                self.store.push(call, purpose, Urgency::Tidy, Patience::Once(until));
+                let call = StoreCall::List { prefix: keys::JOBS.into(), from };
+                let until = self.now.monotonic + USER_STORE_TIMEOUT_MS;
+                let purpose = CallContext::ListJobs { request };
+                self.store.push(call, purpose, CallPriority::Low, RetryPolicy::OnceBefore(until));
             }
-            AdminAsk::Plugins => {
-                let shown = json!({ "node": self.settings.host_name, "plugins": self.host.show() });
+            AdminRequest::Plugins => {
+                let shown = json!({ "node": self.settings.host_name, "plugins": self.plugin_host.statuses() });
                 self.answer(request, Reply::json(200, &shown));
             }
-            AdminAsk::Offer(name, body) => match serde_json::from_slice::<Offer>(&body) {
+            AdminRequest::Offer(name, body) => match serde_json::from_slice::<PluginOffer>(&body) {
                 Ok(offer) => self.offer_plugin(request, &name, &offer),
                 Err(e) => {
                     let why =
                         format!("the offer cannot be read: {e}; send JSON with kind and source");
-                    self.answer(request, problem(400, why));
+                    self.answer(request, plugin_error_reply(400, why));
                 }
             },
-            AdminAsk::Change(name, step) => self.change_plugin(request, &name, step),
-            AdminAsk::Tiers => {
+            AdminRequest::Change(name, step) => self.change_plugin(request, &name, step),
+            AdminRequest::Tiers => {
                 // What waits is known to the leader alone.
-                let reply = match self.leads() {
+                let reply = match self.is_leader() {
                     true => Reply::json(200, &self.show_tiers()),
-                    false => self.ask_the_leader(),
+                    false => self.reply_not_leader(),
                 };
                 self.answer(request, reply);
             }
-            AdminAsk::Loans(of) => {
-                let reply = match self.leads() {
+            AdminRequest::Loans(of) => {
+                let reply = match self.is_leader() {
                     true => Reply::json(200, &self.show_loans(of.as_deref())),
-                    false => self.ask_the_leader(),
+                    false => self.reply_not_leader(),
                 };
                 self.answer(request, reply);
             }
-            AdminAsk::Pipeline(id) => {
-                let reply = match (&self.leader, self.now.steady) {
-                    (Some(leader), now) => match leader.show_pipeline(&id, now) {
+            AdminRequest::Pipeline(id) => {
+                let reply = match (&self.cluster_state, self.now.monotonic) {
+                    (Some(leader), now) => match leader.describe_dependencies(&id, now) {
                         Some(shown) => Reply::json(200, &shown),
-                        None => problem(404, format!("job `{id}` is not alive; poll it")),
+                        None => {
+                            plugin_error_reply(404, format!("job `{id}` is not alive; poll it"))
+                        }
                     },
-                    (None, _) => self.ask_the_leader(),
+                    (None, _) => self.reply_not_leader(),
                 };
                 self.answer(request, reply);
             }
-            AdminAsk::Dispatch(of) => {
+            AdminRequest::Dispatch(of) => {
                 let reply = self.show_dispatch(of.as_deref());
                 self.answer(request, reply);
             }
-            AdminAsk::SetDispatch(body) => self.set_plan(request, &body),
-            AdminAsk::AddArrival(body) => self.add_arrival(request, &body),
-            AdminAsk::SetTiers(body) => self.set_tiers(request, &body),
-            AdminAsk::TierOf(id) => {
+            AdminRequest::SetDispatch(body) => self.set_plan(request, &body),
+            AdminRequest::AddArrival(body) => self.add_occurrence(request, &body),
+            AdminRequest::SetTiers(body) => self.set_tiers(request, &body),
+            AdminRequest::TierOf(id) => {
                 let reply = self.explain_tier(&id);
                 self.answer(request, reply);
             }
-            AdminAsk::Explain(id) => {
-                let reply = match (self.leads(), self.explained(&id)) {
+            AdminRequest::Explain(id) => {
+                let reply = match (self.is_leader(), self.explained(&id)) {
                     (_, Some(found)) => Reply::json(200, &found),
-                    (true, None) => problem(404, format!("job `{id}` is not alive; poll it")),
+                    (true, None) => {
+                        plugin_error_reply(404, format!("job `{id}` is not alive; poll it"))
+                    }
                     (false, None) => {
-                        let leader = self.term.leader.clone();
+                        let leader = self.leadership.known_leader.clone();
                         let why = "this controller does not lead; ask the leader";
                         Reply::json(421, &json!({ "error": why, "leader": leader }))
                     }
@@ -132,23 +139,25 @@
     }
 
     /// A page of jobs has been read for an operator.
-    pub(super) fn jobs_listed(&mut self, request: RequestId, outcome: &Outcome) {
-        let Outcome::Page(page) = outcome else {
-            return self
-                .answer(request, problem(503, "the state service does not answer; try again"));
+    pub(super) fn jobs_listed(&mut self, request: RequestId, outcome: &StoreOutcome) {
+        let StoreOutcome::Page(page) = outcome else {
+            return self.answer(
+                request,
+                plugin_error_reply(503, "the state service does not answer; try again"),
+            );
         };
         let mut jobs = Vec::new();
-        for pair in &page.pairs {
+        for pair in &page.entries {
             let Some(id) = pair.key.strip_prefix(keys::JOBS) else { continue };
             let Some(StoredJob::Live(record)) = StoredJob::read(&pair.value) else {
                 continue;
             };
-            let (done, running) = self.counts_of(&JobId::from(id));
-            let age = self.now.wall.saturating_sub(record.accepted_wall) as f64 / MS_PER_S;
+            let (done, running) = self.task_counts_of(&JobId::from(id));
+            let age = self.now.wall_clock.saturating_sub(record.accepted_wall) as f64 / MS_PER_S;
             jobs.push(json!({
                 "job": id,
                 "class": record.spec.class,
-                "awaits": record.awaits.iter().map(|id| id.to_string()).collect::<Vec<_>>(),
+                "awaits": record.depends_on.iter().map(|id| id.to_string()).collect::<Vec<_>>(),
                 "team": record.spec.team,
                 "kind": record.spec.kind,
                 "priority": record.spec.priority,
@@ -160,7 +169,7 @@
                 "deadline_s": record.spec.deadline_s,
             }));
         }
-        let next = page.pairs.last().filter(|_| page.has_next);
+        let next = page.entries.last().filter(|_| page.has_next);
         let next = next.and_then(|p| p.key.strip_prefix(keys::JOBS));
         self.answer(request, Reply::json(200, &json!({ "jobs": jobs, "next": next })));
     }
--- a/crates/controller/src/node/dispatch.rs
+++ b/crates/controller/src/node/dispatch.rs
@@ -1,17 +1,19 @@
 //! Arrivals in the state service: what the board is told of jobs, what it makes of that, and its records.
 
-use super::plugins::problem;
-use super::{Node, Purpose, Reply, RequestId};
+use super::plugins::plugin_error_reply;
+use super::{CallContext, Controller, Reply, RequestId};
 use crate::constants::*;
-use crate::job::{Ending, Job, JobId, JobState, Stage, StoredJob, keys};
-use crate::store::{Call, Outcome, Patience, Urgency};
-use crate::tables::{Tables, facts_of};
+use crate::job::{AttemptPhase, FinalState, Job, JobId, JobState, StoredJob, keys};
+use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
+use crate::tables::{ClusterState, facts_of};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use swiftsail_deadline_planning::board::Took;
-use swiftsail_deadline_planning::constants::CHANCE;
-use swiftsail_deadline_planning::{Arrival, Board, Calendar, Phase, Plan, Work};
+use swiftsail_deadline_planning::board::StepDurations;
+use swiftsail_deadline_planning::constants::DURATION_QUANTILE;
+use swiftsail_deadline_planning::{
+    DeadlinePlan, DeadlineSchedule, DeadlineTracker, Occurrence, OccurrencePhase, StepJob,
+};
 use swiftsail_replicated_records::Versioned;
 
 /// Keys among the records of the order.
@@ -19,86 +21,93 @@
 const DUE: &str = "due/";
 const TOOK: &str = "took/";
 
-impl Tables {
+impl ClusterState {
     /// When a job will be done, at the stated chance, and what it waits for. What waits for a place is taken to find
     /// one after a boot and a fetch.
-    fn foretold(&self, job: &Job, now: u64) -> (Option<f64>, &'static str) {
-        if job.spec.kind == crate::job::Kind::Service {
+    fn predicted_run_time(&self, job: &Job, now: u64) -> (Option<f64>, &'static str) {
+        if job.spec.kind == crate::job::JobKind::Service {
             return (None, "it runs until it is cancelled");
         }
-        let run = |kind: &str| self.history.run_time(&job.id, &job.spec, kind);
+        let run = |kind: &str| self.run_time_history.run_time(&job.id, &job.spec, kind);
         let mut last: f64 = 0.0;
-        for attempt in job.attempts.values().filter(|a| a.occupies()) {
-            let kind = self.machines.get(&attempt.machine).map_or("", |m| m.kind.as_str());
-            let left = match (attempt.stage(), attempt.ran_at) {
-                (Stage::Running, Some(at)) => run(kind).remaining(now.saturating_sub(at) as f64),
-                _ => crate::chance::Pmf::clone(&run(kind)).later(BOOT_UNKNOWN_MS / 2.0),
+        for attempt in job.attempts.values().filter(|a| a.occupies_resources()) {
+            let kind = self.machines.get(&attempt.machine).map_or("", |m| m.machine_type.as_str());
+            let left = match (attempt.phase(), attempt.running_since) {
+                (AttemptPhase::Running, Some(at)) => {
+                    run(kind).remaining(now.saturating_sub(at) as f64)
+                }
+                _ => crate::chance::Pmf::clone(&run(kind)).shifted(BOOT_UNKNOWN_MS / 2.0),
             };
-            last = last.max(left.within(CHANCE));
+            last = last.max(left.quantile(DURATION_QUANTILE));
         }
-        if job.waiting.is_empty() && job.held.is_empty() {
+        if job.waiting.is_empty() && job.backing_off.is_empty() {
             return (Some(last), "it runs");
         }
-        let waits = run("").within(CHANCE) + BOOT_UNKNOWN_MS;
-        let why =
-            if job.mistaken() { "it fails on every machine" } else { "its tasks wait for a place" };
+        let waits = run("").quantile(DURATION_QUANTILE) + BOOT_UNKNOWN_MS;
+        let why = if job.is_job_at_fault() {
+            "it fails on every machine"
+        } else {
+            "its tasks wait for a place"
+        };
         (Some(last.max(waits)), why)
     }
 }
 
-impl Node {
+impl Controller {
     /// A new leader has the arrivals of its predecessor, to the millisecond.
-    pub(super) fn restore_dispatch(&mut self) {
-        let mut board = Board::default();
-        for (key, value) in self.order.book.under(DUE) {
-            match Arrival::read(key, value) {
+    pub(super) fn restore_deadline_plan(&mut self) {
+        let mut board = DeadlineTracker::default();
+        for (key, value) in self.replicated_records.records.get_by_prefix(DUE) {
+            match Occurrence::from_record(key, value) {
                 Ok(arrival) => board.restore(key.trim_start_matches(DUE), arrival),
                 Err(e) => tracing::error!(cause = %e, "an arrival is not taken over"),
             }
         }
-        for (key, value) in self.order.book.under(TOOK) {
-            if let Ok(took) = Took::read(key, value) {
-                board.restore_took(key.trim_start_matches(TOOK), took);
+        for (key, value) in self.replicated_records.records.get_by_prefix(TOOK) {
+            if let Ok(took) = StepDurations::from_record(key, value) {
+                board.restore_durations(key.trim_start_matches(TOOK), took);
             }
         }
-        self.order.board = board;
-        self.order.board_at = 0;
+        self.replicated_records.deadline_tracker = board;
+        self.replicated_records.deadlines_checked_at = 0;
     }
 
     /// With every timer step of a leader, now and then: arrivals go on.
-    pub(super) fn tend_dispatch(&mut self) {
+    pub(super) fn update_deadline_plan(&mut self) {
         let now = self.now;
-        let Some(calendar) = self.order.calendar.clone() else { return };
-        if now.steady < self.order.board_at + DISPATCH_MS || !self.order.book.known() {
+        let Some(calendar) = self.replicated_records.calendar.clone() else { return };
+        if now.monotonic < self.replicated_records.deadlines_checked_at + DISPATCH_MS
+            || !self.replicated_records.records.is_loaded()
+        {
             return;
         }
-        let Some(leader) = &mut self.leader else { return };
-        self.order.board_at = now.steady;
-        let board = &mut self.order.board;
-        board.foresee(&calendar, now.wall);
-        let mut jobs: BTreeMap<&str, Work> = BTreeMap::new();
+        let Some(leader) = &mut self.cluster_state else { return };
+        self.replicated_records.deadlines_checked_at = now.monotonic;
+        let board = &mut self.replicated_records.deadline_tracker;
+        board.sync_with_schedule(&calendar, now.wall_clock);
+        let mut jobs: BTreeMap<&str, StepJob> = BTreeMap::new();
         for (id, job) in leader.jobs.iter().filter(|(_, j)| j.state() == JobState::Live) {
-            let (left, why) = leader.foretold(job, now.steady);
-            let work = Work {
+            let (left, why) = leader.predicted_run_time(job, now.monotonic);
+            let work = StepJob {
                 facts: facts_of(id, &job.spec),
-                accepted_wall: job.accepted_wall,
-                ends_wall: left.map(|ms| now.wall + ms.max(0.0) as u64),
-                waits_for: why.into(),
+                accepted_at_wall: job.accepted_wall,
+                expected_end_wall: left.map(|ms| now.wall_clock + ms.max(0.0) as u64),
+                wait_reason: why.into(),
             };
             jobs.insert(id, work);
         }
-        let finals = &self.finals;
-        let ended = |id: &str| finals.get(id).map(|r| r.ending == Ending::Done);
-        let told = board.step(&calendar, &jobs, ended, now.wall);
+        let finals = &self.final_records;
+        let ended = |id: &str| finals.get(id).map(|r| r.state == FinalState::Done);
+        let told = board.update(&calendar, &jobs, ended, now.wall_clock);
         for it in told {
-            let (step, cause) = it.why.unwrap_or_default();
+            let (step, cause) = it.lateness_cause.unwrap_or_default();
             match it.phase {
-                Phase::Late | Phase::Missed => {
+                OccurrencePhase::Late | OccurrencePhase::Missed => {
                     tracing::warn!(arrival = %it.key, phase = ?it.phase, step, cause, "a dispatch deadline is in danger");
                 }
                 phase => tracing::info!(arrival = %it.key, ?phase, "arrival"),
             }
-            leader.happenings.note(
+            leader.events.note(
                 "arrival",
                 format!("{:?}", it.phase).to_lowercase(),
                 &it.key,
@@ -106,190 +115,220 @@
             );
         }
         // The sooner of its own deadline and the arrival's is what a job is judged by.
-        let steady = |wall: u64| (now.steady + wall).saturating_sub(now.wall);
+        let steady = |wall: u64| (now.monotonic + wall).saturating_sub(now.wall_clock);
         let dues: Vec<(JobId, Option<u64>)> =
             leader.jobs.keys().map(|id| (id.clone(), board.deadline_of(id).map(steady))).collect();
         for (id, due) in dues {
             if let Some(job) = leader.jobs.get_mut(&id) {
-                job.plan_due(due);
+                job.set_occurrence_deadline(due);
             }
         }
-        for (key, arrival) in board.take_changed() {
+        for (key, arrival) in board.take_changed_occurrences() {
             let key = format!("{DUE}{key}");
             match arrival {
-                Some(arrival) => drop(self.order.book.put(&key, arrival.record())),
-                None => self.order.book.remove(&key),
+                Some(arrival) => {
+                    self.replicated_records.records.put(&key, arrival.to_record());
+                }
+                None => self.replicated_records.records.remove(&key),
             }
         }
-        for (step, took) in board.take_learnt() {
-            self.order.book.put(&format!("{TOOK}{step}"), took.record());
+        for (step, took) in board.take_changed_durations() {
+            self.replicated_records.records.put(&format!("{TOOK}{step}"), took.to_record());
         }
         // What became of a job that ended under another leader stands in its final record.
         let open: Vec<JobId> = board
-            .serving()
-            .filter(|id| !leader.jobs.contains_key(*id) && !self.finals.contains_key(*id))
+            .jobs_of_submitted_steps()
+            .filter(|id| !leader.jobs.contains_key(*id) && !self.final_records.contains_key(*id))
             .map(JobId::from)
             .collect();
         for id in open {
-            self.read_ended(id, true);
+            self.read_occurrence_job(id, true);
         }
     }
 
-    fn read_ended(&mut self, id: JobId, last_place: bool) {
+    fn read_occurrence_job(&mut self, id: JobId, last_place: bool) {
         let key = keys::place(&id, last_place);
-        let until = Patience::Once(self.now.steady + STORE_TIMEOUT_MS);
-        let purpose = Purpose::ReadEnded { job: id, last_place };
-        self.store.push(Call::Get(key), purpose, Urgency::Tidy, until);
+        let until = RetryPolicy::OnceBefore(self.now.monotonic + STORE_TIMEOUT_MS);
+        let purpose = CallContext::ReadOccurrenceJob { job: id, last_place };
+        self.store.push(StoreCall::Get(key), purpose, CallPriority::Low, until);
     }
 
     /// What became of a job has been read.
-    pub(super) fn ended_read(&mut self, id: &JobId, last_place: bool, outcome: Outcome) {
+    pub(super) fn on_occurrence_job_read(
+        &mut self,
+        id: &JobId,
+        last_place: bool,
+        outcome: StoreOutcome,
+    ) {
         match outcome {
-            Outcome::Found(pair) if last_place => {
+            StoreOutcome::Found(pair) if last_place => {
                 if let Ok(record) = serde_json::from_value(pair.value) {
                     self.remember_final(id, record);
                 }
             }
-            Outcome::Found(pair) => {
-                if let Some(StoredJob::Over(record)) = StoredJob::read(&pair.value) {
+            StoreOutcome::Found(pair) => {
+                if let Some(StoredJob::Finished(record)) = StoredJob::read(&pair.value) {
                     self.remember_final(id, record);
                 }
             }
             // It may stand in its first place yet.
-            Outcome::Missing { .. } if last_place => self.read_ended(id.clone(), false),
+            StoreOutcome::Missing { .. } if last_place => {
+                self.read_occurrence_job(id.clone(), false)
+            }
             _ => {}
         }
     }
 
     /// The plan of the highest version counts, as with tiers.
     pub(super) fn read_plan(&mut self) {
-        let found = self.order.book.committed(PLAN);
-        let held = found.map(|value| Plan::read(PLAN, value));
+        let found = self.replicated_records.records.get_committed(PLAN);
+        let held = found.map(|value| DeadlinePlan::from_record(PLAN, value));
         if let Some(Err(e)) = &held {
             tracing::error!(cause = %e, "the plan in force stays");
             return;
         }
         let there = held.as_ref().and_then(|h| h.as_ref().ok()).map_or(0, |p| p.version);
         if let Some(Ok(plan)) = held
-            && self.order.calendar.as_ref().is_none_or(|c| *c.plan() != plan)
+            && self.replicated_records.calendar.as_ref().is_none_or(|c| *c.plan() != plan)
         {
             let version = plan.version;
-            match Calendar::new(plan) {
+            match DeadlineSchedule::new(plan) {
                 Ok(calendar) => {
                     tracing::info!(version, "dispatch plan in force");
-                    self.order.calendar = Some(Rc::new(calendar));
+                    self.replicated_records.calendar = Some(Rc::new(calendar));
                 }
                 Err(e) => tracing::error!(cause = %e, "the plan in force stays"),
             }
         }
-        let own = self.order.own_plan.clone().filter(|_| self.order.book.known());
-        let Some(own) = own.filter(|own| own.plan().version > there && self.leader.is_some())
+        let own = self
+            .replicated_records
+            .own_plan
+            .clone()
+            .filter(|_| self.replicated_records.records.is_loaded());
+        let Some(own) =
+            own.filter(|own| own.plan().version > there && self.cluster_state.is_some())
         else {
             return;
         };
-        self.order.book.put(PLAN, own.plan().record());
+        self.replicated_records.records.put(PLAN, own.plan().to_record());
     }
 
     /// An operator offers another plan.
     pub(super) fn set_plan(&mut self, request: RequestId, body: &[u8]) {
-        let refused = self.refuses_dispatch();
+        let refused = self.dispatch_refusal();
         if let Some(reply) = refused {
             return self.answer(request, reply);
         }
-        let offered = serde_json::from_slice::<Plan>(body).map_err(|e| {
+        let offered = serde_json::from_slice::<DeadlinePlan>(body).map_err(|e| {
             format!("the plan cannot be read: {e}; send JSON with version, arrival, chain")
         });
-        let calendar = offered.and_then(|p| Calendar::new(p).map_err(|e| e.to_string()));
+        let calendar = offered.and_then(|p| DeadlineSchedule::new(p).map_err(|e| e.to_string()));
         let calendar = match calendar {
             Ok(calendar) => calendar,
-            Err(why) => return self.answer(request, problem(422, why)),
+            Err(why) => return self.answer(request, plugin_error_reply(422, why)),
         };
-        let there = self.order.calendar.as_ref().map_or(0, |c| c.plan().version);
+        let there = self.replicated_records.calendar.as_ref().map_or(0, |c| c.plan().version);
         if calendar.plan().version <= there {
             let why = format!("plan {there} is in force; give yours a higher version");
-            return self.answer(request, problem(409, why));
+            return self.answer(request, plugin_error_reply(409, why));
         }
-        self.write_record(request, PLAN, calendar.plan().record());
+        self.submit_record_write(request, PLAN, calendar.plan().to_record());
     }
 
-    fn refuses_dispatch(&self) -> Option<Reply> {
-        if self.order.calendar.is_none() {
+    fn dispatch_refusal(&self) -> Option<Reply> {
+        if self.replicated_records.calendar.is_none() {
             let why = "dispatch is switched off; give the operators' file a [dispatch] table";
-            return Some(problem(409, why));
+            return Some(plugin_error_reply(409, why));
         }
-        self.leader.is_none().then(|| self.ask_the_leader())
+        self.cluster_state.is_none().then(|| self.reply_not_leader())
     }
 
     /// An operator adds one arrival: JSON with name, chain and at_ms, the time of day.
-    pub(super) fn add_arrival(&mut self, request: RequestId, body: &[u8]) {
+    pub(super) fn add_occurrence(&mut self, request: RequestId, body: &[u8]) {
         #[derive(serde::Deserialize)]
-        struct Single {
+        struct SingleJob {
             name: String,
             chain: String,
             at_ms: u64,
         }
-        if let Some(reply) = self.refuses_dispatch() {
+        if let Some(reply) = self.dispatch_refusal() {
             return self.answer(request, reply);
         }
-        let single = match serde_json::from_slice::<Single>(body) {
+        let single = match serde_json::from_slice::<SingleJob>(body) {
             Ok(single) => single,
             Err(e) => {
                 let why =
                     format!("the arrival cannot be read: {e}; send JSON with name, chain, at_ms");
-                return self.answer(request, problem(400, why));
+                return self.answer(request, plugin_error_reply(400, why));
             }
         };
-        let Single { name, chain, at_ms } = single;
+        let SingleJob { name, chain, at_ms } = single;
         let named = !name.is_empty()
-            && name.len() <= swiftsail_deadline_planning::constants::NAME_MOST
+            && name.len() <= swiftsail_deadline_planning::constants::MAX_NAME_BYTES
             && name.chars().all(|c| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-');
-        if !named || at_ms <= self.now.wall {
+        if !named || at_ms <= self.now.wall_clock {
             let why =
                 "a name has 1 to 40 lower-case letters, digits and dashes, and the time is to come";
-            return self.answer(request, problem(422, why));
+            return self.answer(request, plugin_error_reply(422, why));
         }
-        let Some(calendar) = self.order.calendar.clone() else { return };
-        let Some(key) = self.order.board.add(&calendar, &name, &chain, at_ms) else {
+        let Some(calendar) = self.replicated_records.calendar.clone() else { return };
+        let Some(key) = self
+            .replicated_records
+            .deadline_tracker
+            .add_occurrence(&calendar, &name, &chain, at_ms)
+        else {
             let why =
                 format!("no chain `{chain}`, or too many arrivals are open; see dispatch show");
-            return self.answer(request, problem(422, why));
+            return self.answer(request, plugin_error_reply(422, why));
         };
-        let arrival = self.order.board.all().find(|(k, _)| **k == key).map(|(_, a)| a.record());
-        self.write_record(request, &format!("{DUE}{key}"), arrival.unwrap_or_default());
+        let arrival = self
+            .replicated_records
+            .deadline_tracker
+            .occurrences()
+            .find(|(k, _)| **k == key)
+            .map(|(_, a)| a.to_record());
+        self.submit_record_write(request, &format!("{DUE}{key}"), arrival.unwrap_or_default());
     }
 
     /// All arrivals and their steps, for operators; of one if it is named.
     pub(super) fn show_dispatch(&self, of: Option<&str>) -> Reply {
-        if let Some(reply) = self.refuses_dispatch() {
+        if let Some(reply) = self.dispatch_refusal() {
             return reply;
         }
-        let now = self.now.wall;
-        let its = |key: &str, a: &Arrival| {
-            of.is_none_or(|id| id == key || id == a.name || id == a.name.trim_start_matches('+'))
+        let now = self.now.wall_clock;
+        let its = |key: &str, a: &Occurrence| {
+            of.is_none_or(|id| {
+                id == key || id == a.entry_name || id == a.entry_name.trim_start_matches('+')
+            })
         };
-        let rows = self.order.board.all().filter(|(key, a)| its(key, a)).map(|(key, a)| {
-            let steps = a.steps.iter().map(|s| {
+        let rows = self
+            .replicated_records
+            .deadline_tracker
+            .occurrences()
+            .filter(|(key, a)| its(key, a))
+            .map(|(key, a)| {
+                let steps = a.steps.iter().map(|s| {
+                    json!({
+                        "step": s.name,
+                        "stage": format!("{:?}", s.phase()).to_lowercase(),
+                        "job": s.job,
+                        "deadline_ms": s.deadline,
+                        "latest_start_ms": s.latest_start,
+                        "left_s": (s.deadline as i64 - now as i64) / 1_000,
+                    })
+                });
                 json!({
-                    "step": s.name,
-                    "stage": format!("{:?}", s.stage()).to_lowercase(),
-                    "job": s.job,
-                    "deadline_ms": s.deadline,
-                    "latest_start_ms": s.start,
-                    "left_s": (s.deadline as i64 - now as i64) / 1_000,
+                    "arrival": key,
+                    "name": a.entry_name,
+                    "chain": a.chain,
+                    "phase": format!("{:?}", a.phase()).to_lowercase(),
+                    "in_s": (a.due_at as i64 - now as i64) / 1_000,
+                    "stuck_at": a.lateness_warning.as_ref().map(|w| &w.0),
+                    "why": a.lateness_warning.as_ref().map(|w| &w.1),
+                    "steps": steps.collect::<Vec<_>>(),
                 })
             });
-            json!({
-                "arrival": key,
-                "name": a.name,
-                "chain": a.chain,
-                "phase": format!("{:?}", a.phase()).to_lowercase(),
-                "in_s": (a.at as i64 - now as i64) / 1_000,
-                "stuck_at": a.warned.as_ref().map(|w| &w.0),
-                "why": a.warned.as_ref().map(|w| &w.1),
-                "steps": steps.collect::<Vec<_>>(),
-            })
-        });
-        let version = self.order.calendar.as_ref().map(|c| c.plan().version);
+        let version = self.replicated_records.calendar.as_ref().map(|c| c.plan().version);
         Reply::json(200, &json!({ "version": version, "arrivals": rows.collect::<Vec<_>>() }))
     }
 }
--- a/crates/controller/src/node/mod.rs
+++ b/crates/controller/src/node/mod.rs
@@ -6,9 +6,9 @@
 /// The leader's context, borrowed beside its tables.
 macro_rules! ctx {
     ($node:expr) => {
-        Ctx {
-            now: $node.now.steady,
-            wall: $node.now.wall,
+        LeaderContext {
+            now: $node.now.monotonic,
+            wall_clock: $node.now.wall_clock,
             settings: &$node.settings,
             store: &mut $node.store,
         }
@@ -40,56 +40,56 @@
 mod steer;
 mod workers;
 
-pub use admin::AdminAsk;
-pub use calls::Purpose;
-pub use order::{plan_of as plan_of_file, record as tiers_of_file};
-pub use passes::{Passed as PassOutcome, pass, rent, tend};
-pub use steer::{Asking, steer};
+pub use admin::AdminRequest;
+pub use calls::CallContext;
+pub use order::{compile_plan as plan_of_file, tier_table_record as tiers_of_file};
+pub use passes::{CycleResult as PassOutcome, plan_fleet, plan_provisioning, run_scheduling_cycle};
+pub use steer::{PolicyContext, steer};
 
 use crate::Time;
-use crate::cloud::{self, Cloud};
+use crate::cloud::{self, CloudClient};
 use crate::constants::*;
 use crate::job::{FinalRecord, JobId, MachineId, chunk_size, keys};
 use crate::machine::MachineType;
 use crate::settings::Settings;
-use crate::steering::Steering;
-use crate::store::{Call, Outcome, Patience, Store, Urgency};
-use crate::tables::Tables;
-use crate::term::{Held, Phase, Term, Voice};
-use desk::Desk;
-use mirror::Mirror;
-use order::Order;
-use owed::Owed;
+use crate::steering::CyclePolicy;
+use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreClient, StoreOutcome};
+use crate::tables::ClusterState;
+use crate::term::{AnswerAuthority, CancellationQuorum, Leadership, LeadershipPhase};
+use desk::QuotaAccounts;
+use mirror::JobCache;
+use order::ReplicatedRecords;
+use owed::PendingTerminations;
 use peers::Peer;
-use pipelines::Walks;
+use pipelines::DependencyLookups;
 use plugins::Plugins;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use reach::Reach;
-use relay::Relays;
+use reach::Isolation;
+use relay::ReportForwarder;
 use requests::Requests;
-use rollout::Rollout;
+use rollout::FormatUpgrade;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
-use swiftsail_failure_detector::Probe;
-use swiftsail_overload_control::budget::Budget;
-use swiftsail_overload_control::headroom::Load;
-use swiftsail_overload_control::pressure::Pressure;
-use swiftsail_policy::host::Host;
-use swiftsail_policy::operator::Operator;
-use swiftsail_policy::outbox::Delivery;
-use swiftsail_policy::policy::Policy;
-use swiftsail_protocol::controllers::{Answers, Batch, Beat};
-use swiftsail_protocol::workers::{Direct, Report};
-use workers::Passed;
+use swiftsail_failure_detector::ProbeOutcome;
+use swiftsail_overload_control::budget::MemoryBudget;
+use swiftsail_overload_control::headroom::CpuLoad;
+use swiftsail_overload_control::pressure::LoadMonitor;
+use swiftsail_policy::host::PluginHost;
+use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_policy::outbox::EventDelivery;
+use swiftsail_policy::policy::SchedulingPolicy;
+use swiftsail_protocol::controllers::{ForwardedAnswers, ForwardedReports, Heartbeat};
+use swiftsail_protocol::workers::{DirectCommands, StatusReport};
+use workers::ForwardingHistory;
 
 /// Steady time and time of day, ms.
 #[derive(Debug, Clone, Copy)]
 pub struct Now {
     /// Steady time.
-    pub steady: Time,
+    pub monotonic: Time,
     /// Time of day since the epoch.
-    pub wall: u64,
+    pub wall_clock: u64,
 }
 
 /// Number of a request that waits for its answer.
@@ -109,24 +109,25 @@
 impl Reply {
     /// An answer with a body.
     pub fn new<T: serde::Serialize>(status: u16, body: &T) -> Reply {
-        Reply { status, body: swiftsail_protocol::write(body), retry_after: None }
+        Reply { status, body: swiftsail_protocol::encode(body), retry_after: None }
     }
     /// "Come back later."
-    pub fn later(why: &str) -> Reply {
-        let problem = swiftsail_protocol::users::Problem { error: format!("{why}; try again later") };
+    pub fn retry_later(why: &str) -> Reply {
+        let problem =
+            swiftsail_protocol::users::ErrorResponse { error: format!("{why}; try again later") };
         Reply { retry_after: Some(RETRY_AFTER_S), ..Reply::new(503, &problem) }
     }
 }
 
 /// What a user asks.
 #[derive(Debug)]
-pub enum Ask {
+pub enum UserRequest {
     /// Submit: the body as it came.
     Submit(Vec<u8>),
     /// The state of a job.
     Poll(String),
     /// The state of a job about which a question was turned away here before.
-    Press(String),
+    RetriedPoll(String),
     /// Cancel a job.
     Cancel(String),
     /// Health.
@@ -139,29 +140,29 @@
     /// Time passes.
     Tick,
     /// A user's request.
-    User(RequestId, Ask),
+    UserRequest(RequestId, UserRequest),
     /// A worker's report.
-    Report(RequestId, Box<Report>),
+    StatusReport(RequestId, Box<StatusReport>),
     /// A worker's answer to a direct command.
-    Answer(Box<Report>),
+    CommandResponse(Box<StatusReport>),
     /// The state service answered, or not.
-    Store(u64, Outcome),
+    StoreResponse(u64, StoreOutcome),
     /// The cloud answered, or not.
-    Cloud(Box<cloud::Call>, cloud::Outcome),
+    CloudResponse(Box<cloud::CloudCall>, cloud::CloudOutcome),
     /// Reports that another controller passes on.
-    Batch(RequestId, Box<Batch>),
+    ForwardedReports(RequestId, Box<ForwardedReports>),
     /// The leader's answers to reports passed on, or none.
-    Relayed(u64, Option<Answers>),
+    ForwardedAnswers(u64, Option<ForwardedAnswers>),
     /// Another controller's heartbeat, or its answer to ours.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// An operator's request.
-    Admin(RequestId, AdminAsk),
+    AdminRequest(RequestId, AdminRequest),
     /// A delivery to a report hook has ended: of which plug-in, and whether it was taken.
-    Delivered(String, bool),
+    HookDelivered(String, bool),
     /// A machine was asked directly whether it lives: what came of it, and its report if it answered.
-    Probed(MachineId, Probe, Option<Box<Report>>),
+    ProbeFinished(MachineId, ProbeOutcome, Option<Box<StatusReport>>),
     /// The process has used so much of a core, us, over so much time, ms.
-    Spent(u64, u64),
+    CpuUsage(u64, u64),
 }
 
 /// What a node wants done.
@@ -170,348 +171,371 @@
     /// Answer a request.
     Reply(RequestId, Reply),
     /// Call the state service.
-    Store(u64, Call),
+    CallStore(u64, StoreCall),
     /// Call the cloud.
-    Cloud(cloud::Call),
+    CallCloud(cloud::CloudCall),
     /// Send commands straight to a worker.
-    Direct(String, Direct),
+    SendCommands(String, DirectCommands),
     /// Ask a machine at its address whether it lives.
-    Probe(MachineId, String),
+    ProbeMachine(MachineId, String),
     /// Pass reports on to the controller of that name; the number is of the message.
-    Relay(u64, String, Box<Batch>),
+    ForwardReports(u64, String, Box<ForwardedReports>),
     /// Send a heartbeat to every other controller.
-    Beat(Beat),
+    SendHeartbeat(Heartbeat),
     /// Deliver events to a report hook.
-    Deliver(Delivery),
+    DeliverEvents(EventDelivery),
 }
 
 /// What the leader's functions work with.
-pub struct Ctx<'a> {
+pub struct LeaderContext<'a> {
     /// Steady time.
     pub now: Time,
     /// Time of day.
-    pub wall: u64,
+    pub wall_clock: u64,
     /// The settings.
     pub settings: &'a Settings,
     /// The state service.
-    pub store: &'a mut Store<Purpose>,
+    pub store: &'a mut StoreClient<CallContext>,
 }
 
 /// One controller.
-pub struct Node {
+pub struct Controller {
     settings: Arc<Settings>,
-    process: u64,
+    incarnation: u64,
     now: Now,
     rng: StdRng,
-    term: Term,
-    store: Store<Purpose>,
-    cloud: Cloud,
-    leader: Option<Tables>,
-    loading: Option<Tables>,
-    types: Option<Arc<Vec<MachineType>>>,
-    steering: Steering,
-    policy: Policy,
-    host: Host,
+    leadership: Leadership,
+    store: StoreClient<CallContext>,
+    cloud: CloudClient,
+    cluster_state: Option<ClusterState>,
+    loading_state: Option<ClusterState>,
+    machine_types: Option<Arc<Vec<MachineType>>>,
+    job_policies: CyclePolicy,
+    policy: SchedulingPolicy,
+    plugin_host: PluginHost,
     plugins: Plugins,
     /// Attributes of the cluster as the leader last told them.
-    heard: Vec<f64>,
-    scored: u64,
+    cluster_attributes: Vec<f64>,
+    scores_computed: u64,
     /// What each part may hold.
-    budget: Budget,
+    budget: MemoryBudget,
     /// How far behind this node is.
-    pressure: Pressure,
+    load_level: LoadMonitor,
     /// How much of its processor it uses.
-    load: Load,
+    cpu_load: CpuLoad,
     /// Of that, what the machines cost, whatever is placed.
-    upkeep: Load,
+    baseline_cpu_load: CpuLoad,
     /// When the platform last told what the process uses.
-    measured_at: Time,
+    cpu_measured_at: Time,
     /// What this node's work has cost by count, us of a whole core: events, and passes.
-    cost_us: f64,
-    pass_us: f64,
+    event_cost_us: f64,
+    cycle_cost_us: f64,
     /// When they were last looked at, and what they were then.
-    counted: (Time, f64, f64),
-    ticked_at: Time,
-    bound_told_at: Time,
+    cost_snapshot: (Time, f64, f64),
+    last_tick_at: Time,
+    bound_logged_at: Time,
     /// No pass before that: the last one cost as much.
-    rest_until: Time,
-    status_at: Time,
+    next_cycle_at: Time,
+    status_logged_at: Time,
     requests: Requests,
     /// Questions under way about what comes before a job.
-    walks: Walks,
+    dependency_lookups: DependencyLookups,
     /// Whether every controller knows the form of records that this one writes.
-    rollout: Rollout,
-    mirror: Mirror,
-    finals: HashMap<JobId, FinalRecord>,
-    final_order: VecDeque<JobId>,
-    counts: BTreeMap<String, (u32, u32)>,
+    format_upgrade: FormatUpgrade,
+    job_cache: JobCache,
+    final_records: HashMap<JobId, FinalRecord>,
+    final_record_order: VecDeque<JobId>,
+    task_counts: BTreeMap<String, (u32, u32)>,
     peers: BTreeMap<String, Peer>,
     /// Cancellations held for the leader, and what others hold.
-    held: Held,
-    voice: Voice,
-    passed: HashMap<String, Passed>,
-    held_reports: Vec<(RequestId, Box<Report>)>,
+    cancellations: CancellationQuorum,
+    answer_authority: AnswerAuthority,
+    forwarding_history: HashMap<String, ForwardingHistory>,
+    deferred_reports: Vec<(RequestId, Box<StatusReport>)>,
     /// Questions to machines that an earlier lead of this process has asked and that are open.
-    questions: HashMap<MachineId, u32>,
-    relays: Relays,
-    reach: Reach,
-    desk: Desk,
-    order: Order,
+    open_probes: HashMap<MachineId, u32>,
+    report_forwarder: ReportForwarder,
+    isolation: Isolation,
+    quota_accounts: QuotaAccounts,
+    replicated_records: ReplicatedRecords,
     /// Returns that a lead which is over has left undone.
-    owed: Owed,
+    pending_terminations: PendingTerminations,
     /// Workers by the controller that they report to, this one under its own name.
-    loads: BTreeMap<Arc<str>, usize>,
+    workers_by_controller: BTreeMap<Arc<str>, usize>,
     /// Workers are shared among controllers.
-    sharing: bool,
-    read_at: Time,
-    beat_at: Time,
+    distributes_workers: bool,
+    leader_key_read_at: Time,
+    heartbeat_sent_at: Time,
     /// When a heartbeat was last made because a user waits for it.
-    hurried_at: Time,
-    following: bool,
+    expedited_heartbeat_at: Time,
+    watching_leader_key: bool,
     actions: Vec<Action>,
-    direct: Vec<(String, Direct)>,
-    types_asked: Time,
+    pending_commands: Vec<(String, DirectCommands)>,
+    machine_types_requested_at: Time,
     /// When the process last woke from a standstill.
-    woke_at: Time,
+    resumed_at: Time,
 }
 
-impl Node {
+impl Controller {
     /// A node that has just started, without an operators' file.
-    pub fn new(settings: Arc<Settings>, seed: u64, now: Now) -> Node {
-        Node::operated(settings, &Operator::default(), seed, now)
+    pub fn new(settings: Arc<Settings>, seed: u64, now: Now) -> Controller {
+        Controller::with_operator_file(settings, &OperatorSettings::default(), seed, now)
     }
 
     /// A node that has just started. `seed` feeds all its random choices.
-    pub fn operated(settings: Arc<Settings>, operator: &Operator, seed: u64, now: Now) -> Node {
+    pub fn with_operator_file(
+        settings: Arc<Settings>,
+        operator: &OperatorSettings,
+        seed: u64,
+        now: Now,
+    ) -> Controller {
         let mut rng = StdRng::seed_from_u64(seed);
-        let (rps, write_rps) = rates(&settings, false);
-        let cloud = Cloud::new(settings.settings.cloud.rps, now.steady);
+        let (rps, write_rps) = store_rates(&settings, false);
+        let cloud = CloudClient::new(settings.settings.cloud.rps, now.monotonic);
         let limits = settings.settings.machine_limits.clone();
-        let budget = Budget::of(limits.mem_mb, limits.max_connections);
-        let mut node = Node {
-            process: rng.random::<u64>() >> 1,
+        let budget = MemoryBudget::divide(limits.mem_mb, limits.max_connections);
+        let mut node = Controller {
+            incarnation: rng.random::<u64>() >> 1,
             now,
             rng,
-            term: Term::default(),
-            store: Store::new(rps, write_rps, now.steady).seeded(seed),
+            leadership: Leadership::default(),
+            store: StoreClient::new(rps, write_rps, now.monotonic).seeded(seed),
             cloud,
-            leader: None,
-            loading: None,
-            types: None,
-            steering: Steering::default(),
-            policy: operator.policy(),
-            host: Host::default(),
+            cluster_state: None,
+            loading_state: None,
+            machine_types: None,
+            job_policies: CyclePolicy::default(),
+            policy: operator.compiled_policy(),
+            plugin_host: PluginHost::default(),
             plugins: Plugins::new(operator.plugins.enabled),
-            heard: Vec::new(),
-            scored: 0,
+            cluster_attributes: Vec::new(),
+            scores_computed: 0,
             budget,
-            pressure: Pressure::new(now.steady),
-            load: Load::default(),
-            upkeep: Load::default(),
-            measured_at: 0,
-            cost_us: 0.0,
-            pass_us: 0.0,
-            counted: (now.steady, 0.0, 0.0),
-            ticked_at: 0,
-            bound_told_at: 0,
-            rest_until: 0,
-            status_at: 0,
+            load_level: LoadMonitor::new(now.monotonic),
+            cpu_load: CpuLoad::default(),
+            baseline_cpu_load: CpuLoad::default(),
+            cpu_measured_at: 0,
+            event_cost_us: 0.0,
+            cycle_cost_us: 0.0,
+            cost_snapshot: (now.monotonic, 0.0, 0.0),
+            last_tick_at: 0,
+            bound_logged_at: 0,
+            next_cycle_at: 0,
+            status_logged_at: 0,
             requests: Requests::default(),
-            walks: Walks::default(),
-            rollout: Rollout::default(),
-            mirror: Mirror::new(budget.mirrored),
-            finals: HashMap::new(),
-            final_order: VecDeque::new(),
-            counts: BTreeMap::new(),
+            dependency_lookups: DependencyLookups::default(),
+            format_upgrade: FormatUpgrade::default(),
+            job_cache: JobCache::new(budget.cached_jobs),
+            final_records: HashMap::new(),
+            final_record_order: VecDeque::new(),
+            task_counts: BTreeMap::new(),
             peers: BTreeMap::new(),
-            held: Held::default(),
-            voice: Voice::default(),
-            passed: HashMap::new(),
-            held_reports: Vec::new(),
-            questions: HashMap::new(),
-            relays: Relays::default(),
-            reach: Reach::default(),
-            desk: Desk::new(
+            cancellations: CancellationQuorum::default(),
+            answer_authority: AnswerAuthority::default(),
+            forwarding_history: HashMap::new(),
+            deferred_reports: Vec::new(),
+            open_probes: HashMap::new(),
+            report_forwarder: ReportForwarder::default(),
+            isolation: Isolation::default(),
+            quota_accounts: QuotaAccounts::new(
                 operator.amounts.durable,
                 &settings.host_name,
                 &settings.settings.teams,
             ),
-            order: Order::new(operator, &settings.settings.state, now.steady),
-            owed: Owed::default(),
-            loads: BTreeMap::new(),
-            sharing: false,
-            read_at: 0,
-            beat_at: 0,
-            hurried_at: 0,
-            following: false,
+            replicated_records: ReplicatedRecords::new(
+                operator,
+                &settings.settings.state,
+                now.monotonic,
+            ),
+            pending_terminations: PendingTerminations::default(),
+            workers_by_controller: BTreeMap::new(),
+            distributes_workers: false,
+            leader_key_read_at: 0,
+            heartbeat_sent_at: 0,
+            expedited_heartbeat_at: 0,
+            watching_leader_key: false,
             actions: Vec::new(),
-            direct: Vec::new(),
-            types_asked: 0,
-            woke_at: 0,
+            pending_commands: Vec::new(),
+            machine_types_requested_at: 0,
+            resumed_at: 0,
             settings,
         };
-        node.read_term();
+        node.read_leader_key();
         node.store.push(
-            Call::Get(keys::TYPES.into()),
-            Purpose::ReadTypes,
-            Urgency::Work,
-            Patience::Always,
+            StoreCall::Get(keys::TYPES.into()),
+            CallContext::ReadMachineTypes,
+            CallPriority::Normal,
+            RetryPolicy::UntilDefinite,
         );
         node
     }
 
     /// The actions that have come up since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
-        let (calls, late) = self.store.pump(self.now.steady);
-        self.actions.extend(calls.into_iter().map(|(id, c)| Action::Store(id, c)));
+        let (calls, late) = self.store.take_due_calls(self.now.monotonic);
+        self.actions.extend(calls.into_iter().map(|(id, c)| Action::CallStore(id, c)));
         for end in late {
-            self.on_store(end);
+            self.on_store_response(end);
         }
         // What a leader in doubt asks of the cloud or orders straight would be done under another's lead.
-        if self.sure() {
-            let calls = self.cloud.pump(self.now.steady);
-            self.actions.extend(calls.into_iter().map(Action::Cloud));
-            self.actions.extend(self.direct.drain(..).map(|(to, d)| Action::Direct(to, d)));
+        if self.is_lease_confirmed() {
+            let calls = self.cloud.take_due_calls(self.now.monotonic);
+            self.actions.extend(calls.into_iter().map(Action::CallCloud));
+            self.actions
+                .extend(self.pending_commands.drain(..).map(|(to, d)| Action::SendCommands(to, d)));
         }
         std::mem::take(&mut self.actions)
     }
 
     /// Takes an event.
     pub fn handle(&mut self, event: Event, now: Now) {
-        let stood_ms = now.steady.saturating_sub(self.now.steady);
+        let stood_ms = now.monotonic.saturating_sub(self.now.monotonic);
         self.now = now;
-        if stood_ms >= STANDSTILL_MS {
-            self.wake(stood_ms);
+        if stood_ms >= PROCESS_PAUSE_MS {
+            self.on_resume(stood_ms);
         }
-        self.count_cost(&event);
+        self.charge_event(&event);
         match event {
             Event::Tick => self.tick(),
-            Event::User(id, ask) => self.on_user(id, ask),
-            Event::Report(id, report) => self.on_report(id, report),
-            Event::Answer(report) => self.on_answer(&report),
-            Event::Store(id, outcome) => {
-                if let Some(end) = self.store.finish(id, outcome, now.steady) {
-                    self.on_store(end);
+            Event::UserRequest(id, ask) => self.on_user_request(id, ask),
+            Event::StatusReport(id, report) => self.on_status_report(id, report),
+            Event::CommandResponse(report) => self.on_command_response(&report),
+            Event::StoreResponse(id, outcome) => {
+                if let Some(end) = self.store.finish(id, outcome, now.monotonic) {
+                    self.on_store_response(end);
                 }
             }
-            Event::Cloud(call, outcome) => self.on_cloud(&call, &outcome),
-            Event::Batch(id, batch) => self.on_batch(id, &batch),
-            Event::Relayed(number, answers) => self.on_relayed(number, answers),
-            Event::Beat(beat) => self.on_beat(&beat),
-            Event::Admin(id, ask) => self.on_admin(id, ask),
-            Event::Delivered(name, taken) => self.host.delivered(&name, taken, now.steady),
-            Event::Probed(id, probe, report) => self.on_probed(&id, probe, report),
-            Event::Spent(us, over_ms) => self.on_spent(us, over_ms),
+            Event::CloudResponse(call, outcome) => self.on_cloud(&call, &outcome),
+            Event::ForwardedReports(id, batch) => self.on_forwarded_reports(id, &batch),
+            Event::ForwardedAnswers(number, answers) => self.on_forwarded_answers(number, answers),
+            Event::Heartbeat(beat) => self.on_heartbeat(&beat),
+            Event::AdminRequest(id, ask) => self.on_admin(id, ask),
+            Event::HookDelivered(name, taken) => {
+                self.plugin_host.on_delivery_ended(&name, taken, now.monotonic)
+            }
+            Event::ProbeFinished(id, probe, report) => self.on_probed(&id, probe, report),
+            Event::CpuUsage(us, over_ms) => self.on_cpu_usage(us, over_ms),
         }
-        self.confirm();
-        self.place();
-        self.pass_reports_on();
-        self.tell();
+        self.answer_confirmed_cancellations();
+        self.run_cycle_if_due();
+        self.forward_queued_reports();
+        self.deliver_cluster_events();
     }
 
     /// Whether this node leads.
-    pub fn leads(&self) -> bool {
-        self.term.phase() == Phase::Leading
+    pub fn is_leader(&self) -> bool {
+        self.leadership.phase() == LeadershipPhase::Leading
     }
 
     /// Scores computed so far: what passes cost, whatever the processor's speed.
-    pub fn scored(&self) -> u64 {
-        self.scored
+    pub fn scores_computed(&self) -> u64 {
+        self.scores_computed
     }
 
     /// The leader's tables, if this node leads.
-    pub fn tables(&self) -> Option<&Tables> {
-        self.leader.as_ref()
+    pub fn cluster_state(&self) -> Option<&ClusterState> {
+        self.cluster_state.as_ref()
     }
 
     fn tick(&mut self) {
-        let now = self.now.steady;
-        self.feel(now);
-        if let Phase::Vacant(at) = self.term.phase()
+        let now = self.now.monotonic;
+        self.update_load_level(now);
+        if let LeadershipPhase::Vacant(at) = self.leadership.phase()
             && now >= at
         {
-            self.term.advance(Phase::Granting);
-            let purpose = Purpose::Grant { era: self.term.era, asked: now };
-            let call = Call::Grant { ttl_ms: GRANT_TTL_MS };
-            self.store.push(call, purpose, Urgency::Term, Patience::Once(now + STORE_TIMEOUT_MS));
+            self.leadership.advance(LeadershipPhase::GrantingLease);
+            let purpose = CallContext::GrantLease {
+                generation: self.leadership.generation,
+                requested_at: now,
+            };
+            let call = StoreCall::GrantLease { ttl_ms: LEASE_TTL_MS };
+            self.store.push(
+                call,
+                purpose,
+                CallPriority::Leadership,
+                RetryPolicy::OnceBefore(now + STORE_TIMEOUT_MS),
+            );
         }
-        if self.term.holds() && now >= self.term.extend_at {
-            self.extend();
+        if self.leadership.holds_key() && now >= self.leadership.renew_at {
+            self.renew_lease();
         }
         // A look at the term now and then also tells whether the store is there.
-        if !self.term.holds() && now >= self.read_at + 2 * BEAT_MS {
-            self.read_term();
+        if !self.leadership.holds_key()
+            && now >= self.leader_key_read_at + 2 * HEARTBEAT_INTERVAL_MS
+        {
+            self.read_leader_key();
         }
-        if self.types.is_none() && now >= self.types_asked + CLOUD_BACKOFF_MS {
-            self.types_asked = now;
-            self.cloud.push(cloud::Call::Types);
+        if self.machine_types.is_none() && now >= self.machine_types_requested_at + CLOUD_BACKOFF_MS
+        {
+            self.machine_types_requested_at = now;
+            self.cloud.enqueue(cloud::CloudCall::ListTypes);
         }
-        if now >= self.beat_at + BEAT_MS {
-            self.beat_at = now;
-            self.count_loads();
-            let beat = self.beat(false);
-            self.actions.push(Action::Beat(beat));
+        if now >= self.heartbeat_sent_at + HEARTBEAT_INTERVAL_MS {
+            self.heartbeat_sent_at = now;
+            self.count_workers_by_controller();
+            let beat = self.build_heartbeat(false);
+            self.actions.push(Action::SendHeartbeat(beat));
         }
-        if self.sure() {
-            self.lead();
+        if self.is_lease_confirmed() {
+            self.run_leader_tick();
         } else {
-            self.doubt_on();
+            self.recheck_lease();
         }
-        self.tend_owed();
-        self.tend_mirror();
-        self.tend_plugins();
-        self.tend_order();
-        self.status();
+        self.terminate_pending_machines();
+        self.refresh_job_cache();
+        self.update_plugins();
+        self.update_records();
+        self.log_status();
     }
 
     /// A leader's part of a timer step.
-    fn lead(&mut self) {
-        self.weigh_reach();
-        self.read_jobs();
-        self.weigh_voice();
-        if let Some(leader) = &mut self.leader {
-            self.direct.extend(leader.stops(self.now.steady));
+    fn run_leader_tick(&mut self) {
+        self.resign_if_isolated();
+        self.poll_job_changes();
+        self.update_answer_authority();
+        if let Some(leader) = &mut self.cluster_state {
+            self.pending_commands.extend(leader.stop_commands(self.now.monotonic));
         }
-        self.tend_desk();
-        self.tend_loans();
-        self.tend_dispatch();
-        self.tend_pipelines();
-        self.tend_fleet();
-        self.end_jobs();
-        if let Some(leader) = &mut self.leader {
+        self.update_quota_accounts();
+        self.update_gpu_loans();
+        self.update_deadline_plan();
+        self.update_dependencies();
+        self.manage_fleet();
+        self.close_finished_jobs();
+        if let Some(leader) = &mut self.cluster_state {
             let mut ctx = ctx!(self);
-            leader.write_ledger(&mut ctx);
+            leader.write_binding_log(&mut ctx);
             leader.flush_all(&mut ctx);
         }
-        self.sweep();
-        self.retire();
+        self.collect_stale_bindings();
+        self.archive_finished_jobs();
     }
 
     fn remember_final(&mut self, id: &JobId, record: FinalRecord) {
-        if self.finals.insert(id.clone(), record).is_none() {
-            self.final_order.push_back(id.clone());
-            if self.final_order.len() > self.budget.finals
-                && let Some(oldest) = self.final_order.pop_front()
+        if self.final_records.insert(id.clone(), record).is_none() {
+            self.final_record_order.push_back(id.clone());
+            if self.final_record_order.len() > self.budget.cached_final_answers
+                && let Some(oldest) = self.final_record_order.pop_front()
             {
-                self.finals.remove(&oldest);
+                self.final_records.remove(&oldest);
             }
         }
     }
 
-    fn counts_of(&self, id: &str) -> (u32, u32) {
-        match &self.leader {
-            Some(leader) => leader.jobs.get(id).map_or((0, 0), |j| j.counts()),
-            None => self.counts.get(id).copied().unwrap_or((0, 0)),
+    fn task_counts_of(&self, id: &str) -> (u32, u32) {
+        match &self.cluster_state {
+            Some(leader) => leader.jobs.get(id).map_or((0, 0), |j| j.task_counts()),
+            None => self.task_counts.get(id).copied().unwrap_or((0, 0)),
         }
     }
 
-    fn chunk_tasks(&self) -> u32 {
+    fn tasks_per_chunk(&self) -> u32 {
         chunk_size(&self.settings.settings.state)
     }
 }
 
 /// Requests and writes a second for a node: together the nodes stay within the limits.
-fn rates(settings: &Settings, leads: bool) -> (f64, f64) {
+fn store_rates(settings: &Settings, leads: bool) -> (f64, f64) {
     let state = &settings.settings.state;
     let others = settings.others.len();
     let share = if others == 0 {
--- a/crates/controller/src/node/passes.rs
+++ b/crates/controller/src/node/passes.rs
@@ -1,24 +1,24 @@
 //! Plans applied: what placement and fleet want done, checked against the rules once more, on the
 //! tables themselves. Nothing else binds a task, and nothing else asks the cloud.
 
-use super::{Action, Ctx, Node};
+use super::{Action, Controller, LeaderContext};
 use crate::Time;
-use crate::cloud::{self, Call, Cloud};
+use crate::cloud::{self, CloudCall, CloudClient};
 use crate::constants::*;
 use crate::fleet::{self, FleetPlan};
-use crate::job::{Job, JobId, MachineId, Muster, Spec};
-use crate::machine::{Machine, Room};
-use crate::placement::{self, Plan, Step, View};
-use crate::tables::{Guard, Line, Tables, Wish, usable};
+use crate::job::{GangState, Job, JobId, JobSpec, MachineId};
+use crate::machine::{Machine, Resources};
+use crate::placement::{self, CyclePlan, PlanStep, PlanningContext};
+use crate::tables::{ClusterState, ProvisioningRequest, QuotaGuard, RunQueue, usable};
 use std::cmp::Reverse;
 use std::sync::Arc;
-use swiftsail_failure_detector::Probe;
-use swiftsail_tiers::Tiers;
-use swiftsail_protocol::workers::Report;
+use swiftsail_failure_detector::ProbeOutcome;
+use swiftsail_protocol::workers::StatusReport;
+use swiftsail_tiers::TierAssignment;
 
 /// What came of a pass.
 #[derive(Debug)]
-pub struct Passed {
+pub struct CycleResult {
     /// Tasks bound.
     pub bound: usize,
     /// Scores computed: what it cost, whatever the processor's speed.
@@ -26,239 +26,277 @@
     /// Places looked at.
     pub looked: u64,
     /// Machines to rent, if the pass was a round and came to its end.
-    pub wishes: Option<Vec<Wish>>,
+    pub wishes: Option<Vec<ProvisioningRequest>>,
 }
 
 /// Plays a pass on the tables: a round (`full`), or what finds free room between rounds.
-pub fn pass(tables: &mut Tables, view: View, full: bool) -> Passed {
-    tables.begin_pass(view.now);
-    tables.count_rooms(view.types);
-    let mut guard = Guard::new(tables, &view.settings.settings.teams, view.types);
-    let promoted = promote(tables, &mut guard, view);
+pub fn run_scheduling_cycle(
+    tables: &mut ClusterState,
+    view: PlanningContext,
+    full: bool,
+) -> CycleResult {
+    tables.begin_cycle(view.now);
+    tables.count_free_resources(view.machine_types);
+    let mut guard = QuotaGuard::new(tables, &view.settings.settings.teams, view.machine_types);
+    let promoted = promote_reservations(tables, &mut guard, view);
     if promoted > 0 {
-        tables.count_rooms(view.types);
+        tables.count_free_resources(view.machine_types);
     }
-    let mut plan = placement::plan(tables, view, full);
-    let (wishes, scored, looked) = (plan.wishes.take(), plan.scored, plan.looked);
-    if let Some(idle) = plan.idle.take() {
-        tables.note_idle(idle, view.now);
+    let mut plan = placement::plan_cycle(tables, view, full);
+    let (wishes, scored, looked) =
+        (plan.provisioning_requests.take(), plan.scores_computed, plan.targets_examined);
+    if let Some(idle) = plan.unplaced_jobs.take() {
+        tables.note_starved(idle, view.now);
     }
     let bound = promoted + apply(tables, &mut guard, view, plan);
     if wishes.is_some() {
-        tables.round_at = view.now;
+        tables.last_round_at = view.now;
         tables.misses = 0;
     }
-    Passed { bound, scored, looked, wishes }
+    CycleResult { bound, scored, looked, wishes }
 }
 
 /// Asks for machines, the most wanted first. A rental that has not left yet takes more in, since the
 /// cloud's calls a second are few.
-pub fn rent(tables: &mut Tables, cloud: &mut Cloud, wishes: Vec<Wish>, now: Time) {
+pub fn plan_provisioning(
+    tables: &mut ClusterState,
+    cloud: &mut CloudClient,
+    wishes: Vec<ProvisioningRequest>,
+    now: Time,
+) {
     for wish in wishes {
         let mut left = wish.number;
-        for (charter, asked) in tables.rentals.growing(&wish) {
-            let more = left.min(RENT_MOST.saturating_sub(asked.wish.number));
-            if more > 0 && cloud.enlarge(charter, asked.wish.number + more) {
-                asked.wish.number += more;
+        for (charter, asked) in tables.provisioning.unsent_requests(&wish) {
+            let more = left.min(RENT_BATCH_MAX.saturating_sub(asked.request.number));
+            if more > 0 && cloud.enlarge_queued_request(charter, asked.request.number + more) {
+                asked.request.number += more;
                 left -= more;
             }
         }
         while left > 0 {
-            let number = left.min(RENT_MOST);
+            let number = left.min(RENT_BATCH_MAX);
             left -= number;
             tracing::info!(kind = %wish.kind, zone = %wish.zone, spot = wish.spot, number, "renting machines");
-            let part = Wish { number, ..wish.clone() };
-            let charter = tables.rentals.ask(tables.token, part.clone(), now);
-            cloud.push(Call::Rent(part.request(&charter)));
+            let part = ProvisioningRequest { number, ..wish.clone() };
+            let charter = tables.provisioning.open_request(tables.token, part.clone(), now);
+            cloud.enqueue(CloudCall::Provision(part.to_wire(&charter)));
         }
     }
 }
 
 /// What the fleet needs, with every timer step. `sure`: the store has answered lately. Gives back the
 /// machines to ask directly whether they live.
-pub fn tend(tables: &mut Tables, cloud: &mut Cloud, view: View, sure: bool) -> Vec<MachineId> {
+pub fn plan_fleet(
+    tables: &mut ClusterState,
+    cloud: &mut CloudClient,
+    view: PlanningContext,
+    sure: bool,
+) -> Vec<MachineId> {
     let now = view.now;
-    let ask = match now >= tables.looked_at + MEMBERS_MS {
-        true => tables.look_at_members(&view.settings.settings, now),
+    let ask = match now >= tables.machines_checked_at + LIVENESS_CHECK_MS {
+        true => tables.check_machine_liveness(&view.settings.settings, now),
         false => Vec::new(),
     };
-    let rentals = &tables.rentals;
-    if now >= rentals.idle_at + IDLE_CHECK_MS || now >= rentals.moved_at + MOVES_MS {
-        tables.count_rooms(view.types);
+    let rentals = &tables.provisioning;
+    if now >= rentals.idle_checked_at + IDLE_CHECK_MS || now >= rentals.moves_checked_at + MOVES_MS
+    {
+        tables.count_free_resources(view.machine_types);
     }
-    let plan = fleet::plan(tables, view, sure);
-    if plan.list {
-        tables.rentals.listed_at = now;
-        tables.rentals.listing = true;
-        cloud.push(Call::List(None));
+    let plan = fleet::plan_fleet(tables, view, sure);
+    if plan.refresh_machine_list {
+        tables.provisioning.listed_at = now;
+        tables.provisioning.is_listing = true;
+        cloud.enqueue(CloudCall::ListMachines(None));
     }
-    if plan.types {
-        tables.rentals.typed_at = now;
-        cloud.push(Call::Types);
+    if plan.refresh_machine_types {
+        tables.provisioning.types_requested_at = now;
+        cloud.enqueue(CloudCall::ListTypes);
     }
     apply_fleet(tables, plan, now);
     // What waits to leave is not asked for once more.
-    let pressing = if cloud.returns_wait() { vec![] } else { tables.rentals.pressing_returns(now) };
-    for batch in [pressing, tables.rentals.next_returns()] {
+    let pressing = if cloud.has_queued_return() {
+        vec![]
+    } else {
+        tables.provisioning.next_urgent_returns(now)
+    };
+    for batch in [pressing, tables.provisioning.next_returns()] {
         if !batch.is_empty() {
             tracing::info!(machines = batch.len(), "returning machines");
-            cloud.push(Call::Return(batch.iter().map(|id| id.to_string()).collect()));
+            cloud.enqueue(CloudCall::Return(batch.iter().map(|id| id.to_string()).collect()));
         }
     }
     ask
 }
 
-impl Node {
+impl Controller {
     /// Plays a pass, if one is due.
-    pub(super) fn place(&mut self) {
-        let now = self.now.steady;
-        let may = self.sure() && now >= self.rest_until;
-        let Some(leader) = self.leader.as_ref().filter(|_| may) else { return };
-        let round_ms = self.pressure.stretched(self.steering.round_ms);
-        let pass_ms = self.pressure.stretched(PASS_MS);
-        let Some(full) = placement::want_pass(leader, pass_ms, round_ms, now) else { return };
+    pub(super) fn run_cycle_if_due(&mut self) {
+        let now = self.now.monotonic;
+        let may = self.is_lease_confirmed() && now >= self.next_cycle_at;
+        let Some(leader) = self.cluster_state.as_ref().filter(|_| may) else { return };
+        let round_ms = self.load_level.scaled_period_ms(self.job_policies.round_interval_ms);
+        let pass_ms = self.load_level.scaled_period_ms(CYCLE_MS);
+        let Some(full) = placement::due_cycle(leader, pass_ms, round_ms, now) else { return };
         self.steer(full);
-        self.steering.bounds = self.bounds();
-        let Some(leader) = &mut self.leader else { return };
-        let Some(types) = self.types.clone() else { return };
+        self.job_policies.bounds = self.cycle_bounds();
+        let Some(leader) = &mut self.cluster_state else { return };
+        let Some(types) = self.machine_types.clone() else { return };
         let settings = self.settings.clone();
-        let wall = self.now.wall;
-        let view = View { now, wall, settings: &settings, types: &types, steering: &self.steering };
-        let passed = pass(leader, view, full);
-        self.scored += passed.scored;
+        let wall = self.now.wall_clock;
+        let view = PlanningContext {
+            now,
+            wall_now: wall,
+            settings: &settings,
+            machine_types: &types,
+            policy: &self.job_policies,
+        };
+        let passed = run_scheduling_cycle(leader, view, full);
+        self.scores_computed += passed.scored;
         // However large the cluster, placement leaves the processor to leases and the term.
-        let us = passed.looked as f64 * LOOK_US + passed.scored as f64 * SCORE_US;
-        self.pass_us += us;
+        let us = passed.looked as f64 * EVALUATION_US + passed.scored as f64 * SCORE_US;
+        self.cycle_cost_us += us;
         let wall_ms = us / MS_PER_S / settings.settings.machine_limits.cores;
-        if wall_ms > LONG_PASS_MS {
-            self.rest_until = now + (wall_ms * PASS_REST) as u64;
+        if wall_ms > LONG_CYCLE_MS {
+            self.next_cycle_at = now + (wall_ms * CYCLE_REST_FACTOR) as u64;
         }
-        self.host.end_pass(passed.scored);
+        self.plugin_host.end_cycle(passed.scored);
         let mut wishes = passed.wishes.unwrap_or_default();
         wishes.sort_by_key(|w| Reverse(w.number));
-        self.keep_to_headroom(&mut wishes);
-        let Some(leader) = &mut self.leader else { return };
-        rent(leader, &mut self.cloud, wishes, now);
+        self.limit_to_headroom(&mut wishes);
+        let Some(leader) = &mut self.cluster_state else { return };
+        plan_provisioning(leader, &mut self.cloud, wishes, now);
         if passed.bound > 0 {
-            leader.write_ledger(&mut ctx!(self));
+            leader.write_binding_log(&mut ctx!(self));
         }
     }
 
     /// With every timer step: what the fleet needs.
-    pub(super) fn tend_fleet(&mut self) {
-        let now = self.now.steady;
-        let crowded = self.crowded();
-        let Some(leader) = &mut self.leader else { return };
+    pub(super) fn manage_fleet(&mut self) {
+        let now = self.now.monotonic;
+        let crowded = self.is_crowded();
+        let Some(leader) = &mut self.cluster_state else { return };
         if crowded {
-            self.steering.idle_ms = 0;
+            self.job_policies.idle_timeout_ms = 0;
         }
         let fresh = |name: &String| {
             let peer = self.peers.get(name);
-            peer.is_some_and(|p| now.saturating_sub(p.voucher.heard) <= BEAT_FRESH_MS)
+            peer.is_some_and(|p| now.saturating_sub(p.health.heard_at) <= HEARTBEAT_FRESH_MS)
         };
         let others = self.settings.others.iter().filter(|o| fresh(&o.host_name));
         let own = std::iter::once(&self.settings.site);
-        leader.reached = others.map(|o| &o.site).chain(own).cloned().collect();
-        let types = self.types.clone().unwrap_or_default();
-        let sure = self.store.last_ok.is_some_and(|at| now.saturating_sub(at) <= GRANT_TTL_MS);
+        leader.reachable_zones = others.map(|o| &o.site).chain(own).cloned().collect();
+        let types = self.machine_types.clone().unwrap_or_default();
+        let sure =
+            self.store.last_success_at.is_some_and(|at| now.saturating_sub(at) <= LEASE_TTL_MS);
         let settings = self.settings.clone();
-        let wall = self.now.wall;
-        let view = View { now, wall, settings: &settings, types: &types, steering: &self.steering };
-        for id in tend(leader, &mut self.cloud, view, sure) {
-            let addr = leader.machines.get(&id).map(|m| m.addr.clone()).unwrap_or_default();
+        let wall = self.now.wall_clock;
+        let view = PlanningContext {
+            now,
+            wall_now: wall,
+            settings: &settings,
+            machine_types: &types,
+            policy: &self.job_policies,
+        };
+        for id in plan_fleet(leader, &mut self.cloud, view, sure) {
+            let addr = leader.machines.get(&id).map(|m| m.address.clone()).unwrap_or_default();
             if !addr.is_empty() {
-                if self.questions.contains_key(&id)
+                if self.open_probes.contains_key(&id)
                     && let Some(machine) = leader.machines.get_mut(&id)
                 {
-                    machine.asked = None;
+                    machine.probe_baseline = None;
                 }
-                self.actions.push(Action::Probe(id, addr));
+                self.actions.push(Action::ProbeMachine(id, addr));
             } else {
                 // Not in the machine list yet: there is nothing to ask.
-                leader.on_probed(&id, Probe::Refused, None, now);
+                leader.on_probed(&id, ProbeOutcome::Refused, None, now);
             }
         }
     }
 
     /// A machine was asked directly, and answered or not.
-    pub(super) fn on_probed(&mut self, id: &MachineId, probe: Probe, report: Option<Box<Report>>) {
-        if self.closes_old_question(id) {
+    pub(super) fn on_probed(
+        &mut self,
+        id: &MachineId,
+        probe: ProbeOutcome,
+        report: Option<Box<StatusReport>>,
+    ) {
+        if self.closes_previous_term_probe(id) {
             // Whether this or a later one answers it cannot be told: it says what a report says, and no more.
-        } else if let Some(leader) = &mut self.leader {
-            leader.on_probed(id, probe, report.as_deref(), self.now.steady);
+        } else if let Some(leader) = &mut self.cluster_state {
+            leader.on_probed(id, probe, report.as_deref(), self.now.monotonic);
         }
         tracing::debug!(machine = %id, ?probe, "asked directly");
         if let Some(report) = report {
-            self.on_answer(&report);
+            self.on_command_response(&report);
         }
     }
 
     /// Whether a question that an earlier lead of this process has asked of a machine is open; one is less.
-    fn closes_old_question(&mut self, id: &MachineId) -> bool {
-        let Some(open) = self.questions.get_mut(id) else { return false };
+    fn closes_previous_term_probe(&mut self, id: &MachineId) -> bool {
+        let Some(open) = self.open_probes.get_mut(id) else { return false };
         *open -= 1;
         if *open == 0 {
-            self.questions.remove(id);
+            self.open_probes.remove(id);
         }
         true
     }
 
     /// The cloud has answered, or not.
-    pub(super) fn on_cloud(&mut self, call: &Call, outcome: &cloud::Outcome) {
-        use cloud::Outcome;
-        let now = self.now.steady;
-        self.cloud.finish(outcome, now);
-        if let Outcome::Types(types) = outcome {
-            self.know_types(types);
-            self.keep_types_as(types);
+    pub(super) fn on_cloud(&mut self, call: &CloudCall, outcome: &cloud::CloudOutcome) {
+        use cloud::CloudOutcome;
+        let now = self.now.monotonic;
+        self.cloud.on_outcome(outcome, now);
+        if let CloudOutcome::Types(types) = outcome {
+            self.learn_machine_types(types);
+            self.store_machine_types(types);
         }
-        if let (Call::Return(names), Outcome::Returned) = (call, outcome) {
-            self.owed.returned(names);
+        if let (CloudCall::Return(names), CloudOutcome::Returned) = (call, outcome) {
+            self.pending_terminations.on_terminated(names);
         }
-        let Some(leader) = &mut self.leader else { return };
+        let Some(leader) = &mut self.cluster_state else { return };
         match (call, outcome) {
-            (Call::Rent(rent), Outcome::Rented(berths)) => {
-                leader.rented(&rent.charter, &berths.berths, now);
+            (CloudCall::Provision(rent), CloudOutcome::Provisioned(berths)) => {
+                leader.on_provisioned(&rent.request_id, &berths.machines, now);
             }
-            (Call::Rent(rent), Outcome::NoCapacity | Outcome::Malformed(_)) => {
-                leader.refused(&rent.charter, now);
+            (CloudCall::Provision(rent), CloudOutcome::NoCapacity | CloudOutcome::Malformed(_)) => {
+                leader.on_provisioning_refused(&rent.request_id, now);
             }
             // The same name again: if it was served, the answer is the same and nothing is rented.
-            (Call::Rent(rent), _) => {
-                if leader.rentals.unanswered(&rent.charter) {
-                    self.cloud.push(call.clone());
+            (CloudCall::Provision(rent), _) => {
+                if leader.provisioning.mark_unanswered(&rent.request_id) {
+                    self.cloud.enqueue(call.clone());
                 }
             }
-            (Call::Return(names), Outcome::Returned) => {
+            (CloudCall::Return(names), CloudOutcome::Returned) => {
                 for name in names {
-                    leader.returned(&MachineId::from(name.as_str()), now);
+                    leader.on_returned(&MachineId::from(name.as_str()), now);
                 }
             }
-            (Call::Return(names), _) => {
+            (CloudCall::Return(names), _) => {
                 for name in names {
-                    leader.rentals.not_returned(MachineId::from(name.as_str()));
+                    leader.provisioning.on_return_failed(MachineId::from(name.as_str()));
                 }
             }
-            (Call::List(_), Outcome::Listed(page)) => {
-                for id in leader.on_listing(page, now) {
-                    leader.want_return(&id, "it failed", now);
+            (CloudCall::ListMachines(_), CloudOutcome::Listed(page)) => {
+                for id in leader.apply_machine_list(page, now) {
+                    leader.request_return(&id, "it failed", now);
                 }
-                leader.rentals.listing = page.has_next;
-                if let Some(last) = page.berths.last().filter(|_| page.has_next) {
-                    self.cloud.push(Call::List(Some(last.name_id.clone())));
+                leader.provisioning.is_listing = page.has_next;
+                if let Some(last) = page.machines.last().filter(|_| page.has_next) {
+                    self.cloud.enqueue(CloudCall::ListMachines(Some(last.name.clone())));
                 }
             }
-            (Call::List(_), _) => leader.rentals.listing = false,
-            (Call::Types, _) => {}
+            (CloudCall::ListMachines(_), _) => leader.provisioning.is_listing = false,
+            (CloudCall::ListTypes, _) => {}
         }
     }
 
     /// Ends the jobs of which nothing is left to do.
-    pub(super) fn end_jobs(&mut self) {
-        let sure = self.sure();
-        let Some(leader) = self.leader.as_mut().filter(|_| sure) else { return };
-        for id in leader.take_ended() {
-            leader.end_if_over(&id, &mut ctx!(self));
+    pub(super) fn close_finished_jobs(&mut self) {
+        let sure = self.is_lease_confirmed();
+        let Some(leader) = self.cluster_state.as_mut().filter(|_| sure) else { return };
+        for id in leader.take_maybe_finished() {
+            leader.close_if_finished(&id, &mut ctx!(self));
         }
     }
 }
@@ -266,37 +304,47 @@
 /// Whether a replica of an ordered tier waits that could have room on a machine: what stands in a line there, of a
 /// later tier or priority, then chooses again behind it. Found by a checker in worlds: lines took what came free
 /// before anybody looked who waits.
-fn core_wants(waiting: &[(Arc<Spec>, Tiers)], machine: &Machine, room: &Room, next: &Job) -> bool {
+fn records_requested(
+    waiting: &[(Arc<JobSpec>, TierAssignment)],
+    machine: &Machine,
+    room: &Resources,
+    next: &Job,
+) -> bool {
     waiting.iter().any(|(spec, tier)| {
         let ahead = (Reverse(spec.priority), *tier) < (Reverse(next.spec.priority), next.tier);
         ahead
-            && room.holds(spec)
+            && room.fits_task(spec)
             && (!machine.spot || spec.spot)
-            && spec.types.as_ref().is_none_or(|t| t.contains(&machine.kind))
+            && spec.machine_types.as_ref().is_none_or(|t| t.contains(&machine.machine_type))
             && spec.zone.as_ref().is_none_or(|z| *z == machine.zone)
     })
 }
 
 /// The next of a line takes the room that its head has left, unless waiting core work could have it. Those that the
 /// rules or the room refuse choose again. Returns how many were bound.
-fn promote(tables: &mut Tables, guard: &mut Guard, view: View) -> usize {
+fn promote_reservations(
+    tables: &mut ClusterState,
+    guard: &mut QuotaGuard,
+    view: PlanningContext,
+) -> usize {
     let lease = view.lease_ms();
     let mut bound = 0;
-    let waits = |j: &&Job| j.tier.ordered && j.queued() && !j.cancelled();
-    let core: Vec<(Arc<Spec>, Tiers)> =
+    let waits = |j: &&Job| j.tier.ordered && j.has_queued_tasks() && !j.is_cancelled();
+    let core: Vec<(Arc<JobSpec>, TierAssignment)> =
         tables.jobs.values().filter(waits).map(|j| (j.spec.clone(), j.tier)).collect();
-    for slot in tables.lines.headless(&tables.jobs) {
-        let mut line: Line = tables.lines.take(&slot);
+    for slot in tables.run_queues.slots_without_head(&tables.jobs) {
+        let mut line: RunQueue = tables.run_queues.take(&slot);
         let machine = &slot.0;
         if !tables.machines.get(machine).is_some_and(|m| usable(m, view.now, lease)) {
             continue;
         }
         // A line before it may have bound to the same machine.
-        tables.count_rooms(view.types);
-        let room = tables.machines.get(machine).and_then(|m| m.free()).unwrap_or_default();
+        tables.count_free_resources(view.machine_types);
+        let room =
+            tables.machines.get(machine).and_then(|m| m.free_resources()).unwrap_or_default();
         let wanted = |id: &JobId| {
             let (m, j) = (tables.machines.get(machine), tables.jobs.get(id));
-            m.zip(j).is_some_and(|(m, j)| core_wants(&core, m, &room, j))
+            m.zip(j).is_some_and(|(m, j)| records_requested(&core, m, &room, j))
         };
         if line.front().is_some_and(wanted) {
             continue;
@@ -305,10 +353,10 @@
             let fits = tables
                 .jobs
                 .get(&id)
-                .is_some_and(|j| room.holds(&j.spec) && !j.bad_machines.contains(machine));
+                .is_some_and(|j| room.fits_task(&j.spec) && !j.bad_machines.contains(machine));
             if fits && let Some(task) = bind(tables, guard, view, &id, machine, None) {
                 bound += 1;
-                tables.lines.follow(&(machine.clone(), id, task), line);
+                tables.run_queues.append_all(&(machine.clone(), id, task), line);
                 break;
             }
         }
@@ -317,16 +365,21 @@
 }
 
 /// Applies a round's plan. Returns how many tasks were bound.
-fn apply(tables: &mut Tables, guard: &mut Guard, view: View, plan: Plan) -> usize {
+fn apply(
+    tables: &mut ClusterState,
+    guard: &mut QuotaGuard,
+    view: PlanningContext,
+    plan: CyclePlan,
+) -> usize {
     let mut bound = 0;
-    tables.lines = plan.lines;
+    tables.run_queues = plan.run_queues;
     for step in plan.steps {
         match step {
-            Step::Bind(id, machine) => {
+            PlanStep::Bind(id, machine) => {
                 bound += usize::from(bind(tables, guard, view, &id, &machine, None).is_some());
             }
-            Step::Gang(id, machines) => {
-                let launch = tables.next_launch();
+            PlanStep::BindGang(id, machines) => {
+                let launch = tables.next_attempt_number();
                 let ok = machines
                     .iter()
                     .filter(|m| bind(tables, guard, view, &id, m, Some(launch)).is_some());
@@ -336,45 +389,45 @@
                 if ok < machines.len()
                     && let Some(job) = tables.jobs.get_mut(&id)
                 {
-                    job.gather(Muster::Leaving);
+                    job.set_gang_state(GangState::Stopping);
                 }
             }
-            Step::Preempt { by, fetch_ms, victims } => {
-                for (id, task) in tables.lend(&by, victims, view.wall) {
+            PlanStep::Preempt { by, fetch_ms, victims } => {
+                for (id, task) in tables.lend(&by, victims, view.wall_now) {
                     tracing::debug!(job = %id, task, by = %by, "task preempted");
-                    tables.want_stop(&id, task, view.now);
+                    tables.request_stop(&id, task, view.now);
                 }
                 tables.preempting.insert(by, (view.now, fetch_ms));
             }
-            Step::Gather(id, machines) => {
+            PlanStep::ReserveForGang(id, machines) => {
                 // Who stands in a line there would take what comes free before anybody looks.
-                machines.iter().for_each(|m| tables.lines.drop_machine(m));
+                machines.iter().for_each(|m| tables.run_queues.remove_machine(m));
                 if let Some(job) = tables.jobs.get_mut(&id) {
-                    job.left = machines.into_iter().map(|m| (m, view.now)).collect();
+                    job.vacated_machines = machines.into_iter().map(|m| (m, view.now)).collect();
                 }
             }
-            Step::Hold(machines) => {
-                tables.yielding.retain(|_, until| view.now < *until);
+            PlanStep::HoldFromLowPriority(machines) => {
+                tables.yielding_machines.retain(|_, until| view.now < *until);
                 let until = view.now + YIELD_HOLD_MS;
-                tables.yielding.extend(machines.into_iter().map(|id| (id, until)));
+                tables.yielding_machines.extend(machines.into_iter().map(|id| (id, until)));
             }
-            Step::Release { by, victims } => {
+            PlanStep::PreemptForQuota { by, victims } => {
                 tracing::info!(job = %by, tasks = victims.len(), "stopped: the team's limit leaves a service nothing");
                 for (id, task) in victims {
-                    tables.want_stop(&id, task, view.now);
+                    tables.request_stop(&id, task, view.now);
                 }
             }
         }
     }
-    tables.stir |= plan.cut_short;
+    tables.needs_scheduling |= plan.cut_short;
     bound
 }
 
 /// Binds a job's next waiting task, if the rules allow it. `launch`: the number that a gang shares.
 fn bind(
-    tables: &mut Tables,
-    guard: &mut Guard,
-    view: View,
+    tables: &mut ClusterState,
+    guard: &mut QuotaGuard,
+    view: PlanningContext,
     id: &JobId,
     machine: &MachineId,
     launch: Option<u64>,
@@ -384,7 +437,7 @@
         return None;
     }
     let value = (view.settings.settings.state.value_kb * 1024.0) as usize;
-    let launch = launch.unwrap_or_else(|| tables.next_launch());
+    let launch = launch.unwrap_or_else(|| tables.next_attempt_number());
     let task = tables.bind(id, machine, launch, value - value / 32, view.now)?;
     if let Some(job) = tables.jobs.get(id) {
         guard.count(&job.spec);
@@ -392,25 +445,27 @@
     Some(task)
 }
 
-fn apply_fleet(tables: &mut Tables, plan: FleetPlan, now: Time) {
+fn apply_fleet(tables: &mut ClusterState, plan: FleetPlan, now: Time) {
     for (id, why) in plan.returns {
-        if tables.want_return(&id, why, now) && matches!(why, fleet::DEAF | fleet::MUTE) {
-            tables.rentals.give_up_deaf(now);
+        if tables.request_return(&id, why, now)
+            && matches!(why, fleet::RETURN_REASON_UNREACHABLE | fleet::RETURN_REASON_NOT_REPORTING)
+        {
+            tables.provisioning.note_unreachable_return(now);
         }
-        if why == fleet::CANCELLED {
-            tables.rentals.press(&id);
+        if why == fleet::RETURN_REASON_CANCELLED {
+            tables.provisioning.mark_urgent(&id);
         }
     }
     for (job, task) in plan.stops {
-        tables.want_stop(&job, task, now);
+        tables.request_stop(&job, task, now);
     }
-    for (id, standing) in plan.standings {
-        tables.machine(&id, now).advance(standing);
+    for (id, standing) in plan.state_changes {
+        tables.machine_entry(&id, now).advance(standing);
     }
-    if plan.idle {
-        tables.rentals.idle_at = now;
+    if plan.checked_idle_machines {
+        tables.provisioning.idle_checked_at = now;
     }
-    if plan.moves {
-        tables.rentals.moved_at = now;
+    if plan.checked_consolidation {
+        tables.provisioning.moves_checked_at = now;
     }
 }
--- a/crates/controller/src/node/pipelines.rs
+++ b/crates/controller/src/node/pipelines.rs
@@ -2,30 +2,30 @@
 //! job is called off follows from the records before it, so any controller can tell, by reads of its own that began
 //! after the question; the leader writes the end down later.
 
-use super::requests::Waiter;
-use super::{Node, Purpose, Reply, RequestId};
+use super::requests::PendingRequest;
+use super::{CallContext, Controller, Reply, RequestId};
 use crate::constants::*;
 use crate::job::{FinalRecord, JobId, JobRecord, StoredJob, keys};
-use crate::store::{Call, Outcome, Patience, Urgency};
-use crate::tables::Tables;
+use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
+use crate::tables::ClusterState;
 use std::collections::HashMap;
-use swiftsail_dag::{Fate, Seen, Verdict, Walk};
-use swiftsail_protocol::users::{Status, valid_id};
+use swiftsail_dag::{DependencyTraversal, DependencyVerdict, JobOutcome, VisitedJob};
+use swiftsail_protocol::users::{JobStatus, is_valid_job_id};
 
 /// Whom a walk serves.
 #[derive(Debug)]
-enum Asker {
+enum LookupRequester {
     /// A submission, whose job is accepted if those that it awaits are known.
     Accept(RequestId, Box<JobRecord>),
     /// Somebody who asks about a job that was read and found neither over nor cancelled.
-    Answer(Waiter),
+    Answer(PendingRequest),
 }
 
 #[derive(Debug)]
-struct Walker {
+struct DependencyLookup {
     job: JobId,
-    walk: Walk,
-    asker: Asker,
+    walk: DependencyTraversal,
+    asker: LookupRequester,
     /// The question waited for the reading of what has changed that is kept: it tells what is open, too. Else only what
     /// is final may be taken from it, for it may be older than the question.
     kept: bool,
@@ -33,134 +33,156 @@
 
 /// Questions under way.
 #[derive(Debug, Default)]
-pub(super) struct Walks {
-    open: HashMap<u64, Walker>,
+pub(super) struct DependencyLookups {
+    open: HashMap<u64, DependencyLookup>,
     next: u64,
 }
 
-impl Node {
+impl Controller {
     /// A job that awaits others is submitted, and not known so far. Those must have been accepted, by whomever.
-    pub(super) fn accept_after(
+    pub(super) fn accept_dependent_job(
         &mut self,
         id: &JobId,
         request: RequestId,
         record: Box<JobRecord>,
         kept: bool,
     ) {
-        let walk = Walk::new(&record.awaits);
-        self.walk(Walker { job: id.clone(), walk, asker: Asker::Accept(request, record), kept });
+        let walk = DependencyTraversal::new(&record.depends_on);
+        self.start_dependency_lookup(DependencyLookup {
+            job: id.clone(),
+            walk,
+            asker: LookupRequester::Accept(request, record),
+            kept,
+        });
     }
 
     /// Somebody asks about a job that awaits others, and that a read begun since has found to be open: the one of what is
     /// `kept`, or one of its own.
-    pub(super) fn answer_after(
+    pub(super) fn answer_dependent_job(
         &mut self,
         id: &JobId,
         awaits: &[JobId],
-        waiter: Waiter,
+        waiter: PendingRequest,
         kept: bool,
     ) {
-        let (walk, asker) = (Walk::new(awaits), Asker::Answer(waiter));
-        self.walk(Walker { job: id.clone(), walk, asker, kept });
+        let (walk, asker) = (DependencyTraversal::new(awaits), LookupRequester::Answer(waiter));
+        self.start_dependency_lookup(DependencyLookup { job: id.clone(), walk, asker, kept });
     }
 
     /// Goes on with a question, as far as what is known answers it; then a job is read.
-    fn walk(&mut self, mut walker: Walker) {
-        while let Some(id) = walker.walk.next().cloned() {
-            let seen =
-                if valid_id(&id) { self.seen_here(&id, walker.kept) } else { Some(Seen::Never) };
+    fn start_dependency_lookup(&mut self, mut walker: DependencyLookup) {
+        while let Some(id) = walker.walk.next_job().cloned() {
+            let seen = if is_valid_job_id(&id) {
+                self.dependency_seen_here(&id, walker.kept)
+            } else {
+                Some(VisitedJob::NeverAccepted)
+            };
             match seen {
-                Some(seen) => walker.walk.tell(&seen),
-                None if !self.may_walk() => {
-                    let reply = Reply::later("the state service does not answer");
-                    return self.walk_ends(walker, reply);
+                Some(seen) => walker.walk.on_job_state(&seen),
+                None if !self.has_lookup_room() => {
+                    let reply = Reply::retry_later("the state service does not answer");
+                    return self.finish_dependency_lookup(walker, reply);
                 }
                 None => {
-                    self.walks.next += 1;
-                    let number = self.walks.next;
-                    self.walks.open.insert(number, walker);
-                    return self.read_for_walk(number, id, false);
+                    self.dependency_lookups.next += 1;
+                    let number = self.dependency_lookups.next;
+                    self.dependency_lookups.open.insert(number, walker);
+                    return self.read_dependency_for_lookup(number, id, false);
                 }
             }
         }
-        let verdict = walker.walk.verdict().unwrap_or(Verdict::Stands);
-        let Walker { job, asker, .. } = walker;
+        let verdict = walker.walk.verdict().unwrap_or(DependencyVerdict::NotCancelled);
+        let DependencyLookup { job, asker, .. } = walker;
         match (asker, verdict) {
-            (Asker::Accept(request, _), Verdict::Never(id)) => {
+            (LookupRequester::Accept(request, _), DependencyVerdict::UnknownDependency(id)) => {
                 let error =
                     format!("it awaits `{id}`, which was never accepted; submit that first");
-                let reply = super::requests::problem(422, error);
+                let reply = super::requests::error_reply(422, error);
                 self.refuse_unless_known(job, request, reply);
             }
-            (Asker::Accept(request, record), verdict) => {
+            (LookupRequester::Accept(request, record), verdict) => {
                 let status = match verdict {
-                    Verdict::CalledOff => Status::Cancelled,
-                    _ => Status::Pending,
+                    DependencyVerdict::CancelledByDependency => JobStatus::Cancelled,
+                    _ => JobStatus::Pending,
                 };
-                self.create(&job, request, &record, status);
+                self.create_job(&job, request, &record, status);
             }
-            (Asker::Answer(waiter), Verdict::CalledOff) => self.tell_called_off(&job, waiter),
-            (Asker::Answer(waiter), _) => self.tell_live(&job, waiter),
+            (LookupRequester::Answer(waiter), DependencyVerdict::CancelledByDependency) => {
+                self.answer_cancelled_by_dependency(&job, waiter)
+            }
+            (LookupRequester::Answer(waiter), _) => self.answer_live(&job, waiter),
         }
     }
 
     /// Whether another read for a question may wait.
-    fn may_walk(&self) -> bool {
-        let room = self.walks.open.len() < WALKS_MOST && self.store.has_room(self.budget.calls);
-        room && !self.store.away()
+    fn has_lookup_room(&self) -> bool {
+        let room = self.dependency_lookups.open.len() < DEPENDENCY_LOOKUPS_MAX
+            && self.store.has_room(self.budget.waiting_store_calls);
+        room && !self.store.is_unavailable()
     }
 
-    fn walk_ends(&mut self, walker: Walker, reply: Reply) {
+    fn finish_dependency_lookup(&mut self, walker: DependencyLookup, reply: Reply) {
         let request = match walker.asker {
-            Asker::Accept(request, _) => request,
-            Asker::Answer(waiter) => waiter.request,
+            LookupRequester::Accept(request, _) => request,
+            LookupRequester::Answer(waiter) => waiter.request,
         };
         self.reply(request, reply);
     }
 
     /// What this controller knows of a job without a read: what is over or cancelled stays so, and what is open may be
     /// told by a reading that began after the question.
-    fn seen_here(&self, id: &JobId, kept: bool) -> Option<Seen> {
-        let seen = match self.finals.get(id) {
-            Some(record) => Some(Seen::Ended(record.fate(self.now.wall))),
-            None => self.mirror.seen(id, self.now.wall),
+    fn dependency_seen_here(&self, id: &JobId, kept: bool) -> Option<VisitedJob> {
+        let seen = match self.final_records.get(id) {
+            Some(record) => Some(VisitedJob::Ended(record.fate(self.now.wall_clock))),
+            None => self.job_cache.dependency_state(id, self.now.wall_clock),
         };
-        seen.filter(|seen| kept || matches!(seen, Seen::Ended(_)))
+        seen.filter(|seen| kept || matches!(seen, VisitedJob::Ended(_)))
     }
 
-    fn read_for_walk(&mut self, walk: u64, job: JobId, last_place: bool) {
+    fn read_dependency_for_lookup(&mut self, walk: u64, job: JobId, last_place: bool) {
         let key = keys::place(&job, last_place);
-        let until = Patience::Once(self.now.steady + USER_STORE_TIMEOUT_MS);
-        let purpose = Purpose::WalkTo { walk, job, last_place };
-        self.store.push(Call::Get(key), purpose, Urgency::Work, until);
+        let until = RetryPolicy::OnceBefore(self.now.monotonic + USER_STORE_TIMEOUT_MS);
+        let purpose = CallContext::LookUpDependency { lookup: walk, job, last_place };
+        self.store.push(StoreCall::Get(key), purpose, CallPriority::Normal, until);
     }
 
     /// A job before another has been read.
-    pub(super) fn walked_to(&mut self, walk: u64, id: &JobId, last_place: bool, outcome: &Outcome) {
-        let seen = match self.read_place(id, last_place, outcome) {
+    pub(super) fn on_dependency_read(
+        &mut self,
+        walk: u64,
+        id: &JobId,
+        last_place: bool,
+        outcome: &StoreOutcome,
+    ) {
+        let seen = match self.parse_job_location(id, last_place, outcome) {
             Place::Is(seen) => seen,
-            Place::Elsewhere => return self.read_for_walk(walk, id.clone(), true),
+            Place::Elsewhere => return self.read_dependency_for_lookup(walk, id.clone(), true),
             Place::Unread => {
-                if let Some(walker) = self.walks.open.remove(&walk) {
-                    let reply = Reply::later("the state service does not answer");
-                    self.walk_ends(walker, reply);
+                if let Some(walker) = self.dependency_lookups.open.remove(&walk) {
+                    let reply = Reply::retry_later("the state service does not answer");
+                    self.finish_dependency_lookup(walker, reply);
                 }
                 return;
             }
         };
-        if let Some(mut walker) = self.walks.open.remove(&walk) {
-            walker.walk.tell(&seen);
-            self.walk(walker);
+        if let Some(mut walker) = self.dependency_lookups.open.remove(&walk) {
+            walker.walk.on_job_state(&seen);
+            self.start_dependency_lookup(walker);
         }
     }
 
     /// What a read of one of a job's two places says of it. A job goes from the first to the last in one transaction and
     /// never back, so reading them in this order misses none.
-    fn read_place(&mut self, id: &JobId, last_place: bool, outcome: &Outcome) -> Place {
-        let over = |record: FinalRecord, wall| Place::Is(Seen::Ended(record.fate(wall)));
-        let wall = self.now.wall;
+    fn parse_job_location(
+        &mut self,
+        id: &JobId,
+        last_place: bool,
+        outcome: &StoreOutcome,
+    ) -> Place {
+        let over = |record: FinalRecord, wall| Place::Is(VisitedJob::Ended(record.fate(wall)));
+        let wall = self.now.wall_clock;
         match outcome {
-            Outcome::Found(pair) if last_place => {
+            StoreOutcome::Found(pair) if last_place => {
                 match serde_json::from_value(pair.value.clone()) {
                     Ok(record) => {
                         self.remember_final(id, record);
@@ -169,68 +191,75 @@
                     Err(_) => Place::Unread,
                 }
             }
-            Outcome::Found(pair) => match StoredJob::read(&pair.value) {
-                Some(StoredJob::Over(record)) => {
+            StoreOutcome::Found(pair) => match StoredJob::read(&pair.value) {
+                Some(StoredJob::Finished(record)) => {
                     self.remember_final(id, record);
                     over(record, wall)
                 }
                 Some(StoredJob::Live(record)) if record.cancelled => {
-                    Place::Is(Seen::Ended(Fate::CalledOff))
+                    Place::Is(VisitedJob::Ended(JobOutcome::Cancelled))
                 }
-                Some(StoredJob::Live(record)) => Place::Is(Seen::Live(record.awaits)),
+                Some(StoredJob::Live(record)) => Place::Is(VisitedJob::Live(record.depends_on)),
                 None => Place::Unread,
             },
-            Outcome::Missing { .. } if last_place => Place::Is(Seen::Never),
-            Outcome::Missing { .. } => Place::Elsewhere,
+            StoreOutcome::Missing { .. } if last_place => Place::Is(VisitedJob::NeverAccepted),
+            StoreOutcome::Missing { .. } => Place::Elsewhere,
             _ => Place::Unread,
         }
     }
 
     /// A leader's part: reads the ends of jobs that others await and that it knows nothing of, and works out what
     /// pipelines need.
-    pub(super) fn tend_pipelines(&mut self) {
-        let types = self.types.clone().unwrap_or_default();
-        let (now, wall) = (self.now.steady, self.now.wall);
-        let Some(leader) = &mut self.leader else { return };
-        leader.need_for_pipelines(&types, now);
-        for id in leader.strangers(now) {
-            match self.finals.get(&id) {
-                Some(record) => leader.after_end(&id, record.fate(wall), now, wall),
-                None => read_awaited(&mut self.store, leader, id, false),
+    pub(super) fn update_dependencies(&mut self) {
+        let types = self.machine_types.clone().unwrap_or_default();
+        let (now, wall) = (self.now.monotonic, self.now.wall_clock);
+        let Some(leader) = &mut self.cluster_state else { return };
+        leader.propagate_deadlines(&types, now);
+        for id in leader.unknown_dependencies(now) {
+            match self.final_records.get(&id) {
+                Some(record) => leader.on_dependency_finished(&id, record.fate(wall), now, wall),
+                None => read_awaited_job(&mut self.store, leader, id, false),
             }
         }
     }
 
     /// The end of a job that others await has been read, by a leader.
-    pub(super) fn awaited_read(&mut self, id: &JobId, last_place: bool, outcome: &Outcome) {
-        let place = self.read_place(id, last_place, outcome);
-        let (now, wall) = (self.now.steady, self.now.wall);
-        let Some(leader) = &mut self.leader else { return };
+    pub(super) fn on_awaited_job_read(
+        &mut self,
+        id: &JobId,
+        last_place: bool,
+        outcome: &StoreOutcome,
+    ) {
+        let place = self.parse_job_location(id, last_place, outcome);
+        let (now, wall) = (self.now.monotonic, self.now.wall_clock);
+        let Some(leader) = &mut self.cluster_state else { return };
         match place {
-            Place::Is(Seen::Ended(fate)) => leader.after_end(id, fate, now, wall),
-            Place::Elsewhere => read_awaited(&mut self.store, leader, id.clone(), true),
+            Place::Is(VisitedJob::Ended(fate)) => {
+                leader.on_dependency_finished(id, fate, now, wall)
+            }
+            Place::Elsewhere => read_awaited_job(&mut self.store, leader, id.clone(), true),
             // It is known meanwhile, or not readable for now.
-            Place::Is(_) | Place::Unread => leader.ask_again(id, now),
+            Place::Is(_) | Place::Unread => leader.retry_unknown_dependencies(id, now),
         }
     }
 }
 
 /// What a read says of a job.
 enum Place {
-    Is(Seen),
+    Is(VisitedJob),
     /// It is not in its first place.
     Elsewhere,
     /// Nothing.
     Unread,
 }
 
-fn read_awaited(
-    store: &mut crate::store::Store<Purpose>,
-    leader: &Tables,
+fn read_awaited_job(
+    store: &mut crate::store::StoreClient<CallContext>,
+    leader: &ClusterState,
     job: JobId,
     last_place: bool,
 ) {
     let key = keys::place(&job, last_place);
-    let purpose = Purpose::ReadAwaited { era: leader.era, job, last_place };
-    store.push(Call::Get(key), purpose, Urgency::Work, Patience::Always);
+    let purpose = CallContext::ReadDependency { generation: leader.generation, job, last_place };
+    store.push(StoreCall::Get(key), purpose, CallPriority::Normal, RetryPolicy::UntilDefinite);
 }
