--- a/crates/controller/src/node/requests.rs
+++ b/crates/controller/src/node/requests.rs
@@ -1,276 +1,308 @@
 //! Users' requests. Every answer about a job that is not over comes from a read of the store that
 //! began after the request came; identical reads are merged.
 
-use super::mirror::Shown;
-use super::{Action, Ask, Node, Purpose, Reply, RequestId};
+use super::mirror::CachedJob;
+use super::{Action, CallContext, Controller, Reply, RequestId, UserRequest};
 use crate::Time;
 use crate::constants::*;
 use crate::job::*;
-use crate::store::{Call, Finished, Outcome, Patience, Urgency};
+use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
 use std::collections::HashMap;
-use swiftsail_protocol::state::{Change, Commit, When};
-use swiftsail_protocol::users::{JobAnswer, Problem, Status, read_submission, valid_id};
+use swiftsail_protocol::state::{Mutation, Precondition, Transaction};
+use swiftsail_protocol::users::{
+    ErrorResponse, JobStatus, JobStatusResponse, is_valid_job_id, read_submission,
+};
 
 /// What to do once a job's record is known.
 #[derive(Debug)]
-enum Intent {
+enum RequestIntent {
     /// Tell its state.
     Poll {
         /// One about the same job was turned away.
-        pressing: bool,
+        is_retry: bool,
     },
     /// Tell its state if it is known, else give this answer.
-    Known(Reply),
+    AnswerOr(Reply),
     /// Tell its state if it is known, else accept it.
     Create(Box<JobRecord>),
     /// Cancel it.
     Cancel {
         /// Conflicts so far.
-        tries: u32,
+        conflicts: u32,
     },
 }
 
 #[derive(Debug)]
-pub(super) struct Waiter {
+pub(super) struct PendingRequest {
     pub request: RequestId,
-    intent: Intent,
+    intent: RequestIntent,
 }
 
-impl Waiter {
+impl PendingRequest {
     /// Whether it gives way to a poll that was turned away before.
-    pub fn gives_way(&self) -> bool {
-        matches!(self.intent, Intent::Poll { pressing: false })
+    pub fn yields_to_retried_poll(&self) -> bool {
+        matches!(self.intent, RequestIntent::Poll { is_retry: false })
     }
 
     /// Whether it is a submission.
-    pub fn creates(&self) -> bool {
-        matches!(self.intent, Intent::Create(_))
+    pub fn is_submission(&self) -> bool {
+        matches!(self.intent, RequestIntent::Create(_))
     }
 }
 
 #[derive(Debug, Default)]
-struct Reading {
+struct PendingRead {
     /// Whom the read under way serves.
-    current: Vec<Waiter>,
+    serving: Vec<PendingRequest>,
     /// Who came later and needs a fresh one.
-    next: Vec<Waiter>,
+    waiting: Vec<PendingRequest>,
 }
 
 /// An answer that a job is cancelled, which waits until enough controllers hold it.
 #[derive(Debug)]
-struct Untold {
+struct PendingCancelReply {
     job: JobId,
     /// Where it was committed or read.
     revision: u64,
     request: RequestId,
-    counts: Option<(u32, u32)>,
-    until: Time,
+    task_counts: Option<(u32, u32)>,
+    deadline: Time,
 }
 
-impl Untold {
-    fn new(job: &JobId, revision: u64, request: RequestId, counts: Option<(u32, u32)>) -> Untold {
-        Untold { job: job.clone(), revision, request, counts, until: 0 }
+impl PendingCancelReply {
+    fn new(
+        job: &JobId,
+        revision: u64,
+        request: RequestId,
+        task_counts: Option<(u32, u32)>,
+    ) -> PendingCancelReply {
+        PendingCancelReply { job: job.clone(), revision, request, task_counts, deadline: 0 }
     }
 }
 
 /// Requests that wait for the store.
 #[derive(Debug, Default)]
 pub struct Requests {
-    reads: HashMap<JobId, Reading>,
+    reads: HashMap<JobId, PendingRead>,
     cancels: HashMap<JobId, Vec<(RequestId, u32)>>,
-    untold: Vec<Untold>,
+    unconfirmed_cancels: Vec<PendingCancelReply>,
 }
 
-fn answer(id: &str, status: Status, counts: Option<(u32, u32)>) -> JobAnswer {
-    JobAnswer {
-        name_id: id.to_string(),
+fn job_answer(id: &str, status: JobStatus, counts: Option<(u32, u32)>) -> JobStatusResponse {
+    JobStatusResponse {
+        id: id.to_string(),
         status,
-        done: counts.map(|c| c.0),
-        running: counts.map(|c| c.1),
+        tasks_done: counts.map(|c| c.0),
+        tasks_running: counts.map(|c| c.1),
     }
 }
 
-pub(super) fn problem(status: u16, error: String) -> Reply {
-    Reply::new(status, &Problem { error })
+pub(super) fn error_reply(status: u16, error: String) -> Reply {
+    Reply::new(status, &ErrorResponse { error })
 }
 
-impl Node {
+impl Controller {
     pub(super) fn reply(&mut self, request: RequestId, reply: Reply) {
         self.answer(request, reply);
     }
 
-    pub(super) fn on_user(&mut self, request: RequestId, ask: Ask) {
+    pub(super) fn on_user_request(&mut self, request: RequestId, ask: UserRequest) {
         match ask {
-            Ask::Health => {
-                let reply = if self.healthy() {
+            UserRequest::Health => {
+                let reply = if self.is_healthy() {
                     Reply::new(200, &())
                 } else {
-                    Reply::later("this node is without the state service")
+                    Reply::retry_later("this node is without the state service")
                 };
                 self.reply(request, reply);
             }
-            Ask::Submit(body) => self.on_submit(request, &body),
-            Ask::Poll(id) => self.on_known(request, &id, Intent::Poll { pressing: false }),
-            Ask::Press(id) => self.on_known(request, &id, Intent::Poll { pressing: true }),
-            Ask::Cancel(id) => self.on_known(request, &id, Intent::Cancel { tries: 0 }),
+            UserRequest::Submit(body) => self.on_submission(request, &body),
+            UserRequest::Poll(id) => {
+                self.on_job_request(request, &id, RequestIntent::Poll { is_retry: false })
+            }
+            UserRequest::RetriedPoll(id) => {
+                self.on_job_request(request, &id, RequestIntent::Poll { is_retry: true })
+            }
+            UserRequest::Cancel(id) => {
+                self.on_job_request(request, &id, RequestIntent::Cancel { conflicts: 0 })
+            }
         }
     }
 
-    fn on_known(&mut self, request: RequestId, id: &str, intent: Intent) {
-        if !valid_id(id) {
-            self.reply(request, unknown(id));
+    fn on_job_request(&mut self, request: RequestId, id: &str, intent: RequestIntent) {
+        if !is_valid_job_id(id) {
+            self.reply(request, unknown_job_reply(id));
             return;
         }
         let id = JobId::from(id);
-        if let Some(record) = self.finals.get(&id).copied() {
+        if let Some(record) = self.final_records.get(&id).copied() {
             self.reply(request, final_reply(&id, &record));
             return;
         }
-        let waiter = Waiter { request, intent };
-        let Intent::Poll { pressing } = waiter.intent else {
+        let waiter = PendingRequest { request, intent };
+        let RequestIntent::Poll { is_retry: pressing } = waiter.intent else {
             return self.read_job(&id, waiter);
         };
-        if !self.mirror.serves() {
+        if !self.job_cache.is_complete() {
             return self.read_job(&id, waiter);
         }
-        let full = self.mirrored() >= self.budget.polls;
-        if self.store.away() || full && !(pressing && self.make_room_for_poll()) {
-            return self.reply(request, Reply::later("the state service does not answer"));
+        let full = self.pending_cache_requests() >= self.budget.waiting_polls;
+        if self.store.is_unavailable() || full && !(pressing && self.evict_poll_for_retry()) {
+            return self.reply(request, Reply::retry_later("the state service does not answer"));
         }
-        self.ask_mirror(id, waiter);
+        self.wait_for_cache_read(id, waiter);
     }
 
-    fn on_submit(&mut self, request: RequestId, body: &[u8]) {
+    fn on_submission(&mut self, request: RequestId, body: &[u8]) {
         let submission = match read_submission(body) {
             Ok(it) => it,
-            Err(e) => return self.reply(request, problem(400, e.to_string())),
+            Err(e) => return self.reply(request, error_reply(400, e.to_string())),
         };
         let id = submission.id;
-        if let Some(record) = self.finals.get(&id).copied() {
+        if let Some(record) = self.final_records.get(&id).copied() {
             return self.reply(request, final_reply(&id, &record));
         }
         // A known job is answered from its record, whatever this body says.
         let refusal = match &submission.spec {
-            Err(e) => Some(problem(400, e.to_string())),
-            Ok(spec) => self.judge(spec).or_else(|| self.advised(&id, spec)),
+            Err(e) => Some(error_reply(400, e.to_string())),
+            Ok(spec) => self.validate_admission(spec).or_else(|| self.admission_advice(&id, spec)),
         };
         if let Some(reply) = refusal {
-            return self.look_up(id, Waiter { request, intent: Intent::Known(reply) });
+            return self
+                .look_up(id, PendingRequest { request, intent: RequestIntent::AnswerOr(reply) });
         }
         let Ok(spec) = submission.spec else { return };
-        if self.mirror.knows(&id) {
-            let intent = Intent::Known(Reply::later("the job's record is being written"));
-            return self.look_up(id, Waiter { request, intent });
-        }
-        if !submission.awaits.is_empty() && !self.rollout.raised() {
-            self.want_form();
+        if self.job_cache.contains(&id) {
             let intent =
-                Intent::Known(Reply::later("a controller of an earlier version still serves"));
-            return self.look_up(id, Waiter { request, intent });
+                RequestIntent::AnswerOr(Reply::retry_later("the job's record is being written"));
+            return self.look_up(id, PendingRequest { request, intent });
         }
-        let calls = self.budget.calls.saturating_sub(self.mirror.creations());
-        if self.store.away() || !self.store.has_room(calls) {
-            return self.reply(request, Reply::later("the state service does not answer"));
+        if !submission.depends_on.is_empty() && !self.format_upgrade.is_raised() {
+            self.request_format_upgrade();
+            let intent = RequestIntent::AnswerOr(Reply::retry_later(
+                "a controller of an earlier version still serves",
+            ));
+            return self.look_up(id, PendingRequest { request, intent });
+        }
+        let calls =
+            self.budget.waiting_store_calls.saturating_sub(self.job_cache.pending_submissions());
+        if self.store.is_unavailable() || !self.store.has_room(calls) {
+            return self.reply(request, Reply::retry_later("the state service does not answer"));
         }
         let record = Box::new(JobRecord {
             cancelled: false,
             cancelled_wall: 0,
-            awaits: submission.awaits,
-            accepted_wall: self.now.wall,
-            chunk_tasks: self.chunk_tasks(),
-            nonce: 0,
-            tier: self.accepts_as(&id, &spec),
+            depends_on: submission.depends_on,
+            accepted_wall: self.now.wall_clock,
+            chunk_tasks: self.tasks_per_chunk(),
+            write_number: 0,
+            tier: self.tier_for_submission(&id, &spec),
             spec,
         });
         // A repeat takes a change for nothing, as many as what is new. Where it would have to wait for its turn, a
         // read that serves all who wait tells the one from the other.
         // What awaits others is looked up in any case: the same read tells what has become of those.
-        let waits = !record.awaits.is_empty() || self.store.changes_wait(self.now.steady);
-        if waits && self.mirror.serves() && self.mirrored() < self.budget.polls {
-            return self.ask_mirror(id, Waiter { request, intent: Intent::Create(record) });
-        }
-        self.accept(&id, request, record, false);
+        let waits =
+            !record.depends_on.is_empty() || self.store.has_waiting_writes(self.now.monotonic);
+        if waits
+            && self.job_cache.is_complete()
+            && self.pending_cache_requests() < self.budget.waiting_polls
+        {
+            return self.wait_for_cache_read(
+                id,
+                PendingRequest { request, intent: RequestIntent::Create(record) },
+            );
+        }
+        self.accept_job(&id, request, record, false);
     }
 
     /// Accepts a job, unless it is known, or awaits one that is not. `kept`: the reading of what has changed is not older
     /// than the question.
-    fn accept(&mut self, id: &JobId, request: RequestId, record: Box<JobRecord>, kept: bool) {
-        match record.awaits.is_empty() {
-            true => self.create(id, request, &record, Status::Pending),
-            false => self.accept_after(id, request, record, kept),
+    fn accept_job(&mut self, id: &JobId, request: RequestId, record: Box<JobRecord>, kept: bool) {
+        match record.depends_on.is_empty() {
+            true => self.create_job(id, request, &record, JobStatus::Pending),
+            false => self.accept_dependent_job(id, request, record, kept),
         }
     }
 
     /// Accepts a job, unless it is known. `status`: what its user is told then.
-    pub(super) fn create(
+    pub(super) fn create_job(
         &mut self,
         id: &JobId,
         request: RequestId,
         record: &JobRecord,
-        status: Status,
+        status: JobStatus,
     ) {
-        let commit = Commit {
-            when: vec![
-                When { key: keys::job(id), stamp: 0 },
-                When { key: keys::end(id), stamp: 0 },
+        let commit = Transaction {
+            preconditions: vec![
+                Precondition { key: keys::job(id), mod_revision: 0 },
+                Precondition { key: keys::end(id), mod_revision: 0 },
             ],
-            apply: vec![super::chunks::put(keys::job(id), record)],
+            mutations: vec![super::chunks::put_change(keys::job(id), record)],
         };
-        let until = self.now.steady + USER_STORE_TIMEOUT_MS;
-        let purpose = Purpose::Create { request, job: id.clone(), status };
-        self.store.push(Call::Commit(commit), purpose, Urgency::Bind, Patience::Once(until));
+        let until = self.now.monotonic + USER_STORE_TIMEOUT_MS;
+        let purpose = CallContext::CreateJob { request, job: id.clone(), status };
+        self.store.push(
+            StoreCall::Commit(commit),
+            purpose,
+            CallPriority::High,
+            RetryPolicy::OnceBefore(until),
+        );
     }
 
     /// Tells what is known of a job with the next read of what has changed, or by its own key.
-    fn look_up(&mut self, id: JobId, waiter: Waiter) {
-        if self.mirror.serves() && !self.store.away() && self.mirrored() < self.budget.polls {
-            return self.ask_mirror(id, waiter);
+    fn look_up(&mut self, id: JobId, waiter: PendingRequest) {
+        if self.job_cache.is_complete()
+            && !self.store.is_unavailable()
+            && self.pending_cache_requests() < self.budget.waiting_polls
+        {
+            return self.wait_for_cache_read(id, waiter);
         }
         self.read_job(&id, waiter);
     }
 
     /// A read of what has changed shows no such job: over and moved, or never accepted.
-    pub(super) fn not_live(&mut self, id: &JobId, waiter: Waiter) {
+    pub(super) fn on_not_live(&mut self, id: &JobId, waiter: PendingRequest) {
         match waiter.intent {
-            Intent::Create(record) => self.accept(id, waiter.request, record, true),
+            RequestIntent::Create(record) => self.accept_job(id, waiter.request, record, true),
             _ => self.read_final(id, waiter),
         }
     }
 
     /// What speaks against a job, if anything.
-    fn judge(&self, spec: &Spec) -> Option<Reply> {
+    fn validate_admission(&self, spec: &JobSpec) -> Option<Reply> {
         let Some(team) = self.settings.team(&spec.team) else {
             let error = format!("team `{}` is unknown; name one of the settings", spec.team);
-            return Some(problem(422, error));
+            return Some(error_reply(422, error));
         };
-        let Some(types) = &self.types else {
-            return Some(Reply::later("the machine types are not known yet"));
+        let Some(types) = &self.machine_types else {
+            return Some(Reply::retry_later("the machine types are not known yet"));
         };
         if !types.iter().any(|t| t.allows(spec)) {
             let error = "a task fits no allowed machine type; ask for less or allow more types";
-            return Some(problem(422, error.into()));
+            return Some(error_reply(422, error.into()));
         }
-        let count = if spec.kind == Kind::Array { 1.0 } else { f64::from(spec.tasks) };
+        let count = if spec.kind == JobKind::Array { 1.0 } else { f64::from(spec.tasks) };
         let over = |limit: f64, each: f64| limit > 0.0 && each * count > limit + SLACK;
         if over(team.cpus_max, spec.cpus) || over(team.gpus_max, spec.gpus) {
             let error = format!("the job needs more than the limit of team `{}`", spec.team);
-            return Some(problem(422, error));
+            return Some(error_reply(422, error));
         }
         None
     }
 
-    pub(super) fn read_job(&mut self, id: &JobId, waiter: Waiter) {
-        if let Intent::Create(record) = waiter.intent {
-            return self.accept(id, waiter.request, record, false);
+    pub(super) fn read_job(&mut self, id: &JobId, waiter: PendingRequest) {
+        if let RequestIntent::Create(record) = waiter.intent {
+            return self.accept_job(id, waiter.request, record, false);
         }
-        if self.store.away() || !self.store.has_room(self.budget.calls) {
-            let reply = Reply::later("the state service does not answer");
+        if self.store.is_unavailable() || !self.store.has_room(self.budget.waiting_store_calls) {
+            let reply = Reply::retry_later("the state service does not answer");
             return self.reply(waiter.request, reply);
         }
         match self.requests.reads.get_mut(id) {
-            Some(reading) => reading.next.push(waiter),
+            Some(reading) => reading.waiting.push(waiter),
             None => {
-                let reading = Reading { current: vec![waiter], next: Vec::new() };
+                let reading = PendingRead { serving: vec![waiter], waiting: Vec::new() };
                 self.requests.reads.insert(id.clone(), reading);
                 self.start_read(id);
             }
@@ -278,142 +310,171 @@
     }
 
     /// Tells what a job's key shows.
-    pub(super) fn tell_shown(&mut self, id: &JobId, shown: Shown, waiter: Waiter) {
+    pub(super) fn answer_from_cache(
+        &mut self,
+        id: &JobId,
+        shown: CachedJob,
+        waiter: PendingRequest,
+    ) {
         match shown {
-            Shown::Over(record) => {
+            CachedJob::Finished(record) => {
                 self.remember_final(id, record);
                 self.reply(waiter.request, final_reply(id, &record));
             }
-            Shown::Cancelled(revision, wall) => {
-                let counts = self.counts_of(id);
-                let told = Untold::new(id, revision, waiter.request, Some(counts));
-                self.tell_cancelled(told, wall);
+            CachedJob::Cancelled(revision, wall) => {
+                let counts = self.task_counts_of(id);
+                let told = PendingCancelReply::new(id, revision, waiter.request, Some(counts));
+                self.answer_when_cancellation_replicated(told, wall);
             }
-            Shown::Live => match self.mirror.awaits(id) {
-                None => self.tell_live(id, waiter),
-                Some(awaits) => self.answer_after(id, &awaits, waiter, true),
+            CachedJob::Live => match self.job_cache.dependencies_of(id) {
+                None => self.answer_live(id, waiter),
+                Some(awaits) => self.answer_dependent_job(id, &awaits, waiter, true),
             },
-            Shown::Unread => self.read_job(id, waiter),
+            CachedJob::Unreadable => self.read_job(id, waiter),
         }
     }
 
     /// Tells of a job that is neither over nor cancelled nor called off.
-    pub(super) fn tell_live(&mut self, id: &JobId, waiter: Waiter) {
-        let counts = self.counts_of(id);
-        let status = if counts.1 > 0 { Status::Running } else { Status::Pending };
-        self.reply(waiter.request, Reply::new(200, &answer(id, status, Some(counts))));
+    pub(super) fn answer_live(&mut self, id: &JobId, waiter: PendingRequest) {
+        let counts = self.task_counts_of(id);
+        let status = if counts.1 > 0 { JobStatus::Running } else { JobStatus::Pending };
+        self.reply(waiter.request, Reply::new(200, &job_answer(id, status, Some(counts))));
     }
 
     /// Tells of a job that is called off with one before it. Nothing of it has ever run, nor will: no controller has to
     /// know more than the records say.
-    pub(super) fn tell_called_off(&mut self, id: &JobId, waiter: Waiter) {
-        let reply = Reply::new(200, &answer(id, Status::Cancelled, Some((0, 0))));
+    pub(super) fn answer_cancelled_by_dependency(&mut self, id: &JobId, waiter: PendingRequest) {
+        let reply = Reply::new(200, &job_answer(id, JobStatus::Cancelled, Some((0, 0))));
         self.reply(waiter.request, reply);
     }
 
     /// A submission is refused, unless its job is known: then it is a repeat.
     pub(super) fn refuse_unless_known(&mut self, id: JobId, request: RequestId, refusal: Reply) {
-        self.look_up(id, Waiter { request, intent: Intent::Known(refusal) });
+        self.look_up(id, PendingRequest { request, intent: RequestIntent::AnswerOr(refusal) });
     }
 
     /// A job's key was read and is not there: its final record tells.
-    pub(super) fn read_final(&mut self, id: &JobId, waiter: Waiter) {
+    pub(super) fn read_final(&mut self, id: &JobId, waiter: PendingRequest) {
         match self.requests.reads.get_mut(id) {
             // A read of its key is under way; what it finds may be older than the question.
-            Some(reading) => reading.next.push(waiter),
+            Some(reading) => reading.waiting.push(waiter),
             None => {
-                let reading = Reading { current: vec![waiter], next: Vec::new() };
+                let reading = PendingRead { serving: vec![waiter], waiting: Vec::new() };
                 self.requests.reads.insert(id.clone(), reading);
-                self.start_final(id.clone());
+                self.start_final_read(id.clone());
             }
         }
     }
 
-    fn start_final(&mut self, id: JobId) {
-        let until = self.now.steady + USER_STORE_TIMEOUT_MS;
-        let call = Call::Get(keys::end(&id));
-        let purpose = Purpose::ReadFinal(id);
-        self.store.push(call, purpose, Urgency::Work, Patience::Once(until));
+    fn start_final_read(&mut self, id: JobId) {
+        let until = self.now.monotonic + USER_STORE_TIMEOUT_MS;
+        let call = StoreCall::Get(keys::end(&id));
+        let purpose = CallContext::ReadFinalRecord(id);
+        self.store.push(call, purpose, CallPriority::Normal, RetryPolicy::OnceBefore(until));
     }
 
     fn start_read(&mut self, id: &JobId) {
-        let until = self.now.steady + USER_STORE_TIMEOUT_MS;
-        let call = Call::Get(keys::job(id));
-        self.store.push(call, Purpose::ReadJob(id.clone()), Urgency::Work, Patience::Once(until));
+        let until = self.now.monotonic + USER_STORE_TIMEOUT_MS;
+        let call = StoreCall::Get(keys::job(id));
+        self.store.push(
+            call,
+            CallContext::ReadJob(id.clone()),
+            CallPriority::Normal,
+            RetryPolicy::OnceBefore(until),
+        );
     }
 
-    pub(super) fn on_user_store(&mut self, end: Finished<Purpose>) {
-        match end.purpose {
-            Purpose::Create { request, job, status } => match end.outcome {
-                Outcome::Committed(_) => {
+    pub(super) fn on_user_store_response(&mut self, end: FinishedCall<CallContext>) {
+        match end.context {
+            CallContext::CreateJob { request, job, status } => match end.outcome {
+                StoreOutcome::Committed(_) => {
                     tracing::info!(job = %job, "job accepted");
-                    let reply = Reply::new(201, &answer(&job, status, None));
+                    let reply = Reply::new(201, &job_answer(&job, status, None));
                     self.reply(request, reply);
                 }
-                Outcome::Conflict(_) => {
-                    let otherwise = Reply::later("the job's record is being written");
-                    self.look_up(job, Waiter { request, intent: Intent::Known(otherwise) });
+                StoreOutcome::Conflict(_) => {
+                    let otherwise = Reply::retry_later("the job's record is being written");
+                    self.look_up(
+                        job,
+                        PendingRequest { request, intent: RequestIntent::AnswerOr(otherwise) },
+                    );
                 }
                 // It may be accepted or not: a read tells, or the user's retry finds out.
-                Outcome::Unknown => {
-                    let otherwise = Reply::later("the state service did not confirm");
-                    self.read_job(&job, Waiter { request, intent: Intent::Known(otherwise) });
+                StoreOutcome::Unknown => {
+                    let otherwise = Reply::retry_later("the state service did not confirm");
+                    self.read_job(
+                        &job,
+                        PendingRequest { request, intent: RequestIntent::AnswerOr(otherwise) },
+                    );
                 }
                 // Too large for the state service, now and ever; but a known job is answered from its record.
-                Outcome::Malformed(_) => {
-                    let refusal = problem(
+                StoreOutcome::Malformed(_) => {
+                    let refusal = error_reply(
                         400,
                         "the job is too large; name fewer types, or fewer jobs that it awaits"
                             .into(),
                     );
-                    self.look_up(job, Waiter { request, intent: Intent::Known(refusal) });
+                    self.look_up(
+                        job,
+                        PendingRequest { request, intent: RequestIntent::AnswerOr(refusal) },
+                    );
                 }
-                _ => self.reply(request, Reply::later("the state service did not confirm")),
+                _ => self.reply(request, Reply::retry_later("the state service did not confirm")),
             },
-            Purpose::ReadJob(id) => match end.outcome {
-                Outcome::Found(pair) => match StoredJob::read(&pair.value) {
-                    Some(StoredJob::Live(record)) => self.on_live(&id, *record, pair.stamp),
-                    Some(StoredJob::Over(record)) => self.on_over(&id, record),
-                    None => self.on_unread(&id),
+            CallContext::ReadJob(id) => match end.outcome {
+                StoreOutcome::Found(pair) => match StoredJob::read(&pair.value) {
+                    Some(StoredJob::Live(record)) => {
+                        self.on_live_job(&id, *record, pair.mod_revision)
+                    }
+                    Some(StoredJob::Finished(record)) => self.on_finished_job(&id, record),
+                    None => self.on_read_failed(&id),
                 },
                 // Not live: over, or never accepted. A job goes from the one key to the other in
                 // one transaction and never back, so this order of reads misses none.
-                Outcome::Missing { .. } => self.start_final(id),
-                _ => self.on_unread(&id),
+                StoreOutcome::Missing { .. } => self.start_final_read(id),
+                _ => self.on_read_failed(&id),
             },
-            Purpose::ReadFinal(id) => match end.outcome {
-                Outcome::Found(pair) => match serde_json::from_value::<FinalRecord>(pair.value) {
-                    Ok(record) => self.on_over(&id, record),
-                    Err(_) => self.on_unread(&id),
-                },
-                Outcome::Missing { .. } => {
-                    for waiter in self.read_over(&id) {
+            CallContext::ReadFinalRecord(id) => match end.outcome {
+                StoreOutcome::Found(pair) => {
+                    match serde_json::from_value::<FinalRecord>(pair.value) {
+                        Ok(record) => self.on_finished_job(&id, record),
+                        Err(_) => self.on_read_failed(&id),
+                    }
+                }
+                StoreOutcome::Missing { .. } => {
+                    for waiter in self.finish_read(&id) {
                         let reply = match waiter.intent {
-                            Intent::Known(otherwise) => otherwise,
-                            _ => unknown(&id),
+                            RequestIntent::AnswerOr(otherwise) => otherwise,
+                            _ => unknown_job_reply(&id),
                         };
                         self.reply(waiter.request, reply);
                     }
                 }
-                _ => self.on_unread(&id),
+                _ => self.on_read_failed(&id),
             },
-            Purpose::Cancel(id, wall) => {
+            CallContext::CancelJob(id, wall) => {
                 let waiting = self.requests.cancels.remove(&id).unwrap_or_default();
                 for (request, tries) in waiting {
                     match end.outcome {
-                        Outcome::Committed(revision) => {
-                            self.tell_cancelled(Untold::new(&id, revision, request, None), wall);
+                        StoreOutcome::Committed(revision) => {
+                            self.answer_when_cancellation_replicated(
+                                PendingCancelReply::new(&id, revision, request, None),
+                                wall,
+                            );
                         }
-                        Outcome::Conflict(_) if tries < CANCEL_TRIES => {
-                            let intent = Intent::Cancel { tries: tries + 1 };
-                            self.read_job(&id, Waiter { request, intent });
+                        StoreOutcome::Conflict(_) if tries < CANCEL_CONFLICTS_MAX => {
+                            let intent = RequestIntent::Cancel { conflicts: tries + 1 };
+                            self.read_job(&id, PendingRequest { request, intent });
                         }
                         // Committed or not: a read tells, and there is time to try once more.
-                        Outcome::Unknown if tries < CANCEL_TRIES => {
-                            let intent = Intent::Cancel { tries: CANCEL_TRIES };
-                            self.read_job(&id, Waiter { request, intent });
+                        StoreOutcome::Unknown if tries < CANCEL_CONFLICTS_MAX => {
+                            let intent = RequestIntent::Cancel { conflicts: CANCEL_CONFLICTS_MAX };
+                            self.read_job(&id, PendingRequest { request, intent });
                         }
-                        _ => self.reply(request, Reply::later("the state service did not confirm")),
+                        _ => self.reply(
+                            request,
+                            Reply::retry_later("the state service did not confirm"),
+                        ),
                     }
                 }
             }
@@ -424,84 +485,90 @@
     /// Tells a user that a job is cancelled, as soon as enough controllers hold it: a leader that the state
     /// service refuses learns it from them (`term::Held`). Every such answer goes this way but those about jobs
     /// that are over, of which nothing is left on any machine.
-    fn tell_cancelled(&mut self, told: Untold, wall: u64) {
-        self.held.hold(&told.job, told.revision, wall);
-        match &mut self.leader {
+    fn answer_when_cancellation_replicated(&mut self, told: PendingCancelReply, wall: u64) {
+        self.cancellations.record_cancellation(&told.job, told.revision, wall);
+        match &mut self.cluster_state {
             Some(leader) => {
-                leader.cancelled_elsewhere(&told.job, wall, self.now.steady, self.now.wall);
+                leader.on_remote_cancellation(
+                    &told.job,
+                    wall,
+                    self.now.monotonic,
+                    self.now.wall_clock,
+                );
             }
-            None => self.owe(&told.job, wall),
+            None => self.add_pending_termination(&told.job, wall),
         }
-        let until = self.now.steady + USER_STORE_TIMEOUT_MS;
-        self.requests.untold.push(Untold { until, ..told });
+        let until = self.now.monotonic + USER_STORE_TIMEOUT_MS;
+        self.requests.unconfirmed_cancels.push(PendingCancelReply { deadline: until, ..told });
     }
 
     /// Answers those whose cancellation enough controllers hold by now, and hurries the others on.
-    pub(super) fn confirm(&mut self) {
-        if self.requests.untold.is_empty() {
+    pub(super) fn answer_confirmed_cancellations(&mut self) {
+        if self.requests.unconfirmed_cancels.is_empty() {
             return;
         }
-        let (now, all) = (self.now.steady, self.settings.controllers());
+        let (now, all) = (self.now.monotonic, self.settings.controllers());
         let mut hurry = false;
-        for told in std::mem::take(&mut self.requests.untold) {
-            if self.held.enough(&told.job, told.revision, all) {
-                let reply = Reply::new(200, &answer(&told.job, Status::Cancelled, told.counts));
+        for told in std::mem::take(&mut self.requests.unconfirmed_cancels) {
+            if self.cancellations.is_replicated(&told.job, told.revision, all) {
+                let reply =
+                    Reply::new(200, &job_answer(&told.job, JobStatus::Cancelled, told.task_counts));
                 self.reply(told.request, reply);
-            } else if now >= told.until {
+            } else if now >= told.deadline {
                 // Committed it may be; a repeat is answered by what is read then.
-                self.reply(told.request, Reply::later("too few controllers are heard"));
+                self.reply(told.request, Reply::retry_later("too few controllers are heard"));
             } else {
-                hurry |= self.held.uncarried(&told.job);
-                self.requests.untold.push(told);
+                hurry |= self.cancellations.awaits_first_heartbeat(&told.job);
+                self.requests.unconfirmed_cancels.push(told);
             }
         }
-        if hurry && now >= self.hurried_at + BEAT_HURRY_MS {
-            self.hurried_at = now;
-            let beat = self.beat(true);
-            self.actions.push(Action::Beat(beat));
+        if hurry && now >= self.expedited_heartbeat_at + EXPEDITED_HEARTBEAT_MS {
+            self.expedited_heartbeat_at = now;
+            let beat = self.build_heartbeat(true);
+            self.actions.push(Action::SendHeartbeat(beat));
         }
     }
 
     /// Ends a read: gives those it served, and begins the next for those who came later.
-    fn read_over(&mut self, id: &JobId) -> Vec<Waiter> {
+    fn finish_read(&mut self, id: &JobId) -> Vec<PendingRequest> {
         let Some(reading) = self.requests.reads.get_mut(id) else { return Vec::new() };
-        let served = std::mem::take(&mut reading.current);
-        if reading.next.is_empty() {
+        let served = std::mem::take(&mut reading.serving);
+        if reading.waiting.is_empty() {
             self.requests.reads.remove(id);
         } else {
-            reading.current = std::mem::take(&mut reading.next);
+            reading.serving = std::mem::take(&mut reading.waiting);
             self.start_read(id);
         }
         served
     }
 
-    fn on_over(&mut self, id: &JobId, record: FinalRecord) {
+    fn on_finished_job(&mut self, id: &JobId, record: FinalRecord) {
         self.remember_final(id, record);
-        for waiter in self.read_over(id) {
+        for waiter in self.finish_read(id) {
             self.reply(waiter.request, final_reply(id, &record));
         }
     }
 
-    fn on_unread(&mut self, id: &JobId) {
-        for waiter in self.read_over(id) {
-            self.reply(waiter.request, Reply::later("the state service does not answer"));
+    fn on_read_failed(&mut self, id: &JobId) {
+        for waiter in self.finish_read(id) {
+            self.reply(waiter.request, Reply::retry_later("the state service does not answer"));
         }
     }
 
-    fn on_live(&mut self, id: &JobId, record: JobRecord, stamp: u64) {
-        let counts = self.counts_of(id);
+    fn on_live_job(&mut self, id: &JobId, record: JobRecord, stamp: u64) {
+        let counts = self.task_counts_of(id);
         let mut cancels = Vec::new();
-        for waiter in self.read_over(id) {
+        for waiter in self.finish_read(id) {
             match waiter.intent {
-                Intent::Cancel { tries } if !record.cancelled => {
+                RequestIntent::Cancel { conflicts: tries } if !record.cancelled => {
                     cancels.push((waiter.request, tries));
                 }
                 _ if record.cancelled => {
-                    let told = Untold::new(id, stamp, waiter.request, Some(counts));
-                    self.tell_cancelled(told, record.cancelled_wall);
+                    let told = PendingCancelReply::new(id, stamp, waiter.request, Some(counts));
+                    self.answer_when_cancellation_replicated(told, record.cancelled_wall);
                 }
-                _ if record.awaits.is_empty() => self.tell_live(id, waiter),
-                _ => self.answer_after(id, &record.awaits, waiter, false),
+                _ if record.depends_on.is_empty() => self.answer_live(id, waiter),
+                _ => self.answer_dependent_job(id, &record.depends_on, waiter, false),
             }
         }
         if cancels.is_empty() {
@@ -513,30 +580,36 @@
             return;
         }
         self.requests.cancels.insert(id.clone(), cancels);
-        let cancelled = JobRecord { cancelled: true, cancelled_wall: self.now.wall, ..record };
-        let commit = Commit {
-            when: vec![When { key: keys::job(id), stamp }],
-            apply: vec![Change::Write {
-                write: keys::job(id),
+        let cancelled =
+            JobRecord { cancelled: true, cancelled_wall: self.now.wall_clock, ..record };
+        let commit = Transaction {
+            preconditions: vec![Precondition { key: keys::job(id), mod_revision: stamp }],
+            mutations: vec![Mutation::Put {
+                key: keys::job(id),
                 value: serde_json::to_value(&cancelled).unwrap_or_default(),
-                mooring: None,
+                lease: None,
             }],
         };
-        let until = self.now.steady + USER_STORE_TIMEOUT_MS;
-        let purpose = Purpose::Cancel(id.clone(), cancelled.cancelled_wall);
-        self.store.push(Call::Commit(commit), purpose, Urgency::Bind, Patience::Once(until));
+        let until = self.now.monotonic + USER_STORE_TIMEOUT_MS;
+        let purpose = CallContext::CancelJob(id.clone(), cancelled.cancelled_wall);
+        self.store.push(
+            StoreCall::Commit(commit),
+            purpose,
+            CallPriority::High,
+            RetryPolicy::OnceBefore(until),
+        );
     }
 }
 
-fn unknown(id: &str) -> Reply {
+fn unknown_job_reply(id: &str) -> Reply {
     let shown: String = id.chars().take(80).collect();
-    problem(404, format!("job `{shown}` is unknown; check its id"))
+    error_reply(404, format!("job `{shown}` is unknown; check its id"))
 }
 
 fn final_reply(id: &JobId, record: &FinalRecord) -> Reply {
-    let status = match record.ending {
-        Ending::Done => Status::Done,
-        Ending::Cancelled => Status::Cancelled,
+    let status = match record.state {
+        FinalState::Done => JobStatus::Done,
+        FinalState::Cancelled => JobStatus::Cancelled,
     };
-    Reply::new(200, &answer(id, status, Some((record.done, 0))))
+    Reply::new(200, &job_answer(id, status, Some((record.done, 0))))
 }
--- a/crates/controller/src/placement/field.rs
+++ b/crates/controller/src/placement/field.rs
@@ -1,116 +1,124 @@
 //! What a round works on: the tables and the view that it reads, and what it has planned so far. Whoever plays a
 //! part of a round knows this and not the others.
 
-use super::chooser::Chooser;
-use super::ends::Ends;
-use super::market::Open;
-use super::place::{Names, Place};
-use super::plan::{Plan, Step, View};
-use super::teams::TeamRoom;
-use super::victims::Candidate;
+use super::chooser::PlacementCandidate;
+use super::ends::CompletionTimes;
+use super::market::CloudAvailability;
+use super::place::{NameIndex, PlacementTarget};
+use super::plan::{CyclePlan, PlanStep, PlanningContext};
+use super::teams::TeamUsage;
+use super::victims::PreemptionCandidate;
 use crate::constants::*;
 use crate::job::*;
 use crate::machine::MachineType;
-use crate::tables::{Tables, amounts_of};
+use crate::tables::{ClusterState, team_amounts};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-pub(super) struct Round<'a> {
-    pub tables: &'a Tables,
-    pub view: View<'a>,
+pub(super) struct MappingRound<'a> {
+    pub cluster_state: &'a ClusterState,
+    pub view: PlanningContext<'a>,
     pub types: &'a [MachineType],
     /// The teams of the settings.
-    pub teams: Vec<TeamRoom>,
+    pub team_usage: Vec<TeamUsage>,
     pub zones: Vec<String>,
-    pub images: Names,
-    pub service_images: Vec<(u32, Arc<Spec>)>,
-    pub ends: Ends,
-    pub places: Vec<Place>,
-    pub wishes: BTreeMap<(usize, usize, bool), u32>,
-    pub market: Open,
-    pub candidates: Option<Vec<Candidate>>,
-    pub demand: HashMap<String, u32>,
-    pub full: bool,
+    pub images: NameIndex,
+    pub service_images: Vec<(u32, Arc<JobSpec>)>,
+    pub completion_times: CompletionTimes,
+    pub targets: Vec<PlacementTarget>,
+    pub planned_machines: BTreeMap<(usize, usize, bool), u32>,
+    pub availability: CloudAvailability,
+    pub preemption_candidates: Option<Vec<PreemptionCandidate>>,
+    pub waiting_by_class: HashMap<String, u32>,
+    pub is_full: bool,
     /// Gangs for which room was gathered in this round.
-    pub gathered: usize,
+    pub gangs_reserved: usize,
     /// Jobs that found no place for what their team's limit leaves them.
-    pub idle: Vec<JobId>,
+    pub unplaced_jobs: Vec<JobId>,
     /// What is looked at may not begin yet: it binds nothing, and only says what to rent.
-    pub foresees: bool,
+    pub planning_ahead: bool,
     /// Tasks bound in this pass.
-    pub binds: usize,
+    pub bound_tasks: usize,
     /// Tasks that have joined lines in it.
-    pub joins: usize,
-    pub out: Plan,
+    pub queued_tasks: usize,
+    pub plan: CyclePlan,
 }
 
-impl<'a> Round<'a> {
+impl<'a> MappingRound<'a> {
     /// A round that has not begun.
-    pub fn new(tables: &'a Tables, view: View<'a>, full: bool) -> Round<'a> {
-        Round {
-            tables,
+    pub fn new(
+        cluster_state: &'a ClusterState,
+        view: PlanningContext<'a>,
+        is_full: bool,
+    ) -> MappingRound<'a> {
+        MappingRound {
+            cluster_state,
             view,
-            types: view.types,
-            teams: TeamRoom::all(tables, &view.settings.settings.teams),
+            types: view.machine_types,
+            team_usage: TeamUsage::from_cluster(cluster_state, &view.settings.settings.teams),
             zones: Vec::new(),
-            images: Names::default(),
+            images: NameIndex::default(),
             service_images: Vec::new(),
-            ends: Ends::default(),
-            places: Vec::new(),
-            wishes: BTreeMap::new(),
-            market: Open::default(),
-            candidates: None,
-            demand: HashMap::new(),
-            full,
-            gathered: 0,
-            idle: Vec::new(),
-            foresees: false,
-            binds: 0,
-            joins: 0,
-            out: Plan { lines: tables.lines.clone(), ..Plan::default() },
+            completion_times: CompletionTimes::default(),
+            targets: Vec::new(),
+            planned_machines: BTreeMap::new(),
+            availability: CloudAvailability::default(),
+            preemption_candidates: None,
+            waiting_by_class: HashMap::new(),
+            is_full,
+            gangs_reserved: 0,
+            unplaced_jobs: Vec::new(),
+            planning_ahead: false,
+            bound_tasks: 0,
+            queued_tasks: 0,
+            plan: CyclePlan {
+                run_queues: cluster_state.run_queues.clone(),
+                ..CyclePlan::default()
+            },
         }
     }
 
     /// Whether a chooser's team stays within its guarantee with one more task of it.
-    pub fn guaranteed(&self, c: &Chooser) -> bool {
-        c.team.is_some_and(|t| self.teams[t].guaranteed(amounts_of(&c.spec)))
+    pub fn is_within_guarantee(&self, c: &PlacementCandidate) -> bool {
+        c.team_index.is_some_and(|t| self.team_usage[t].is_within_guarantee(team_amounts(&c.spec)))
     }
 
     /// Whether its team's limit leaves room for so many tasks of a chooser.
-    pub fn within_limit(&self, c: &Chooser, tasks: u32) -> bool {
-        c.team.is_some_and(|n| self.teams[n].allows(amounts_of(&c.spec).times(tasks)))
+    pub fn is_within_limit(&self, c: &PlacementCandidate, tasks: u32) -> bool {
+        c.team_index
+            .is_some_and(|n| self.team_usage[n].allows(team_amounts(&c.spec).multiplied_by(tasks)))
     }
 
     /// Counts what a plan would use.
-    pub fn plan_use(&mut self, c: &Chooser) {
-        if let Some(team) = c.team {
-            self.teams[team].take(amounts_of(&c.spec));
+    pub fn add_planned_usage(&mut self, c: &PlacementCandidate) {
+        if let Some(team) = c.team_index {
+            self.team_usage[team].add_usage(team_amounts(&c.spec));
         }
     }
 
     /// Plans to bind a task. False if the ledger has no room for it.
-    pub fn bind(&mut self, c: &Chooser, machine: MachineId) -> bool {
-        if self.foresees {
-            self.plan_use(c);
+    pub fn plan_binding(&mut self, c: &PlacementCandidate, machine: MachineId) -> bool {
+        if self.planning_ahead {
+            self.add_planned_usage(c);
             return true;
         }
-        let most = if c.spec.priority == Priority::Low { LEDGER_LOW } else { LEDGER_MOST };
-        if self.tables.ledger.len() + self.binds >= most {
+        let most = if c.spec.priority == Priority::Low { BINDING_LOG_LOW } else { BINDING_LOG_MAX };
+        if self.cluster_state.binding_log.len() + self.bound_tasks >= most {
             return false;
         }
-        self.out.steps.push(Step::Bind(c.id.clone(), machine));
-        self.plan_use(c);
-        self.binds += 1;
+        self.plan.steps.push(PlanStep::Bind(c.id.clone(), machine));
+        self.add_planned_usage(c);
+        self.bound_tasks += 1;
         true
     }
 
     /// Tasks of a job that wait and stand in no line.
-    pub fn free_tasks(&self, job: &Job) -> u32 {
-        (job.waiting.len() as u32).saturating_sub(self.out.lines.of(&job.id))
+    pub fn unqueued_tasks(&self, job: &Job) -> u32 {
+        (job.waiting.len() as u32).saturating_sub(self.plan.run_queues.queued_tasks(&job.id))
     }
 }
 
 /// Whether a job has tasks that may be placed.
-pub(super) fn open(job: &Job) -> bool {
-    job.state() == JobState::Live && job.muster() == Muster::Whole
+pub(super) fn is_placeable(job: &Job) -> bool {
+    job.state() == JobState::Live && job.gang_state() == GangState::Whole
 }
--- a/crates/controller/src/placement/limits.rs
+++ b/crates/controller/src/placement/limits.rs
@@ -1,22 +1,22 @@
 //! Teams at their limit: who gets what it leaves, and what is stopped so that replicas need not wait for it.
 
-use super::chooser::Chooser;
-use super::field::Round;
-use super::place::{Place, What};
-use super::plan::{Step, View};
+use super::chooser::PlacementCandidate;
+use super::field::MappingRound;
+use super::place::{PlacementTarget, TargetKind};
+use super::plan::{PlanStep, PlanningContext};
 use crate::Time;
 use crate::constants::*;
 use crate::job::*;
 use crate::machine::Machine;
-use crate::tables::{Tables, amounts_of};
+use crate::tables::{ClusterState, team_amounts};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use swiftsail_quota::order::{Claim, share_out};
-use swiftsail_quota::{Amount, Amounts};
+use swiftsail_quota::order::{QuotaClaim, allocate_quota};
+use swiftsail_quota::{Quantity, ResourceQuantities};
 
 /// The time by which users want a job without a deadline to be done: as the aims of its class ask of its
 /// end, or of its start.
-fn wanted_by(view: View, job: &Job, run_ms: f64) -> Option<Time> {
+fn objective_deadline(view: PlanningContext, job: &Job, run_ms: f64) -> Option<Time> {
     let aims = view.settings.settings.objectives.iter();
     let own = aims.filter(|o| o.class.as_deref() == Some(&job.spec.class));
     let within = own.filter_map(|o| match (o.kind.as_str(), o.within_s) {
@@ -28,190 +28,206 @@
 }
 
 /// What a job wants of its team's limit; `waiting`: tasks that may be placed.
-fn claim<'t>(
-    view: View,
+fn quota_claim<'t>(
+    view: PlanningContext,
     job: &'t Job,
     waiting: u32,
     run_ms: f64,
     classes: &mut Vec<&'t str>,
-) -> Claim {
+) -> QuotaClaim {
     let now = view.now;
     let class = classes.iter().position(|c| *c == job.spec.class).unwrap_or(classes.len());
     if class == classes.len() {
         classes.push(&job.spec.class);
     }
-    let due = job.due.or_else(|| wanted_by(view, job, run_ms));
-    Claim {
+    let due = job.deadline.or_else(|| objective_deadline(view, job, run_ms));
+    QuotaClaim {
         class,
-        rank: job.spec.priority as u8,
-        endless: job.spec.kind == Kind::Service,
-        whole: job.spec.kind == Kind::Gang,
-        left_ms: due.filter(|due| *due > now).map(|due| (due - now) as f64),
-        waiting,
-        running: job.attempts.values().filter(|a| a.occupies()).count() as f64,
-        each: amounts_of(&job.spec),
-        weight: amounts_of(&job.spec).cpus.number(),
-        run_ms,
+        priority_rank: job.spec.priority as u8,
+        runs_until_cancelled: job.spec.kind == JobKind::Service,
+        all_or_nothing: job.spec.kind == JobKind::Gang,
+        time_to_deadline_ms: due.filter(|due| *due > now).map(|due| (due - now) as f64),
+        waiting_tasks: waiting,
+        running_tasks: job.attempts.values().filter(|a| a.occupies_resources()).count() as f64,
+        per_task: team_amounts(&job.spec),
+        cpu_weight: team_amounts(&job.spec).cpus.to_f64(),
+        task_run_ms: run_ms,
         age_ms: now.saturating_sub(job.eligible_at) as f64,
-        begun: job.begun(),
+        has_started: job.has_begun(),
     }
 }
 
-impl Round<'_> {
+impl MappingRound<'_> {
     /// Where jobs want more than their team's limit leaves, each may place what it gets of it in this
     /// pass, and no task stands in a line: the next in the order takes what comes free.
-    pub fn keep_to_limits(&mut self, choosers: &mut [Chooser]) {
+    pub fn apply_team_limits(&mut self, choosers: &mut [PlacementCandidate]) {
         let mut by_team: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         for (n, c) in choosers.iter().enumerate() {
-            if let Some(team) = c.team {
+            if let Some(team) = c.team_index {
                 by_team.entry(team).or_default().push(n);
             }
         }
         let mut jobs: Option<HashMap<&str, Vec<&Job>>> = None;
         for (team, own) in by_team {
-            let wants: Amounts = own
+            let wants: ResourceQuantities = own
                 .iter()
                 .map(|n| &choosers[*n])
                 .map(|c| {
-                    let waiting = self.tables.jobs.get(&c.id).map_or(0, |j| j.waiting.len());
-                    amounts_of(&c.spec).times(waiting as u32)
+                    let waiting = self.cluster_state.jobs.get(&c.id).map_or(0, |j| j.waiting.len());
+                    team_amounts(&c.spec).multiplied_by(waiting as u32)
                 })
                 .sum();
-            if self.teams[team].allows(wants) {
+            if self.team_usage[team].allows(wants) {
                 continue;
             }
             let (mut claims, mut classes) = (Vec::new(), Vec::new());
-            let tables = self.tables;
+            let tables = self.cluster_state;
             let claiming: BTreeSet<JobId> = own.iter().map(|n| choosers[*n].id.clone()).collect();
             for n in &own {
                 let c = &mut choosers[*n];
-                c.capped = true;
-                self.out.lines.drop_job(&c.id);
+                c.is_limited_by_quota = true;
+                self.plan.run_queues.remove_job(&c.id);
                 let Some(job) = tables.jobs.get(&c.id) else { continue };
-                c.left = job.waiting.len() as u32;
+                c.remaining_tasks = job.waiting.len() as u32;
                 let c = &choosers[*n];
-                let kind = c.kinds.iter().position(|k| *k).unwrap_or(0);
-                claims.push(claim(
+                let kind = c.allowed_types.iter().position(|k| *k).unwrap_or(0);
+                claims.push(quota_claim(
                     self.view,
                     job,
-                    c.left,
-                    self.run_guess(c, kind).mean(),
+                    c.remaining_tasks,
+                    self.run_time(c, kind).mean(),
                     &mut classes,
                 ));
             }
             // What its other jobs use counts as their class's.
             let name = &self.view.settings.settings.teams[team].name;
             // Sorted out once: a team's turn costs its own jobs, however many teams there are.
-            let jobs = jobs.get_or_insert_with(|| by_name(tables));
+            let jobs = jobs.get_or_insert_with(|| jobs_by_team(tables));
             for job in jobs.get(name.as_str()).into_iter().flatten() {
                 if !claiming.contains(&job.id) {
-                    let run_ms = job.spec.estimate_s * MS_PER_S;
-                    claims.push(claim(self.view, job, 0, run_ms, &mut classes));
+                    let run_ms = job.spec.runtime_estimate_s * MS_PER_S;
+                    claims.push(quota_claim(self.view, job, 0, run_ms, &mut classes));
                 }
             }
-            self.out.looked += claims.len() as u64;
-            let room = &self.teams[team];
-            let most = room.cap.most() - room.endless;
-            let rate = most.cpus.number();
+            self.plan.targets_examined += claims.len() as u64;
+            let room = &self.team_usage[team];
+            let most = room.limit.limit() - room.used_by_services;
+            let rate = most.cpus.to_f64();
             if self.view.settings.settings.teams[team].gpus_max > 0.0 {
-                let ratio = rate / most.gpus.number().max(SLACK);
-                let heavier = |c: &Claim| c.weight.max(c.each.gpus.number() * ratio);
-                claims.iter_mut().for_each(|c| c.weight = heavier(c));
+                let ratio = rate / most.gpus.to_f64().max(SLACK);
+                let heavier = |c: &QuotaClaim| c.cpu_weight.max(c.per_task.gpus.to_f64() * ratio);
+                claims.iter_mut().for_each(|c| c.cpu_weight = heavier(c));
             }
-            let left = room.cap.left(room.used);
-            let idle: Vec<bool> = own.iter().map(|n| self.idles(&mut choosers[*n])).collect();
-            let grants = share_out_by_turns(left, most, &claims, &idle);
+            let left = room.limit.remaining(room.used);
+            let idle: Vec<bool> =
+                own.iter().map(|n| self.is_unplaceable(&mut choosers[*n])).collect();
+            let grants = allocate_quota_idle_last(left, most, &claims, &idle);
             for ((n, idle), grant) in own.iter().zip(&idle).zip(&grants) {
                 // It found no place before, and nothing is left to try with: that has not changed.
-                if *idle && *grant == 0 && choosers[*n].spec.kind != Kind::Gang {
-                    self.idle.push(choosers[*n].id.clone());
+                if *idle && *grant == 0 && choosers[*n].spec.kind != JobKind::Gang {
+                    self.unplaced_jobs.push(choosers[*n].id.clone());
                 }
             }
             let granted = own.iter().map(|n| &choosers[*n]).zip(&grants);
             let services: Vec<_> = granted.filter(|(c, _)| c.is_service()).collect();
             let lacks = services.into_iter();
-            let lacks: Vec<(&Chooser, Amounts)> =
-                lacks.map(|(c, n)| (c, amounts_of(&c.spec).times(c.left - n))).collect();
-            self.free_amounts(team, &lacks);
+            let lacks: Vec<(&PlacementCandidate, ResourceQuantities)> = lacks
+                .map(|(c, n)| (c, team_amounts(&c.spec).multiplied_by(c.remaining_tasks - n)))
+                .collect();
+            self.release_quota_for_services(team, &lacks);
             for (n, grant) in own.into_iter().zip(grants) {
-                choosers[n].left = grant;
+                choosers[n].remaining_tasks = grant;
             }
         }
     }
 
     /// Whether a chooser has found no place for long, and finds none now nor anything to rent.
-    fn idles(&mut self, c: &mut Chooser) -> bool {
-        if !self.tables.idles(&c.id, self.view.now) {
+    fn is_unplaceable(&mut self, c: &mut PlacementCandidate) -> bool {
+        if !self.cluster_state.is_starved(&c.id, self.view.now) {
             return false;
         }
-        if c.spec.kind == Kind::Gang {
+        if c.spec.kind == JobKind::Gang {
             return true;
         }
-        let open = |p: &Place| matches!(p.what, What::Now | What::Boot);
-        self.out.looked += self.places.len() as u64;
-        !self.places.iter().any(|p| open(p) && self.suits(c, p)) && self.rental(c, false).is_none()
+        let open = |p: &PlacementTarget| {
+            matches!(p.target_kind, TargetKind::ReadyMachine | TargetKind::BootingMachine)
+        };
+        self.plan.targets_examined += self.targets.len() as u64;
+        !self.targets.iter().any(|p| open(p) && self.is_suitable(c, p))
+            && self.cheapest_new_machine(c, false).is_none()
     }
 
     /// Replicas that wait for their team's limit alone: tasks of the team's own arrays of lower priority
     /// are stopped for as much, less what is being stopped already: where the replica's image is first, so
     /// that it starts there at once, and of those the least work lost.
-    fn free_amounts(&mut self, team: usize, lacks: &[(&Chooser, Amounts)]) {
-        let mut leaving = self.teams[team].leaving;
+    fn release_quota_for_services(
+        &mut self,
+        team: usize,
+        lacks: &[(&PlacementCandidate, ResourceQuantities)],
+    ) {
+        let mut leaving = self.team_usage[team].being_stopped;
         let mut found = None;
         for (by, lacks) in lacks {
             let mut lacks = *lacks;
             // What leaves already is for the first of them.
-            let first = lacks.with(leaving, Amount::min);
+            let first = lacks.zip_with(leaving, Quantity::min);
             (lacks, leaving) = (lacks - first, leaving - first);
-            let enough = |lacks: Amounts| Amounts::default().covers(lacks);
+            let enough = |lacks: ResourceQuantities| ResourceQuantities::default().covers(lacks);
             if enough(lacks) {
                 continue;
             }
-            let found = found.get_or_insert_with(|| stoppable(self.tables, self.view, team));
-            let has = |v: &Stoppable| v.machine.has_image(&by.spec.image);
-            let lower = |v: &Stoppable| v.job.spec.priority < by.spec.priority;
+            let found =
+                found.get_or_insert_with(|| stoppable_tasks(self.cluster_state, self.view, team));
+            let has = |v: &StoppableTask| v.machine.has_cached_image(&by.spec.image);
+            let lower = |v: &StoppableTask| v.job.spec.priority < by.spec.priority;
             found.sort_by_cached_key(|v| {
-                Reverse((!lower(v), !has(v), v.lost_ms, v.job.id.clone(), v.task))
+                Reverse((!lower(v), !has(v), v.lost_work_ms, v.job.id.clone(), v.task))
             });
             let mut victims = Vec::new();
             while !enough(lacks)
                 && let Some(v) = found.pop_if(|v| lower(v))
             {
-                lacks -= amounts_of(&v.job.spec);
+                lacks -= team_amounts(&v.job.spec);
                 victims.push((v.job.id.clone(), v.task));
             }
             if !victims.is_empty() {
-                self.out.steps.push(Step::Release { by: by.id.clone(), victims });
+                self.plan.steps.push(PlanStep::PreemptForQuota { by: by.id.clone(), victims });
             }
         }
     }
 }
 
 /// Shares out what a limit leaves, to those that have long found no place only what the others do not take.
-fn share_out_by_turns(left: Amounts, most: Amounts, claims: &[Claim], idle: &[bool]) -> Vec<u32> {
+fn allocate_quota_idle_last(
+    left: ResourceQuantities,
+    most: ResourceQuantities,
+    claims: &[QuotaClaim],
+    idle: &[bool],
+) -> Vec<u32> {
     if !idle.contains(&true) {
-        return share_out(left, most, claims);
+        return allocate_quota(left, most, claims);
     }
     let is_idle = |n: usize| idle.get(n).copied().unwrap_or(false);
     let mut first = claims.to_vec();
     let mut then = claims.to_vec();
     for (n, (first, then)) in first.iter_mut().zip(&mut then).enumerate() {
         let waits_again = if is_idle(n) { first } else { then };
-        waits_again.waiting = 0;
+        waits_again.waiting_tasks = 0;
     }
-    let mut grants = share_out(left, most, &first);
-    let given: Amounts = claims.iter().zip(&grants).map(|(c, n)| c.each.times(*n)).sum();
+    let mut grants = allocate_quota(left, most, &first);
+    let given: ResourceQuantities =
+        claims.iter().zip(&grants).map(|(c, n)| c.per_task.multiplied_by(*n)).sum();
     for (n, claim) in then.iter_mut().enumerate() {
-        claim.running += f64::from(grants[n]);
+        claim.running_tasks += f64::from(grants[n]);
     }
-    for (all, more) in grants.iter_mut().zip(share_out(left - given, most, &then)) {
+    for (all, more) in grants.iter_mut().zip(allocate_quota(left - given, most, &then)) {
         *all += more;
     }
     grants
 }
 
 /// All jobs by the name of their team.
-fn by_name(tables: &Tables) -> HashMap<&str, Vec<&Job>> {
+fn jobs_by_team(tables: &ClusterState) -> HashMap<&str, Vec<&Job>> {
     let mut jobs: HashMap<&str, Vec<&Job>> = HashMap::new();
     for job in tables.jobs.values() {
         jobs.entry(&job.spec.team).or_default().push(job);
@@ -220,18 +236,25 @@
 }
 
 /// Tasks of a team's arrays whose stop would soon be proved: their machines are heard.
-fn stoppable<'t>(tables: &'t Tables, view: View, team: usize) -> Vec<Stoppable<'t>> {
+fn stoppable_tasks<'t>(
+    tables: &'t ClusterState,
+    view: PlanningContext,
+    team: usize,
+) -> Vec<StoppableTask<'t>> {
     let (now, name) = (view.now, &view.settings.settings.teams[team].name);
     let quiet = view.lease_ms() * QUIET_SHARE;
     let mut found = Vec::new();
-    let arrays = tables.jobs.values().filter(|j| j.spec.kind == Kind::Array);
-    for job in arrays.filter(|j| j.spec.team == *name && !j.cancelled()) {
+    let arrays = tables.jobs.values().filter(|j| j.spec.kind == JobKind::Array);
+    for job in arrays.filter(|j| j.spec.team == *name && !j.is_cancelled()) {
         for (task, attempt) in &job.attempts {
             let Some(machine) = tables.machines.get(&attempt.machine) else { continue };
             let near = |at: Time| now.saturating_sub(at) as f64 <= quiet;
-            if machine.heard.is_some_and(near) && attempt.occupies() && attempt.stop.is_none() {
-                let lost_ms = attempt.ran_at.map_or(0, |at| now.saturating_sub(at));
-                found.push(Stoppable { job, task: *task, machine, lost_ms });
+            if machine.last_heard_at.is_some_and(near)
+                && attempt.occupies_resources()
+                && attempt.stop_requested.is_none()
+            {
+                let lost_ms = attempt.running_since.map_or(0, |at| now.saturating_sub(at));
+                found.push(StoppableTask { job, task: *task, machine, lost_work_ms: lost_ms });
             }
         }
     }
@@ -239,9 +262,9 @@
 }
 
 /// A task that could be stopped.
-struct Stoppable<'a> {
+struct StoppableTask<'a> {
     job: &'a Job,
     task: u32,
     machine: &'a Machine,
-    lost_ms: u64,
+    lost_work_ms: u64,
 }
--- a/crates/controller/src/placement/market.rs
+++ b/crates/controller/src/placement/market.rs
@@ -4,16 +4,16 @@
 
 /// Which types, zones and kinds may be asked for now.
 #[derive(Debug, Default)]
-pub(super) struct Open {
-    pub known: HashMap<(usize, usize, bool), bool>,
-    pub zones: Option<Zones>,
+pub(super) struct CloudAvailability {
+    pub may_provision: HashMap<(usize, usize, bool), bool>,
+    pub zone_machines: Option<ZoneMachines>,
 }
 
 /// Where machines are, up or asked for.
 #[derive(Debug, Default)]
-pub(super) struct Zones {
+pub(super) struct ZoneMachines {
     /// By type and zone.
-    pub machines: HashMap<(usize, usize), u32>,
+    pub machine_counts: HashMap<(usize, usize), u32>,
     /// Zones most of whose machines are silent.
-    pub silent: Vec<usize>,
+    pub silent_zones: Vec<usize>,
 }
--- a/crates/controller/src/placement/mod.rs
+++ b/crates/controller/src/placement/mod.rs
@@ -25,6 +25,6 @@
 mod teams;
 mod victims;
 
-pub use plan::{Plan, Step, View};
-pub use round::{plan, want_pass};
-pub use teams::Allowance;
+pub use plan::{CyclePlan, PlanStep, PlanningContext};
+pub use round::{due_cycle, plan_cycle};
+pub use teams::TeamAllowances;
--- a/crates/controller/src/placement/place.rs
+++ b/crates/controller/src/placement/place.rs
@@ -1,65 +1,65 @@
 //! Places: where a task could go.
 
-use super::ends::EndId;
+use super::ends::CompletionId;
 use crate::job::*;
-use crate::machine::Room;
-use crate::tables::Slot;
+use crate::machine::Resources;
+use crate::tables::SlotId;
 use std::collections::HashMap;
 
 /// What a place is.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) enum What {
+pub(super) enum TargetKind {
     /// Free room on a machine that is ready.
-    Now,
+    ReadyMachine,
     /// The end of a line.
-    Line(Slot),
+    RunQueue(SlotId),
     /// A machine that boots; used to plan only.
-    Boot,
+    BootingMachine,
     /// A machine that could be rented; used to plan only.
-    Rental,
+    PlannedMachine,
 }
 
 /// Where a task could go.
 #[derive(Debug, Clone)]
-pub(super) struct Place {
-    pub what: What,
+pub(super) struct PlacementTarget {
+    pub target_kind: TargetKind,
     pub machine: Option<MachineId>,
     /// Numbers of its type and zone in the round.
-    pub kind: usize,
-    pub zone: usize,
+    pub type_index: usize,
+    pub zone_index: usize,
     pub spot: bool,
-    pub room: Room,
+    pub free: Resources,
     /// Tasks there are being stopped.
-    pub leaving: bool,
+    pub has_stopping_tasks: bool,
     /// What of the room is kept for services.
-    pub kept: Room,
+    pub reserved_for_services: Resources,
     /// What of the room is kept for gangs that have left it, with their priority.
-    pub gangs: Vec<(JobId, Priority, Room)>,
+    pub reserved_for_gangs: Vec<(JobId, Priority, Resources)>,
     /// When what is before it ends.
-    pub end: EndId,
+    pub completion_id: CompletionId,
     /// Numbers of the images there that this round asks for.
     pub images: Vec<u32>,
 }
 
 /// Names of this round as small numbers.
 #[derive(Debug, Default)]
-pub(super) struct Names {
-    numbers: HashMap<String, u32>,
+pub(super) struct NameIndex {
+    indices: HashMap<String, u32>,
 }
 
-impl Names {
+impl NameIndex {
     /// The number of a name, given out if it is new.
-    pub fn number(&mut self, name: &str) -> u32 {
-        if let Some(n) = self.numbers.get(name) {
+    pub fn index_or_insert(&mut self, name: &str) -> u32 {
+        if let Some(n) = self.indices.get(name) {
             return *n;
         }
-        let n = self.numbers.len() as u32;
-        self.numbers.insert(name.to_string(), n);
+        let n = self.indices.len() as u32;
+        self.indices.insert(name.to_string(), n);
         n
     }
 
     /// The number of a name, if it has one.
-    pub fn get(&self, name: &str) -> Option<u32> {
-        self.numbers.get(name).copied()
+    pub fn index_of(&self, name: &str) -> Option<u32> {
+        self.indices.get(name).copied()
     }
 }
--- a/crates/controller/src/placement/plan.rs
+++ b/crates/controller/src/placement/plan.rs
@@ -5,25 +5,25 @@
 use crate::job::*;
 use crate::machine::MachineType;
 use crate::settings::Settings;
-use crate::steering::Steering;
-use crate::tables::{Lines, Wish};
+use crate::steering::CyclePolicy;
+use crate::tables::{ProvisioningRequest, RunQueues};
 
 /// What a plan is made from beside the tables.
 #[derive(Clone, Copy)]
-pub struct View<'a> {
+pub struct PlanningContext<'a> {
     /// Steady time.
     pub now: Time,
     /// Time of day, ms.
-    pub wall: u64,
+    pub wall_now: u64,
     /// The settings.
     pub settings: &'a Settings,
     /// The machine types.
-    pub types: &'a [MachineType],
+    pub machine_types: &'a [MachineType],
     /// What operators and plug-ins steer.
-    pub steering: &'a Steering,
+    pub policy: &'a CyclePolicy,
 }
 
-impl View<'_> {
+impl PlanningContext<'_> {
     /// Lease of a worker, ms.
     pub fn lease_ms(&self) -> f64 {
         self.settings.settings.workers.lease_s * MS_PER_S
@@ -32,11 +32,11 @@
 
 /// One step of a plan. The node checks each against the rules when it applies it.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Step {
+pub enum PlanStep {
     /// Bind a job's next waiting task.
     Bind(JobId, MachineId),
     /// Bind all that a gang lacks, under one launch number.
-    Gang(JobId, Vec<MachineId>),
+    BindGang(JobId, Vec<MachineId>),
     /// Stop tasks of lower priority so that a service may start there.
     Preempt {
         /// The service.
@@ -47,11 +47,11 @@
         victims: Vec<(JobId, u32)>,
     },
     /// Keep room on such machines for a gang that has waited long, as it comes free.
-    Gather(JobId, Vec<MachineId>),
+    ReserveForGang(JobId, Vec<MachineId>),
     /// Keep what such machines have free from work of the lowest priority for a while: others wait for it.
-    Hold(Vec<MachineId>),
+    HoldFromLowPriority(Vec<MachineId>),
     /// Stop tasks of lower priority of the same team, whose limit leaves a service nothing.
-    Release {
+    PreemptForQuota {
         /// The service.
         by: JobId,
         /// What is stopped.
@@ -61,19 +61,19 @@
 
 /// What a pass wants done, in order.
 #[derive(Debug, Default)]
-pub struct Plan {
+pub struct CyclePlan {
     /// Bindings and stops.
-    pub steps: Vec<Step>,
+    pub steps: Vec<PlanStep>,
     /// The lines as they are afterwards.
-    pub lines: Lines,
+    pub run_queues: RunQueues,
     /// Machines to rent. Only a full pass that came to its end says.
-    pub wishes: Option<Vec<Wish>>,
+    pub provisioning_requests: Option<Vec<ProvisioningRequest>>,
     /// Who found no place for what its team's limit leaves it. Only a full pass that came to its end says.
-    pub idle: Option<Vec<JobId>>,
+    pub unplaced_jobs: Option<Vec<JobId>>,
     /// The pass has bound its share: the next goes on.
     pub cut_short: bool,
     /// Scores computed: what the pass cost, whatever the processor's speed.
-    pub scored: u64,
+    pub scores_computed: u64,
     /// Places looked at by choosers, and slots whose end was worked out: the rest of its cost.
-    pub looked: u64,
+    pub targets_examined: u64,
 }
--- a/crates/controller/src/placement/round.rs
+++ b/crates/controller/src/placement/round.rs
@@ -1,87 +1,102 @@
 //! One mapping event: prune lines, let tasks choose, fill machines.
 
-use super::chooser::Chooser;
-use super::field::{Round, open};
-use super::place::{Place, What};
-use super::plan::{Plan, View};
+use super::chooser::PlacementCandidate;
+use super::field::{MappingRound, is_placeable};
+use super::place::{PlacementTarget, TargetKind};
+use super::plan::{CyclePlan, PlanningContext};
 use crate::Time;
 use crate::constants::*;
 use crate::job::*;
-use crate::tables::{Tables, Wish};
+use crate::tables::{ClusterState, ProvisioningRequest};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
-use swiftsail_tiers::Tiers;
+use swiftsail_tiers::TierAssignment;
 
 /// Whether a pass is due: on a change (false), or when a round's time has come (true).
-pub fn want_pass(tables: &Tables, pass_ms: u64, round_ms: u64, now: Time) -> Option<bool> {
-    if now < tables.passed_at + pass_ms {
+pub fn due_cycle(tables: &ClusterState, pass_ms: u64, round_ms: u64, now: Time) -> Option<bool> {
+    if now < tables.last_cycle_at + pass_ms {
         return None;
     }
-    if now >= tables.round_at + round_ms {
+    if now >= tables.last_round_at + round_ms {
         return Some(true);
     }
-    tables.stir.then_some(false)
+    tables.needs_scheduling.then_some(false)
 }
 
 /// Plays a mapping event. A full one is the design's round; the other starts, between rounds, what
 /// finds free room. A pass that has bound its share goes on in the next. Rooms must be counted.
-pub fn plan(tables: &Tables, view: View, full: bool) -> Plan {
-    let mut round = Round::new(tables, view, full);
+pub fn plan_cycle(tables: &ClusterState, view: PlanningContext, full: bool) -> CyclePlan {
+    let mut round = MappingRound::new(tables, view, full);
     if full {
-        round.prune();
+        round.prune_queues();
     }
-    round.number_images();
-    round.open_places();
-    round.keep_for_services();
-    round.release_lined();
-    round.choose();
-    let Round { mut out, wishes, types, zones, binds, idle, .. } = round;
-    out.cut_short = binds >= view.steering.bounds.binds;
+    round.index_images();
+    round.collect_targets();
+    round.reserve_service_room();
+    round.requeue_for_free_room();
+    round.map_jobs();
+    let MappingRound {
+        plan: mut out,
+        planned_machines: wishes,
+        types,
+        zones,
+        bound_tasks: binds,
+        unplaced_jobs: idle,
+        ..
+    } = round;
+    out.cut_short = binds >= view.policy.bounds.max_bindings;
     if full && !out.cut_short {
-        let wish = |((kind, zone, spot), number): ((usize, usize, bool), u32)| Wish {
-            kind: types[kind].name.clone(),
-            zone: zones[zone].clone(),
-            spot,
-            number,
-        };
-        out.idle = Some(idle);
-        out.wishes = Some(wishes.into_iter().map(wish).collect());
+        let wish =
+            |((kind, zone, spot), number): ((usize, usize, bool), u32)| ProvisioningRequest {
+                kind: types[kind].name.clone(),
+                zone: zones[zone].clone(),
+                spot,
+                number,
+            };
+        out.unplaced_jobs = Some(idle);
+        out.provisioning_requests = Some(wishes.into_iter().map(wish).collect());
     }
     out
 }
 
 /// Priorities come first, then tiers, then work within its team's guarantee, then what has waited so long that it
 /// is to begin; only then what plug-ins prefer.
-type Level = (Reverse<Priority>, Tiers, bool, bool, i64, Reverse<i64>);
+type PlacementLevel = (Reverse<Priority>, TierAssignment, bool, bool, i64, Reverse<i64>);
 
-impl Round<'_> {
+impl MappingRound<'_> {
     /// If misses reach the toggle while passing tasks wait, tasks in lines at or below the
     /// threshold leave them.
-    fn prune(&mut self) {
-        if self.tables.misses < self.view.steering.toggle {
+    fn prune_queues(&mut self) {
+        if self.cluster_state.misses < self.view.policy.dropping_toggle {
             return;
         }
-        let waits = self.tables.jobs.values().any(|j| open(j) && self.free_tasks(j) > 0);
+        let waits =
+            self.cluster_state.jobs.values().any(|j| is_placeable(j) && self.unqueued_tasks(j) > 0);
         if !waits {
             return;
         }
-        for slot in self.out.lines.slots() {
-            let Some((kind, mut end)) = self.head_end(&slot) else { continue };
-            let line: Vec<JobId> = self.out.lines.behind(&slot).cloned().collect();
+        for slot in self.plan.run_queues.slots() {
+            let Some((kind, mut end)) = self.executing_completion(&slot) else { continue };
+            let line: Vec<JobId> = self.plan.run_queues.behind(&slot).cloned().collect();
             let mut keep = Vec::with_capacity(line.len());
             for id in &line {
-                let Some(job) = self.tables.jobs.get(id) else { continue };
-                let due = job.due;
-                let threshold = self.view.steering.of(id).threshold;
-                let run = self.tables.history.run_time(id, &job.spec, &self.types[kind].name);
-                let before = self.ends.get(end);
-                let stays = due.is_none_or(|d| before.convolve(&run).chance(d as f64) > threshold);
+                let Some(job) = self.cluster_state.jobs.get(id) else { continue };
+                let due = job.deadline;
+                let threshold = self.view.policy.for_job(id).pruning_threshold;
+                let run = self.cluster_state.run_time_history.run_time(
+                    id,
+                    &job.spec,
+                    &self.types[kind].name,
+                );
+                let before = self.completion_times.get(end);
+                let stays = due
+                    .is_none_or(|d| before.convolve(&run).probability_before(d as f64) > threshold);
                 if stays {
-                    end = self.end_after(end, id, kind);
+                    end = self.completion_after(end, id, kind);
                 }
                 keep.push(stays);
             }
-            let dropped = self.out.lines.keep(&slot, &keep);
+            let dropped = self.plan.run_queues.retain(&slot, &keep);
             if dropped > 0 {
                 tracing::debug!(machine = %slot.0, dropped, "tasks pruned from a line");
             }
@@ -90,153 +105,166 @@
 
     /// Room that has become free beats standing in a line: whoever stands in one and fits chooses
     /// again.
-    fn release_lined(&mut self) {
-        let now = |p: &Place| p.what == What::Now && p.room.cpus > SLACK;
-        let free: Vec<usize> = (0..self.places.len()).filter(|n| now(&self.places[*n])).collect();
-        for id in self.out.lines.jobs() {
-            let Some(c) = self.chooser(&id) else { continue };
-            if free.iter().any(|n| self.suits(&c, &self.places[*n])) {
-                self.out.lines.drop_job(&id);
+    fn requeue_for_free_room(&mut self) {
+        let now =
+            |p: &PlacementTarget| p.target_kind == TargetKind::ReadyMachine && p.free.cpus > SLACK;
+        let free: Vec<usize> = (0..self.targets.len()).filter(|n| now(&self.targets[*n])).collect();
+        for id in self.plan.run_queues.jobs() {
+            let Some(c) = self.placement_candidate(&id) else { continue };
+            if free.iter().any(|n| self.is_suitable(&c, &self.targets[*n])) {
+                self.plan.run_queues.remove_job(&id);
             }
         }
     }
 
     /// Lets every job with waiting tasks choose, by priority, guarantee and chance.
-    fn choose(&mut self) {
+    fn map_jobs(&mut self) {
         let ids: Vec<JobId> = self
-            .tables
+            .cluster_state
             .jobs
             .values()
-            .filter(|j| open(j) && self.free_tasks(j) > 0)
+            .filter(|j| is_placeable(j) && self.unqueued_tasks(j) > 0)
             .map(|j| j.id.clone())
             .collect();
-        let mut levels: BTreeMap<Level, Vec<Chooser>> = BTreeMap::new();
+        let mut levels: BTreeMap<PlacementLevel, Vec<PlacementCandidate>> = BTreeMap::new();
         let mut overdue = Vec::new();
-        let mut choosers: Vec<Chooser> = ids.iter().filter_map(|id| self.chooser(id)).collect();
-        self.keep_to_limits(&mut choosers);
-        self.bound_promises(&mut choosers);
-        for c in choosers.into_iter().filter(|c| c.left > 0) {
-            *self.demand.entry(c.spec.class.clone()).or_default() += c.left;
+        let mut choosers: Vec<PlacementCandidate> =
+            ids.iter().filter_map(|id| self.placement_candidate(id)).collect();
+        self.apply_team_limits(&mut choosers);
+        self.limit_aged_gangs(&mut choosers);
+        for c in choosers.into_iter().filter(|c| c.remaining_tasks > 0) {
+            *self.waiting_by_class.entry(c.spec.class.clone()).or_default() += c.remaining_tasks;
             if c.tier.ordered {
                 // The line alone says who is next: no clock, no guess and no plug-in moves it.
                 let level = (Reverse(c.spec.priority), c.tier, false, false, 0, Reverse(0));
                 levels.entry(level).or_default().push(c);
-            } else if c.overdue && !c.promised {
+            } else if c.is_overdue && !c.is_aged {
                 overdue.push(c);
             } else {
-                let within = self.guaranteed(&c);
-                let steered = self.view.steering.of(&c.id);
+                let within = self.is_within_guarantee(&c);
+                let steered = self.view.policy.for_job(&c.id);
                 let score = (steered.score * SCORE_STEPS) as i64;
                 let beyond = !within;
-                let (rank, later) = (Reverse(c.spec.priority), !c.promised);
-                let level = (rank, c.tier, beyond, later, steered.order, Reverse(score));
+                let (rank, later) = (Reverse(c.spec.priority), !c.is_aged);
+                let level = (rank, c.tier, beyond, later, steered.class_order, Reverse(score));
                 levels.entry(level).or_default().push(c);
             }
         }
         let mut rest = Vec::new();
         for ((_, tier, beyond, later, ..), mut level) in levels {
             if tier.ordered {
-                rest.extend(self.serve_in_line(level));
+                rest.extend(self.serve_in_order(level));
                 continue;
             }
-            self.take_turns(&mut level);
-            let (gangs, mut others): (Vec<Chooser>, Vec<Chooser>) =
-                level.into_iter().partition(|c| c.spec.kind == Kind::Gang && c.spec.tasks > 1);
+            self.rotate_jobs(&mut level);
+            let (gangs, mut others): (Vec<PlacementCandidate>, Vec<PlacementCandidate>) =
+                level.into_iter().partition(|c| c.spec.kind == JobKind::Gang && c.spec.tasks > 1);
             for mut gang in gangs {
                 self.place_gang(&mut gang);
-                if gang.left > 0 {
-                    self.reclaim_gang(&mut gang, !beyond);
+                if gang.remaining_tasks > 0 {
+                    self.preempt_for_gang(&mut gang, !beyond);
                 }
             }
-            self.preempt(&mut others);
-            self.reclaim(&mut others, !beyond);
-            self.map(&mut others, true);
+            self.preempt_for_services(&mut others);
+            self.preempt_for_waiting_work(&mut others, !beyond);
+            self.map_candidates(&mut others, true);
             if !later {
                 // Chance or no chance, it begins on what is free now; the rest of it is mapped as ever.
-                self.map(&mut others, false);
-                let waits = others.iter().filter(|c| self.full && c.left > 0);
+                self.map_candidates(&mut others, false);
+                let waits = others.iter().filter(|c| self.is_full && c.remaining_tasks > 0);
                 for c in waits.collect::<Vec<_>>() {
-                    let tasks = if c.spec.kind == Kind::Array { 1 } else { c.left };
-                    self.gather_room(c, tasks, &[None]);
+                    let tasks = if c.spec.kind == JobKind::Array { 1 } else { c.remaining_tasks };
+                    self.reserve_room(c, tasks, &[None]);
                 }
             }
-            others.iter_mut().for_each(Chooser::rest);
-            rest.extend(others.into_iter().filter(|c| c.left > 0 && !c.set_aside));
+            others.iter_mut().for_each(PlacementCandidate::release_search_memory);
+            rest.extend(others.into_iter().filter(|c| c.remaining_tasks > 0 && !c.is_deferred));
         }
-        self.take_turns(&mut rest);
-        self.map(&mut rest, false);
-        self.note_idle(&rest);
-        self.take_turns(&mut overdue);
-        let (gangs, mut overdue): (Vec<Chooser>, Vec<Chooser>) =
-            overdue.into_iter().partition(|c| c.spec.kind == Kind::Gang && c.spec.tasks > 1);
+        self.rotate_jobs(&mut rest);
+        self.map_candidates(&mut rest, false);
+        self.record_unplaced(&rest);
+        self.rotate_jobs(&mut overdue);
+        let (gangs, mut overdue): (Vec<PlacementCandidate>, Vec<PlacementCandidate>) =
+            overdue.into_iter().partition(|c| c.spec.kind == JobKind::Gang && c.spec.tasks > 1);
         for mut gang in gangs {
             self.place_gang(&mut gang);
         }
-        self.map(&mut overdue, false);
-        self.note_idle(&overdue);
-        self.foresee();
+        self.map_candidates(&mut overdue, false);
+        self.record_unplaced(&overdue);
+        self.plan_upcoming_jobs();
     }
 
     /// What is about to begin, once those that it awaits are done, finds what it needs booted by then: what is free when
     /// everybody else has chosen, or boots already, is counted on, and the rest is rented.
-    fn foresee(&mut self) {
-        if !self.full || self.binds >= self.view.steering.bounds.binds {
+    fn plan_upcoming_jobs(&mut self) {
+        if !self.is_full || self.bound_tasks >= self.view.policy.bounds.max_bindings {
             return;
         }
-        self.foresees = true;
-        let coming: Vec<JobId> =
-            self.tables.coming(self.view.now).into_iter().map(|j| j.id.clone()).collect();
-        for id in coming.into_iter().take(self.view.steering.bounds.jobs) {
-            let Some(c) = self.chooser(&id) else { continue };
-            *self.demand.entry(c.spec.class.clone()).or_default() += c.left;
+        self.planning_ahead = true;
+        let coming: Vec<JobId> = self
+            .cluster_state
+            .upcoming_tasks(self.view.now)
+            .into_iter()
+            .map(|j| j.id.clone())
+            .collect();
+        for id in coming.into_iter().take(self.view.policy.bounds.max_jobs_per_level) {
+            let Some(c) = self.placement_candidate(&id) else { continue };
+            *self.waiting_by_class.entry(c.spec.class.clone()).or_default() += c.remaining_tasks;
             let mut one = [c];
-            self.map(&mut one, true);
-            self.map(&mut one, false);
+            self.map_candidates(&mut one, true);
+            self.map_candidates(&mut one, false);
         }
     }
 
     /// Of those that place what their team's limit leaves, who found no place and nothing to rent.
-    fn note_idle(&mut self, choosers: &[Chooser]) {
-        let found_none = |c: &&Chooser| c.capped && c.left > 0 && !c.set_aside && !c.is_service();
-        self.idle.extend(choosers.iter().filter(found_none).map(|c| c.id.clone()));
+    fn record_unplaced(&mut self, choosers: &[PlacementCandidate]) {
+        let found_none = |c: &&PlacementCandidate| {
+            c.is_limited_by_quota && c.remaining_tasks > 0 && !c.is_deferred && !c.is_service()
+        };
+        self.unplaced_jobs.extend(choosers.iter().filter(found_none).map(|c| c.id.clone()));
     }
 
     /// Of gangs that have waited long only the oldest few come first at once: where more is wanted than there is, all
     /// would else wait for as long as the longest.
-    fn bound_promises(&self, choosers: &mut [Chooser]) {
-        let accepted =
-            |c: &Chooser| self.tables.jobs.get(&c.id).map_or(u64::MAX, |j| j.accepted_wall);
-        let mut old: Vec<&mut Chooser> =
-            choosers.iter_mut().filter(|c| c.promised && c.spec.kind == Kind::Gang).collect();
+    fn limit_aged_gangs(&self, choosers: &mut [PlacementCandidate]) {
+        let accepted = |c: &PlacementCandidate| {
+            self.cluster_state.jobs.get(&c.id).map_or(u64::MAX, |j| j.accepted_wall)
+        };
+        let mut old: Vec<&mut PlacementCandidate> =
+            choosers.iter_mut().filter(|c| c.is_aged && c.spec.kind == JobKind::Gang).collect();
         old.sort_by_cached_key(|c| (accepted(c), c.id.clone()));
-        old.into_iter().skip(PROMISED_GANGS).for_each(|c| c.promised = false);
+        old.into_iter().skip(PROMISED_GANGS).for_each(|c| c.is_aged = false);
     }
 
     /// Serves a tier in the order of its line, one job after the other: whoever is ahead has its room, and has
     /// others stopped for it, before the next is looked at. Gives back those that still lack something.
-    fn serve_in_line(&mut self, mut level: Vec<Chooser>) -> Vec<Chooser> {
-        let places = self.tables.line(&self.view.settings.settings.teams);
-        let number: HashMap<&str, (usize, bool)> =
-            places.iter().enumerate().map(|(n, p)| (p.id(), (n, p.beyond()))).collect();
-        let place = |c: &Chooser| number.get(&*c.id).copied().unwrap_or((usize::MAX, true));
+    fn serve_in_order(&mut self, mut level: Vec<PlacementCandidate>) -> Vec<PlacementCandidate> {
+        let places = self.cluster_state.queue_order(&self.view.settings.settings.teams);
+        let number: HashMap<&str, (usize, bool)> = places
+            .iter()
+            .enumerate()
+            .map(|(n, p)| (p.job_id(), (n, p.is_beyond_guarantee())))
+            .collect();
+        let place =
+            |c: &PlacementCandidate| number.get(&*c.id).copied().unwrap_or((usize::MAX, true));
         level.sort_by_cached_key(|c| place(c).0);
-        level.truncate(self.view.steering.bounds.jobs);
+        level.truncate(self.view.policy.bounds.max_jobs_per_level);
         let mut left = Vec::new();
         for mut c in level {
             let beyond = place(&c).1;
-            if c.spec.kind == Kind::Gang && c.spec.tasks > 1 {
+            if c.spec.kind == JobKind::Gang && c.spec.tasks > 1 {
                 self.place_gang(&mut c);
-                if c.left > 0 {
-                    self.reclaim_gang(&mut c, !beyond);
+                if c.remaining_tasks > 0 {
+                    self.preempt_for_gang(&mut c, !beyond);
                 }
                 continue;
             }
             let one = std::slice::from_mut(&mut c);
-            self.preempt(one);
-            self.reclaim(one, !beyond);
-            self.map(one, true);
-            c.rest();
-            if c.left > 0 && !c.set_aside {
+            self.preempt_for_services(one);
+            self.preempt_for_waiting_work(one, !beyond);
+            self.map_candidates(one, true);
+            c.release_search_memory();
+            if c.remaining_tasks > 0 && !c.is_deferred {
                 left.push(c);
             }
         }
@@ -244,10 +272,10 @@
     }
 
     /// Of more jobs than a pass may place, others have their turn with each pass.
-    fn take_turns(&self, jobs: &mut Vec<Chooser>) {
-        let most = self.view.steering.bounds.jobs;
+    fn rotate_jobs(&self, jobs: &mut Vec<PlacementCandidate>) {
+        let most = self.view.policy.bounds.max_jobs_per_level;
         if jobs.len() > most {
-            let first = self.tables.passes as usize * most % jobs.len();
+            let first = self.cluster_state.cycles as usize * most % jobs.len();
             jobs.rotate_left(first);
             jobs.truncate(most);
         }
--- a/crates/controller/src/placement/victims.rs
+++ b/crates/controller/src/placement/victims.rs
@@ -1,39 +1,39 @@
 //! What could be stopped for others.
 
 use crate::job::*;
-use crate::machine::Room;
-use swiftsail_quota::Amounts;
+use crate::machine::Resources;
+use swiftsail_quota::ResourceQuantities;
 
 /// A machine with tasks that could be stopped: what runs in idle hours first, then arrays, then whole gangs; of
 /// each the least work lost first.
-pub(super) struct Candidate {
+pub(super) struct PreemptionCandidate {
     pub machine: MachineId,
-    pub kind: usize,
-    pub zone: usize,
+    pub type_index: usize,
+    pub zone_index: usize,
     pub spot: bool,
-    pub room: Room,
-    pub tasks: Vec<Victim>,
+    pub free: Resources,
+    pub tasks: Vec<PreemptionVictim>,
 }
 
 /// A task that could be stopped.
-pub(super) struct Victim {
+pub(super) struct PreemptionVictim {
     /// Work that would be lost, ms.
-    pub lost: u64,
+    pub lost_work_ms: u64,
     pub job: JobId,
     pub task: u32,
-    pub size: Room,
+    pub resources: Resources,
     pub priority: Priority,
-    pub team: Option<usize>,
+    pub team_index: Option<usize>,
     /// It ends soon by itself, as far as can be told.
-    pub ends: bool,
+    pub ends_soon: bool,
     /// It is a gang's: all of that leaves with it, and takes so much.
-    pub gang: Option<Amounts>,
+    pub gang_amounts: Option<ResourceQuantities>,
 }
 
-impl Victim {
+impl PreemptionVictim {
     /// The order in which victims are taken.
-    pub fn grade(&self) -> u8 {
-        match (self.priority, self.gang.is_some()) {
+    pub fn preemption_rank(&self) -> u8 {
+        match (self.priority, self.gang_amounts.is_some()) {
             (Priority::Low, false) => 0,
             (_, false) => 1,
             (_, true) => 2,
@@ -41,7 +41,9 @@
     }
 
     /// What its team uses less without it.
-    pub fn less(&self) -> Amounts {
-        self.gang.unwrap_or_else(|| Amounts::need(self.size.cpus, self.size.gpus))
+    pub fn freed_quota(&self) -> ResourceQuantities {
+        self.gang_amounts.unwrap_or_else(|| {
+            ResourceQuantities::from_request(self.resources.cpus, self.resources.gpus)
+        })
     }
 }
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -39,7 +39,7 @@
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Other {
+pub struct PeerSettings {
     /// Its name.
     pub host_name: String,
     /// Its zone.
@@ -60,7 +60,7 @@
 
 /// A team's guarantee and limit.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Team {
+pub struct TeamSettings {
     /// Its name.
     pub name: String,
     /// Guaranteed CPUs; 0 means none.
@@ -95,7 +95,7 @@
 
 /// How workers behave.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Workers {
+pub struct WorkerSettings {
     /// Time between reports, s.
     pub report_s: f64,
     /// Lease of a worker, s.
@@ -110,7 +110,7 @@
 
 /// Limits of the state service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct State {
+pub struct StoreSettings {
     /// Requests a second.
     pub rps: f64,
     /// Puts and deletes a second.
@@ -121,12 +121,12 @@
     pub txn_ops: usize,
     /// Limits that will hold from some moment on, without notice.
     #[serde(default)]
-    pub next: Option<NextState>,
+    pub next: Option<UpcomingStoreSettings>,
 }
 
 /// Limits that the state service will have; what is not named stays.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub struct NextState {
+pub struct UpcomingStoreSettings {
     /// Requests a second.
     #[serde(default)]
     pub rps: Option<f64>,
@@ -141,10 +141,10 @@
     pub txn_ops: Option<usize>,
 }
 
-impl State {
+impl StoreSettings {
     /// Keeps to the lower of the limits that hold now and those to come: when they change is not told, and what is
     /// written now has to be written again then. A limit to come of nothing at all is not believed.
-    fn keep_to_lower(&mut self) {
+    fn apply_upcoming_limits(&mut self) {
         let Some(next) = self.next else { return };
         let lower = |now: &mut f64, next: Option<f64>| {
             if let Some(next) = next.filter(|n| n.is_finite() && *n > 0.0) {
@@ -162,7 +162,7 @@
 
 /// Limits of the cloud.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Cloud {
+pub struct CloudSettings {
     /// Requests a second.
     pub rps: f64,
     /// Age of its machine list, s.
@@ -182,7 +182,7 @@
 
 /// The `[settings]` table.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Platform {
+pub struct PlatformSettings {
     /// All zones.
     #[serde(default)]
     pub zones: Vec<String>,
@@ -191,16 +191,16 @@
     pub clock_off_ms: f64,
     /// The teams.
     #[serde(default)]
-    pub teams: Vec<Team>,
+    pub teams: Vec<TeamSettings>,
     /// The aims.
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Workers.
-    pub workers: Workers,
+    pub workers: WorkerSettings,
     /// State service.
-    pub state: State,
+    pub state: StoreSettings,
     /// Cloud.
-    pub cloud: Cloud,
+    pub cloud: CloudSettings,
     /// This machine.
     pub machine_limits: MachineLimits,
 }
@@ -219,11 +219,11 @@
     pub cluster_listen: SocketAddr,
     /// The other controllers.
     #[serde(default)]
-    pub others: Vec<Other>,
+    pub others: Vec<PeerSettings>,
     /// Services outside.
     pub endpoints: Endpoints,
     /// Everything else.
-    pub settings: Platform,
+    pub settings: PlatformSettings,
 }
 
 impl Settings {
@@ -239,12 +239,12 @@
     pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
         let mut found: Settings = toml::from_str(text)
             .map_err(|cause| SettingsError::Form { file: file.into(), cause: Box::new(cause) })?;
-        found.settings.state.keep_to_lower();
-        found.check(file)?;
+        found.settings.state.apply_upcoming_limits();
+        found.validate(file)?;
         Ok(found)
     }
 
-    fn check(&self, file: &str) -> Result<(), SettingsError> {
+    fn validate(&self, file: &str) -> Result<(), SettingsError> {
         let bad = |field: &str, cause: String, remedy: &str| {
             Err(SettingsError::Value {
                 file: file.into(),
@@ -310,7 +310,7 @@
     }
 
     /// The team of that name.
-    pub fn team(&self, name: &str) -> Option<&Team> {
+    pub fn team(&self, name: &str) -> Option<&TeamSettings> {
         self.settings.teams.iter().find(|t| t.name == name)
     }
 
--- a/crates/controller/src/steering.rs
+++ b/crates/controller/src/steering.rs
@@ -8,97 +8,97 @@
 
 /// How one job is steered.
 #[derive(Debug, Clone, PartialEq)]
-pub struct JobSteering {
+pub struct JobPolicy {
     /// Pruning threshold: a chance at or below it defers. From 0 to 1.
-    pub threshold: f64,
+    pub pruning_threshold: f64,
     /// Largest share of the CPUs that may be on spot machines when one more is rented. From 0 to 1.
     pub spot_share: f64,
     /// Order of its class within its level: the lower the sooner.
-    pub order: i64,
+    pub class_order: i64,
     /// Preference within its level and class: the higher the sooner.
     pub score: f64,
     /// Machine types to avoid, while others are allowed.
-    pub avoid: BTreeSet<String>,
+    pub avoided_types: BTreeSet<String>,
 }
 
-impl Default for JobSteering {
-    fn default() -> JobSteering {
-        JobSteering {
-            threshold: THRESHOLD,
+impl Default for JobPolicy {
+    fn default() -> JobPolicy {
+        JobPolicy {
+            pruning_threshold: PRUNING_THRESHOLD,
             spot_share: SPOT_SHARE,
-            order: 0,
+            class_order: 0,
             score: 0.0,
-            avoid: BTreeSet::new(),
+            avoided_types: BTreeSet::new(),
         }
     }
 }
 
 /// What a pass may do at most (processor): less of it while the controller falls behind.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Bounds {
+pub struct CycleBounds {
     /// Tasks bound.
-    pub binds: usize,
+    pub max_bindings: usize,
     /// Tasks that join lines.
-    pub joins: usize,
+    pub max_queue_joins: usize,
     /// Jobs of one level placed.
-    pub jobs: usize,
+    pub max_jobs_per_level: usize,
     /// Lines offered.
-    pub lines: usize,
+    pub max_queues: usize,
     /// Few machines more can be led: larger ones are then worth more than they cost.
-    pub scarce: bool,
+    pub is_fleet_near_limit: bool,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds {
-            binds: PASS_BINDS,
-            joins: PASS_JOINS,
-            jobs: PASS_JOBS,
-            lines: LINES_MOST,
-            scarce: false,
+impl Default for CycleBounds {
+    fn default() -> CycleBounds {
+        CycleBounds {
+            max_bindings: CYCLE_BINDINGS_MAX,
+            max_queue_joins: CYCLE_QUEUED_MAX,
+            max_jobs_per_level: CYCLE_JOBS,
+            max_queues: RUN_QUEUES_MAX,
+            is_fleet_near_limit: false,
         }
     }
 }
 
 /// How a pass is steered.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Steering {
+pub struct CyclePolicy {
     /// Misses since the last round that engage dropping.
-    pub toggle: u32,
+    pub dropping_toggle: u32,
     /// Longest line of a slot, the executing task included.
-    pub line_cap: usize,
+    pub queue_limit: usize,
     /// Time between rounds, ms.
-    pub round_ms: u64,
+    pub round_interval_ms: u64,
     /// Tasks of each service class for which room is kept.
-    pub reserve: u32,
+    pub headroom_tasks: u32,
     /// Time a machine without tasks is kept, ms.
-    pub idle_ms: u64,
+    pub idle_timeout_ms: u64,
     /// What a pass may do at most.
-    pub bounds: Bounds,
+    pub bounds: CycleBounds,
     /// What holds for a job that is not named.
-    pub usual: JobSteering,
+    pub default_job: JobPolicy,
     /// Jobs steered otherwise.
-    pub jobs: HashMap<JobId, JobSteering>,
+    pub job_overrides: HashMap<JobId, JobPolicy>,
 }
 
-impl Default for Steering {
-    fn default() -> Steering {
-        Steering {
-            toggle: TOGGLE,
-            line_cap: LINE_CAP,
-            round_ms: ROUND_MS,
-            reserve: RESERVE_TASKS,
-            idle_ms: IDLE_MS,
-            bounds: Bounds::default(),
-            usual: JobSteering::default(),
-            jobs: HashMap::new(),
+impl Default for CyclePolicy {
+    fn default() -> CyclePolicy {
+        CyclePolicy {
+            dropping_toggle: PRUNING_TOGGLE_MISSES,
+            queue_limit: RUN_QUEUE_MAX,
+            round_interval_ms: ROUND_MS,
+            headroom_tasks: RESERVE_TASKS,
+            idle_timeout_ms: IDLE_MACHINE_MS,
+            bounds: CycleBounds::default(),
+            default_job: JobPolicy::default(),
+            job_overrides: HashMap::new(),
         }
     }
 }
 
-impl Steering {
+impl CyclePolicy {
     /// How a job is steered.
-    pub fn of(&self, id: &JobId) -> &JobSteering {
-        self.jobs.get(id).unwrap_or(&self.usual)
+    pub fn for_job(&self, id: &JobId) -> &JobPolicy {
+        self.job_overrides.get(id).unwrap_or(&self.default_job)
     }
 }
--- a/crates/controller/src/store/mod.rs
+++ b/crates/controller/src/store/mod.rs
@@ -5,12 +5,12 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use std::collections::{HashMap, VecDeque};
-use swiftsail_overload_control::retry::{RetryBudget, pause_ms};
-use swiftsail_protocol::state::{Commit, News, Page, Pair};
+use swiftsail_overload_control::retry::{RetryBudget, backoff_ms};
+use swiftsail_protocol::state::{KeyPage, KeyValue, Transaction, WatchResponse};
 
 /// A call to the state service.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Call {
+pub enum StoreCall {
     /// Read one key.
     Get(String),
     /// Read a page of keys.
@@ -21,25 +21,25 @@
         from: Option<String>,
     },
     /// A transaction.
-    Commit(Commit),
+    Commit(Transaction),
     /// A new lease.
-    Grant {
+    GrantLease {
         /// Time to live, ms.
         ttl_ms: u64,
     },
     /// Extend a lease.
-    Extend(u64),
+    RenewLease(u64),
     /// End a lease at once.
-    Release(u64),
+    RevokeLease(u64),
     /// Read what has changed, without waiting.
-    News {
+    ReadChanges {
         /// Prefix.
         prefix: String,
         /// After this revision.
         from: u64,
     },
     /// Wait for changes.
-    Follow {
+    Watch {
         /// Prefix.
         prefix: String,
         /// After this revision.
@@ -47,10 +47,10 @@
     },
 }
 
-impl Call {
-    fn writes(&self) -> f64 {
+impl StoreCall {
+    fn write_count(&self) -> f64 {
         match self {
-            Call::Commit(c) => c.apply.len() as f64,
+            StoreCall::Commit(c) => c.mutations.len() as f64,
             _ => 0.0,
         }
     }
@@ -58,76 +58,79 @@
 
 /// What came of a call.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Outcome {
+pub enum StoreOutcome {
     /// The key.
-    Found(Pair),
+    Found(KeyValue),
     /// No such key.
     Missing {
         /// Revision of the store.
-        epoch: u64,
+        revision: u64,
     },
     /// A page.
-    Page(Page),
+    Page(KeyPage),
     /// Committed at this revision.
     Committed(u64),
     /// A condition failed.
     Conflict(Vec<String>),
     /// The lease named does not exist.
-    NoGrant,
+    NoSuchLease,
     /// A lease.
-    Granted(u64),
+    LeaseGranted(u64),
     /// Changes.
-    News(News),
+    Changes(WatchResponse),
     /// The watch asked for changes that are no longer kept.
-    TooOld,
+    Compacted,
     /// Not executed: over a limit.
-    Limited,
+    RateLimited,
     /// Not executed: the service is away, or refuses this node.
-    Refused,
+    Unavailable,
     /// The request is malformed: a defect.
     Malformed(String),
     /// May have been executed, or may yet be.
     Unknown,
 }
 
-impl Outcome {
+impl StoreOutcome {
     /// Whether the service did its work.
-    pub fn answered(&self) -> bool {
-        !matches!(self, Outcome::Refused | Outcome::Unknown | Outcome::Limited)
+    pub fn is_answered(&self) -> bool {
+        !matches!(
+            self,
+            StoreOutcome::Unavailable | StoreOutcome::Unknown | StoreOutcome::RateLimited
+        )
     }
 }
 
 /// Order in which calls leave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Urgency {
+pub enum CallPriority {
     /// The term.
-    Term,
+    Leadership,
     /// Submissions and cancellations, bindings of tasks that are to start (those leave half of the changes), and the
     /// reads that serve all polls.
-    Bind,
+    High,
     /// Polls, ends, and what else somebody waits for.
-    Work,
+    Normal,
     /// What nothing waits for.
-    Tidy,
+    Low,
     /// What may wait until the service has nothing else to do for this node.
-    Idle,
+    Background,
 }
 
 /// How long a call is tried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Patience {
+pub enum RetryPolicy {
     /// Once, and only if it leaves before this time.
-    Once(Time),
+    OnceBefore(Time),
     /// Until it has a definite outcome.
-    Always,
+    UntilDefinite,
 }
 
 #[derive(Debug)]
-struct Pending<P> {
-    call: Call,
-    purpose: P,
-    urgency: Urgency,
-    patience: Patience,
+struct PendingCall<P> {
+    call: StoreCall,
+    context: P,
+    priority: CallPriority,
+    retry_policy: RetryPolicy,
     not_before: Time,
     tries: u32,
     uncertain: bool,
@@ -140,33 +143,33 @@
 
 /// A call's end, for the one that asked.
 #[derive(Debug)]
-pub struct Finished<P> {
+pub struct FinishedCall<P> {
     /// What it was for.
-    pub purpose: P,
+    pub context: P,
     /// What came of it.
-    pub outcome: Outcome,
+    pub outcome: StoreOutcome,
     /// An earlier try had no answer: a conflict may be with that try itself.
     pub uncertain: bool,
 }
 
 /// Tokens that fill at a rate, up to a burst.
 #[derive(Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     most: f64,
     held: f64,
     at: Time,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket that holds one second's worth.
-    pub fn new(rate: f64, now: Time) -> Bucket {
-        Bucket::lasting(rate, 1.0, now)
+    pub fn new(rate: f64, now: Time) -> TokenBucket {
+        TokenBucket::lasting(rate, 1.0, now)
     }
     /// A full bucket that holds so many seconds' worth.
-    pub fn lasting(rate: f64, seconds: f64, now: Time) -> Bucket {
+    pub fn lasting(rate: f64, seconds: f64, now: Time) -> TokenBucket {
         let most = (rate * seconds).max(1.0);
-        Bucket { rate, most, held: most, at: now }
+        TokenBucket { rate, most, held: most, at: now }
     }
     /// Changes the rate.
     pub fn set_rate(&mut self, rate: f64, now: Time) {
@@ -193,11 +196,11 @@
 
 /// The client.
 #[derive(Debug)]
-pub struct Store<P> {
-    requests: Bucket,
-    writes: Bucket,
-    queues: [VecDeque<Pending<P>>; 5],
-    flying: HashMap<u64, Pending<P>>,
+pub struct StoreClient<P> {
+    requests: TokenBucket,
+    writes: TokenBucket,
+    queues: [VecDeque<PendingCall<P>>; 5],
+    flying: HashMap<u64, PendingCall<P>>,
     follows: usize,
     next: u64,
     paused_until: Time,
@@ -207,19 +210,19 @@
     rps: f64,
     write_rps: f64,
     /// When the service last did its work for this node.
-    pub last_ok: Option<Time>,
+    pub last_success_at: Option<Time>,
     /// When it last did not.
     pub last_fail: Option<Time>,
     /// When the latest call left that has an answer.
     answered_left: Option<Time>,
 }
 
-impl<P> Store<P> {
+impl<P> StoreClient<P> {
     /// A client that keeps within these rates.
-    pub fn new(rps: f64, write_rps: f64, now: Time) -> Store<P> {
-        Store {
-            requests: Bucket::new(rps, now),
-            writes: Bucket::new(write_rps, now),
+    pub fn new(rps: f64, write_rps: f64, now: Time) -> StoreClient<P> {
+        StoreClient {
+            requests: TokenBucket::new(rps, now),
+            writes: TokenBucket::new(write_rps, now),
             queues: [const { VecDeque::new() }; 5],
             flying: HashMap::new(),
             follows: 0,
@@ -230,14 +233,14 @@
             rng: StdRng::seed_from_u64(0),
             rps,
             write_rps,
-            last_ok: None,
+            last_success_at: None,
             last_fail: None,
             answered_left: None,
         }
     }
 
     /// With its own seed, so that nodes that fail together do not come back together.
-    pub fn seeded(mut self, seed: u64) -> Store<P> {
+    pub fn seeded(mut self, seed: u64) -> StoreClient<P> {
         self.rng = StdRng::seed_from_u64(seed);
         self
     }
@@ -257,8 +260,8 @@
     }
 
     /// Whether the service is known to be away: its latest word was a refusal.
-    pub fn away(&self) -> bool {
-        self.last_fail.is_some() && self.last_fail > self.last_ok
+    pub fn is_unavailable(&self) -> bool {
+        self.last_fail.is_some() && self.last_fail > self.last_success_at
     }
 
     /// Whether the queues have room for another user's call, of so many.
@@ -267,8 +270,8 @@
     }
 
     /// Whether a user's change that is asked for now would have to wait for its turn.
-    pub fn changes_wait(&mut self, now: Time) -> bool {
-        let level = Urgency::Bind as usize;
+    pub fn has_waiting_writes(&mut self, now: Time) -> bool {
+        let level = CallPriority::High as usize;
         let spare = SPARE[level] * self.write_rps;
         !self.queues[level].is_empty() || !self.writes.can(1.0, spare, now)
     }
@@ -279,12 +282,18 @@
     }
 
     /// Asks for a call.
-    pub fn push(&mut self, call: Call, purpose: P, urgency: Urgency, patience: Patience) {
-        let pending = Pending {
+    pub fn push(
+        &mut self,
+        call: StoreCall,
+        purpose: P,
+        urgency: CallPriority,
+        patience: RetryPolicy,
+    ) {
+        let pending = PendingCall {
             call,
-            purpose,
-            urgency,
-            patience,
+            context: purpose,
+            priority: urgency,
+            retry_policy: patience,
             not_before: 0,
             tries: 0,
             uncertain: false,
@@ -296,12 +305,12 @@
     /// Drops what waits and no longer matters. Calls in flight still end with an outcome.
     pub fn forget(&mut self, matters: impl Fn(&P) -> bool) {
         for queue in &mut self.queues {
-            queue.retain(|p| matters(&p.purpose));
+            queue.retain(|p| matters(&p.context));
         }
     }
 
     /// Calls that may leave now, and those whose time has run out.
-    pub fn pump(&mut self, now: Time) -> (Vec<(u64, Call)>, Vec<Finished<P>>) {
+    pub fn take_due_calls(&mut self, now: Time) -> (Vec<(u64, StoreCall)>, Vec<FinishedCall<P>>) {
         let (mut out, mut late) = (Vec::new(), Vec::new());
         // A transaction of several changes that waits for its turn has it: else those of one change that
         // came later would take what it waits for, for as long as there are any.
@@ -309,23 +318,23 @@
         for level in 0..self.queues.len() {
             let mut kept = VecDeque::new();
             while let Some(mut pending) = self.queues[level].pop_front() {
-                if let Patience::Once(until) = pending.patience
+                if let RetryPolicy::OnceBefore(until) = pending.retry_policy
                     && now >= until
                 {
-                    late.push(finished(pending, Outcome::Refused));
+                    late.push(finished(pending, StoreOutcome::Unavailable));
                     continue;
                 }
-                let writes = pending.call.writes();
-                if writes > 0.0 && starved || !self.may_leave(&pending, now) {
+                let writes = pending.call.write_count();
+                if writes > 0.0 && starved || !self.may_send(&pending, now) {
                     let ready = now >= pending.not_before && now >= self.paused_until;
                     starved |= writes > 0.0 && ready;
                     kept.push_back(pending);
                     continue;
                 }
-                let follow = matches!(pending.call, Call::Follow { .. });
+                let follow = matches!(pending.call, StoreCall::Watch { .. });
                 self.follows += usize::from(follow);
                 self.requests.take(1.0);
-                self.writes.take(pending.call.writes());
+                self.writes.take(pending.call.write_count());
                 pending.tries += 1;
                 pending.left = now;
                 let id = self.next;
@@ -338,55 +347,55 @@
         (out, late)
     }
 
-    fn may_leave(&mut self, pending: &Pending<P>, now: Time) -> bool {
-        let spare = SPARE[pending.urgency as usize];
-        let term = pending.urgency == Urgency::Term;
+    fn may_send(&mut self, pending: &PendingCall<P>, now: Time) -> bool {
+        let spare = SPARE[pending.priority as usize];
+        let term = pending.priority == CallPriority::Leadership;
         now >= pending.not_before
             && (term || now >= self.paused_until)
-            && (term || self.flying.len() - self.follows < STORE_IN_FLIGHT_MOST)
+            && (term || self.flying.len() - self.follows < STORE_IN_FLIGHT_MAX)
             && self.requests.can(1.0, spare * self.rps, now)
-            && (pending.call.writes() == 0.0
-                || self.writes.can(pending.call.writes(), spare * self.write_rps, now))
+            && (pending.call.write_count() == 0.0
+                || self.writes.can(pending.call.write_count(), spare * self.write_rps, now))
     }
 
     /// Takes the outcome of a call that left. None if it will be tried again.
-    pub fn finish(&mut self, id: u64, outcome: Outcome, now: Time) -> Option<Finished<P>> {
+    pub fn finish(&mut self, id: u64, outcome: StoreOutcome, now: Time) -> Option<FinishedCall<P>> {
         let mut pending = self.flying.remove(&id)?;
-        let follow = matches!(pending.call, Call::Follow { .. });
+        let follow = matches!(pending.call, StoreCall::Watch { .. });
         self.follows -= usize::from(follow);
-        if outcome.answered() {
-            self.last_ok = Some(now);
+        if outcome.is_answered() {
+            self.last_success_at = Some(now);
             self.answered_left = self.answered_left.max(Some(pending.left));
             self.pause = STORE_BACKOFF_MS;
             self.paused_until = 0;
-            self.repeats.earn();
+            self.repeats.on_success();
             return Some(finished(pending, outcome));
         }
         // A follow that times out or ends says nothing of the service: it blocks by nature. Nor does silence if a
         // call that left later has its answer: one was lost, and who asks now is not to be sent away for it.
-        let lost = outcome == Outcome::Unknown && self.answered_left > Some(pending.left);
-        if outcome != Outcome::Limited && !follow && !lost {
+        let lost = outcome == StoreOutcome::Unknown && self.answered_left > Some(pending.left);
+        if outcome != StoreOutcome::RateLimited && !follow && !lost {
             self.last_fail = Some(now);
         }
         if !follow && !lost {
             self.paused_until = now + self.pause;
-            self.pause = (self.pause * 2).min(STORE_BACKOFF_MOST_MS);
+            self.pause = (self.pause * 2).min(STORE_BACKOFF_MAX_MS);
         }
-        pending.uncertain |= outcome == Outcome::Unknown;
-        match pending.patience {
-            Patience::Always => {
+        pending.uncertain |= outcome == StoreOutcome::Unknown;
+        match pending.retry_policy {
+            RetryPolicy::UntilDefinite => {
                 // Without a repeat left it waits longest: what fails is not asked ever more often.
-                let tries = if self.repeats.take(now) { pending.tries } else { u32::MAX };
-                let wait = pause_ms(STORE_BACKOFF_MS, tries, STORE_BACKOFF_MOST_MS, &mut self.rng);
+                let tries = if self.repeats.try_take(now) { pending.tries } else { u32::MAX };
+                let wait = backoff_ms(STORE_BACKOFF_MS, tries, STORE_BACKOFF_MAX_MS, &mut self.rng);
                 pending.not_before = now + wait;
-                self.queues[pending.urgency as usize].push_back(pending);
+                self.queues[pending.priority as usize].push_back(pending);
                 None
             }
-            Patience::Once(_) => Some(finished(pending, outcome)),
+            RetryPolicy::OnceBefore(_) => Some(finished(pending, outcome)),
         }
     }
 }
 
-fn finished<P>(pending: Pending<P>, outcome: Outcome) -> Finished<P> {
-    Finished { purpose: pending.purpose, outcome, uncertain: pending.uncertain }
+fn finished<P>(pending: PendingCall<P>, outcome: StoreOutcome) -> FinishedCall<P> {
+    FinishedCall { context: pending.context, outcome, uncertain: pending.uncertain }
 }
--- a/crates/controller/src/tables/happenings.rs
+++ b/crates/controller/src/tables/happenings.rs
@@ -1,10 +1,10 @@
 //! What has happened, for those who are told of it.
 
-use crate::constants::HAPPENINGS_MOST;
+use crate::constants::CLUSTER_EVENTS_MAX;
 
 /// Something that happened.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Happening {
+pub struct ClusterEvent {
     /// `task`, `job`, `machine`, `term` or `rental`.
     pub kind: &'static str,
     /// What.
@@ -17,12 +17,12 @@
 
 /// What has happened since it was last told. Empty, and free of cost, while nobody listens.
 #[derive(Debug, Default)]
-pub struct Happenings {
+pub struct ClusterEvents {
     listened: bool,
-    held: Vec<Happening>,
+    held: Vec<ClusterEvent>,
 }
 
-impl Happenings {
+impl ClusterEvents {
     /// Notes something. Between two tellings only so much is held.
     pub fn note(
         &mut self,
@@ -31,15 +31,15 @@
         of: impl std::fmt::Display,
         detail: Option<&str>,
     ) {
-        if self.listened && self.held.len() < HAPPENINGS_MOST {
+        if self.listened && self.held.len() < CLUSTER_EVENTS_MAX {
             let detail = detail.map(str::to_string);
             let (what, of) = (what.to_string(), of.to_string());
-            self.held.push(Happening { kind, what, of, detail });
+            self.held.push(ClusterEvent { kind, what, of, detail });
         }
     }
 
     /// What there is to tell; and whether anybody listens from now on.
-    pub fn take(&mut self, listened: bool) -> Vec<Happening> {
+    pub fn take(&mut self, listened: bool) -> Vec<ClusterEvent> {
         self.listened = listened;
         std::mem::take(&mut self.held)
     }
--- a/crates/controller/src/tables/mod.rs
+++ b/crates/controller/src/tables/mod.rs
@@ -11,213 +11,213 @@
 mod rooms;
 mod sheets;
 
-pub use happenings::{Happening, Happenings};
+pub use happenings::{ClusterEvent, ClusterEvents};
 pub use line::{facts_of, rank_of};
-pub use lines::{Line, Lines, Slot};
-pub use rentals::{Market, Rentals, Wish};
-pub use reports::Source;
-pub use rooms::{Guard, Refusal, amounts_of, usable};
-pub use sheets::{Ledger, Passage, Sheet, SheetRecord};
+pub use lines::{RunQueue, RunQueues, SlotId};
+pub use rentals::{Market, Provisioning, ProvisioningRequest};
+pub use reports::ReportSource;
+pub use rooms::{QuotaGuard, QuotaRefusal, team_amounts, usable};
+pub use sheets::{BindingLog, InFlightLogWrite, LogSegment, LogSegmentRecord};
 
 use crate::Time;
-use crate::chance::Histories;
+use crate::chance::RunTimeHistory;
 use crate::constants::*;
 use crate::job::*;
-use crate::machine::{Machine, Standing};
-use crate::settings::{Platform, Workers};
+use crate::machine::{Machine, MachineState};
+use crate::settings::{PlatformSettings, WorkerSettings};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
-use swiftsail_quota::Amounts;
-use swiftsail_gpu_lending::Loans;
-use swiftsail_failure_detector::{Detector, Seen, State};
-use swiftsail_dag::{Fate, Graph};
-use swiftsail_tiers::Table;
-use swiftsail_protocol::cloud::{ListedState, Listing};
-use swiftsail_protocol::state::{News, Page};
-use swiftsail_protocol::workers::Cause;
+use swiftsail_dag::{DependencyGraph, JobOutcome};
+use swiftsail_failure_detector::{FailureDetector, Liveness, MachineObservation};
+use swiftsail_gpu_lending::GpuLoans;
+use swiftsail_protocol::cloud::{ListedMachineStatus, MachinePage};
+use swiftsail_protocol::state::{KeyPage, WatchResponse};
+use swiftsail_protocol::workers::ExitCause;
+use swiftsail_quota::ResourceQuantities;
+use swiftsail_tiers::TierTable;
 
 /// Everything the leader holds under one term.
-pub struct Tables {
+pub struct ClusterState {
     /// Its token.
     pub token: u64,
     /// Era of the term, to know stale answers.
-    pub era: u64,
+    pub generation: u64,
     /// When it began to lead.
-    pub since: Time,
+    pub leading_since: Time,
     /// Jobs that are not over.
     pub jobs: BTreeMap<JobId, Job>,
     /// Machines known.
     pub machines: BTreeMap<MachineId, Machine>,
     /// Run times per job.
-    pub history: Histories,
+    pub run_time_history: RunTimeHistory,
     /// Lines of waiting work.
-    pub lines: Lines,
+    pub run_queues: RunQueues,
     /// Rentals and returns.
-    pub rentals: Rentals,
+    pub provisioning: Provisioning,
     /// Misses since the last round.
     pub misses: u32,
     /// Passes so far.
-    pub passes: u64,
+    pub cycles: u64,
     /// When the last pass was.
-    pub passed_at: Time,
+    pub last_cycle_at: Time,
     /// When the last round was.
-    pub round_at: Time,
+    pub last_round_at: Time,
     /// Services for which room is being made: since when, and the fetch they will need there, ms.
     pub preempting: HashMap<JobId, (Time, f64)>,
     /// Machines whose room is kept from work of the lowest priority, and until when.
-    pub yielding: HashMap<MachineId, Time>,
+    pub yielding_machines: HashMap<MachineId, Time>,
     /// Jobs that find no place for what their team's limit leaves them: since when, and when last.
-    pub idle: HashMap<JobId, (Time, Time)>,
+    pub starved_jobs: HashMap<JobId, (Time, Time)>,
     /// Something changed that a pass may use.
-    pub stir: bool,
+    pub needs_scheduling: bool,
     launches: u64,
     /// Number of the latest write of bindings.
-    pub nonce: u64,
+    pub write_number: u64,
     /// Where new bindings are committed.
-    pub ledger: Ledger,
+    pub binding_log: BindingLog,
     /// Keys of bindings whose job is over, to be removed.
-    pub left_over: Vec<String>,
+    pub stale_binding_keys: Vec<String>,
     /// Jobs that are over and whose records are still to move to their last place, with their stamps.
-    pub over: VecDeque<(JobId, u64, FinalRecord)>,
+    pub unarchived_jobs: VecDeque<(JobId, u64, FinalRecord)>,
     /// Some of them are being moved.
-    pub moving: bool,
+    pub is_archiving: bool,
     /// Jobs whose end is on its way, as counted with the last timer step and begun since.
-    pub ending: usize,
+    pub closing_jobs: usize,
     /// The store is being read by a new leader.
-    loading: bool,
+    is_loading: bool,
     /// What may be used of each team's limit, where limits are held in the state service; none: what the
     /// settings say.
-    pub caps: Option<Vec<Amounts>>,
+    pub quota_limits: Option<Vec<ResourceQuantities>>,
     /// When work was last stopped for a lowered limit.
-    pub shrunk_at: Time,
+    pub limit_preempted_at: Time,
     /// What happened, for report hooks.
-    pub happenings: Happenings,
+    pub events: ClusterEvents,
     /// Machines that other controllers may answer for, and to which there is something to say now.
-    look: BTreeSet<MachineId>,
+    machines_with_commands: BTreeSet<MachineId>,
     /// Jobs of which something has ended: they may be over.
-    ended: BTreeSet<JobId>,
+    maybe_finished: BTreeSet<JobId>,
     /// Revision up to which changes of jobs are known.
-    pub follow_from: u64,
+    pub watched_revision: u64,
     /// When the request was sent whose answer brought the tables there: a later success of another call proves
     /// nothing of the jobs.
     pub read_at: Time,
     /// When changes were last asked for beside the watch.
-    pub asked_at: Time,
+    pub changes_requested_at: Time,
     /// Which machines live, by evidence; begun with the first look.
-    pub members: Option<Detector<MachineId>>,
+    pub failure_detector: Option<FailureDetector<MachineId>>,
     /// When they were last looked at.
-    pub looked_at: Time,
+    pub machines_checked_at: Time,
     /// Zones in which a controller is heard, the leader's own among them.
-    pub reached: BTreeSet<String>,
+    pub reachable_zones: BTreeSet<String>,
     /// Jobs that await others.
-    pub pipelines: Graph,
+    pub dependencies: DependencyGraph,
     /// When their deadlines were last worked out.
-    pub needed_at: Time,
+    pub dependency_deadlines_at: Time,
     /// Jobs that others await and that are not in the tables, whose end is being read, and until when none asks again.
-    pub(crate) asked_after: BTreeMap<JobId, Time>,
+    pub(crate) awaited_reads: BTreeMap<JobId, Time>,
     /// Accelerators lent.
-    pub loans: Loans,
+    pub gpu_loans: GpuLoans,
     /// The table of tiers in force.
-    pub tiers: Rc<Table>,
+    pub tiers: Rc<TierTable>,
     /// A worker's lease, ms; 0: hearing is not judged by leases.
     pub lease_ms: f64,
 }
 
 /// The job and task in a wire name.
-pub fn split_task(name: &str) -> Option<(JobId, u32)> {
+pub fn parse_task_name(name: &str) -> Option<(JobId, u32)> {
     let (job, task) = name.rsplit_once('/')?;
     Some((JobId::from(job), task.parse().ok()?))
 }
 
-impl Tables {
+impl ClusterState {
     /// An empty table under a token.
-    pub fn new(token: u64, era: u64, now: Time) -> Tables {
-        Tables {
+    pub fn new(token: u64, generation: u64, now: Time) -> ClusterState {
+        ClusterState {
             token,
-            era,
-            since: now,
+            generation,
+            leading_since: now,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            history: Histories::default(),
-            lines: Lines::default(),
-            rentals: Rentals::default(),
+            run_time_history: RunTimeHistory::default(),
+            run_queues: RunQueues::default(),
+            provisioning: Provisioning::default(),
             misses: 0,
-            passes: 0,
-            passed_at: 0,
-            round_at: now,
+            cycles: 0,
+            last_cycle_at: 0,
+            last_round_at: now,
             preempting: HashMap::new(),
-            yielding: HashMap::new(),
-            idle: HashMap::new(),
-            stir: true,
+            yielding_machines: HashMap::new(),
+            starved_jobs: HashMap::new(),
+            needs_scheduling: true,
             launches: 0,
-            nonce: 0,
-            ledger: Ledger::default(),
-            left_over: Vec::new(),
-            over: VecDeque::new(),
-            moving: false,
-            ending: 0,
-            loading: true,
-            caps: None,
-            shrunk_at: 0,
-            happenings: Happenings::default(),
-            look: BTreeSet::new(),
-            ended: BTreeSet::new(),
-            follow_from: 0,
+            write_number: 0,
+            binding_log: BindingLog::default(),
+            stale_binding_keys: Vec::new(),
+            unarchived_jobs: VecDeque::new(),
+            is_archiving: false,
+            closing_jobs: 0,
+            is_loading: true,
+            quota_limits: None,
+            limit_preempted_at: 0,
+            events: ClusterEvents::default(),
+            machines_with_commands: BTreeSet::new(),
+            maybe_finished: BTreeSet::new(),
+            watched_revision: 0,
             read_at: 0,
-            asked_at: 0,
-            members: None,
-            looked_at: 0,
-            reached: BTreeSet::new(),
-            pipelines: Graph::default(),
-            needed_at: 0,
-            asked_after: BTreeMap::new(),
-            loans: Loans::default(),
+            changes_requested_at: 0,
+            failure_detector: None,
+            machines_checked_at: 0,
+            reachable_zones: BTreeSet::new(),
+            dependencies: DependencyGraph::default(),
+            dependency_deadlines_at: 0,
+            awaited_reads: BTreeMap::new(),
+            gpu_loans: GpuLoans::default(),
             tiers: Rc::default(),
             lease_ms: 0.0,
         }
     }
 
     /// A launch number that no term has used or will use.
-    pub fn next_launch(&mut self) -> u64 {
+    pub fn next_attempt_number(&mut self) -> u64 {
         self.launches += 1;
-        self.last_launch()
+        self.last_attempt_number()
     }
 
     /// The latest launch number given out, and the least that none of an earlier term reaches.
-    pub fn last_launch(&self) -> u64 {
-        (self.token << LAUNCH_BITS) + self.launches
+    pub fn last_attempt_number(&self) -> u64 {
+        (self.token << ATTEMPT_COUNTER_BITS) + self.launches
     }
 
     // ---- loading -------------------------------------------------------------------------------
 
     /// Takes over a page of jobs.
-    pub fn load_jobs(&mut self, page: &Page, now: Time, wall: u64) {
-        if self.follow_from == 0 {
-            self.follow_from = page.epoch;
+    pub fn load_jobs(&mut self, page: &KeyPage, now: Time, wall: u64) {
+        if self.watched_revision == 0 {
+            self.watched_revision = page.revision;
         }
-        for pair in &page.pairs {
-            self.upsert(&pair.key, &pair.value, pair.stamp, now, wall);
+        for pair in &page.entries {
+            self.apply_job_record(&pair.key, &pair.value, pair.mod_revision, now, wall);
         }
     }
 
     /// After loading: machines that bindings name are expected, and jobs that await others stand where those leave
     /// them, as far as the tables tell.
-    pub fn index(&mut self, now: Time, wall: u64) {
-        self.loading = false;
-        self.settle_pipelines(now, wall);
+    pub fn finish_loading(&mut self, now: Time, wall: u64) {
+        self.is_loading = false;
+        self.settle_dependencies(now, wall);
         for (id, job) in &self.jobs {
             for (task, attempt) in &job.attempts {
                 let machine = self
                     .machines
                     .entry(attempt.machine.clone())
                     .or_insert_with(|| Machine::new(attempt.machine.clone(), now));
-                machine.hold(id, *task, attempt.launch);
+                machine.add_task(id, *task, attempt.number);
             }
         }
     }
 
     /// Takes over a job's record.
-    pub fn upsert(
+    pub fn apply_job_record(
         &mut self,
         key: &str,
         value: &serde_json::Value,
@@ -231,15 +231,17 @@
             Some(StoredJob::Live(record)) => record,
             // Found by a new leader: its predecessor ended it. One's own is known already; if the watch, behind, has
             // brought it back with an earlier change, it goes again.
-            Some(StoredJob::Over(record)) => {
-                let back = |j: &Job| j.stamp < stamp && j.flight.is_none() && j.attempts.is_empty();
-                if self.loading {
-                    self.over.push_back((id, stamp, record));
+            Some(StoredJob::Finished(record)) => {
+                let back = |j: &Job| {
+                    j.mod_revision < stamp && j.in_flight.is_none() && j.attempts.is_empty()
+                };
+                if self.is_loading {
+                    self.unarchived_jobs.push_back((id, stamp, record));
                 } else if self.jobs.get(&id).is_some_and(back) {
                     self.jobs.remove(&id);
-                    self.lines.drop_job(&id);
-                    self.after_end(&id, record.fate(wall), now, wall);
-                    self.pipelines.forget(&id);
+                    self.run_queues.remove_job(&id);
+                    self.on_dependency_finished(&id, record.fate(wall), now, wall);
+                    self.dependencies.remove_job(&id);
                 }
                 return;
             }
@@ -248,84 +250,89 @@
                 return;
             }
         };
-        self.pipelines.add(&id, &record.awaits);
+        self.dependencies.add_job(&id, &record.depends_on);
         let job = self.jobs.entry(id.clone()).or_insert_with(|| {
             tracing::debug!(job = %id, tasks = record.spec.tasks, "job known");
-            self.happenings.note("job", "accepted", &id, Some(&record.spec.class));
+            self.events.note("job", "accepted", &id, Some(&record.spec.class));
             let mut job = Job::new(id.clone(), &record, stamp, now, wall);
-            job.tier = self.tiers.place(record.tier.as_deref(), &facts_of(&id, &record.spec));
+            job.tier = self.tiers.assign_tier(record.tier.as_deref(), &facts_of(&id, &record.spec));
             job
         });
-        if stamp >= job.stamp {
-            job.stamp = stamp;
-            if record.cancelled && !job.cancelled() {
+        if stamp >= job.mod_revision {
+            job.mod_revision = stamp;
+            if record.cancelled && !job.is_cancelled() {
                 let passed = wall.saturating_sub(record.cancelled_wall);
                 job.advance(JobState::Cancelling, now.saturating_sub(passed));
             }
-            self.stir = true;
+            self.needs_scheduling = true;
         }
-        if job.cancelled() {
-            self.after_end(&id, Fate::CalledOff, now, wall);
+        if job.is_cancelled() {
+            self.on_dependency_finished(&id, JobOutcome::Cancelled, now, wall);
         }
-        if !self.loading && !record.awaits.is_empty() {
-            self.call_off_after(&id, now, wall);
+        if !self.is_loading && !record.depends_on.is_empty() {
+            self.cancel_dependents(&id, now, wall);
         }
     }
 
     /// Changes of jobs, seen by the watch or read beside it: the one may tell what the other has told, of a job
     /// that is closed meanwhile.
-    pub fn on_jobs(&mut self, news: &News, now: Time, wall: u64) {
-        let known = self.follow_from;
-        for item in news.news.iter().filter(|i| i.stamp > known) {
-            if let Some(key) = &item.write {
-                self.upsert(key, &item.value, item.stamp, now, wall);
+    pub fn apply_job_changes(&mut self, news: &WatchResponse, now: Time, wall: u64) {
+        let known = self.watched_revision;
+        for item in news.events.iter().filter(|i| i.mod_revision > known) {
+            if let Some(key) = &item.put_key {
+                self.apply_job_record(key, &item.value, item.mod_revision, now, wall);
             }
         }
-        self.follow_from = self.follow_from.max(news.epoch);
+        self.watched_revision = self.watched_revision.max(news.revision);
     }
 
     /// Another controller says that a job is cancelled: it was committed, so its tasks are stopped at once.
     /// That the job is over is still for the state service to say.
-    pub fn cancelled_elsewhere(&mut self, id: &JobId, at_wall: u64, now: Time, wall: u64) {
-        let Some(job) = self.jobs.get_mut(id).filter(|j| !j.cancelled()) else { return };
+    pub fn on_remote_cancellation(&mut self, id: &JobId, at_wall: u64, now: Time, wall: u64) {
+        let Some(job) = self.jobs.get_mut(id).filter(|j| !j.is_cancelled()) else { return };
         let passed = wall.saturating_sub(at_wall);
         if job.advance(JobState::Cancelling, now.saturating_sub(passed)) {
             tracing::info!(job = %id, "cancelled, by a controller's word");
-            self.stir = true;
-            self.after_end(id, Fate::CalledOff, now, wall);
+            self.needs_scheduling = true;
+            self.on_dependency_finished(id, JobOutcome::Cancelled, now, wall);
         }
     }
 
     /// Rentals were refused: others are planned at once, not with the next round.
-    pub fn plan_again(&mut self) {
-        self.round_at = 0;
+    pub fn force_mapping_round(&mut self) {
+        self.last_round_at = 0;
     }
 
     /// Looks at every machine that should be up: which to ask directly now.
-    pub fn look_at_members(&mut self, platform: &Platform, now: Time) -> Vec<MachineId> {
-        self.looked_at = now;
-        let Workers { report_s, lease_s, .. } = platform.workers;
+    pub fn check_machine_liveness(
+        &mut self,
+        platform: &PlatformSettings,
+        now: Time,
+    ) -> Vec<MachineId> {
+        self.machines_checked_at = now;
+        let WorkerSettings { report_s, lease_s, .. } = platform.workers;
         let lease_ms = self.lease_ms;
         let changed = self
             .machines
             .values_mut()
-            .filter_map(|m| m.weigh_reports(lease_ms, now).then(|| m.id.clone()));
+            .filter_map(|m| m.update_reports_missing(lease_ms, now).then(|| m.id.clone()));
         for id in changed.collect::<Vec<_>>() {
-            self.on_mute(&id, now);
+            self.on_reports_missing_changed(&id, now);
         }
         let flying = platform.machine_limits.max_connections / PROBES_PART;
         let mut members = self
-            .members
+            .failure_detector
             .take()
-            .unwrap_or_else(|| Detector::new(self.since, report_s, lease_s, flying));
-        let machines = self.machines.values().filter_map(|m| Some((&m.id, self.seen(m)?)));
-        let (ask, verdicts) = members.step(machines, now);
-        self.members = Some(members);
-        ask.iter().for_each(|id| self.question(id));
+            .unwrap_or_else(|| FailureDetector::new(self.leading_since, report_s, lease_s, flying));
+        let machines =
+            self.machines.values().filter_map(|m| Some((&m.id, self.observe_machine(m)?)));
+        let (ask, verdicts) = members.check_machines(machines, now);
+        self.failure_detector = Some(members);
+        ask.iter().for_each(|id| self.begin_probe(id));
         for (id, state) in verdicts {
             tracing::debug!(machine = %id, ?state, "verdict");
-            if state == State::PresumedDead {
-                self.happenings.note("machine", "presumed dead", &id, None);
+            if state == Liveness::PresumedDead {
+                self.events.note("machine", "presumed dead", &id, None);
             }
         }
         ask
@@ -333,88 +340,95 @@
 
     /// A machine is asked directly. What answers is newer than what is known now, or its numbers have begun anew:
     /// but an answer to an earlier question may come instead, and be older than what has been heard since.
-    pub fn question(&mut self, id: &MachineId) {
+    pub fn begin_probe(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else { return };
-        if machine.questions == 0 {
-            machine.asked = Some(machine.latest);
+        if machine.open_probes == 0 {
+            machine.probe_baseline = Some(machine.last_message);
         }
-        machine.questions += 1;
+        machine.open_probes += 1;
     }
 
     /// What membership is told of a machine, if it should be up: heard under this term, or holding work
     /// of an earlier one.
-    pub fn seen<'a>(&self, machine: &'a Machine) -> Option<Seen<'a>> {
-        let up = machine.heard.is_some() || !machine.tasks.is_empty();
-        if !up || machine.standing() == Standing::Returning {
+    pub fn observe_machine<'a>(&self, machine: &'a Machine) -> Option<MachineObservation<'a>> {
+        let up = machine.last_heard_at.is_some() || !machine.tasks.is_empty();
+        if !up || machine.state() == MachineState::Terminating {
             return None;
         }
         let spec = |job: &JobId| self.jobs.get(job).map(|j| j.spec.priority);
         let mut jobs = machine.tasks.keys().map(|(job, _)| job);
         let production = jobs.any(|job| spec(job) == Some(Priority::Production));
-        let (zone, via) = (machine.zone.as_str(), machine.via.as_deref());
-        let reached = self.reached.contains(zone);
-        let asked = !machine.ear.hears();
-        Some(Seen { zone, via, reached, heard: machine.heard, production, asked })
+        let (zone, via) = (machine.zone.as_str(), machine.forwarded_by.as_deref());
+        let reached = self.reachable_zones.contains(zone);
+        let asked = !machine.inbound.is_reachable();
+        Some(MachineObservation {
+            zone,
+            reporting_controller: via,
+            zone_is_reachable: reached,
+            last_report_at: machine.last_heard_at,
+            has_production_work: production,
+            probe_requested: asked,
+        })
     }
 
     /// The task of an attempt proved gone waits again.
     pub fn release(&mut self, id: &JobId, task: u32, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        if let Some(attempt) = job.release(task, now)
+        if let Some(attempt) = job.release_attempt(task, now)
             && let Some(machine) = self.machines.get_mut(&attempt.machine)
         {
-            self.ledger.forget(id, task, Some(attempt.launch));
-            machine.let_go(id, task, now);
+            self.binding_log.forget(id, task, Some(attempt.number));
+            machine.remove_task(id, task, now);
         }
-        self.stir = true;
+        self.needs_scheduling = true;
     }
 
     /// A gang that lost a task is stopped whole, and starts anew when none of it is left.
-    pub(crate) fn after_loss(&mut self, id: &JobId) {
+    pub(crate) fn stop_gang_after_loss(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        if job.spec.kind == Kind::Gang {
-            job.gather(Muster::Leaving);
+        if job.spec.kind == JobKind::Gang {
+            job.set_gang_state(GangState::Stopping);
         }
     }
 
     /// The machines of cancelled tasks that are not proved gone, and when each was cancelled.
-    pub fn cancelled_there(&self) -> impl Iterator<Item = (MachineId, Time)> {
+    pub fn machines_with_cancelled_tasks(&self) -> impl Iterator<Item = (MachineId, Time)> {
         let cancelled = self.jobs.values().filter_map(|j| Some((j, j.cancelled_at?)));
         cancelled.flat_map(|(job, at)| {
-            let there = job.attempts.values().filter(|a| a.occupies());
+            let there = job.attempts.values().filter(|a| a.occupies_resources());
             there.map(move |a| (a.machine.clone(), at))
         })
     }
 
     /// A machine is gone, proved by a 200 to its return: all on it is gone.
-    pub fn machine_gone(&mut self, id: &MachineId, now: Time) {
+    pub fn on_machine_gone(&mut self, id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get(id) else { return };
         let tasks: Vec<(JobId, u32)> = machine.tasks.keys().cloned().collect();
         for (job, task) in tasks {
             let done = self.jobs.get(&job).and_then(|j| j.attempts.get(&task));
-            if done.is_some_and(|a| a.stage() == Stage::Exited(Cause::Done)) {
+            if done.is_some_and(|a| a.phase() == AttemptPhase::Exited(ExitCause::Completed)) {
                 continue;
             }
             self.release(&job, task, now);
-            self.after_loss(&job);
+            self.stop_gang_after_loss(&job);
         }
-        self.lines.drop_machine(id);
+        self.run_queues.remove_machine(id);
         self.machines.remove(id);
-        self.stir = true;
-        self.happenings.note("machine", "gone", id, None);
+        self.needs_scheduling = true;
+        self.events.note("machine", "gone", id, None);
         tracing::debug!(machine = %id, "machine gone");
     }
 
     /// Takes over a page of the machine list. Names the machines that have failed.
-    pub fn on_listing(&mut self, page: &Listing, now: Time) -> Vec<MachineId> {
+    pub fn apply_machine_list(&mut self, page: &MachinePage, now: Time) -> Vec<MachineId> {
         let mut failed = Vec::new();
-        for listed in &page.berths {
-            let id = MachineId::from(listed.name_id.as_str());
-            if self.rentals.was_returned(&id) {
+        for listed in &page.machines {
+            let id = MachineId::from(listed.name.as_str());
+            if self.provisioning.was_returned(&id) {
                 continue;
             }
-            self.machine(&id, now).describe(listed, now);
-            if listed.status == ListedState::Failed {
+            self.machine_entry(&id, now).apply_listing(listed, now);
+            if listed.status == ListedMachineStatus::Failed {
                 failed.push(id);
             }
         }
@@ -422,46 +436,48 @@
     }
 
     /// A machine, known from now on.
-    pub fn machine(&mut self, id: &MachineId, now: Time) -> &mut Machine {
+    pub fn machine_entry(&mut self, id: &MachineId, now: Time) -> &mut Machine {
         self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id.clone(), now))
     }
 
     /// Begins a pass: pauses that are over end, jobs past their deadline are missed and leave their
     /// lines (thesis, algorithm 2, 1-3).
-    pub fn begin_pass(&mut self, now: Time) {
-        self.passed_at = now;
-        self.passes += 1;
-        self.stir = false;
+    pub fn begin_cycle(&mut self, now: Time) {
+        self.last_cycle_at = now;
+        self.cycles += 1;
+        self.needs_scheduling = false;
         let mut over = Vec::new();
         for (id, job) in &mut self.jobs {
-            job.unhold(now);
-            if job.due.is_some_and(|due| due < now) && !job.missed && job.state() == JobState::Live
+            job.end_backoffs(now);
+            if job.deadline.is_some_and(|due| due < now)
+                && !job.missed_deadline
+                && job.state() == JobState::Live
             {
-                job.missed = true;
-                let open =
-                    job.waiting.len() + job.attempts.values().filter(|a| a.occupies()).count();
+                job.missed_deadline = true;
+                let open = job.waiting.len()
+                    + job.attempts.values().filter(|a| a.occupies_resources()).count();
                 self.misses += open as u32;
-                self.happenings.note("job", "late", id, None);
+                self.events.note("job", "late", id, None);
                 over.push(id.clone());
             }
         }
         for id in over {
-            self.lines.drop_job(&id);
+            self.run_queues.remove_job(&id);
         }
     }
 
     /// Notes who found no place in a round for what its team's limit leaves it. Whoever finds one now and then, or
     /// asks for a machine that is refused, is not another for it: only who was not seen so for as long begins anew.
-    pub fn note_idle(&mut self, jobs: Vec<JobId>, now: Time) {
-        self.idle.retain(|_, (_, last)| now < *last + IDLE_GRANT_MS);
+    pub fn note_starved(&mut self, jobs: Vec<JobId>, now: Time) {
+        self.starved_jobs.retain(|_, (_, last)| now < *last + IDLE_GRANT_MS);
         for id in jobs {
-            self.idle.entry(id).or_insert((now, now)).1 = now;
+            self.starved_jobs.entry(id).or_insert((now, now)).1 = now;
         }
     }
 
     /// Whether a job has found no place for so long that others of its team come before it.
-    pub fn idles(&self, id: &JobId, now: Time) -> bool {
-        self.idle.get(id).is_some_and(|(since, _)| now >= since + IDLE_GRANT_MS)
+    pub fn is_starved(&self, id: &JobId, now: Time) -> bool {
+        self.starved_jobs.get(id).is_some_and(|(since, _)| now >= since + IDLE_GRANT_MS)
     }
 
     /// Binds a job's first waiting task to a machine under a launch number: in the tables now, in
@@ -477,68 +493,83 @@
         let machine = self.machines.get_mut(machine_id)?;
         let job = self.jobs.get_mut(id)?;
         let task = job.waiting.pop_first()?;
-        job.attempts.insert(task, Attempt::new(launch, machine_id.clone(), machine.latest.0, now));
-        job.left.clear();
-        let bound = Bound { task, launch, machine: machine_id.clone(), watch: machine.latest.0 };
-        self.ledger.add(id, &bound, value_bytes);
-        machine.hold(id, task, launch);
-        if machine.via.is_some() {
-            self.look.insert(machine.id.clone());
+        job.attempts
+            .insert(task, Attempt::new(launch, machine_id.clone(), machine.last_message.0, now));
+        job.vacated_machines.clear();
+        let bound = Binding {
+            task,
+            attempt: launch,
+            machine: machine_id.clone(),
+            worker_session: machine.last_message.0,
+        };
+        self.binding_log.add(id, &bound, value_bytes);
+        machine.add_task(id, task, launch);
+        if machine.forwarded_by.is_some() {
+            self.machines_with_commands.insert(machine.id.clone());
         }
         Some(task)
     }
 
     /// Machines whose reports that controller passes on and to which something new is to be said, a
     /// bounded number at once.
-    pub fn take_look(&mut self, via: &str) -> Vec<MachineId> {
-        let its =
-            |id: &&MachineId| self.machines.get(*id).is_some_and(|m| m.via.as_deref() == Some(via));
-        let found: Vec<MachineId> = self.look.iter().filter(its).take(LOOK_MOST).cloned().collect();
-        let Tables { look, machines, .. } = self;
-        look.retain(|id| !found.contains(id) && machines.get(id).is_some_and(|m| m.via.is_some()));
+    pub fn take_machines_with_commands(&mut self, via: &str) -> Vec<MachineId> {
+        let its = |id: &&MachineId| {
+            self.machines.get(*id).is_some_and(|m| m.forwarded_by.as_deref() == Some(via))
+        };
+        let found: Vec<MachineId> = self
+            .machines_with_commands
+            .iter()
+            .filter(its)
+            .take(MACHINES_WITH_COMMANDS_MAX)
+            .cloned()
+            .collect();
+        let ClusterState { machines_with_commands: look, machines, .. } = self;
+        look.retain(|id| {
+            !found.contains(id) && machines.get(id).is_some_and(|m| m.forwarded_by.is_some())
+        });
         found
     }
 
     /// Wants an attempt stopped; a gang then leaves whole. Proof of its end is still awaited.
-    pub fn want_stop(&mut self, id: &JobId, task: u32, now: Time) {
+    pub fn request_stop(&mut self, id: &JobId, task: u32, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let gang = job.spec.kind == Kind::Gang;
-        if let Some(attempt) = job.attempts.get_mut(&task).filter(|a| a.occupies()) {
-            attempt.stop.get_or_insert((now, 0));
+        let gang = job.spec.kind == JobKind::Gang;
+        if let Some(attempt) = job.attempts.get_mut(&task).filter(|a| a.occupies_resources()) {
+            attempt.stop_requested.get_or_insert((now, 0));
             if gang {
-                job.gather(Muster::Leaving);
+                job.set_gang_state(GangState::Stopping);
             }
         }
     }
 
     /// Jobs of which something has ended since the last call.
-    pub fn take_ended(&mut self) -> BTreeSet<JobId> {
-        std::mem::take(&mut self.ended)
+    pub fn take_maybe_finished(&mut self) -> BTreeSet<JobId> {
+        std::mem::take(&mut self.maybe_finished)
     }
 
     /// Takes a job that is over off the tables.
-    pub fn close(&mut self, id: &JobId, now: Time) -> Option<Job> {
+    pub fn remove_job(&mut self, id: &JobId, now: Time) -> Option<Job> {
         let job = self.jobs.remove(id)?;
         for (task, attempt) in &job.attempts {
-            self.ledger.forget(id, *task, Some(attempt.launch));
+            self.binding_log.forget(id, *task, Some(attempt.number));
             if let Some(machine) = self.machines.get_mut(&attempt.machine) {
-                machine.let_go(id, *task, now);
+                machine.remove_task(id, *task, now);
             }
         }
-        let what = if job.cancelled() { "cancelled" } else { "done" };
-        self.happenings.note("job", what, id, None);
-        self.lines.drop_job(id);
-        self.history.forget(id);
+        let what = if job.is_cancelled() { "cancelled" } else { "done" };
+        self.events.note("job", what, id, None);
+        self.run_queues.remove_job(id);
+        self.run_time_history.remove_job(id);
         self.preempting.remove(id);
-        self.loans.forget(id);
-        self.pipelines.forget(id);
+        self.gpu_loans.remove_lender(id);
+        self.dependencies.remove_job(id);
         Some(job)
     }
 
     /// Counts for display, for the other controllers: (job, done, running).
-    pub fn counts(&self) -> Vec<(String, u32, u32)> {
-        let counts = self.jobs.iter().map(|(id, j)| (id.to_string(), j.counts()));
+    pub fn task_counts(&self) -> Vec<(String, u32, u32)> {
+        let counts = self.jobs.iter().map(|(id, j)| (id.to_string(), j.task_counts()));
         let held = counts.filter(|(_, c)| c.0 + c.1 > 0).map(|(id, (d, r))| (id, d, r));
-        held.take(COUNTS_MOST).collect()
+        held.take(TASK_COUNTS_MAX).collect()
     }
 }
--- a/crates/controller/src/tables/rentals.rs
+++ b/crates/controller/src/tables/rentals.rs
@@ -1,22 +1,22 @@
 //! Rentals and returns under way, and what the cloud has refused lately.
 
-use super::Tables;
+use super::ClusterState;
 use crate::Time;
 use crate::constants::*;
 use crate::job::MachineId;
-use crate::machine::Standing;
+use crate::machine::MachineState;
 use rustc_hash::FxHashSet;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
-use swiftsail_failure_detector::constants::DEAF_WINDOW_MS;
-use swiftsail_protocol::cloud::Rent;
+use swiftsail_failure_detector::constants::UNREACHABLE_RETURN_WINDOW_MS;
+use swiftsail_protocol::cloud::ProvisionMachinesRequest;
 
 /// A market: machine type, zone, and whether spot.
 pub type Market = (String, String, bool);
 
 /// Machines that are wanted.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Wish {
+pub struct ProvisioningRequest {
     /// Type.
     pub kind: String,
     /// Zone.
@@ -27,36 +27,36 @@
     pub number: u32,
 }
 
-impl Wish {
+impl ProvisioningRequest {
     fn market(&self) -> Market {
         (self.kind.clone(), self.zone.clone(), self.spot)
     }
 
     /// The request that asks for it.
-    pub fn request(&self, charter: &str) -> Rent {
-        Rent {
-            charter: charter.to_string(),
-            hull: self.kind.clone(),
-            dock: self.zone.clone(),
-            driftwood: self.spot,
-            number: self.number,
+    pub fn to_wire(&self, charter: &str) -> ProvisionMachinesRequest {
+        ProvisionMachinesRequest {
+            request_id: charter.to_string(),
+            machine_type: self.kind.clone(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+            count: self.number,
         }
     }
 }
 
 /// A rental asked for and not answered.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct OpenRequest {
     /// What is asked for.
-    pub wish: Wish,
+    pub request: ProvisioningRequest,
     /// When.
-    pub at: Time,
+    pub requested_at: Time,
     /// It has left at least once: its name then stands for this number of machines.
-    pub left: bool,
+    pub was_sent: bool,
 }
 
 /// Number of a machine's name.
-fn number(id: &MachineId) -> u64 {
+fn name_hash(id: &MachineId) -> u64 {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
     hasher.finish()
@@ -64,124 +64,134 @@
 
 /// Rentals and returns under way.
 #[derive(Debug, Default)]
-pub struct Rentals {
-    charters: u64,
-    asked: BTreeMap<String, Asked>,
+pub struct Provisioning {
+    requests_made: u64,
+    open_requests: BTreeMap<String, OpenRequest>,
     refused: HashMap<Market, (Time, u64)>,
     returning: BTreeSet<MachineId>,
-    wanted: BTreeSet<MachineId>,
+    return_queue: BTreeSet<MachineId>,
     /// Returns that a cancellation needs: when each was last asked for.
-    pressing: BTreeMap<MachineId, Time>,
+    urgent_returns: BTreeMap<MachineId, Time>,
     returned: VecDeque<u64>,
     /// The same, to be found at once.
-    gone: FxHashSet<u64>,
+    returned_set: FxHashSet<u64>,
     /// When machines were returned because they do not hear, of late.
-    deaf: VecDeque<Time>,
+    unreachable_returns: VecDeque<Time>,
     /// When the machine list was last begun, and whether it is being read.
     pub listed_at: Time,
     /// See `listed_at`.
-    pub listing: bool,
+    pub is_listing: bool,
     /// When machine types were last asked for.
-    pub typed_at: Time,
+    pub types_requested_at: Time,
     /// When idle machines were last looked for.
-    pub idle_at: Time,
+    pub idle_checked_at: Time,
     /// When a move of replicas was last looked for.
-    pub moved_at: Time,
+    pub moves_checked_at: Time,
 }
 
-impl Rentals {
+impl Provisioning {
     /// Rentals asked for and not answered.
-    pub fn asked(&self) -> impl Iterator<Item = (&Wish, Time)> {
-        self.asked.values().map(|a| (&a.wish, a.at))
+    pub fn open_requests(&self) -> impl Iterator<Item = (&ProvisioningRequest, Time)> {
+        self.open_requests.values().map(|a| (&a.request, a.requested_at))
     }
 
     /// Rentals of the same market that have not left yet: their names, and what they may still
     /// take in.
-    pub fn growing(&mut self, wish: &Wish) -> impl Iterator<Item = (&String, &mut Asked)> {
+    pub fn unsent_requests(
+        &mut self,
+        wish: &ProvisioningRequest,
+    ) -> impl Iterator<Item = (&String, &mut OpenRequest)> {
         let market = wish.market();
-        self.asked.iter_mut().filter(move |(_, a)| !a.left && a.wish.market() == market)
+        self.open_requests
+            .iter_mut()
+            .filter(move |(_, a)| !a.was_sent && a.request.market() == market)
     }
 
     /// Notes a rental under a name that no node uses again: the token and a counter.
-    pub fn ask(&mut self, token: u64, wish: Wish, now: Time) -> String {
-        self.charters += 1;
-        let charter = format!("s{token}-{}", self.charters);
-        self.asked.insert(charter.clone(), Asked { wish, at: now, left: false });
+    pub fn open_request(&mut self, token: u64, wish: ProvisioningRequest, now: Time) -> String {
+        self.requests_made += 1;
+        let charter = format!("s{token}-{}", self.requests_made);
+        self.open_requests.insert(
+            charter.clone(),
+            OpenRequest { request: wish, requested_at: now, was_sent: false },
+        );
         charter
     }
 
     /// A rental had no answer: it is asked for again, under the same name. False if unknown.
-    pub fn unanswered(&mut self, charter: &str) -> bool {
-        self.asked.get_mut(charter).map(|a| a.left = true).is_some()
+    pub fn mark_unanswered(&mut self, charter: &str) -> bool {
+        self.open_requests.get_mut(charter).map(|a| a.was_sent = true).is_some()
     }
 
     /// Whether a machine was returned under this term. Of names a number is kept: at 16,000 of them the chance
     /// that a machine is taken for another is one in a million million.
     pub fn was_returned(&self, id: &MachineId) -> bool {
-        self.gone.contains(&number(id))
+        self.returned_set.contains(&name_hash(id))
     }
 
     fn note_returned(&mut self, id: &MachineId) {
-        let number = number(id);
-        if self.gone.insert(number) {
+        let number = name_hash(id);
+        if self.returned_set.insert(number) {
             self.returned.push_back(number);
         }
-        if self.returned.len() > RETURNED_MOST
+        if self.returned.len() > RETURNED_REMEMBERED
             && let Some(oldest) = self.returned.pop_front()
         {
-            self.gone.remove(&oldest);
+            self.returned_set.remove(&oldest);
         }
     }
 
     /// Machines given up lately because they do not hear.
-    pub fn deaf_returned(&self, now: Time) -> usize {
-        self.deaf.iter().filter(|at| now < **at + DEAF_WINDOW_MS).count()
+    pub fn recent_unreachable_returns(&self, now: Time) -> usize {
+        self.unreachable_returns
+            .iter()
+            .filter(|at| now < **at + UNREACHABLE_RETURN_WINDOW_MS)
+            .count()
     }
 
     /// One more.
-    pub fn give_up_deaf(&mut self, now: Time) {
-        self.deaf.retain(|at| now < *at + DEAF_WINDOW_MS);
-        self.deaf.push_back(now);
+    pub fn note_unreachable_return(&mut self, now: Time) {
+        self.unreachable_returns.retain(|at| now < *at + UNREACHABLE_RETURN_WINDOW_MS);
+        self.unreachable_returns.push_back(now);
     }
 
     /// Whether a rental is worth asking for.
     pub fn may_rent(&self, kind: &str, zone: &str, spot: bool, now: Time) -> bool {
         let key = (kind.to_string(), zone.to_string(), spot);
-        let waiting = self.asked.values().map(|a| &a.wish);
+        let waiting = self.open_requests.values().map(|a| &a.request);
         let waiting = waiting.filter(|w| w.kind == kind && w.zone == zone && w.spot == spot);
-        waiting.count() < RENTALS_OPEN_MOST
+        waiting.count() < OPEN_REQUESTS_MAX
             && self.refused.get(&key).is_none_or(|(until, _)| now >= *until)
     }
 
-    fn refuse(&mut self, market: Market, now: Time) {
+    fn note_refusal(&mut self, market: Market, now: Time) {
         let entry = self.refused.entry(market).or_insert((0, 0));
-        entry.1 =
-            if entry.1 == 0 { NO_CAPACITY_MS } else { (entry.1 * 2).min(NO_CAPACITY_MOST_MS) };
+        entry.1 = if entry.1 == 0 { NO_CAPACITY_MS } else { (entry.1 * 2).min(NO_CAPACITY_MAX_MS) };
         entry.0 = now + entry.1;
     }
 
     /// A return is needed in time: it waits for no other, nor for an answer that does not come. Its name may be given to
     /// the cloud any number of times.
-    pub fn press(&mut self, id: &MachineId) {
-        if (self.wanted.contains(id) || self.returning.contains(id))
-            && !self.pressing.contains_key(id)
+    pub fn mark_urgent(&mut self, id: &MachineId) {
+        if (self.return_queue.contains(id) || self.returning.contains(id))
+            && !self.urgent_returns.contains_key(id)
         {
-            self.pressing.insert(id.clone(), 0);
+            self.urgent_returns.insert(id.clone(), 0);
         }
     }
 
     /// Pressing returns to be asked for now.
-    pub fn pressing_returns(&mut self, now: Time) -> Vec<MachineId> {
-        let due = self.pressing.iter_mut().filter(|(_, at)| now >= **at + RETURN_AGAIN_MS);
+    pub fn next_urgent_returns(&mut self, now: Time) -> Vec<MachineId> {
+        let due = self.urgent_returns.iter_mut().filter(|(_, at)| now >= **at + RETURN_AGAIN_MS);
         let batch: Vec<MachineId> = due
-            .take(RETURN_MOST)
+            .take(RETURN_BATCH_MAX)
             .map(|(id, at)| {
                 *at = now;
                 id.clone()
             })
             .collect();
         for id in &batch {
-            self.wanted.remove(id);
+            self.return_queue.remove(id);
             self.returning.insert(id.clone());
         }
         batch
@@ -193,62 +203,67 @@
         if !self.returning.is_empty() {
             return Vec::new();
         }
-        let batch: Vec<MachineId> = self.wanted.iter().take(RETURN_MOST).cloned().collect();
+        let batch: Vec<MachineId> =
+            self.return_queue.iter().take(RETURN_BATCH_MAX).cloned().collect();
         for id in &batch {
-            self.wanted.remove(id);
+            self.return_queue.remove(id);
             self.returning.insert(id.clone());
         }
         batch
     }
 
     /// A return had no answer: it is tried again.
-    pub fn not_returned(&mut self, id: MachineId) {
+    pub fn on_return_failed(&mut self, id: MachineId) {
         // Another try of a pressing one may have been answered meanwhile.
         if !self.was_returned(&id) {
             self.returning.remove(&id);
-            self.wanted.insert(id);
+            self.return_queue.insert(id);
         }
     }
 }
 
-impl Tables {
+impl ClusterState {
     /// Marks a machine to be returned. Returns whether it was not before.
-    pub fn want_return(&mut self, id: &MachineId, why: &str, now: Time) -> bool {
-        let marked = self.machine(id, now).advance(Standing::Returning);
+    pub fn request_return(&mut self, id: &MachineId, why: &str, now: Time) -> bool {
+        let marked = self.machine_entry(id, now).advance(MachineState::Terminating);
         if marked {
-            self.happenings.note("machine", "returning", id, Some(why));
+            self.events.note("machine", "returning", id, Some(why));
             tracing::debug!(machine = %id, why, "returning machine");
-            self.rentals.wanted.insert(id.clone());
+            self.provisioning.return_queue.insert(id.clone());
         }
         marked
     }
 
     /// A return was confirmed: the machine and all on it are gone.
-    pub fn returned(&mut self, id: &MachineId, now: Time) {
-        self.rentals.returning.remove(id);
-        self.rentals.wanted.remove(id);
-        self.rentals.pressing.remove(id);
-        self.rentals.note_returned(id);
-        self.machine_gone(id, now);
+    pub fn on_returned(&mut self, id: &MachineId, now: Time) {
+        self.provisioning.returning.remove(id);
+        self.provisioning.return_queue.remove(id);
+        self.provisioning.urgent_returns.remove(id);
+        self.provisioning.note_returned(id);
+        self.on_machine_gone(id, now);
     }
 
     /// A rental was answered with these machines, perhaps fewer than asked for. Others are then
     /// planned at once, not with the next round.
-    pub fn rented(&mut self, charter: &str, names: &[String], now: Time) {
-        let Some(Asked { wish, .. }) = self.rentals.asked.remove(charter) else { return };
+    pub fn on_provisioned(&mut self, charter: &str, names: &[String], now: Time) {
+        let Some(OpenRequest { request: wish, .. }) =
+            self.provisioning.open_requests.remove(charter)
+        else {
+            return;
+        };
         let what = format!("rented {} of {}", names.len(), wish.number);
-        self.happenings.note("rental", what, &wish.kind, Some(&wish.zone));
+        self.events.note("rental", what, &wish.kind, Some(&wish.zone));
         if (names.len() as u32) < wish.number {
-            self.rentals.refuse(wish.market(), now);
-            self.plan_again();
+            self.provisioning.note_refusal(wish.market(), now);
+            self.force_mapping_round();
         } else {
-            self.rentals.refused.remove(&wish.market());
+            self.provisioning.refused.remove(&wish.market());
         }
         for name in names {
-            let machine = self.machine(&MachineId::from(name.as_str()), now);
-            if machine.heard.is_none() {
-                machine.recount();
-                machine.kind.clone_from(&wish.kind);
+            let machine = self.machine_entry(&MachineId::from(name.as_str()), now);
+            if machine.last_heard_at.is_none() {
+                machine.invalidate_free_resources();
+                machine.machine_type.clone_from(&wish.kind);
                 machine.zone.clone_from(&wish.zone);
                 machine.spot = wish.spot;
                 machine.rented_at = now;
@@ -257,11 +272,15 @@
     }
 
     /// A rental was refused. Others are planned at once.
-    pub fn refused(&mut self, charter: &str, now: Time) {
-        let Some(Asked { wish, .. }) = self.rentals.asked.remove(charter) else { return };
-        self.happenings.note("rental", "no capacity", &wish.kind, Some(&wish.zone));
+    pub fn on_provisioning_refused(&mut self, charter: &str, now: Time) {
+        let Some(OpenRequest { request: wish, .. }) =
+            self.provisioning.open_requests.remove(charter)
+        else {
+            return;
+        };
+        self.events.note("rental", "no capacity", &wish.kind, Some(&wish.zone));
         tracing::info!(kind = %wish.kind, zone = %wish.zone, spot = wish.spot, "no capacity");
-        self.rentals.refuse(wish.market(), now);
-        self.plan_again();
+        self.provisioning.note_refusal(wish.market(), now);
+        self.force_mapping_round();
     }
 }
--- a/crates/controller/src/term/voice.rs
+++ b/crates/controller/src/term/voice.rs
@@ -4,30 +4,35 @@
 
 /// By what a leader answers its workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Voice {
+pub enum AnswerAuthority {
     /// By what it has read of the state service itself.
     #[default]
-    Reads,
+    OwnReads,
     /// It has not read for too long; enough other controllers vouch that it knows what users were told.
-    Vouched,
+    Endorsed,
     /// By nothing: it answers no worker, and leases end.
-    Silent,
+    Lost,
 }
 
-impl Voice {
+impl AnswerAuthority {
     /// What a leader has that read then, and knows what users were told as of then, if for so long at most it may
     /// go on.
-    pub fn of(read: Option<Time>, known: Option<Time>, limit_ms: u64, now: Time) -> Voice {
+    pub fn of(
+        read: Option<Time>,
+        known: Option<Time>,
+        limit_ms: u64,
+        now: Time,
+    ) -> AnswerAuthority {
         let counts = |at: Option<Time>| at.is_some_and(|at| now < at + limit_ms);
         match (counts(read), counts(known)) {
-            (true, _) => Voice::Reads,
-            (false, true) => Voice::Vouched,
-            (false, false) => Voice::Silent,
+            (true, _) => AnswerAuthority::OwnReads,
+            (false, true) => AnswerAuthority::Endorsed,
+            (false, false) => AnswerAuthority::Lost,
         }
     }
 
     /// The one function that changes it. True if it has changed.
-    pub fn advance(&mut self, to: Voice) -> bool {
+    pub fn advance(&mut self, to: AnswerAuthority) -> bool {
         std::mem::replace(self, to) != to
     }
 }
--- a/crates/dag/src/lib.rs
+++ b/crates/dag/src/lib.rs
@@ -18,18 +18,18 @@
 pub mod graph;
 pub mod walk;
 
-pub use backward::{Asked, Span, backward};
-pub use graph::{Graph, Standing};
-pub use walk::{Seen, Verdict, Walk};
+pub use backward::{DurationDistribution, JobRequirements, effective_requirements};
+pub use graph::{DependencyGraph, DependencyState};
+pub use walk::{DependencyTraversal, DependencyVerdict, VisitedJob};
 
 /// A job's id.
 pub type JobId = std::sync::Arc<str>;
 
 /// How a job ended: committed, and final.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum JobOutcome {
     /// Every task is done, at that time of day, ms.
     Done(u64),
     /// Cancelled by its user, or called off with one before it.
-    CalledOff,
+    Cancelled,
 }
--- a/crates/deadline-planning/src/calendar.rs
+++ b/crates/deadline-planning/src/calendar.rs
@@ -9,14 +9,14 @@
 use rhai::AST;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
+use swiftsail_policy::lang::{Diagnostic, ExpressionEngine, unknown_name_message};
 use swiftsail_replicated_records::Versioned;
-use swiftsail_policy::lang::{Flaw, Lang, unknown};
-use swiftsail_tiers::Facts;
+use swiftsail_tiers::JobAttributes;
 
 /// An arrival that comes again and again, or once on a date.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Entry {
+pub struct ScheduleEntry {
     /// Its name.
     pub name: String,
     /// Where.
@@ -45,7 +45,7 @@
 /// A step of a chain.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct StepLine {
+pub struct StepDefinition {
     /// Its name.
     pub name: String,
     /// Which jobs do it: an expression over what a job asked for.
@@ -59,45 +59,45 @@
 }
 
 fn margin() -> f64 {
-    MARGIN_S
+    DEFAULT_MARGIN_S
 }
 
 /// A chain.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ChainLine {
+pub struct ChainDefinition {
     /// Its name.
     pub name: String,
     /// Its steps.
     #[serde(rename = "step")]
-    pub steps: Vec<StepLine>,
+    pub steps: Vec<StepDefinition>,
 }
 
 /// Calendar and chains, in a file or in the state service.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Plan {
+pub struct DeadlinePlan {
     /// Form of the record; a file need not name it.
     #[serde(default, rename = "v", skip_serializing)]
-    pub form: u32,
+    pub format_version: u32,
     /// Number of the plan: the highest is in force.
     pub version: u64,
     /// Arrivals.
     #[serde(default, rename = "arrival")]
-    pub arrivals: Vec<Entry>,
+    pub arrivals: Vec<ScheduleEntry>,
     /// Chains.
     #[serde(default, rename = "chain")]
-    pub chains: Vec<ChainLine>,
+    pub chains: Vec<ChainDefinition>,
 }
 
-impl Versioned for Plan {
-    const FORM: u32 = 1;
+impl Versioned for DeadlinePlan {
+    const FORMAT_VERSION: u32 = 1;
 }
 
 /// Something in a plan that is not sound: where, and what to do.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{of} `{name}`: {cause}")]
-pub struct Flawed {
+pub struct PlanError {
     /// arrival, chain or step.
     pub of: &'static str,
     /// Its name.
@@ -106,35 +106,35 @@
     pub cause: String,
 }
 
-fn flawed(of: &'static str, name: &str, cause: impl Into<String>) -> Flawed {
-    Flawed { of, name: name.into(), cause: cause.into() }
+fn plan_error(of: &'static str, name: &str, cause: impl Into<String>) -> PlanError {
+    PlanError { of, name: name.into(), cause: cause.into() }
 }
 
 #[derive(Debug)]
-struct Times {
-    at: Time,
+struct EntryTimes {
+    time_of_day: Time,
     zone: TimeZone,
     days: BTreeSet<i8>,
-    on: Option<Date>,
-    except: BTreeSet<Date>,
+    only_date: Option<Date>,
+    excluded_dates: BTreeSet<Date>,
 }
 
 /// A checked plan, compiled.
-pub struct Calendar {
-    plan: Plan,
-    times: Vec<Times>,
-    lang: Lang,
-    steps: BTreeMap<(usize, usize), AST>,
-    order: Vec<Vec<usize>>,
+pub struct DeadlineSchedule {
+    plan: DeadlinePlan,
+    entry_times: Vec<EntryTimes>,
+    engine: ExpressionEngine,
+    step_expressions: BTreeMap<(usize, usize), AST>,
+    topological_orders: Vec<Vec<usize>>,
 }
 
-impl std::fmt::Debug for Calendar {
+impl std::fmt::Debug for DeadlineSchedule {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Calendar").field("plan", &self.plan).finish_non_exhaustive()
     }
 }
 
-const DAYS: [(&str, Weekday); 7] = [
+const WEEKDAYS: [(&str, Weekday); 7] = [
     ("mon", Weekday::Monday),
     ("tue", Weekday::Tuesday),
     ("wed", Weekday::Wednesday),
@@ -144,89 +144,104 @@
     ("sun", Weekday::Sunday),
 ];
 
-fn valid_name(name: &str) -> bool {
+fn is_valid_name(name: &str) -> bool {
     let letters = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-    !name.is_empty() && name.len() <= NAME_MOST && name.chars().all(letters)
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(letters)
 }
 
-impl Calendar {
+impl DeadlineSchedule {
     /// Compiles and checks a plan.
-    pub fn new(plan: Plan) -> Result<Calendar, Flawed> {
+    pub fn new(plan: DeadlinePlan) -> Result<DeadlineSchedule, PlanError> {
         let (entries, chains) = (plan.arrivals.len(), plan.chains.len());
-        if entries > ENTRIES_MOST {
+        if entries > MAX_SCHEDULE_ENTRIES {
             let why = format!(
-                "{entries} entries, {ENTRIES_MOST} at most; use `days` for what comes again and again"
+                "{entries} entries, {MAX_SCHEDULE_ENTRIES} at most; use `days` for what comes again and again"
             );
-            return Err(flawed("calendar", "", why));
+            return Err(plan_error("calendar", "", why));
         }
-        if chains > CHAINS_MOST {
-            return Err(flawed("calendar", "", format!("{chains} chains, {CHAINS_MOST} at most")));
+        if chains > MAX_CHAINS {
+            return Err(plan_error(
+                "calendar",
+                "",
+                format!("{chains} chains, {MAX_CHAINS} at most"),
+            ));
         }
-        let lang = Lang::new(swiftsail_policy::constants::POLICY_OPS);
+        let lang = ExpressionEngine::new(swiftsail_policy::constants::MAX_POLICY_OPS);
         let (mut steps, mut order) = (BTreeMap::new(), Vec::new());
         for (c, chain) in plan.chains.iter().enumerate() {
-            order.push(check_chain(&plan.chains[..c], chain)?);
+            order.push(validate_chain(&plan.chains[..c], chain)?);
             for (s, step) in chain.steps.iter().enumerate() {
-                let of = |flaw: Flaw| flawed("step", &step.name, flaw.to_string());
-                let ast = lang.expression(&step.when, &["job"]).map_err(of)?;
-                swiftsail_tiers::check::names(&ast).map_err(of)?;
+                let of = |flaw: Diagnostic| plan_error("step", &step.name, flaw.to_string());
+                let ast = lang.compile_expression(&step.when, &["job"]).map_err(of)?;
+                swiftsail_tiers::check::validate_attribute_names(&ast).map_err(of)?;
                 steps.insert((c, s), ast);
             }
         }
         let mut times = Vec::with_capacity(entries);
         for (n, entry) in plan.arrivals.iter().enumerate() {
             if plan.arrivals[..n].iter().any(|e| e.name == entry.name) {
-                return Err(flawed("arrival", &entry.name, "its name is taken; rename it"));
+                return Err(plan_error("arrival", &entry.name, "its name is taken; rename it"));
             }
             if !plan.chains.iter().any(|c| c.name == entry.chain) {
                 let names = plan.chains.iter().map(|c| c.name.as_str());
-                return Err(flawed("arrival", &entry.name, unknown("chain", &entry.chain, names)));
+                return Err(plan_error(
+                    "arrival",
+                    &entry.name,
+                    unknown_name_message("chain", &entry.chain, names),
+                ));
             }
-            times.push(check_entry(entry)?);
+            times.push(validate_entry(entry)?);
         }
-        Ok(Calendar { plan, times, lang, steps, order })
+        Ok(DeadlineSchedule {
+            plan,
+            entry_times: times,
+            engine: lang,
+            step_expressions: steps,
+            topological_orders: order,
+        })
     }
 
     /// As it is written down.
-    pub fn plan(&self) -> &Plan {
+    pub fn plan(&self) -> &DeadlinePlan {
         &self.plan
     }
 
     /// A chain.
-    pub fn chain(&self, name: &str) -> Option<&ChainLine> {
+    pub fn chain(&self, name: &str) -> Option<&ChainDefinition> {
         self.plan.chains.iter().find(|c| c.name == name)
     }
 
     /// The steps of a chain in an order in which each comes behind what it waits for.
-    pub fn order_of(&self, name: &str) -> &[usize] {
+    pub fn topological_order(&self, name: &str) -> &[usize] {
         let chain = self.plan.chains.iter().position(|c| c.name == name);
-        chain.map_or(&[], |n| &self.order[n])
+        chain.map_or(&[], |n| &self.topological_orders[n])
     }
 
     /// Whether a job does a step of a chain. An expression that fails is false.
-    pub fn does(&self, chain: &str, step: usize, facts: &Facts) -> bool {
+    pub fn job_matches_step(&self, chain: &str, step: usize, facts: &JobAttributes) -> bool {
         let chain = self.plan.chains.iter().position(|c| c.name == chain);
-        let ast = chain.and_then(|c| self.steps.get(&(c, step)));
+        let ast = chain.and_then(|c| self.step_expressions.get(&(c, step)));
         let Some(ast) = ast else { return false };
-        let found = self.lang.eval(ast, vec![("job", facts.dynamic())]);
+        let found = self.engine.evaluate(ast, vec![("job", facts.to_dynamic())]);
         found.ok().and_then(|v| v.as_bool().ok()).unwrap_or(false)
     }
 
     /// Times of day, ms, at which an entry arrives from one time of day to another.
-    pub fn times(&self, entry: usize, from_ms: u64, to_ms: u64) -> Vec<u64> {
-        let times = &self.times[entry];
+    pub fn occurrences_between(&self, entry: usize, from_ms: u64, to_ms: u64) -> Vec<u64> {
+        let times = &self.entry_times[entry];
         let at = |ms: u64| {
             let stamp = Timestamp::from_millisecond(ms.min(i64::MAX as u64) as i64).ok()?;
             Some(stamp.to_zoned(times.zone.clone()).date())
         };
         let (Some(first), Some(last)) = (at(from_ms), at(to_ms)) else { return Vec::new() };
         let mut found = Vec::new();
-        let mut date = times.on.map_or(first, |on| on.max(first));
-        while date <= last && times.on.is_none_or(|on| on == date) {
+        let mut date = times.only_date.map_or(first, |on| on.max(first));
+        while date <= last && times.only_date.is_none_or(|on| on == date) {
             let day = date.weekday().to_monday_zero_offset();
             let comes = (times.days.is_empty() || times.days.contains(&day))
-                && !times.except.contains(&date);
-            if let Some(ms) = when(date, times).filter(|ms| comes && (from_ms..to_ms).contains(ms))
+                && !times.excluded_dates.contains(&date);
+            if let Some(ms) =
+                occurrence_time(date, times).filter(|ms| comes && (from_ms..to_ms).contains(ms))
             {
                 found.push(ms);
             }
@@ -240,15 +255,15 @@
 }
 
 /// A date and the entry's time of day, as ms since the epoch.
-fn when(date: Date, times: &Times) -> Option<u64> {
-    let zoned: Zoned = date.to_datetime(times.at).to_zoned(times.zone.clone()).ok()?;
+fn occurrence_time(date: Date, times: &EntryTimes) -> Option<u64> {
+    let zoned: Zoned = date.to_datetime(times.time_of_day).to_zoned(times.zone.clone()).ok()?;
     u64::try_from(zoned.timestamp().as_millisecond()).ok()
 }
 
-fn check_entry(entry: &Entry) -> Result<Times, Flawed> {
-    let bad = |cause: String| flawed("arrival", &entry.name, cause);
-    if !valid_name(&entry.name) {
-        let why = format!("a name has 1 to {NAME_MOST} lower-case letters, digits and dashes");
+fn validate_entry(entry: &ScheduleEntry) -> Result<EntryTimes, PlanError> {
+    let bad = |cause: String| plan_error("arrival", &entry.name, cause);
+    if !is_valid_name(&entry.name) {
+        let why = format!("a name has 1 to {MAX_NAME_BYTES} lower-case letters, digits and dashes");
         return Err(bad(why));
     }
     let at: Time = entry.at.parse().map_err(|_| {
@@ -257,13 +272,14 @@
     let zone = TimeZone::get(&entry.zone).map_err(|_| {
         bad(format!("`zone = \"{}\"` is no time zone; write it as Europe/Stockholm", entry.zone))
     })?;
-    let date = |text: &String| -> Result<Date, Flawed> {
+    let date = |text: &String| -> Result<Date, PlanError> {
         text.parse().map_err(|_| bad(format!("`{text}` is no date; write it as 2026-12-24")))
     };
     let mut days = BTreeSet::new();
     for day in &entry.days {
-        let found = DAYS.iter().find(|d| d.0 == day);
-        let found = found.ok_or_else(|| bad(unknown("day", day, DAYS.iter().map(|d| d.0))))?;
+        let found = WEEKDAYS.iter().find(|d| d.0 == day);
+        let found = found
+            .ok_or_else(|| bad(unknown_name_message("day", day, WEEKDAYS.iter().map(|d| d.0))))?;
         days.insert(found.1.to_monday_zero_offset());
     }
     let on = entry.on.as_ref().map(date).transpose()?;
@@ -271,23 +287,26 @@
     if on.is_some() && !days.is_empty() {
         return Err(bad("it names a date and days of the week; drop one".into()));
     }
-    Ok(Times { at, zone, days, on, except })
+    Ok(EntryTimes { time_of_day: at, zone, days, only_date: on, excluded_dates: except })
 }
 
 /// Checks a chain; gives its steps in an order in which each comes behind what it waits for.
-fn check_chain(before: &[ChainLine], chain: &ChainLine) -> Result<Vec<usize>, Flawed> {
-    let bad = |cause: String| flawed("chain", &chain.name, cause);
-    if !valid_name(&chain.name) || before.iter().any(|c| c.name == chain.name) {
+fn validate_chain(
+    before: &[ChainDefinition],
+    chain: &ChainDefinition,
+) -> Result<Vec<usize>, PlanError> {
+    let bad = |cause: String| plan_error("chain", &chain.name, cause);
+    if !is_valid_name(&chain.name) || before.iter().any(|c| c.name == chain.name) {
         return Err(
             bad("its name is taken or not of lower-case letters, digits and dashes".into()),
         );
     }
-    if chain.steps.is_empty() || chain.steps.len() > STEPS_MOST {
-        return Err(bad(format!("it has {} steps; 1 to {STEPS_MOST}", chain.steps.len())));
+    if chain.steps.is_empty() || chain.steps.len() > MAX_CHAIN_STEPS {
+        return Err(bad(format!("it has {} steps; 1 to {MAX_CHAIN_STEPS}", chain.steps.len())));
     }
     let number = |name: &str| chain.steps.iter().position(|s| s.name == name);
     for (n, step) in chain.steps.iter().enumerate() {
-        if !valid_name(&step.name) || number(&step.name) != Some(n) {
+        if !is_valid_name(&step.name) || number(&step.name) != Some(n) {
             return Err(bad(format!("step `{}`: its name is taken or not sound", step.name)));
         }
         if !step.margin_s.is_finite() || !(0.0..=86_400.0).contains(&step.margin_s) {
@@ -295,7 +314,11 @@
         }
         if let Some(name) = step.after.iter().find(|a| number(a).is_none()) {
             let names = chain.steps.iter().map(|s| s.name.as_str());
-            return Err(bad(format!("step `{}`: {}", step.name, unknown("step", name, names))));
+            return Err(bad(format!(
+                "step `{}`: {}",
+                step.name,
+                unknown_name_message("step", name, names)
+            )));
         }
     }
     let mut order: Vec<usize> = Vec::with_capacity(chain.steps.len());
--- a/crates/deadline-planning/src/lib.rs
+++ b/crates/deadline-planning/src/lib.rs
@@ -16,6 +16,8 @@
 pub mod calendar;
 pub mod constants;
 
-pub use arrival::{Arrival, Phase, Stage, Step};
-pub use board::{Board, Told, Work};
-pub use calendar::{Calendar, ChainLine, Entry, Flawed, Plan, StepLine};
+pub use arrival::{Occurrence, OccurrencePhase, OccurrenceStep, StepPhase};
+pub use board::{DeadlineTracker, OccurrenceEvent, StepJob};
+pub use calendar::{
+    ChainDefinition, DeadlinePlan, DeadlineSchedule, PlanError, ScheduleEntry, StepDefinition,
+};
--- a/crates/failure-detector/src/hearing.rs
+++ b/crates/failure-detector/src/hearing.rs
@@ -7,51 +7,51 @@
 
 /// Where a machine's hearing stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Hearing {
+pub enum InboundReachability {
     /// As far as anybody can tell.
     #[default]
-    Hears,
+    Reachable,
     /// It did not do what it was told, or lost a lease that was answered: it is asked directly, and given
     /// nothing new.
-    Doubted,
+    Suspected,
     /// What is said to it does not arrive.
-    Deaf,
+    Unreachable,
 }
 
 /// What tells of a machine's hearing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sign {
+pub enum ReachabilityEvidence {
     /// A report shows what the answer to an earlier one has ordered.
-    Heeded,
+    OrderFollowed,
     /// A report shows nothing of what the answer to the one before has ordered.
-    Unheeded,
+    OrderIgnored,
     /// Its session ended although reports of the last lease were answered.
-    Rose,
+    SessionLostThoughAnswered,
     /// Its session has lasted for longer than a lease, on answers alone.
-    Lasted,
+    SessionOutlastedLease,
     /// It answered a question asked directly.
-    Reached,
+    ProbeAnswered,
     /// A question asked directly found no connection, or no answer.
-    Unreached,
+    ProbeFailed,
 }
 
 /// What is remembered of a machine's hearing.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Ear {
-    hearing: Hearing,
+pub struct ReachabilityTracker {
+    reachability: InboundReachability,
     since: Time,
-    unheeded: u8,
+    ignored_orders: u8,
     /// It lost another lease soon after it was believed to hear again: a question answered does not show
     /// that answers to reports arrive.
-    stubborn: bool,
+    ignores_probe_answers: bool,
     /// Until when a lease lost counts as another.
     relapse_until: Time,
 }
 
-impl Ear {
+impl ReachabilityTracker {
     /// Where it stands.
-    pub fn hearing(&self) -> Hearing {
-        self.hearing
+    pub fn reachability(&self) -> InboundReachability {
+        self.reachability
     }
 
     /// Since when.
@@ -60,39 +60,60 @@
     }
 
     /// Whether it may be given work.
-    pub fn hears(&self) -> bool {
-        self.hearing == Hearing::Hears
+    pub fn is_reachable(&self) -> bool {
+        self.reachability == InboundReachability::Reachable
     }
 
     /// The one function that changes what is held of a machine's hearing. True if it stands elsewhere now.
-    pub fn advance(&mut self, sign: Sign, now: Time) -> bool {
+    pub fn apply_evidence(&mut self, sign: ReachabilityEvidence, now: Time) -> bool {
         let count = match sign {
-            Sign::Unheeded => self.unheeded.saturating_add(1),
-            Sign::Heeded | Sign::Lasted => 0,
-            _ => self.unheeded,
+            ReachabilityEvidence::OrderIgnored => self.ignored_orders.saturating_add(1),
+            ReachabilityEvidence::OrderFollowed | ReachabilityEvidence::SessionOutlastedLease => 0,
+            _ => self.ignored_orders,
         };
-        let to = match (self.hearing, sign) {
+        let to = match (self.reachability, sign) {
             // An order that was carried out, or a lease that lives, is proof whatever was held before.
-            (_, Sign::Heeded | Sign::Lasted) => {
-                self.stubborn = false;
-                Hearing::Hears
+            (
+                _,
+                ReachabilityEvidence::OrderFollowed | ReachabilityEvidence::SessionOutlastedLease,
+            ) => {
+                self.ignores_probe_answers = false;
+                InboundReachability::Reachable
             }
-            (_, Sign::Rose) => {
-                let again = now < self.relapse_until || self.hearing != Hearing::Hears;
-                self.relapse_until = now + RELAPSE_MS;
-                self.stubborn |= again;
-                if again { Hearing::Deaf } else { Hearing::Doubted }
+            (_, ReachabilityEvidence::SessionLostThoughAnswered) => {
+                let again =
+                    now < self.relapse_until || self.reachability != InboundReachability::Reachable;
+                self.relapse_until = now + RELAPSE_WINDOW_MS;
+                self.ignores_probe_answers |= again;
+                if again {
+                    InboundReachability::Unreachable
+                } else {
+                    InboundReachability::Suspected
+                }
             }
-            (Hearing::Hears, Sign::Unheeded) if count >= UNHEEDED_DOUBT => Hearing::Doubted,
-            (Hearing::Doubted, Sign::Unheeded) if count >= UNHEEDED_DEAF => Hearing::Deaf,
-            (Hearing::Doubted, Sign::Unreached) => Hearing::Deaf,
-            (Hearing::Doubted | Hearing::Deaf, Sign::Reached) if !self.stubborn => Hearing::Hears,
+            (InboundReachability::Reachable, ReachabilityEvidence::OrderIgnored)
+                if count >= IGNORED_ORDERS_SUSPECT =>
+            {
+                InboundReachability::Suspected
+            }
+            (InboundReachability::Suspected, ReachabilityEvidence::OrderIgnored)
+                if count >= IGNORED_ORDERS_UNREACHABLE =>
+            {
+                InboundReachability::Unreachable
+            }
+            (InboundReachability::Suspected, ReachabilityEvidence::ProbeFailed) => {
+                InboundReachability::Unreachable
+            }
+            (
+                InboundReachability::Suspected | InboundReachability::Unreachable,
+                ReachabilityEvidence::ProbeAnswered,
+            ) if !self.ignores_probe_answers => InboundReachability::Reachable,
             (held, _) => held,
         };
-        let moved = to != self.hearing;
-        self.unheeded = if moved && to == Hearing::Hears { 0 } else { count };
+        let moved = to != self.reachability;
+        self.ignored_orders = if moved && to == InboundReachability::Reachable { 0 } else { count };
         if moved {
-            (self.hearing, self.since) = (to, now);
+            (self.reachability, self.since) = (to, now);
         }
         moved
     }
--- a/crates/failure-detector/src/lib.rs
+++ b/crates/failure-detector/src/lib.rs
@@ -12,8 +12,8 @@
 mod detector;
 mod hearing;
 
-pub use detector::{Detector, Member, Probe, Seen, State};
-pub use hearing::{Ear, Hearing, Sign};
+pub use detector::{FailureDetector, Liveness, MachineObservation, MonitoredMachine, ProbeOutcome};
+pub use hearing::{InboundReachability, ReachabilityEvidence, ReachabilityTracker};
 
 /// Steady time in ms.
 pub type Time = u64;
--- a/crates/gpu-lending/src/lib.rs
+++ b/crates/gpu-lending/src/lib.rs
@@ -8,4 +8,4 @@
 pub mod constants;
 mod lent;
 
-pub use lent::{Lent, Loan, Loans, Seen, Stage, Todo};
+pub use lent::{GpuLoan, GpuLoans, LenderRecord, LoanAction, LoanObservation, LoanPhase};
