--- a/crates/overload-control/src/duty.rs
+++ b/crates/overload-control/src/duty.rs
@@ -8,16 +8,16 @@
 
 /// Where the duty stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Duty {
+pub enum DelegatedAnswering {
     /// Everything goes to the leader.
     #[default]
-    None,
+    NotDelegated,
     /// Unchanged reports may be answered with this token.
-    Held {
+    Delegated {
         /// The leader's token.
-        token: u64,
+        fencing_token: u64,
         /// Until when, on this controller's own clock.
-        until: Time,
+        expires_at: Time,
     },
     /// The leader was not heard in time, or a message to it was lost.
     Lapsed,
@@ -25,51 +25,74 @@
 
 /// What happens to a duty.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum DelegationEvent {
     /// The leader answered a message sent at `sent`, and grants so much time from then.
     Granted {
         /// Its token.
-        token: u64,
+        fencing_token: u64,
         /// When the message left.
-        sent: Time,
+        sent_at: Time,
         /// Time granted, ms.
-        for_ms: u64,
+        duration_ms: u64,
     },
     /// The leader answered, and grants nothing.
     Refused,
     /// A message found no answer, or another token was seen.
-    Lost,
+    LeaderUnheard,
     /// Time has passed.
-    Now(Time),
+    TimePassed(Time),
 }
 
-impl Duty {
+impl DelegatedAnswering {
     /// The one function that changes the duty.
-    pub fn advance(&mut self, turn: Turn) {
+    pub fn apply_event(&mut self, turn: DelegationEvent) {
         *self = match (*self, turn) {
-            (Duty::Held { token: held, until }, Turn::Granted { token, sent, for_ms })
-                if held == token =>
-            {
+            (
+                DelegatedAnswering::Delegated { fencing_token: held, expires_at: until },
+                DelegationEvent::Granted {
+                    fencing_token: token,
+                    sent_at: sent,
+                    duration_ms: for_ms,
+                },
+            ) if held == token => {
                 // Answers may overtake each other.
-                Duty::Held { token, until: until.max(sent + for_ms) }
+                DelegatedAnswering::Delegated {
+                    fencing_token: token,
+                    expires_at: until.max(sent + for_ms),
+                }
             }
             // An older leader's late word ends nothing that a newer one has granted.
-            (Duty::Held { token: held, .. }, Turn::Granted { token, .. }) if token < held => *self,
-            (_, Turn::Granted { token, sent, for_ms }) => {
-                Duty::Held { token, until: sent + for_ms }
-            }
-            (Duty::Held { until, .. }, Turn::Now(now)) if now >= until => Duty::Lapsed,
-            (_, Turn::Now(_)) => *self,
-            (Duty::None, _) => Duty::None,
-            (_, Turn::Refused) => Duty::None,
-            (_, Turn::Lost) => Duty::Lapsed,
+            (
+                DelegatedAnswering::Delegated { fencing_token: held, .. },
+                DelegationEvent::Granted { fencing_token: token, .. },
+            ) if token < held => *self,
+            (
+                _,
+                DelegationEvent::Granted {
+                    fencing_token: token,
+                    sent_at: sent,
+                    duration_ms: for_ms,
+                },
+            ) => DelegatedAnswering::Delegated { fencing_token: token, expires_at: sent + for_ms },
+            (
+                DelegatedAnswering::Delegated { expires_at: until, .. },
+                DelegationEvent::TimePassed(now),
+            ) if now >= until => DelegatedAnswering::Lapsed,
+            (_, DelegationEvent::TimePassed(_)) => *self,
+            (DelegatedAnswering::NotDelegated, _) => DelegatedAnswering::NotDelegated,
+            (_, DelegationEvent::Refused) => DelegatedAnswering::NotDelegated,
+            (_, DelegationEvent::LeaderUnheard) => DelegatedAnswering::Lapsed,
         };
     }
 
     /// The token with which an unchanged report may be answered now.
-    pub fn token(&self, now: Time) -> Option<u64> {
+    pub fn valid_fencing_token(&self, now: Time) -> Option<u64> {
         match self {
-            Duty::Held { token, until } if now < *until => Some(*token),
+            DelegatedAnswering::Delegated { fencing_token: token, expires_at: until }
+                if now < *until =>
+            {
+                Some(*token)
+            }
             _ => None,
         }
     }
--- a/crates/overload-control/src/turned.rs
+++ b/crates/overload-control/src/turned.rs
@@ -10,55 +10,55 @@
 
 /// Jobs whose last question found no answer here, as numbers of their ids.
 #[derive(Debug, Default)]
-pub struct Turned {
-    since: HashMap<u64, Time>,
+pub struct RejectedPolls {
+    rejected_at: HashMap<u64, Time>,
     order: VecDeque<(u64, Time)>,
     /// Second in which questions were let past the others, and how many.
-    second: (Time, u32),
+    prioritized_in_second: (Time, u32),
 }
 
-fn number(id: &str) -> u64 {
+fn id_hash(id: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
     hasher.finish()
 }
 
-impl Turned {
+impl RejectedPolls {
     /// A question about a job was turned away.
-    pub fn away(&mut self, id: &str, now: Time) {
-        self.drop_over(now);
-        let number = number(id);
-        if self.since.contains_key(&number) {
+    pub fn on_rejected(&mut self, id: &str, now: Time) {
+        self.remove_expired(now);
+        let number = id_hash(id);
+        if self.rejected_at.contains_key(&number) {
             return;
         }
-        self.since.insert(number, now);
+        self.rejected_at.insert(number, now);
         self.order.push_back((number, now));
         // The oldest are kept: whoever comes when it is full has waited least.
-        while self.since.len() > TURNED_MOST
+        while self.rejected_at.len() > MAX_REJECTED_POLLS
             && let Some((last, at)) = self.order.pop_back()
         {
-            if self.since.get(&last) == Some(&at) {
-                self.since.remove(&last);
+            if self.rejected_at.get(&last) == Some(&at) {
+                self.rejected_at.remove(&last);
             }
         }
     }
 
     /// One was answered.
-    pub fn answered(&mut self, id: &str) {
-        if !self.since.is_empty() {
-            self.since.remove(&number(id));
+    pub fn on_answered(&mut self, id: &str) {
+        if !self.rejected_at.is_empty() {
+            self.rejected_at.remove(&id_hash(id));
         }
     }
 
     /// What has been answered leaves the order from its front; what has long not been asked again, too.
-    fn drop_over(&mut self, now: Time) {
+    fn remove_expired(&mut self, now: Time) {
         while let Some((number, at)) = self.order.front().copied() {
-            let answered = self.since.get(&number) != Some(&at);
-            if !answered && now < at + TURNED_KEPT_MS {
+            let answered = self.rejected_at.get(&number) != Some(&at);
+            if !answered && now < at + REJECTED_POLL_RETENTION_MS {
                 break;
             }
             if !answered {
-                self.since.remove(&number);
+                self.rejected_at.remove(&number);
             }
             self.order.pop_front();
         }
@@ -66,17 +66,18 @@
 
     /// Whether a question comes before others: one about the job was turned away a while ago. So many a
     /// second are let past whatever else is turned away.
-    pub fn presses(&mut self, id: &str, now: Time) -> bool {
-        if self.since.is_empty() {
+    pub fn take_priority(&mut self, id: &str, now: Time) -> bool {
+        if self.rejected_at.is_empty() {
             return false;
         }
-        let waited = self.since.get(&number(id)).is_some_and(|at| now >= at + PRESSING_MS);
+        let waited =
+            self.rejected_at.get(&id_hash(id)).is_some_and(|at| now >= at + RETRIED_POLL_DELAY_MS);
         let second = now / 1_000;
-        if self.second.0 != second {
-            self.second = (second, 0);
+        if self.prioritized_in_second.0 != second {
+            self.prioritized_in_second = (second, 0);
         }
-        if waited && self.second.1 < PRESSING_PER_S {
-            self.second.1 += 1;
+        if waited && self.prioritized_in_second.1 < RETRIED_POLLS_PER_S {
+            self.prioritized_in_second.1 += 1;
             return true;
         }
         false
@@ -84,11 +85,11 @@
 
     /// Jobs with a question turned away.
     pub fn len(&self) -> usize {
-        self.since.len()
+        self.rejected_at.len()
     }
 
     /// Whether there are none.
     pub fn is_empty(&self) -> bool {
-        self.since.is_empty()
+        self.rejected_at.is_empty()
     }
 }
--- a/crates/policy/src/hooks.rs
+++ b/crates/policy/src/hooks.rs
@@ -12,7 +12,7 @@
 //! `()` is no answer. None reaches limits, zones, proofs, or the order of priorities.
 
 use crate::constants::*;
-use crate::lang::Flaw;
+use crate::lang::Diagnostic;
 use rhai::{Array, Dynamic, Position};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -53,35 +53,41 @@
 /// An answer that was understood.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Answer {
+pub enum HookAnswer {
     /// Preference.
     Score(f64),
     /// Order.
-    Order(i64),
+    #[serde(rename = "order")]
+    ClassOrder(i64),
     /// Share.
-    Share(f64),
+    #[serde(rename = "share")]
+    SpotShare(f64),
     /// Types.
-    Avoid(BTreeSet<String>),
+    #[serde(rename = "avoid")]
+    AvoidTypes(BTreeSet<String>),
     /// Seconds after which to come back; 0: admitted.
-    Later(f64),
+    #[serde(rename = "later")]
+    RetryAfterS(f64),
 }
 
 /// Reads what a function gave. None: it says nothing. An error is nonsense, and a fault.
-pub fn read(hook: Hook, found: &Dynamic) -> Result<Option<Answer>, Flaw> {
+pub fn parse_answer(hook: Hook, found: &Dynamic) -> Result<Option<HookAnswer>, Diagnostic> {
     if found.is_unit() {
         return Ok(None);
     }
     let number = found.as_float().or_else(|_| found.as_int().map(|n| n as f64)).ok();
     let within = |least: f64, most: f64| number.filter(|n| (least..=most).contains(n));
     let answer = match hook {
-        Hook::Priority => within(-SCORE_MOST, SCORE_MOST).map(Answer::Score),
-        Hook::ClassOrder => {
-            found.as_int().ok().filter(|n| (0..=ORDER_MOST).contains(n)).map(Answer::Order)
-        }
-        Hook::SpotShare => within(0.0, 1.0).map(Answer::Share),
-        Hook::AvoidTypes => names(found).map(Answer::Avoid),
-        Hook::Admit if found.as_bool().ok() == Some(true) => Some(Answer::Later(0.0)),
-        Hook::Admit => within(0.0, LATER_MOST_S).map(Answer::Later),
+        Hook::Priority => within(-MAX_SCORE, MAX_SCORE).map(HookAnswer::Score),
+        Hook::ClassOrder => found
+            .as_int()
+            .ok()
+            .filter(|n| (0..=MAX_CLASS_ORDER).contains(n))
+            .map(HookAnswer::ClassOrder),
+        Hook::SpotShare => within(0.0, 1.0).map(HookAnswer::SpotShare),
+        Hook::AvoidTypes => parse_names(found).map(HookAnswer::AvoidTypes),
+        Hook::Admit if found.as_bool().ok() == Some(true) => Some(HookAnswer::RetryAfterS(0.0)),
+        Hook::Admit => within(0.0, MAX_RETRY_AFTER_S).map(HookAnswer::RetryAfterS),
     };
     answer.map(Some).ok_or_else(|| {
         let shown: String = found.to_string().chars().take(60).collect();
@@ -93,31 +99,35 @@
             Hook::Admit => "true, or a number of seconds from 0 to 30",
         };
         let cause = format!("{} gives {shown}; {expected} or () is expected", hook.name());
-        Flaw::at(Position::NONE, cause)
+        Diagnostic::at_position(Position::NONE, cause)
     })
 }
 
-fn names(found: &Dynamic) -> Option<BTreeSet<String>> {
+fn parse_names(found: &Dynamic) -> Option<BTreeSet<String>> {
     let list = found.read_lock::<Array>()?;
     list.iter().map(|n| n.clone().into_string().ok()).collect()
 }
 
 /// One answer of several that agree on nothing: the rule of the hook.
-pub fn compose(hook: Hook, answers: &[Answer]) -> Option<Answer> {
+pub fn compose_answers(hook: Hook, answers: &[HookAnswer]) -> Option<HookAnswer> {
     let first = answers.first()?.clone();
     let rest = &answers[1..];
     Some(rest.iter().fold(first, |so_far, next| match (hook, so_far, next) {
-        (Hook::Priority, Answer::Score(a), Answer::Score(b)) => Answer::Score(a + b),
-        (Hook::SpotShare, Answer::Share(a), Answer::Share(b)) => Answer::Share(a.min(*b)),
-        (Hook::AvoidTypes, Answer::Avoid(a), Answer::Avoid(b)) => {
-            Answer::Avoid(a.union(b).cloned().collect())
+        (Hook::Priority, HookAnswer::Score(a), HookAnswer::Score(b)) => HookAnswer::Score(a + b),
+        (Hook::SpotShare, HookAnswer::SpotShare(a), HookAnswer::SpotShare(b)) => {
+            HookAnswer::SpotShare(a.min(*b))
+        }
+        (Hook::AvoidTypes, HookAnswer::AvoidTypes(a), HookAnswer::AvoidTypes(b)) => {
+            HookAnswer::AvoidTypes(a.union(b).cloned().collect())
+        }
+        (Hook::Admit, HookAnswer::RetryAfterS(a), HookAnswer::RetryAfterS(b)) => {
+            HookAnswer::RetryAfterS(a.max(*b))
         }
-        (Hook::Admit, Answer::Later(a), Answer::Later(b)) => Answer::Later(a.max(*b)),
         // Order of precedence: the first stands.
         (_, first, _) => first,
     }))
     .map(|answer| match answer {
-        Answer::Score(sum) => Answer::Score(sum.clamp(-SCORE_MOST, SCORE_MOST)),
+        HookAnswer::Score(sum) => HookAnswer::Score(sum.clamp(-MAX_SCORE, MAX_SCORE)),
         other => other,
     })
 }
--- a/crates/policy/src/host.rs
+++ b/crates/policy/src/host.rs
@@ -2,11 +2,11 @@
 //! and values out, and no clock of its own.
 
 use crate::constants::*;
-use crate::facts::{CLASS, CLUSTER, Facts, JOB};
-use crate::hooks::{Answer, Hook, compose, read};
-use crate::lang::{Flaw, Lang, functions, unknown};
-use crate::outbox::{self, Outbox, ReportHook};
-use crate::plugin::{Kind, PluginRecord, State, hash};
+use crate::facts::{AttributeValues, CLASS_ATTRIBUTES, CLUSTER_ATTRIBUTES, JOB_ATTRIBUTES};
+use crate::hooks::{Hook, HookAnswer, compose_answers, parse_answer};
+use crate::lang::{Diagnostic, ExpressionEngine, defined_functions, unknown_name_message};
+use crate::outbox::{self, EventOutbox, EventReceiver};
+use crate::plugin::{PluginKind, PluginRecord, PluginState, source_hash};
 use rhai::{AST, Dynamic};
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
@@ -16,49 +16,51 @@
 
 /// What one plug-in said when a hook was played.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Said {
+pub struct HookResponse {
     /// Its name.
     pub plugin: String,
     /// Its answer, if it gave one.
-    pub answer: Option<Answer>,
+    pub answer: Option<HookAnswer>,
     /// Why it gave none.
     pub fault: Option<String>,
 }
 
 /// What a hook came to.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Verdict {
+pub struct HookResult {
     /// Who said what, in order of precedence.
-    pub said: Vec<Said>,
+    #[serde(rename = "said")]
+    pub responses: Vec<HookResponse>,
     /// What was taken.
-    pub taken: Option<Answer>,
+    #[serde(rename = "taken")]
+    pub composed: Option<HookAnswer>,
 }
 
-struct Loaded {
+struct LoadedPlugin {
     record: PluginRecord,
     ast: Option<AST>,
-    outbox: Option<Outbox>,
+    outbox: Option<EventOutbox>,
     /// Suspended here, and not yet in the state service.
-    suspended: Option<String>,
+    suspended_reason: Option<String>,
     faults: VecDeque<(Time, String)>,
-    slow: VecDeque<Time>,
+    slow_cycles: VecDeque<Time>,
     /// Operations left in this second, and when it began.
     budget: (Time, u64),
     /// Operations in the pass under way, and in all.
-    in_pass: u64,
-    ops: u64,
+    ops_in_cycle: u64,
+    total_ops: u64,
     calls: u64,
 }
 
-impl Loaded {
-    fn active(&self) -> bool {
-        self.record.state == State::Active && self.suspended.is_none()
+impl LoadedPlugin {
+    fn is_active(&self) -> bool {
+        self.record.state == PluginState::Active && self.suspended_reason.is_none()
     }
 }
 
 /// What an operator sees of a plug-in.
 #[derive(Debug, Clone, Serialize)]
-pub struct Shown {
+pub struct PluginStatus {
     /// Its record.
     #[serde(flatten)]
     pub record: PluginRecord,
@@ -69,52 +71,53 @@
     /// Faults within the last minute, the latest last.
     pub faults: Vec<String>,
     /// Of a report hook: events that wait, were delivered, were dropped.
-    pub delivery: Option<outbox::Counts>,
+    pub delivery: Option<outbox::DeliveryCounts>,
 }
 
 /// The host.
-pub struct Host {
-    lang: Lang,
-    set: BTreeMap<String, Loaded>,
+pub struct PluginHost {
+    engine: ExpressionEngine,
+    plugins: BTreeMap<String, LoadedPlugin>,
     /// Names in the order in which they speak.
-    order: Vec<String>,
+    precedence_order: Vec<String>,
     /// Faults of the pass or call under way.
     now: Time,
-    fresh: Vec<(String, String)>,
+    newly_suspended: Vec<(String, String)>,
 }
 
-impl Default for Host {
-    fn default() -> Host {
-        Host {
-            lang: Lang::new(CALL_OPS),
-            set: BTreeMap::new(),
-            order: Vec::new(),
+impl Default for PluginHost {
+    fn default() -> PluginHost {
+        PluginHost {
+            engine: ExpressionEngine::new(MAX_CALL_OPS),
+            plugins: BTreeMap::new(),
+            precedence_order: Vec::new(),
             now: 0,
-            fresh: Vec::new(),
+            newly_suspended: Vec::new(),
         }
     }
 }
 
-impl std::fmt::Debug for Host {
+impl std::fmt::Debug for PluginHost {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Host").field("plugins", &self.order).finish_non_exhaustive()
+        f.debug_struct("Host").field("plugins", &self.precedence_order).finish_non_exhaustive()
     }
 }
 
-impl Host {
+impl PluginHost {
     /// Checks a source: it compiles, has hooks, and none of them fails, loops or talks nonsense on
     /// every sample. Returns its hooks.
-    pub fn check(&self, kind: Kind, source: &str) -> Result<Vec<Hook>, Flaw> {
+    pub fn validate_source(&self, kind: PluginKind, source: &str) -> Result<Vec<Hook>, Diagnostic> {
         let none = rhai::Position::NONE;
-        if source.len() > SOURCE_MOST {
-            let cause = format!("the source has {} bytes; {SOURCE_MOST} at most", source.len());
-            return Err(Flaw::at(none, cause));
+        if source.len() > MAX_SOURCE_BYTES {
+            let cause =
+                format!("the source has {} bytes; {MAX_SOURCE_BYTES} at most", source.len());
+            return Err(Diagnostic::at_position(none, cause));
         }
-        if kind == Kind::Report {
-            return ReportHook::parse(source).map(|_| Vec::new());
+        if kind == PluginKind::EventReceiver {
+            return EventReceiver::parse(source).map(|_| Vec::new());
         }
-        let ast = self.lang.script(source)?;
-        let defined = functions(&ast);
+        let ast = self.engine.compile_plugin(source)?;
+        let defined = defined_functions(&ast);
         let hooks: Vec<Hook> = Hook::ALL
             .into_iter()
             .filter(|h| defined.iter().any(|(name, n)| name == h.name() && *n == 2))
@@ -122,17 +125,18 @@
         if hooks.is_empty() {
             let name = defined.first().map_or("", |f| f.0.as_str());
             let known = Hook::ALL.iter().map(|h| h.name());
-            let cause = format!("no hook of two parameters; {}", unknown("hook", name, known));
-            return Err(Flaw::at(none, cause));
+            let cause =
+                format!("no hook of two parameters; {}", unknown_name_message("hook", name, known));
+            return Err(Diagnostic::at_position(none, cause));
         }
         Ok(hooks)
     }
 
     /// Puts a set in force, between passes. What has not changed keeps its counts.
     pub fn install(&mut self, found: Vec<(PluginRecord, String)>) {
-        let mut before = std::mem::take(&mut self.set);
-        for (record, source) in found.into_iter().take(PLUGINS_MOST) {
-            if record.state == State::Removed || hash(&source) != record.hash {
+        let mut before = std::mem::take(&mut self.plugins);
+        for (record, source) in found.into_iter().take(MAX_PLUGINS) {
+            if record.state == PluginState::Removed || source_hash(&source) != record.hash {
                 continue;
             }
             let name = record.name.clone();
@@ -141,164 +145,178 @@
                 Some(mut same) => {
                     // An operator's decision ends what this controller thought of it.
                     if same.record != record {
-                        same.suspended = None;
+                        same.suspended_reason = None;
                         same.faults.clear();
-                        same.slow.clear();
+                        same.slow_cycles.clear();
                     }
                     same.record = record;
                     same
                 }
-                None => Loaded {
+                None => LoadedPlugin {
                     ast: match record.kind {
-                        Kind::Decision => self.lang.script(&source).ok(),
-                        Kind::Report => None,
+                        PluginKind::Decision => self.engine.compile_plugin(&source).ok(),
+                        PluginKind::EventReceiver => None,
                     },
                     outbox: match record.kind {
-                        Kind::Report => ReportHook::parse(&source).ok().map(Outbox::new),
-                        Kind::Decision => None,
+                        PluginKind::EventReceiver => {
+                            EventReceiver::parse(&source).ok().map(EventOutbox::new)
+                        }
+                        PluginKind::Decision => None,
                     },
                     record,
-                    suspended: None,
+                    suspended_reason: None,
                     faults: VecDeque::new(),
-                    slow: VecDeque::new(),
-                    budget: (0, OPS_PER_S),
-                    in_pass: 0,
-                    ops: 0,
+                    slow_cycles: VecDeque::new(),
+                    budget: (0, MAX_PLUGIN_OPS_PER_S),
+                    ops_in_cycle: 0,
+                    total_ops: 0,
                     calls: 0,
                 },
             };
-            self.set.insert(name, loaded);
+            self.plugins.insert(name, loaded);
         }
-        self.order = self.set.keys().cloned().collect();
-        self.order.sort_by_key(|n| (self.set[n].record.precedence, n.clone()));
+        self.precedence_order = self.plugins.keys().cloned().collect();
+        self.precedence_order.sort_by_key(|n| (self.plugins[n].record.precedence, n.clone()));
     }
 
     /// Whether any active plug-in has that hook.
-    pub fn has(&self, hook: Hook) -> bool {
-        self.set.values().any(|l| l.active() && l.record.hooks.contains(&hook))
+    pub fn has_active_hook(&self, hook: Hook) -> bool {
+        self.plugins.values().any(|l| l.is_active() && l.record.hooks.contains(&hook))
     }
 
     /// Whether any active plug-in advises on passes.
-    pub fn steers(&self) -> bool {
-        Hook::ALL.into_iter().any(|h| h != Hook::Admit && self.has(h))
+    pub fn has_scheduling_hooks(&self) -> bool {
+        Hook::ALL.into_iter().any(|h| h != Hook::Admit && self.has_active_hook(h))
     }
 
     /// Begins a pass.
-    pub fn begin_pass(&mut self, now: Time) {
+    pub fn begin_cycle(&mut self, now: Time) {
         self.now = now;
-        self.set.values_mut().for_each(|l| l.in_pass = 0);
+        self.plugins.values_mut().for_each(|l| l.ops_in_cycle = 0);
     }
 
     /// Ends a pass that computed so many scores: what took most of its work makes it slow.
-    pub fn end_pass(&mut self, scores: u64) {
-        let all: u64 = self.set.values().map(|l| l.in_pass).sum();
-        let work = (all + scores * SCORE_OPS) as f64;
+    pub fn end_cycle(&mut self, scores: u64) {
+        let all: u64 = self.plugins.values().map(|l| l.ops_in_cycle).sum();
+        let work = (all + scores * OPS_PER_SCORE) as f64;
         let now = self.now;
-        for loaded in self.set.values_mut().filter(|l| l.active()) {
-            if loaded.in_pass < SLOW_LEAST || (loaded.in_pass as f64) < SLOW_SHARE * work {
+        for loaded in self.plugins.values_mut().filter(|l| l.is_active()) {
+            if loaded.ops_in_cycle < MIN_SLOW_OPS
+                || (loaded.ops_in_cycle as f64) < SLOW_CYCLE_SHARE * work
+            {
                 continue;
             }
-            let share = loaded.in_pass as f64 / work * 100.0;
-            loaded.slow.push_back(now);
-            loaded.slow.retain(|at| now.saturating_sub(*at) <= FAULT_WINDOW_MS);
-            if loaded.slow.len() >= SLOW_PASSES {
+            let share = loaded.ops_in_cycle as f64 / work * 100.0;
+            loaded.slow_cycles.push_back(now);
+            loaded.slow_cycles.retain(|at| now.saturating_sub(*at) <= FAULT_WINDOW_MS);
+            if loaded.slow_cycles.len() >= MAX_SLOW_CYCLES {
                 let reason = format!("it takes {share:.0}% of the work of passes");
-                suspend(loaded, &mut self.fresh, reason);
+                suspend_plugin(loaded, &mut self.newly_suspended, reason);
             }
         }
     }
 
     /// Plays a hook on two values: a job or a class, and what stands beside it.
-    pub fn play(&mut self, hook: Hook, first: &Facts, second: &Second, now: Time) -> Verdict {
+    pub fn run_hook(
+        &mut self,
+        hook: Hook,
+        first: &AttributeValues,
+        second: &HookContext,
+        now: Time,
+    ) -> HookResult {
         self.now = now;
         let mut said = Vec::new();
-        for name in &self.order {
-            let Some(loaded) = self.set.get_mut(name) else { continue };
-            if !loaded.active() || !loaded.record.hooks.contains(&hook) {
+        for name in &self.precedence_order {
+            let Some(loaded) = self.plugins.get_mut(name) else { continue };
+            if !loaded.is_active() || !loaded.record.hooks.contains(&hook) {
                 continue;
             }
-            let outcome = call(&self.lang, loaded, hook, first, second, now);
+            let outcome = call_hook(&self.engine, loaded, hook, first, second, now);
             let (answer, fault) = match outcome {
                 Ok(answer) => (answer, None),
                 Err(cause) => (None, Some(cause)),
             };
             if let Some(cause) = &fault {
-                note_fault(loaded, &mut self.fresh, cause, now);
+                record_fault(loaded, &mut self.newly_suspended, cause, now);
             }
-            said.push(Said { plugin: name.clone(), answer, fault });
+            said.push(HookResponse { plugin: name.clone(), answer, fault });
         }
-        let answers: Vec<Answer> = said.iter().filter_map(|s| s.answer.clone()).collect();
-        Verdict { taken: compose(hook, &answers), said }
+        let answers: Vec<HookAnswer> = said.iter().filter_map(|s| s.answer.clone()).collect();
+        HookResult { composed: compose_answers(hook, &answers), responses: said }
     }
 
     /// Plug-ins suspended here since the last call, and why. The caller records it for all.
-    pub fn take_suspended(&mut self) -> Vec<(String, String)> {
-        std::mem::take(&mut self.fresh)
+    pub fn take_newly_suspended(&mut self) -> Vec<(String, String)> {
+        std::mem::take(&mut self.newly_suspended)
     }
 
     /// The record of a plug-in.
     pub fn record(&self, name: &str) -> Option<&PluginRecord> {
-        self.set.get(name).map(|l| &l.record)
+        self.plugins.get(name).map(|l| &l.record)
     }
 
     /// All plug-ins, in the order in which they speak.
-    pub fn show(&self) -> Vec<Shown> {
-        let shown = |l: &Loaded| Shown {
+    pub fn statuses(&self) -> Vec<PluginStatus> {
+        let shown = |l: &LoadedPlugin| PluginStatus {
             record: PluginRecord {
-                state: if l.suspended.is_some() { State::Suspended } else { l.record.state },
-                reason: l.suspended.clone().or_else(|| l.record.reason.clone()),
+                state: if l.suspended_reason.is_some() {
+                    PluginState::Suspended
+                } else {
+                    l.record.state
+                },
+                reason: l.suspended_reason.clone().or_else(|| l.record.reason.clone()),
                 ..l.record.clone()
             },
             calls: l.calls,
-            ops: l.ops,
+            ops: l.total_ops,
             faults: l.faults.iter().map(|f| f.1.clone()).collect(),
-            delivery: l.outbox.as_ref().map(Outbox::counts),
+            delivery: l.outbox.as_ref().map(EventOutbox::counts),
         };
-        self.order.iter().filter_map(|n| self.set.get(n)).map(shown).collect()
+        self.precedence_order.iter().filter_map(|n| self.plugins.get(n)).map(shown).collect()
     }
 
     /// Whether any active report hook listens.
-    pub fn listens(&self) -> bool {
-        self.set.values().any(|l| l.active() && l.outbox.is_some())
+    pub fn has_event_receivers(&self) -> bool {
+        self.plugins.values().any(|l| l.is_active() && l.outbox.is_some())
     }
 
     /// Tells the active report hooks of an event.
-    pub fn tell(&mut self, event: &outbox::Event) {
-        for loaded in self.set.values_mut().filter(|l| l.active()) {
+    pub fn enqueue_event(&mut self, event: &outbox::ReportedEvent) {
+        for loaded in self.plugins.values_mut().filter(|l| l.is_active()) {
             if let Some(outbox) = &mut loaded.outbox {
-                outbox.push(event);
+                outbox.enqueue(event);
             }
         }
     }
 
     /// Deliveries that may leave now.
-    pub fn deliveries(&mut self, now: Time) -> Vec<outbox::Delivery> {
-        let active = self.set.iter_mut().filter(|(_, l)| l.active());
-        active.filter_map(|(name, l)| l.outbox.as_mut()?.next(name, now)).collect()
+    pub fn due_deliveries(&mut self, now: Time) -> Vec<outbox::EventDelivery> {
+        let active = self.plugins.iter_mut().filter(|(_, l)| l.is_active());
+        active.filter_map(|(name, l)| l.outbox.as_mut()?.next_delivery(name, now)).collect()
     }
 
     /// A delivery has ended.
-    pub fn delivered(&mut self, name: &str, taken: bool, now: Time) {
-        if let Some(outbox) = self.set.get_mut(name).and_then(|l| l.outbox.as_mut()) {
-            outbox.ended(taken, now);
+    pub fn on_delivery_ended(&mut self, name: &str, taken: bool, now: Time) {
+        if let Some(outbox) = self.plugins.get_mut(name).and_then(|l| l.outbox.as_mut()) {
+            outbox.on_delivery_ended(taken, now);
         }
     }
 }
 
 /// What stands beside the first value of a hook.
 #[derive(Debug, Clone)]
-pub enum Second {
+pub enum HookContext {
     /// The cluster.
-    Cluster(Facts),
+    Cluster(AttributeValues),
     /// Names of the machine types.
-    Types(Vec<String>),
+    MachineTypes(Vec<String>),
 }
 
-impl Second {
-    fn value(&self) -> Dynamic {
+impl HookContext {
+    fn to_dynamic(&self) -> Dynamic {
         match self {
-            Second::Cluster(facts) => facts.value(),
-            Second::Types(names) => {
+            HookContext::Cluster(facts) => facts.to_dynamic(),
+            HookContext::MachineTypes(names) => {
                 names.iter().map(|n| Dynamic::from(n.clone())).collect::<Vec<Dynamic>>().into()
             }
         }
@@ -307,62 +325,68 @@
 
 /// One call within its bounds. What a plug-in's second no longer holds is not called: its answer is
 /// the default, and no fault.
-fn call(
-    lang: &Lang,
-    loaded: &mut Loaded,
+fn call_hook(
+    lang: &ExpressionEngine,
+    loaded: &mut LoadedPlugin,
     hook: Hook,
-    first: &Facts,
-    second: &Second,
+    first: &AttributeValues,
+    second: &HookContext,
     now: Time,
-) -> Result<Option<Answer>, String> {
+) -> Result<Option<HookAnswer>, String> {
     if now.saturating_sub(loaded.budget.0) >= 1_000 {
-        loaded.budget = (now, OPS_PER_S);
+        loaded.budget = (now, MAX_PLUGIN_OPS_PER_S);
     }
     let Some(ast) = loaded.ast.as_ref().filter(|_| loaded.budget.1 > 0) else { return Ok(None) };
-    let found = lang.call(ast, hook.name(), vec![first.value(), second.value()]);
+    let found = lang.call_function(ast, hook.name(), vec![first.to_dynamic(), second.to_dynamic()]);
     // A call that does next to nothing costs something too: its values are made for it.
-    let ops = lang.ops() + CALL_COST;
+    let ops = lang.last_ops() + CALL_OVERHEAD_OPS;
     loaded.calls += 1;
-    loaded.ops += ops;
-    loaded.in_pass += ops;
+    loaded.total_ops += ops;
+    loaded.ops_in_cycle += ops;
     loaded.budget.1 = loaded.budget.1.saturating_sub(ops);
-    found.and_then(|f| read(hook, &f)).map_err(|flaw| flaw.to_string())
+    found.and_then(|f| parse_answer(hook, &f)).map_err(|flaw| flaw.to_string())
 }
 
 /// Operations that stand for making the values of a call.
-const CALL_COST: u64 = 40;
+const CALL_OVERHEAD_OPS: u64 = 40;
 
-fn note_fault(loaded: &mut Loaded, fresh: &mut Vec<(String, String)>, cause: &str, now: Time) {
+fn record_fault(
+    loaded: &mut LoadedPlugin,
+    fresh: &mut Vec<(String, String)>,
+    cause: &str,
+    now: Time,
+) {
     loaded.faults.push_back((now, cause.to_string()));
     loaded.faults.retain(|(at, _)| now.saturating_sub(*at) <= FAULT_WINDOW_MS);
-    if loaded.faults.len() >= FAULTS_MOST {
-        let reason = format!("{FAULTS_MOST} faults within a minute, the latest: {cause}");
-        suspend(loaded, fresh, reason);
+    if loaded.faults.len() >= MAX_FAULTS {
+        let reason = format!("{MAX_FAULTS} faults within a minute, the latest: {cause}");
+        suspend_plugin(loaded, fresh, reason);
     }
 }
 
-fn suspend(loaded: &mut Loaded, fresh: &mut Vec<(String, String)>, reason: String) {
-    if loaded.suspended.is_none() {
-        loaded.suspended = Some(reason.clone());
+fn suspend_plugin(loaded: &mut LoadedPlugin, fresh: &mut Vec<(String, String)>, reason: String) {
+    if loaded.suspended_reason.is_none() {
+        loaded.suspended_reason = Some(reason.clone());
         fresh.push((loaded.record.name.clone(), reason));
     }
 }
 
 /// Sample values on which a hook may be tried: what `swiftsail check --plugin` does.
-pub fn try_hook(source: &str, hook: Hook) -> Result<(), Flaw> {
-    let lang = Lang::new(CALL_OPS);
-    let ast = lang.script(source)?;
+pub fn try_hook(source: &str, hook: Hook) -> Result<(), Diagnostic> {
+    let lang = ExpressionEngine::new(MAX_CALL_OPS);
+    let ast = lang.compile_plugin(source)?;
     for n in 0..12 {
         let first = match hook {
-            Hook::ClassOrder => Facts::sample(CLASS, n),
-            _ => Facts::sample(JOB, n),
+            Hook::ClassOrder => AttributeValues::sample(CLASS_ATTRIBUTES, n),
+            _ => AttributeValues::sample(JOB_ATTRIBUTES, n),
         };
         let second = match hook {
-            Hook::AvoidTypes => Second::Types(vec!["small".into(), "large".into()]),
-            _ => Second::Cluster(Facts::sample(CLUSTER, n)),
+            Hook::AvoidTypes => HookContext::MachineTypes(vec!["small".into(), "large".into()]),
+            _ => HookContext::Cluster(AttributeValues::sample(CLUSTER_ATTRIBUTES, n)),
         };
-        let found = lang.call(&ast, hook.name(), vec![first.value(), second.value()])?;
-        read(hook, &found)?;
+        let found =
+            lang.call_function(&ast, hook.name(), vec![first.to_dynamic(), second.to_dynamic()])?;
+        parse_answer(hook, &found)?;
     }
     Ok(())
 }
--- a/crates/policy/src/lang.rs
+++ b/crates/policy/src/lang.rs
@@ -14,8 +14,8 @@
 
 /// Where something is wrong in a source, and what.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{}{cause}", place(*.line, *.column))]
-pub struct Flaw {
+#[error("{}{cause}", position_prefix(*.line, *.column))]
+pub struct Diagnostic {
     /// Line, from 1; 0 if not known.
     pub line: usize,
     /// Column, from 1; 0 if not known.
@@ -24,14 +24,14 @@
     pub cause: String,
 }
 
-fn place(line: usize, column: usize) -> String {
+fn position_prefix(line: usize, column: usize) -> String {
     if line == 0 { String::new() } else { format!("line {line}, column {column}: ") }
 }
 
-impl Flaw {
+impl Diagnostic {
     /// A flaw at a position.
-    pub fn at(position: Position, cause: impl Into<String>) -> Flaw {
-        Flaw {
+    pub fn at_position(position: Position, cause: impl Into<String>) -> Diagnostic {
+        Diagnostic {
             line: position.line().unwrap_or(0),
             column: position.position().unwrap_or(0),
             cause: cause.into(),
@@ -39,14 +39,14 @@
     }
 }
 
-impl From<ParseError> for Flaw {
-    fn from(e: ParseError) -> Flaw {
-        Flaw::at(e.position(), e.err_type().to_string())
+impl From<ParseError> for Diagnostic {
+    fn from(e: ParseError) -> Diagnostic {
+        Diagnostic::at_position(e.position(), e.err_type().to_string())
     }
 }
 
-impl From<Box<EvalAltResult>> for Flaw {
-    fn from(e: Box<EvalAltResult>) -> Flaw {
+impl From<Box<EvalAltResult>> for Diagnostic {
+    fn from(e: Box<EvalAltResult>) -> Diagnostic {
         let cause = match e.unwrap_inner() {
             EvalAltResult::ErrorTooManyOperations(_) => {
                 "it takes too many operations: it may loop for ever, or must do less".into()
@@ -58,25 +58,25 @@
                 text.split(" (line ").next().unwrap_or(&text).to_string()
             }
         };
-        Flaw::at(e.position(), cause)
+        Diagnostic::at_position(e.position(), cause)
     }
 }
 
 /// The language with its bounds, and a count of what evaluations took.
-pub struct Lang {
+pub struct ExpressionEngine {
     engine: Engine,
-    ops: Rc<Cell<u64>>,
+    last_ops: Rc<Cell<u64>>,
 }
 
-impl std::fmt::Debug for Lang {
+impl std::fmt::Debug for ExpressionEngine {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Lang").finish_non_exhaustive()
     }
 }
 
-impl Lang {
+impl ExpressionEngine {
     /// The language, each evaluation bounded to that many operations.
-    pub fn new(most_ops: u64) -> Lang {
+    pub fn new(most_ops: u64) -> ExpressionEngine {
         let mut engine = Engine::new_raw();
         CorePackage::new().register_into_engine(&mut engine);
         LogicPackage::new().register_into_engine(&mut engine);
@@ -86,34 +86,34 @@
         MoreStringPackage::new().register_into_engine(&mut engine);
         engine
             .set_max_operations(most_ops)
-            .set_max_call_levels(CALL_DEPTH)
-            .set_max_expr_depths(EXPR_DEPTH, EXPR_DEPTH)
-            .set_max_string_size(TEXT_MOST)
-            .set_max_array_size(LIST_MOST)
-            .set_max_map_size(MAP_MOST)
-            .set_max_variables(VARIABLES_MOST)
-            .set_max_functions(FUNCTIONS_MOST)
+            .set_max_call_levels(MAX_CALL_DEPTH)
+            .set_max_expr_depths(MAX_EXPRESSION_DEPTH, MAX_EXPRESSION_DEPTH)
+            .set_max_string_size(MAX_TEXT_BYTES)
+            .set_max_array_size(MAX_LIST_LENGTH)
+            .set_max_map_size(MAX_MAP_SIZE)
+            .set_max_variables(MAX_VARIABLES)
+            .set_max_functions(MAX_FUNCTIONS)
             .set_allow_anonymous_fn(false)
             .set_strict_variables(true)
             .set_fail_on_invalid_map_property(true)
             .disable_symbol("eval");
         engine.on_print(|_| {}).on_debug(|_, _, _| {});
-        let ops = Rc::new(Cell::new(0));
-        let seen = ops.clone();
+        let last_ops = Rc::new(Cell::new(0));
+        let seen = last_ops.clone();
         engine.on_progress(move |count| {
             seen.set(count);
             None
         });
-        Lang { engine, ops }
+        ExpressionEngine { engine, last_ops }
     }
 
     /// Operations that the last evaluation took.
-    pub fn ops(&self) -> u64 {
-        self.ops.get()
+    pub fn last_ops(&self) -> u64 {
+        self.last_ops.get()
     }
 
     /// Compiles one expression, in which these subjects stand.
-    pub fn expression(&self, source: &str, subjects: &[&str]) -> Result<AST, Flaw> {
+    pub fn compile_expression(&self, source: &str, subjects: &[&str]) -> Result<AST, Diagnostic> {
         let mut scope = Scope::new();
         for name in subjects {
             scope.push_constant_dynamic(*name, Dynamic::UNIT);
@@ -121,21 +121,28 @@
         let ast = self
             .engine
             .compile_expression_with_scope(&scope, source)
-            .map_err(|e| near(e, subjects.iter().copied()))?;
-        check_names(&ast)?;
+            .map_err(|e| undefined_name_diagnostic(e, subjects.iter().copied()))?;
+        validate_attribute_names(&ast)?;
         Ok(ast)
     }
 
     /// Compiles a plug-in: functions only.
-    pub fn script(&self, source: &str) -> Result<AST, Flaw> {
-        let ast = self.engine.compile(source).map_err(|e| near(e, SUBJECTS.iter().map(|s| s.0)))?;
-        check_names(&ast)?;
+    pub fn compile_plugin(&self, source: &str) -> Result<AST, Diagnostic> {
+        let ast = self
+            .engine
+            .compile(source)
+            .map_err(|e| undefined_name_diagnostic(e, SUBJECTS.iter().map(|s| s.0)))?;
+        validate_attribute_names(&ast)?;
         Ok(ast)
     }
 
     /// Evaluates an expression over subjects.
-    pub fn eval(&self, ast: &AST, subjects: Vec<(&str, Dynamic)>) -> Result<Dynamic, Flaw> {
-        self.ops.set(0);
+    pub fn evaluate(
+        &self,
+        ast: &AST,
+        subjects: Vec<(&str, Dynamic)>,
+    ) -> Result<Dynamic, Diagnostic> {
+        self.last_ops.set(0);
         let mut scope = Scope::new();
         for (name, value) in subjects {
             scope.push_constant_dynamic(name, value);
@@ -144,33 +151,45 @@
     }
 
     /// Calls a plug-in's function.
-    pub fn call(&self, ast: &AST, name: &str, args: Vec<Dynamic>) -> Result<Dynamic, Flaw> {
-        self.ops.set(0);
+    pub fn call_function(
+        &self,
+        ast: &AST,
+        name: &str,
+        args: Vec<Dynamic>,
+    ) -> Result<Dynamic, Diagnostic> {
+        self.last_ops.set(0);
         let mut scope = Scope::new();
         Ok(self.engine.call_fn::<Dynamic>(&mut scope, ast, name, args)?)
     }
 }
 
 /// A flaw that names the nearest known name of a variable.
-fn near<'a>(e: ParseError, known: impl Iterator<Item = &'a str>) -> Flaw {
+fn undefined_name_diagnostic<'a>(
+    e: ParseError,
+    known: impl Iterator<Item = &'a str>,
+) -> Diagnostic {
     let position = e.position();
     match e.err_type() {
         rhai::ParseErrorType::VariableUndefined(name) => {
-            Flaw::at(position, unknown("name", name, known))
+            Diagnostic::at_position(position, unknown_name_message("name", name, known))
         }
         _ => e.into(),
     }
 }
 
 /// Words for an unknown name, with the nearest one that is known.
-pub fn unknown<'a>(what: &str, name: &str, known: impl Iterator<Item = &'a str>) -> String {
+pub fn unknown_name_message<'a>(
+    what: &str,
+    name: &str,
+    known: impl Iterator<Item = &'a str>,
+) -> String {
     let all: Vec<&str> = known.collect();
     let best = all
         .iter()
         .map(|k| (strsim::jaro_winkler(name, k), *k))
         .max_by(|a, b| a.0.total_cmp(&b.0).then_with(|| b.1.cmp(a.1)));
     match best {
-        Some((likeness, k)) if likeness >= NEAR => {
+        Some((likeness, k)) if likeness >= SUGGESTION_SIMILARITY => {
             format!("unknown {what} `{name}`; did you mean `{k}`?")
         }
         _ => format!("unknown {what} `{name}`; known are {}", all.join(", ")),
@@ -178,7 +197,7 @@
 }
 
 /// Refuses attributes that no subject has, in branches too that no trial would take.
-fn check_names(ast: &AST) -> Result<(), Flaw> {
+fn validate_attribute_names(ast: &AST) -> Result<(), Diagnostic> {
     let mut flaw = None;
     ast.walk(&mut |path| {
         if let Some(ASTNode::Expr(Expr::Dot(pair, ..))) = path.last()
@@ -194,7 +213,10 @@
             {
                 let what = format!("attribute of {subject}:");
                 let names = table.iter().map(|a: &Attribute| a.0);
-                flaw = Some(Flaw::at(*position, unknown(&what, &property.2, names)));
+                flaw = Some(Diagnostic::at_position(
+                    *position,
+                    unknown_name_message(&what, &property.2, names),
+                ));
             }
         }
         flaw.is_none()
@@ -203,6 +225,6 @@
 }
 
 /// Functions that a compiled plug-in defines, with their number of parameters.
-pub fn functions(ast: &AST) -> BTreeSet<(String, usize)> {
+pub fn defined_functions(ast: &AST) -> BTreeSet<(String, usize)> {
     ast.iter_functions().map(|f| (f.name.to_string(), f.params.len())).collect()
 }
--- a/crates/policy/src/operator.rs
+++ b/crates/policy/src/operator.rs
@@ -1,8 +1,8 @@
 //! The operators' file: what those who run the service set, beyond the platform's file. TOML, checked
 //! like the platform's; everything in it is off unless switched on.
 
-use crate::lang::Flaw;
-use crate::policy::{Policy, knob_names};
+use crate::lang::Diagnostic;
+use crate::policy::{SchedulingPolicy, parameter_names};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
 /// The `[admin]` table: where operators' commands are taken.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Admin {
+pub struct AdminSettings {
     /// Address; none: no listener.
     #[serde(default)]
     pub listen: Option<SocketAddr>,
@@ -58,7 +58,7 @@
 /// The `[plugins]` table.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Plugins {
+pub struct PluginSettings {
     /// Whether plug-ins are kept and asked.
     #[serde(default)]
     pub enabled: bool,
@@ -67,7 +67,7 @@
 /// The `[amounts]` table.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Amounts {
+pub struct QuotaSettings {
     /// Whether limits are held in the state service, so that the lowest of all controllers' settings counts.
     #[serde(default)]
     pub durable: bool,
@@ -76,18 +76,18 @@
 /// The `[tiers]` table: which waiting work comes first.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Tiers {
+pub struct TierTableSettings {
     /// Number of the table: of all controllers' files and the state service, the highest counts.
     pub version: u64,
     /// The tiers, the first first.
     #[serde(default)]
-    pub tier: Vec<TierLine>,
+    pub tier: Vec<TierEntrySettings>,
 }
 
 /// One `[[tiers.tier]]`.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct TierLine {
+pub struct TierEntrySettings {
     /// Its name.
     pub name: String,
     /// Which jobs are of it, as an expression over `job`.
@@ -98,7 +98,7 @@
 }
 
 /// Line and column of a byte in a text, from 1.
-pub fn line_of(text: &str, byte: usize) -> (usize, usize) {
+pub fn line_and_column(text: &str, byte: usize) -> (usize, usize) {
     let before = text.get(..byte).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
     (line, before.chars().rev().take_while(|c| *c != '\n').count() + 1)
@@ -107,7 +107,7 @@
 /// The `[loans]` table.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Loans {
+pub struct LoanSettings {
     /// Whether accelerators lent are held in the state service, so that a new leader finishes what was begun.
     #[serde(default)]
     pub durable: bool,
@@ -116,88 +116,90 @@
 /// A checked operators' file.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// Where operators' commands are taken.
     #[serde(default)]
-    pub admin: Admin,
+    pub admin: AdminSettings,
     /// Plug-ins.
     #[serde(default)]
-    pub plugins: Plugins,
+    pub plugins: PluginSettings,
     /// Teams' limits.
     #[serde(default)]
-    pub amounts: Amounts,
+    pub amounts: QuotaSettings,
     /// Tiers, held in the state service; none: the built-in ones, by records alone.
     #[serde(default)]
-    pub tiers: Option<Tiers>,
+    pub tiers: Option<TierTableSettings>,
     /// Accelerators lent.
     #[serde(default)]
-    pub loans: Loans,
+    pub loans: LoanSettings,
     /// Arrivals and chains, as the dispatch package reads them.
     #[serde(default)]
     pub dispatch: Option<toml::Table>,
     /// Expressions, by the name of what they set.
     #[serde(default)]
-    pub policy: BTreeMap<String, Setting>,
+    pub policy: BTreeMap<String, PolicySetting>,
 }
 
 /// An expression, or a number that stands for itself.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(untagged, expecting = "a number, or an expression in quotes, is expected")]
-pub enum Setting {
+pub enum PolicySetting {
     /// A whole number.
-    Whole(i64),
+    Integer(i64),
     /// A number.
     Number(f64),
     /// An expression.
     Expression(String),
 }
 
-impl Setting {
-    fn source(&self) -> String {
+impl PolicySetting {
+    fn expression_source(&self) -> String {
         match self {
-            Setting::Whole(n) => n.to_string(),
-            Setting::Number(n) => format!("{n:?}"),
-            Setting::Expression(text) => text.clone(),
+            PolicySetting::Integer(n) => n.to_string(),
+            PolicySetting::Number(n) => format!("{n:?}"),
+            PolicySetting::Expression(text) => text.clone(),
         }
     }
 }
 
-impl Operator {
+impl OperatorSettings {
     /// Reads and checks a file.
-    pub fn load(path: &Path) -> Result<Operator, OperatorError> {
+    pub fn load(path: &Path) -> Result<OperatorSettings, OperatorError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
             .map_err(|cause| OperatorError::Read { file: file.clone(), cause })?;
-        Operator::parse(&file, &text)
+        OperatorSettings::parse(&file, &text)
     }
 
     /// Reads and checks a text; `file` names it in errors.
-    pub fn parse(file: &str, text: &str) -> Result<Operator, OperatorError> {
-        let found: Operator = toml::from_str(text)
+    pub fn parse(file: &str, text: &str) -> Result<OperatorSettings, OperatorError> {
+        let found: OperatorSettings = toml::from_str(text)
             .map_err(|cause| OperatorError::Form { file: file.into(), cause: Box::new(cause) })?;
-        match found.compile() {
+        match found.compile_policy() {
             Ok(_) => Ok(found),
             Err((name, flaw)) => {
-                let (line, column) = place(text, &name, &flaw);
+                let (line, column) = locate_diagnostic(text, &name, &flaw);
                 let cause = flaw.cause;
                 Err(OperatorError::Policy { file: file.into(), line, column, name, cause })
             }
         }
     }
 
-    fn compile(&self) -> Result<Policy, (String, Flaw)> {
-        Policy::new(&self.policy.iter().map(|(k, v)| (k.clone(), v.source())).collect())
+    fn compile_policy(&self) -> Result<SchedulingPolicy, (String, Diagnostic)> {
+        SchedulingPolicy::new(
+            &self.policy.iter().map(|(k, v)| (k.clone(), v.expression_source())).collect(),
+        )
     }
 
     /// The policy, compiled. A checked file always has one.
-    pub fn policy(&self) -> Policy {
-        self.compile().unwrap_or_default()
+    pub fn compiled_policy(&self) -> SchedulingPolicy {
+        self.compile_policy().unwrap_or_default()
     }
 }
 
 /// Where in the file a flaw of a policy's expression lies: its key's line, and the column within the
 /// text after it. An expression of several lines is counted from there.
-fn place(text: &str, name: &str, flaw: &Flaw) -> (usize, usize) {
+fn locate_diagnostic(text: &str, name: &str, flaw: &Diagnostic) -> (usize, usize) {
     let mut inside = false;
     for (n, line) in text.lines().enumerate() {
         let bare = line.trim_start();
@@ -211,7 +213,7 @@
                 let quotes = rest.trim_start().chars().take_while(|c| matches!(c, '"' | '\''));
                 at + 1 + (rest.len() - rest.trim_start().len()) + quotes.count()
             });
-            let known = knob_names().any(|k| k == name);
+            let known = parameter_names().any(|k| k == name);
             let (down, right) = (flaw.line.saturating_sub(1), flaw.column.max(1));
             return match (known, down) {
                 (false, _) => (n + 1, line.len() - bare.len() + 1),
--- a/crates/policy/src/outbox.rs
+++ b/crates/policy/src/outbox.rs
@@ -3,17 +3,17 @@
 
 use crate::constants::*;
 use crate::host::Time;
-use crate::lang::{Flaw, unknown};
+use crate::lang::{Diagnostic, unknown_name_message};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
 /// Kinds of events.
-pub const KINDS: [&str; 5] = ["task", "job", "machine", "term", "rental"];
+pub const EVENT_KINDS: [&str; 5] = ["task", "job", "machine", "term", "rental"];
 
 /// An event as it is reported.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Event {
+pub struct ReportedEvent {
     /// One of [`KINDS`].
     pub kind: String,
     /// What happened: `runs`, `done`, `accepted`, ...
@@ -30,7 +30,7 @@
 /// A report hook: its source is TOML.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ReportHook {
+pub struct EventReceiver {
     /// Address of the receiver, which takes POST requests of JSON.
     pub to: SocketAddr,
     /// Path there.
@@ -45,18 +45,18 @@
     "/".into()
 }
 
-impl ReportHook {
+impl EventReceiver {
     /// Reads and checks a source.
-    pub fn parse(source: &str) -> Result<ReportHook, Flaw> {
-        let found: ReportHook = toml::from_str(source).map_err(|e| {
+    pub fn parse(source: &str) -> Result<EventReceiver, Diagnostic> {
+        let found: EventReceiver = toml::from_str(source).map_err(|e| {
             let before = &source[..e.span().map_or(0, |s| s.start).min(source.len())];
             let line = before.matches('\n').count() + 1;
             let column = before.len() - before.rfind('\n').map_or(0, |n| n + 1) + 1;
-            Flaw { line, column, cause: e.message().to_string() }
+            Diagnostic { line, column, cause: e.message().to_string() }
         })?;
-        let flaw = |cause: String| Err(Flaw { line: 0, column: 0, cause });
-        if let Some(odd) = found.events.iter().find(|e| !KINDS.contains(&e.as_str())) {
-            return flaw(unknown("event", odd, KINDS.into_iter()));
+        let flaw = |cause: String| Err(Diagnostic { line: 0, column: 0, cause });
+        if let Some(odd) = found.events.iter().find(|e| !EVENT_KINDS.contains(&e.as_str())) {
+            return flaw(unknown_name_message("event", odd, EVENT_KINDS.into_iter()));
         }
         if !found.path.starts_with('/') || found.path.contains(char::is_whitespace) {
             return flaw(format!("path `{}`: one that begins with / is expected", found.path));
@@ -67,7 +67,7 @@
 
 /// One delivery.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Delivery {
+pub struct EventDelivery {
     /// Plug-in.
     pub plugin: String,
     /// Receiver.
@@ -80,7 +80,7 @@
 
 /// What has become of events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
-pub struct Counts {
+pub struct DeliveryCounts {
     /// Wait.
     pub waiting: usize,
     /// Were taken by the receiver.
@@ -93,7 +93,7 @@
 
 /// Where deliveries stand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum DeliveryPhase {
     /// The next may leave at this time.
     Idle(Time),
     /// One of so many events is under way.
@@ -102,35 +102,41 @@
 
 /// The events of one receiver.
 #[derive(Debug)]
-pub struct Outbox {
-    hook: ReportHook,
-    queue: VecDeque<Event>,
-    phase: Phase,
-    pause: u64,
-    counts: Counts,
+pub struct EventOutbox {
+    receiver: EventReceiver,
+    queue: VecDeque<ReportedEvent>,
+    phase: DeliveryPhase,
+    backoff_ms: u64,
+    counts: DeliveryCounts,
 }
 
 #[derive(Serialize)]
-struct Body<'a> {
-    events: Vec<&'a Event>,
+struct DeliveryBody<'a> {
+    events: Vec<&'a ReportedEvent>,
     dropped: u64,
 }
 
-impl Outbox {
+impl EventOutbox {
     /// An empty one.
-    pub fn new(hook: ReportHook) -> Outbox {
-        let phase = Phase::Idle(0);
-        Outbox { hook, queue: VecDeque::new(), phase, pause: 0, counts: Counts::default() }
+    pub fn new(receiver: EventReceiver) -> EventOutbox {
+        let phase = DeliveryPhase::Idle(0);
+        EventOutbox {
+            receiver,
+            queue: VecDeque::new(),
+            phase,
+            backoff_ms: 0,
+            counts: DeliveryCounts::default(),
+        }
     }
 
     /// Takes an event, if it is wanted. What finds no room pushes the oldest out.
-    pub fn push(&mut self, event: &Event) {
-        if !self.hook.events.is_empty() && !self.hook.events.contains(&event.kind) {
+    pub fn enqueue(&mut self, event: &ReportedEvent) {
+        if !self.receiver.events.is_empty() && !self.receiver.events.contains(&event.kind) {
             return;
         }
-        if self.queue.len() >= OUTBOX_MOST {
+        if self.queue.len() >= MAX_OUTBOX_EVENTS {
             // What is under way stays: it is at the front.
-            let under_way = if let Phase::Sending(n) = self.phase { n } else { 0 };
+            let under_way = if let DeliveryPhase::Sending(n) = self.phase { n } else { 0 };
             self.queue.remove(under_way);
             self.counts.dropped += 1;
         }
@@ -138,40 +144,41 @@
     }
 
     /// The next delivery, if one may leave.
-    pub fn next(&mut self, plugin: &str, now: Time) -> Option<Delivery> {
-        let Phase::Idle(at) = self.phase else { return None };
+    pub fn next_delivery(&mut self, plugin: &str, now: Time) -> Option<EventDelivery> {
+        let DeliveryPhase::Idle(at) = self.phase else { return None };
         if now < at || self.queue.is_empty() {
             return None;
         }
-        let events: Vec<&Event> = self.queue.iter().take(BATCH_MOST).collect();
+        let events: Vec<&ReportedEvent> = self.queue.iter().take(MAX_DELIVERY_EVENTS).collect();
         let number = events.len();
-        let body = serde_json::to_vec(&Body { events, dropped: self.counts.dropped });
-        self.phase = Phase::Sending(number);
-        Some(Delivery {
+        let body = serde_json::to_vec(&DeliveryBody { events, dropped: self.counts.dropped });
+        self.phase = DeliveryPhase::Sending(number);
+        Some(EventDelivery {
             plugin: plugin.to_string(),
-            to: self.hook.to,
-            path: self.hook.path.clone(),
+            to: self.receiver.to,
+            path: self.receiver.path.clone(),
             body: body.unwrap_or_default(),
         })
     }
 
     /// The delivery under way has ended. One that failed is tried again after a growing pause.
-    pub fn ended(&mut self, taken: bool, now: Time) {
-        let Phase::Sending(number) = self.phase else { return };
+    pub fn on_delivery_ended(&mut self, taken: bool, now: Time) {
+        let DeliveryPhase::Sending(number) = self.phase else { return };
         if taken {
             self.queue.drain(..number.min(self.queue.len()));
             self.counts.delivered += number as u64;
-            self.pause = 0;
-            self.phase = Phase::Idle(now + HOOK_EVERY_MS);
+            self.backoff_ms = 0;
+            self.phase = DeliveryPhase::Idle(now + MIN_DELIVERY_INTERVAL_MS);
         } else {
             self.counts.failures += 1;
-            self.pause = (self.pause * 2).clamp(HOOK_PAUSE_MS, HOOK_PAUSE_MOST_MS);
-            self.phase = Phase::Idle(now + self.pause);
+            self.backoff_ms =
+                (self.backoff_ms * 2).clamp(DELIVERY_BACKOFF_MS, MAX_DELIVERY_BACKOFF_MS);
+            self.phase = DeliveryPhase::Idle(now + self.backoff_ms);
         }
     }
 
     /// What has become of its events.
-    pub fn counts(&self) -> Counts {
-        Counts { waiting: self.queue.len(), ..self.counts }
+    pub fn counts(&self) -> DeliveryCounts {
+        DeliveryCounts { waiting: self.queue.len(), ..self.counts }
     }
 }
--- a/crates/policy/src/plugin.rs
+++ b/crates/policy/src/plugin.rs
@@ -8,17 +8,18 @@
 /// What a plug-in is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum PluginKind {
     /// Functions of the embedded language that advise on decisions.
     Decision,
     /// An address to which events are reported.
-    Report,
+    #[serde(rename = "report")]
+    EventReceiver,
 }
 
 /// Where a plug-in stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum PluginState {
     /// Its source has come, and is not checked yet.
     Offered,
     /// Sound, and not used.
@@ -33,7 +34,7 @@
 
 /// What may happen to a plug-in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum PluginTransition {
     /// Its source was found sound.
     Check,
     /// An operator switches it on.
@@ -48,18 +49,22 @@
     Remove,
 }
 
-impl State {
+impl PluginState {
     /// The one function that changes the state. None: the step does not apply there.
-    pub fn after(self, step: Step) -> Option<State> {
+    pub fn transition(self, step: PluginTransition) -> Option<PluginState> {
         match (self, step) {
-            (State::Removed, Step::Offer) => Some(State::Offered),
-            (State::Removed, _) => None,
-            (_, Step::Remove) => Some(State::Removed),
-            (_, Step::Offer) => Some(State::Offered),
-            (State::Offered, Step::Check) => Some(State::Checked),
-            (State::Checked | State::Suspended, Step::Enable) => Some(State::Active),
-            (State::Active | State::Suspended, Step::Disable) => Some(State::Checked),
-            (State::Active, Step::Suspend) => Some(State::Suspended),
+            (PluginState::Removed, PluginTransition::Offer) => Some(PluginState::Offered),
+            (PluginState::Removed, _) => None,
+            (_, PluginTransition::Remove) => Some(PluginState::Removed),
+            (_, PluginTransition::Offer) => Some(PluginState::Offered),
+            (PluginState::Offered, PluginTransition::Check) => Some(PluginState::Checked),
+            (PluginState::Checked | PluginState::Suspended, PluginTransition::Enable) => {
+                Some(PluginState::Active)
+            }
+            (PluginState::Active | PluginState::Suspended, PluginTransition::Disable) => {
+                Some(PluginState::Checked)
+            }
+            (PluginState::Active, PluginTransition::Suspend) => Some(PluginState::Suspended),
             _ => None,
         }
     }
@@ -71,9 +76,9 @@
     /// Its name.
     pub name: String,
     /// What it is.
-    pub kind: Kind,
+    pub kind: PluginKind,
     /// Where it stands.
-    pub state: State,
+    pub state: PluginState,
     /// Counts the sources offered under its name.
     pub version: u64,
     /// SHA-256 of its source, in hexadecimal.
@@ -93,11 +98,11 @@
 
 impl PluginRecord {
     /// Takes a step. False if it does not apply.
-    pub fn advance(&mut self, step: Step, wall: u64) -> bool {
-        let Some(state) = self.state.after(step) else { return false };
+    pub fn apply_transition(&mut self, step: PluginTransition, wall: u64) -> bool {
+        let Some(state) = self.state.transition(step) else { return false };
         self.state = state;
         self.changed_wall = wall;
-        if step != Step::Suspend {
+        if step != PluginTransition::Suspend {
             self.reason = None;
         }
         true
@@ -106,9 +111,9 @@
 
 /// A plug-in as it is offered.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Offer {
+pub struct PluginOffer {
     /// What it is.
-    pub kind: Kind,
+    pub kind: PluginKind,
     /// Its source: functions, or the TOML of a report hook.
     pub source: String,
     /// Order of precedence.
@@ -120,22 +125,22 @@
 }
 
 fn usual_precedence() -> u32 {
-    PRECEDENCE
+    DEFAULT_PRECEDENCE
 }
 
 /// Whether a text may name a plug-in: lower-case letters, digits and dashes.
-pub fn valid_name(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     let good = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
-    !name.is_empty() && name.len() <= NAME_MOST && name.bytes().all(good)
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(good)
 }
 
 /// SHA-256 of a source, in hexadecimal.
-pub fn hash(source: &str) -> String {
+pub fn source_hash(source: &str) -> String {
     hex::encode(Sha256::digest(source.as_bytes()))
 }
 
 /// A source in parts of at most that many bytes each, cut between characters.
-pub fn chunks(source: &str, most: usize) -> Vec<&str> {
+pub fn split_into_chunks(source: &str, most: usize) -> Vec<&str> {
     let mut rest = source;
     let mut parts = Vec::new();
     while !rest.is_empty() {
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -5,30 +5,33 @@
 /// Paths of this interface.
 pub mod path {
     /// Machine types.
-    pub const TYPES: &str = "/machine_types";
+    pub const MACHINE_TYPES: &str = "/machine_types";
     /// Rental and list.
     pub const MACHINES: &str = "/machines";
     /// Return.
-    pub const RETURN: &str = "/machines/return";
+    pub const RELEASE_MACHINES: &str = "/machines/return";
 }
 
 /// All machine types.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Types {
+pub struct MachineTypes {
     /// One each.
-    pub hulls: Vec<Hull>,
+    #[serde(rename = "hulls")]
+    pub machine_types: Vec<ListedMachineType>,
 }
 
 /// A machine type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Hull {
+pub struct ListedMachineType {
     /// Its name.
-    pub sku: String,
+    #[serde(rename = "sku")]
+    pub name: String,
     /// CPUs.
     pub cpus: f64,
     /// Accelerators.
     #[serde(default)]
-    pub accelerators: f64,
+    #[serde(rename = "accelerators")]
+    pub gpus: f64,
     /// Memory, GB.
     pub memory_gb: f64,
     /// Image cache, GB.
@@ -36,49 +39,59 @@
     pub cache_gb: f64,
     /// Rate of image fetches.
     #[serde(default)]
-    pub fetch_gb_per_s: f64,
+    #[serde(rename = "fetch_gb_per_s")]
+    pub image_fetch_gb_per_s: f64,
     /// Price an hour.
     #[serde(default)]
     pub price: f64,
     /// Spot price an hour.
     #[serde(default)]
-    pub market_price: f64,
+    #[serde(rename = "market_price")]
+    pub spot_price: f64,
     /// Usual boot time, s.
     #[serde(default)]
     pub boot_s: f64,
     /// Zones that have it.
     #[serde(default)]
-    pub docks: Vec<String>,
+    #[serde(rename = "docks")]
+    pub zones: Vec<String>,
 }
 
 /// Rental request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Rent {
+pub struct ProvisionMachinesRequest {
     /// Name of the request, never used twice.
-    pub charter: String,
+    #[serde(rename = "charter")]
+    pub request_id: String,
     /// Machine type.
-    pub hull: String,
+    #[serde(rename = "hull")]
+    pub machine_type: String,
     /// Zone.
-    pub dock: String,
+    #[serde(rename = "dock")]
+    pub zone: String,
     /// Spot.
-    pub driftwood: bool,
+    #[serde(rename = "driftwood")]
+    pub spot: bool,
     /// Machines wanted.
-    pub number: u32,
+    #[serde(rename = "number")]
+    pub count: u32,
 }
 
 /// Names of machines: rented, or to return.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Berths {
+pub struct MachineNames {
     /// The names.
-    pub berths: Vec<String>,
+    #[serde(rename = "berths")]
+    pub machines: Vec<String>,
 }
 
 /// A page of the machine list.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Listing {
+pub struct MachinePage {
     /// Machines in name order.
     #[serde(default)]
-    pub berths: Vec<Listed>,
+    #[serde(rename = "berths")]
+    pub machines: Vec<ListedMachine>,
     /// Whether more follow.
     #[serde(default)]
     pub has_next: bool,
@@ -86,29 +99,35 @@
 
 /// A machine in the list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     /// Its name.
-    pub name_id: String,
+    #[serde(rename = "name_id")]
+    pub name: String,
     /// Its worker's address.
     #[serde(default)]
-    pub addr: String,
+    #[serde(rename = "addr")]
+    pub address: String,
     /// Machine type.
-    pub hull: String,
+    #[serde(rename = "hull")]
+    pub machine_type: String,
     /// Zone.
-    pub dock: String,
+    #[serde(rename = "dock")]
+    pub zone: String,
     /// Spot.
     #[serde(default)]
-    pub driftwood: bool,
+    #[serde(rename = "driftwood")]
+    pub spot: bool,
     /// State.
-    pub status: ListedState,
+    pub status: ListedMachineStatus,
     /// Age since the rental request, s.
     #[serde(default)]
-    pub held_s: f64,
+    #[serde(rename = "held_s")]
+    pub age_s: f64,
 }
 
 /// State of a machine in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ListedState {
+pub enum ListedMachineStatus {
     /// Boots.
     #[serde(rename = "starting")]
     Booting,
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -15,25 +15,25 @@
 
 /// Why a body was refused.
 #[derive(Debug, thiserror::Error)]
-pub enum WireError {
+pub enum ProtocolError {
     /// The body is longer than the interface allows.
     #[error("the body has {0} bytes, more than the limit; send less")]
     TooLarge(usize),
     /// The body is not MessagePack of the expected form.
     #[error("the body cannot be read: {0}; send a MessagePack map as the protocol describes")]
-    Form(String),
+    Malformed(String),
     /// A field is missing or impossible.
     #[error("field `{0}`: {1}")]
-    Field(&'static str, &'static str),
+    InvalidField(&'static str, &'static str),
 }
 
 /// Reads a body.
-pub fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, WireError> {
-    rmp_serde::from_slice(body).map_err(|e| WireError::Form(e.to_string()))
+pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, ProtocolError> {
+    rmp_serde::from_slice(body).map_err(|e| ProtocolError::Malformed(e.to_string()))
 }
 
 /// Writes a body: maps keyed by text. Our own types always can be written, so a failure is an
 /// empty body, which every reader refuses.
-pub fn write<T: Serialize>(value: &T) -> Vec<u8> {
+pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     rmp_serde::to_vec_named(value).unwrap_or_default()
 }
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -6,20 +6,20 @@
 /// Paths of this interface.
 pub mod path {
     /// Keys.
-    pub const KV: &str = "/kv";
+    pub const KEYS: &str = "/kv";
     /// Transactions.
-    pub const COMMIT: &str = "/commit";
+    pub const TRANSACTIONS: &str = "/commit";
     /// Leases.
-    pub const GRANTS: &str = "/grants";
+    pub const LEASES: &str = "/grants";
     /// Extension of a lease, after its number.
-    pub const EXTEND: &str = "extend";
+    pub const LEASE_RENEWAL: &str = "extend";
     /// Watches.
-    pub const FOLLOW: &str = "/follow";
+    pub const WATCH: &str = "/follow";
 }
 
 /// One key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Pair {
+pub struct KeyValue {
     /// The key.
     #[serde(default)]
     pub key: String,
@@ -27,112 +27,130 @@
     #[serde(default)]
     pub value: Value,
     /// Revision of its latest change.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
     /// Lease it is attached to.
     #[serde(default)]
-    pub mooring: Option<u64>,
+    #[serde(rename = "mooring")]
+    pub lease: Option<u64>,
 }
 
 /// A page of keys.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Page {
+pub struct KeyPage {
     /// Keys in order.
     #[serde(default)]
-    pub pairs: Vec<Pair>,
+    #[serde(rename = "pairs")]
+    pub entries: Vec<KeyValue>,
     /// Whether more follow.
     #[serde(default)]
     pub has_next: bool,
     /// Revision of the store.
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub revision: u64,
 }
 
 /// A transaction.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Commit {
+pub struct Transaction {
     /// Conditions.
-    pub when: Vec<When>,
+    #[serde(rename = "when")]
+    pub preconditions: Vec<Precondition>,
     /// Changes.
-    pub apply: Vec<Change>,
+    #[serde(rename = "apply")]
+    pub mutations: Vec<Mutation>,
 }
 
 /// A condition.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct When {
+pub struct Precondition {
     /// The key.
     pub key: String,
     /// Its stamp; 0: it does not exist.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 /// A put or a delete.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Change {
+pub enum Mutation {
     /// Put.
-    Write {
+    Put {
         /// The key.
-        write: String,
+        #[serde(rename = "write")]
+        key: String,
         /// Its value.
         value: Value,
         /// Lease to attach it to.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        mooring: Option<u64>,
+        #[serde(rename = "mooring")]
+        lease: Option<u64>,
     },
     /// Delete.
-    Remove {
+    Delete {
         /// The key.
-        remove: String,
+        #[serde(rename = "remove")]
+        key: String,
     },
 }
 
 /// Answer to a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Committed {
+pub struct TransactionResponse {
     /// Revision.
     #[serde(default)]
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub revision: u64,
     /// Keys whose condition failed.
     #[serde(default)]
-    pub failed: Vec<String>,
+    #[serde(rename = "failed")]
+    pub failed_keys: Vec<String>,
 }
 
 /// Request for a lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Ask {
+pub struct LeaseRequest {
     /// Time to live.
     pub ttl_ms: u64,
 }
 
 /// A lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Granted {
+pub struct LeaseResponse {
     /// Its number.
-    pub mooring: u64,
+    #[serde(rename = "mooring")]
+    pub lease: u64,
 }
 
 /// Changes seen by a watch.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct WatchResponse {
     /// Revision up to which they are told.
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub revision: u64,
     /// The changes.
     #[serde(default)]
-    pub news: Vec<Item>,
+    #[serde(rename = "news")]
+    pub events: Vec<WatchEvent>,
 }
 
 /// One change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Item {
+pub struct WatchEvent {
     /// Key that was put.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub write: Option<String>,
+    #[serde(rename = "write")]
+    pub put_key: Option<String>,
     /// Key that was deleted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub remove: Option<String>,
+    #[serde(rename = "remove")]
+    pub deleted_key: Option<String>,
     /// Value put.
     #[serde(default)]
     pub value: Value,
     /// Revision.
     #[serde(default)]
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
--- a/crates/protocol/src/workers.rs
+++ b/crates/protocol/src/workers.rs
@@ -14,62 +14,77 @@
 
 /// A report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct StatusReport {
     /// The machine's name.
-    pub berth: String,
+    #[serde(rename = "berth")]
+    pub machine: String,
     /// Where its worker takes commands.
     #[serde(default)]
-    pub addr: String,
+    #[serde(rename = "addr")]
+    pub address: String,
     /// Machine type.
     #[serde(default)]
-    pub hull: String,
+    #[serde(rename = "hull")]
+    pub machine_type: String,
     /// Zone.
     #[serde(default)]
-    pub dock: String,
+    #[serde(rename = "dock")]
+    pub zone: String,
     /// Spot machine.
     #[serde(default)]
-    pub driftwood: bool,
+    #[serde(rename = "driftwood")]
+    pub spot: bool,
     /// Session.
-    pub watch: u64,
+    #[serde(rename = "watch")]
+    pub session: u64,
     /// Message number within all sessions.
-    pub tick: u64,
+    #[serde(rename = "tick")]
+    pub sequence: u64,
     /// Highest token seen.
     #[serde(default)]
-    pub helm: u64,
+    #[serde(rename = "helm")]
+    pub fencing_token: u64,
     /// Seconds until the cloud takes the machine.
     #[serde(default)]
-    pub recall_s: Option<f64>,
+    #[serde(rename = "recall_s")]
+    pub reclaim_in_s: Option<f64>,
     /// Tasks on the machine.
     #[serde(default)]
-    pub shards: Vec<Shard>,
+    #[serde(rename = "shards")]
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A task in a report.
 #[derive(Debug, Clone, PartialEq, Hash, Serialize, Deserialize)]
-pub struct Shard {
+pub struct TaskStatus {
     /// Job and task number.
-    pub shard: String,
+    #[serde(rename = "shard")]
+    pub task: String,
     /// Attempt.
-    pub launch: u64,
+    #[serde(rename = "launch")]
+    pub attempt: u64,
     /// Its state.
-    pub status: Phase,
+    #[serde(rename = "status")]
+    pub phase: TaskPhase,
     /// Why it exited.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<Cause>,
+    #[serde(rename = "cause")]
+    pub exit_cause: Option<ExitCause>,
     /// Whether its progress was saved.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub stored: Option<bool>,
+    #[serde(rename = "stored")]
+    pub progress_saved: Option<bool>,
 }
 
 /// State of a task on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Phase {
+pub enum TaskPhase {
     /// Waits for its image.
     #[serde(rename = "fetching")]
     Fetching,
     /// Waits for its gang.
     #[serde(rename = "gathering")]
-    Waiting,
+    WaitingForGang,
     /// Runs.
     #[serde(rename = "running")]
     Running,
@@ -86,53 +101,74 @@
 
 /// Why a task exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Cause {
+pub enum ExitCause {
     /// Completed.
     #[serde(rename = "done")]
-    Done,
+    Completed,
     /// Stopped by command.
     #[serde(rename = "halted")]
     Stopped,
     /// Gang: another task is gone.
     #[serde(rename = "mates_gone")]
-    PeersGone,
+    GangMemberLost,
     /// Gang: was not complete in time.
     #[serde(rename = "alone")]
-    Alone,
+    GangIncomplete,
     /// Failed.
     #[serde(rename = "error")]
-    Error,
+    Failed,
     /// Refused: no room.
     #[serde(rename = "no_room")]
-    NoRoom,
+    InsufficientResources,
     /// Refused: another attempt is there.
     #[serde(rename = "in_use")]
-    InUse,
+    ConflictingAttempt,
     /// Refused: no such job.
     #[serde(rename = "no_such")]
-    NoSuch,
+    UnknownJob,
     /// A cause this version does not know: taken as a failure.
     #[serde(other, rename = "other")]
     Other,
 }
 
+impl ExitCause {
+    /// The cause as event receivers of plug-ins are told it. These names are part of the plug-in interface.
+    pub fn event_name(self) -> &'static str {
+        match self {
+            ExitCause::Completed => "done",
+            ExitCause::Stopped => "stopped",
+            ExitCause::GangMemberLost => "peersgone",
+            ExitCause::GangIncomplete => "alone",
+            ExitCause::Failed => "error",
+            ExitCause::InsufficientResources => "noroom",
+            ExitCause::ConflictingAttempt => "inuse",
+            ExitCause::UnknownJob => "nosuch",
+            ExitCause::Other => "other",
+        }
+    }
+}
+
 /// What a worker is told.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Command {
     /// Start, stop or forget.
-    pub verb: Verb,
+    #[serde(rename = "verb")]
+    pub kind: CommandKind,
     /// Job and task number.
-    pub shard: String,
+    #[serde(rename = "shard")]
+    pub task: String,
     /// Attempt.
-    pub launch: u64,
+    #[serde(rename = "launch")]
+    pub attempt: u64,
     /// Grace of a stop, s.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub ease_s: Option<f64>,
+    #[serde(rename = "ease_s")]
+    pub grace_s: Option<f64>,
 }
 
 /// Kind of command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verb {
+pub enum CommandKind {
     /// Start an attempt.
     #[serde(rename = "start")]
     Start,
@@ -146,22 +182,27 @@
 
 /// Answer to a report by the node that leads.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Orders {
+pub struct HeartbeatResponse {
     /// Token.
-    pub helm: u64,
+    #[serde(rename = "helm")]
+    pub fencing_token: u64,
     /// Commands.
-    pub orders: Vec<Command>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// Commands sent straight to a worker.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Direct {
+pub struct DirectCommands {
     /// Token.
-    pub helm: u64,
+    #[serde(rename = "helm")]
+    pub fencing_token: u64,
     /// Session meant.
-    pub watch: u64,
+    #[serde(rename = "watch")]
+    pub session: u64,
     /// Commands.
-    pub orders: Vec<Command>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// Answer to a report by a node that does not lead.
@@ -169,5 +210,6 @@
 pub struct Redirect {
     /// The node to report to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub harbor: Option<String>,
+    #[serde(rename = "harbor")]
+    pub controller: Option<String>,
 }
--- a/crates/quota/src/fixed.rs
+++ b/crates/quota/src/fixed.rs
@@ -1,7 +1,7 @@
 //! Amounts as whole numbers. Sums of decimal numbers in binary drift with every addition: a hundred tasks
 //! of 0.1 CPUs that come and go leave a limit of 10 a little short, or over.
 
-use crate::constants::{PART_SLACK, PARTS};
+use crate::constants::{ROUNDING_TOLERANCE, UNITS_PER_RESOURCE};
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 
@@ -10,46 +10,46 @@
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct Amount(i64);
+pub struct Quantity(i64);
 
-impl Amount {
+impl Quantity {
     /// None.
-    pub const ZERO: Amount = Amount(0);
+    pub const ZERO: Quantity = Quantity(0);
     /// More than anything.
-    pub const MAX: Amount = Amount(i64::MAX);
+    pub const MAX: Quantity = Quantity(i64::MAX);
 
     /// What a task takes, rounded up: a sum of tasks is never counted too small.
-    pub fn need(number: f64) -> Amount {
-        Amount((number * PARTS - PART_SLACK).ceil() as i64)
+    pub fn from_request(number: f64) -> Quantity {
+        Quantity((number * UNITS_PER_RESOURCE - ROUNDING_TOLERANCE).ceil() as i64)
     }
 
     /// What is allowed, rounded down.
-    pub fn limit(number: f64) -> Amount {
-        Amount((number * PARTS + PART_SLACK).floor() as i64)
+    pub fn from_limit(number: f64) -> Quantity {
+        Quantity((number * UNITS_PER_RESOURCE + ROUNDING_TOLERANCE).floor() as i64)
     }
 
     /// Billionths.
-    pub const fn parts(self) -> i64 {
+    pub const fn units(self) -> i64 {
         self.0
     }
 
     /// An amount of so many billionths.
-    pub const fn of_parts(parts: i64) -> Amount {
-        Amount(parts)
+    pub const fn from_units(parts: i64) -> Quantity {
+        Quantity(parts)
     }
 
     /// As a decimal number, for display and estimates: never to be summed up and compared.
-    pub fn number(self) -> f64 {
-        self.0 as f64 / PARTS
+    pub fn to_f64(self) -> f64 {
+        self.0 as f64 / UNITS_PER_RESOURCE
     }
 
     /// So many times as much.
-    pub fn times(self, number: u32) -> Amount {
-        Amount(self.0.saturating_mul(i64::from(number)))
+    pub fn multiplied_by(self, number: u32) -> Quantity {
+        Quantity(self.0.saturating_mul(i64::from(number)))
     }
 
     /// How many of `each` it holds; none if it is negative, and as many as can be told if `each` is nothing.
-    pub fn holds(self, each: Amount) -> u32 {
+    pub fn times_covering(self, each: Quantity) -> u32 {
         match each.0 {
             i64::MIN..=0 => u32::MAX,
             each => u32::try_from((self.0 / each).max(0)).unwrap_or(u32::MAX),
@@ -57,145 +57,153 @@
     }
 }
 
-impl Add for Amount {
-    type Output = Amount;
-    fn add(self, other: Amount) -> Amount {
-        Amount(self.0.saturating_add(other.0))
+impl Add for Quantity {
+    type Output = Quantity;
+    fn add(self, other: Quantity) -> Quantity {
+        Quantity(self.0.saturating_add(other.0))
     }
 }
 
-impl Sub for Amount {
-    type Output = Amount;
-    fn sub(self, other: Amount) -> Amount {
-        Amount(self.0.saturating_sub(other.0))
+impl Sub for Quantity {
+    type Output = Quantity;
+    fn sub(self, other: Quantity) -> Quantity {
+        Quantity(self.0.saturating_sub(other.0))
     }
 }
 
-impl AddAssign for Amount {
-    fn add_assign(&mut self, other: Amount) {
+impl AddAssign for Quantity {
+    fn add_assign(&mut self, other: Quantity) {
         *self = *self + other;
     }
 }
 
-impl SubAssign for Amount {
-    fn sub_assign(&mut self, other: Amount) {
+impl SubAssign for Quantity {
+    fn sub_assign(&mut self, other: Quantity) {
         *self = *self - other;
     }
 }
 
-impl std::iter::Sum for Amount {
-    fn sum<I: Iterator<Item = Amount>>(all: I) -> Amount {
-        all.fold(Amount::ZERO, Add::add)
+impl std::iter::Sum for Quantity {
+    fn sum<I: Iterator<Item = Quantity>>(all: I) -> Quantity {
+        all.fold(Quantity::ZERO, Add::add)
     }
 }
 
 /// Amounts of both kinds that limits know.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Amounts {
+pub struct ResourceQuantities {
     /// CPUs.
-    pub cpus: Amount,
+    pub cpus: Quantity,
     /// Accelerators.
-    pub gpus: Amount,
+    pub gpus: Quantity,
 }
 
-impl Amounts {
+impl ResourceQuantities {
     /// What a task takes.
-    pub fn need(cpus: f64, gpus: f64) -> Amounts {
-        Amounts { cpus: Amount::need(cpus), gpus: Amount::need(gpus) }
+    pub fn from_request(cpus: f64, gpus: f64) -> ResourceQuantities {
+        ResourceQuantities {
+            cpus: Quantity::from_request(cpus),
+            gpus: Quantity::from_request(gpus),
+        }
     }
 
     /// What is allowed or guaranteed.
-    pub fn limit(cpus: f64, gpus: f64) -> Amounts {
-        Amounts { cpus: Amount::limit(cpus), gpus: Amount::limit(gpus) }
+    pub fn from_limit(cpus: f64, gpus: f64) -> ResourceQuantities {
+        ResourceQuantities { cpus: Quantity::from_limit(cpus), gpus: Quantity::from_limit(gpus) }
     }
 
     /// Both by the same function.
-    pub fn map(self, by: impl Fn(Amount) -> Amount) -> Amounts {
-        Amounts { cpus: by(self.cpus), gpus: by(self.gpus) }
+    pub fn map(self, by: impl Fn(Quantity) -> Quantity) -> ResourceQuantities {
+        ResourceQuantities { cpus: by(self.cpus), gpus: by(self.gpus) }
     }
 
     /// Each kind with the other's.
-    pub fn with(self, other: Amounts, by: impl Fn(Amount, Amount) -> Amount) -> Amounts {
-        Amounts { cpus: by(self.cpus, other.cpus), gpus: by(self.gpus, other.gpus) }
+    pub fn zip_with(
+        self,
+        other: ResourceQuantities,
+        by: impl Fn(Quantity, Quantity) -> Quantity,
+    ) -> ResourceQuantities {
+        ResourceQuantities { cpus: by(self.cpus, other.cpus), gpus: by(self.gpus, other.gpus) }
     }
 
     /// So many times as much.
-    pub fn times(self, number: u32) -> Amounts {
-        self.map(|a| a.times(number))
+    pub fn multiplied_by(self, number: u32) -> ResourceQuantities {
+        self.map(|a| a.multiplied_by(number))
     }
 
     /// Whether it is at least as much of both.
-    pub fn covers(self, other: Amounts) -> bool {
+    pub fn covers(self, other: ResourceQuantities) -> bool {
         self.cpus >= other.cpus && self.gpus >= other.gpus
     }
 
     /// How many of `each` it holds.
-    pub fn holds(self, each: Amounts) -> u32 {
-        self.cpus.holds(each.cpus).min(self.gpus.holds(each.gpus))
+    pub fn times_covering(self, each: ResourceQuantities) -> u32 {
+        self.cpus.times_covering(each.cpus).min(self.gpus.times_covering(each.gpus))
     }
 }
 
-impl Add for Amounts {
-    type Output = Amounts;
-    fn add(self, other: Amounts) -> Amounts {
-        self.with(other, Add::add)
+impl Add for ResourceQuantities {
+    type Output = ResourceQuantities;
+    fn add(self, other: ResourceQuantities) -> ResourceQuantities {
+        self.zip_with(other, Add::add)
     }
 }
 
-impl Sub for Amounts {
-    type Output = Amounts;
-    fn sub(self, other: Amounts) -> Amounts {
-        self.with(other, Sub::sub)
+impl Sub for ResourceQuantities {
+    type Output = ResourceQuantities;
+    fn sub(self, other: ResourceQuantities) -> ResourceQuantities {
+        self.zip_with(other, Sub::sub)
     }
 }
 
-impl AddAssign for Amounts {
-    fn add_assign(&mut self, other: Amounts) {
+impl AddAssign for ResourceQuantities {
+    fn add_assign(&mut self, other: ResourceQuantities) {
         *self = *self + other;
     }
 }
 
-impl SubAssign for Amounts {
-    fn sub_assign(&mut self, other: Amounts) {
+impl SubAssign for ResourceQuantities {
+    fn sub_assign(&mut self, other: ResourceQuantities) {
         *self = *self - other;
     }
 }
 
-impl std::iter::Sum for Amounts {
-    fn sum<I: Iterator<Item = Amounts>>(all: I) -> Amounts {
-        all.fold(Amounts::default(), Add::add)
+impl std::iter::Sum for ResourceQuantities {
+    fn sum<I: Iterator<Item = ResourceQuantities>>(all: I) -> ResourceQuantities {
+        all.fold(ResourceQuantities::default(), Add::add)
     }
 }
 
 /// A team's limit: 0 in the settings means that there is none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Cap(Amounts);
+pub struct QuotaLimit(ResourceQuantities);
 
-impl Cap {
+impl QuotaLimit {
     /// The limit of a team's settings.
-    pub fn of_settings(cpus: f64, gpus: f64) -> Cap {
-        let cap = |most: f64| if most > 0.0 { Amount::limit(most) } else { Amount::MAX };
-        Cap(Amounts { cpus: cap(cpus), gpus: cap(gpus) })
+    pub fn from_settings(cpus: f64, gpus: f64) -> QuotaLimit {
+        let cap = |most: f64| if most > 0.0 { Quantity::from_limit(most) } else { Quantity::MAX };
+        QuotaLimit(ResourceQuantities { cpus: cap(cpus), gpus: cap(gpus) })
     }
 
     /// No more than that either.
-    pub fn at_most(self, held: Amounts) -> Cap {
-        Cap(self.0.with(held, Amount::min))
+    pub fn at_most(self, held: ResourceQuantities) -> QuotaLimit {
+        QuotaLimit(self.0.zip_with(held, Quantity::min))
     }
 
     /// What it leaves. An amount without a limit is left as more than anything.
-    pub fn left(&self, used: Amounts) -> Amounts {
-        let left = |cap: Amount, used: Amount| if cap == Amount::MAX { cap } else { cap - used };
-        self.0.with(used, left)
+    pub fn remaining(&self, used: ResourceQuantities) -> ResourceQuantities {
+        let left =
+            |cap: Quantity, used: Quantity| if cap == Quantity::MAX { cap } else { cap - used };
+        self.0.zip_with(used, left)
     }
 
     /// Whether as much more may be used.
-    pub fn allows(&self, used: Amounts, more: Amounts) -> bool {
-        self.left(used).covers(more)
+    pub fn allows(&self, used: ResourceQuantities, more: ResourceQuantities) -> bool {
+        self.remaining(used).covers(more)
     }
 
     /// The limit itself.
-    pub fn most(&self) -> Amounts {
+    pub fn limit(&self) -> ResourceQuantities {
         self.0
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -19,8 +19,8 @@
 pub mod rates;
 pub mod records;
 
-pub use account::Account;
-pub use fixed::{Amount, Amounts, Cap};
+pub use account::QuotaAccount;
+pub use fixed::{Quantity, QuotaLimit, ResourceQuantities};
 
 /// Steady time in ms.
 pub type Time = u64;
--- a/crates/quota/src/rates.rs
+++ b/crates/quota/src/rates.rs
@@ -12,94 +12,111 @@
 
 /// One controller's part of a rate.
 #[derive(Debug, Clone)]
-pub struct Rate {
-    base: f64,
-    lent: BTreeMap<String, Loan>,
-    borrowed: BTreeMap<String, Loan>,
-    asked_at: BTreeMap<String, Time>,
+pub struct RateShare {
+    base_rate: f64,
+    lent_rates: BTreeMap<String, RateLoan>,
+    borrowed_rates: BTreeMap<String, RateLoan>,
+    requested_at: BTreeMap<String, Time>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Loan {
+struct RateLoan {
     rate: f64,
-    until: Time,
+    expires_at: Time,
 }
 
 /// What is asked of another controller.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ask {
+pub struct RateLoanRequest {
     /// More that is wanted, a second.
-    pub more: f64,
+    pub wanted_rate: f64,
     /// When it was asked, by the borrower's clock: to be given back with the answer.
-    pub at: Time,
+    pub requested_at: Time,
 }
 
 /// What is lent.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Grant {
+pub struct RateLoanGrant {
     /// How much, a second.
     pub rate: f64,
     /// The time in the question.
-    pub at: Time,
+    pub requested_at: Time,
 }
 
-impl Rate {
+impl RateShare {
     /// A part of a whole that is for so many controllers.
-    pub fn new(whole: f64, controllers: usize) -> Rate {
-        Rate {
-            base: whole / controllers.max(1) as f64,
-            lent: BTreeMap::new(),
-            borrowed: BTreeMap::new(),
-            asked_at: BTreeMap::new(),
+    pub fn new(whole: f64, controllers: usize) -> RateShare {
+        RateShare {
+            base_rate: whole / controllers.max(1) as f64,
+            lent_rates: BTreeMap::new(),
+            borrowed_rates: BTreeMap::new(),
+            requested_at: BTreeMap::new(),
         }
     }
 
     /// What may be used a second now.
-    pub fn own(&mut self, now: Time) -> f64 {
-        self.lent.retain(|_, loan| now < loan.until);
-        self.borrowed.retain(|_, loan| now < loan.until);
-        let sum = |loans: &BTreeMap<String, Loan>| loans.values().map(|l| l.rate).sum::<f64>();
-        (self.base - sum(&self.lent) + sum(&self.borrowed)).max(0.0)
+    pub fn available_rate(&mut self, now: Time) -> f64 {
+        self.lent_rates.retain(|_, loan| now < loan.expires_at);
+        self.borrowed_rates.retain(|_, loan| now < loan.expires_at);
+        let sum = |loans: &BTreeMap<String, RateLoan>| loans.values().map(|l| l.rate).sum::<f64>();
+        (self.base_rate - sum(&self.lent_rates) + sum(&self.borrowed_rates)).max(0.0)
     }
 
     /// Whom to ask, if more is used than a large part of what there is: each other controller, now and then.
-    pub fn ask(&mut self, to: &str, used: f64, wants: f64, now: Time) -> Option<Ask> {
-        let own = self.own(now);
-        let more = (wants.max(used) * LOAN_SPARE - own).min(self.base * LOAN_MOST);
-        let due = self.asked_at.get(to).is_none_or(|at| now >= at + LOAN_AGAIN_MS);
+    pub fn request_loan(
+        &mut self,
+        to: &str,
+        used: f64,
+        wants: f64,
+        now: Time,
+    ) -> Option<RateLoanRequest> {
+        let own = self.available_rate(now);
+        let more =
+            (wants.max(used) * RATE_HEADROOM_FACTOR - own).min(self.base_rate * MAX_LENT_SHARE);
+        let due =
+            self.requested_at.get(to).is_none_or(|at| now >= at + RATE_LOAN_REQUEST_INTERVAL_MS);
         // Small loans are not worth their messages.
-        if !due || more < self.base * LOAN_LEAST {
+        if !due || more < self.base_rate * MIN_RATE_LOAN_SHARE {
             return None;
         }
-        self.asked_at.insert(to.to_string(), now);
-        Some(Ask { more, at: now })
+        self.requested_at.insert(to.to_string(), now);
+        Some(RateLoanRequest { wanted_rate: more, requested_at: now })
     }
 
     /// Lends what is not used and not lent already, and never more than a part of the base, so that what comes
     /// here at once finds something. A question asked again while its loan lasts takes that loan's place only
     /// when it is larger: the borrower may still be using it.
-    pub fn lend(&mut self, to: &str, ask: Ask, used: f64, now: Time) -> Grant {
-        let own = self.own(now);
-        let held = self.lent.get(to).map_or(0.0, |l| l.rate);
-        let most = self.base * LOAN_MOST - self.lent.values().map(|l| l.rate).sum::<f64>();
+    pub fn grant_loan(
+        &mut self,
+        to: &str,
+        ask: RateLoanRequest,
+        used: f64,
+        now: Time,
+    ) -> RateLoanGrant {
+        let own = self.available_rate(now);
+        let held = self.lent_rates.get(to).map_or(0.0, |l| l.rate);
+        let most =
+            self.base_rate * MAX_LENT_SHARE - self.lent_rates.values().map(|l| l.rate).sum::<f64>();
         // What was borrowed is not lent on: its time may be over before the loan's.
-        let spare = (own.min(self.base) - used * LOAN_SPARE).min(most).max(0.0);
-        let rate = (held + spare).min(ask.more).max(0.0);
-        if rate < self.base * LOAN_LEAST {
-            return Grant { rate: 0.0, at: ask.at };
+        let spare = (own.min(self.base_rate) - used * RATE_HEADROOM_FACTOR).min(most).max(0.0);
+        let rate = (held + spare).min(ask.wanted_rate).max(0.0);
+        if rate < self.base_rate * MIN_RATE_LOAN_SHARE {
+            return RateLoanGrant { rate: 0.0, requested_at: ask.requested_at };
         }
         // Clocks differ by a little: the lender waits longer.
-        let until = now + LOAN_MS + LOAN_MS / LOAN_DRIFT_PART;
-        self.lent.insert(to.to_string(), Loan { rate: rate.max(held), until });
-        Grant { rate, at: ask.at }
+        let until = now + RATE_LOAN_MS + RATE_LOAN_MS / RATE_LOAN_CLOCK_DRIFT_DIVISOR;
+        self.lent_rates
+            .insert(to.to_string(), RateLoan { rate: rate.max(held), expires_at: until });
+        RateLoanGrant { rate, requested_at: ask.requested_at }
     }
 
     /// A grant has come. One that is too old is worth nothing; the lender will have it back.
-    pub fn granted(&mut self, from: &str, grant: Grant, now: Time) {
-        let until = grant.at + LOAN_MS;
-        let known = self.borrowed.get(from).map_or(0, |l| l.until);
+    pub fn on_grant(&mut self, from: &str, grant: RateLoanGrant, now: Time) {
+        let until = grant.requested_at + RATE_LOAN_MS;
+        let known = self.borrowed_rates.get(from).map_or(0, |l| l.expires_at);
         if grant.rate > 0.0 && now < until && until > known {
-            self.borrowed.insert(from.to_string(), Loan { rate: grant.rate, until });
+            self.borrowed_rates
+                .insert(from.to_string(), RateLoan { rate: grant.rate, expires_at: until });
         }
     }
 }
--- a/crates/quota/src/records.rs
+++ b/crates/quota/src/records.rs
@@ -3,99 +3,102 @@
 //! Teams are divided into pages, since a value is bounded; each page has a pool and, for each decider, a
 //! holding. For every team of a page, what is in the pool and in all holdings is exactly the limit in force.
 
-use crate::fixed::Amounts;
+use crate::fixed::ResourceQuantities;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// A team's name.
-pub type Team = String;
+pub type TeamName = String;
 /// A decider's name: that of the set of machines on which it binds, never of a process.
-pub type Decider = String;
+pub type PartitionId = String;
 
 /// What is known of a team beside what deciders hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Kept {
+pub struct TeamQuota {
     /// The limit in force: all that may be used anywhere.
-    pub limit: Amounts,
+    pub limit: ResourceQuantities,
     /// The limit wanted, where it is lower: what comes back is taken off the limit first.
-    pub target: Amounts,
+    pub target: ResourceQuantities,
     /// What nobody holds.
-    pub free: Amounts,
+    pub free: ResourceQuantities,
 }
 
 /// The pool of a page.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Pool {
+pub struct QuotaPool {
     /// Its teams.
-    pub teams: BTreeMap<Team, Kept>,
+    pub teams: BTreeMap<TeamName, TeamQuota>,
 }
 
 /// What a decider holds of a page.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Holding {
+pub struct QuotaHolding {
     /// The holder's token and number of its last write, to know what became of an unanswered one.
-    pub by: (u64, u64),
+    #[serde(rename = "by")]
+    pub last_transaction: (u64, u64),
     /// What may be used on its machines.
-    pub has: BTreeMap<Team, Amounts>,
+    #[serde(rename = "has")]
+    pub held: BTreeMap<TeamName, ResourceQuantities>,
     /// The limits that the last holder's settings named.
-    pub sees: BTreeMap<Team, Amounts>,
+    #[serde(rename = "sees")]
+    pub configured_limits: BTreeMap<TeamName, ResourceQuantities>,
 }
 
 /// A key of the state service.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Key {
+pub enum QuotaKey {
     /// That which is attached to the holder's grant: its stamp is the holder's token.
-    Token(Decider),
+    FencingToken(PartitionId),
     /// The pool.
     Pool,
     /// A holding.
-    Of(Decider),
+    Holding(PartitionId),
 }
 
 /// A value written.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Record {
+pub enum QuotaRecord {
     /// Of the pool.
-    Pool(Pool),
+    Pool(QuotaPool),
     /// Of a decider.
-    Holding(Holding),
+    Holding(QuotaHolding),
     /// Nothing any more: the key is removed.
-    Gone,
+    Removed,
 }
 
 /// A transaction: applied whole if every key has its stamp, else not at all.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Txn {
+pub struct QuotaTransaction {
     /// The token and number under which it was sent.
-    pub by: (u64, u64),
+    pub id: (u64, u64),
     /// Conditions.
-    pub when: Vec<(Key, u64)>,
+    pub conditions: Vec<(QuotaKey, u64)>,
     /// Changes.
-    pub apply: Vec<(Key, Record)>,
+    pub writes: Vec<(QuotaKey, QuotaRecord)>,
 }
 
 /// A page as it was read at once, with stamps; 0: there is no such key yet.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Page {
+pub struct QuotaPage {
     /// The pool.
-    pub pool: (Pool, u64),
+    pub pool: (QuotaPool, u64),
     /// Every decider's holding.
-    pub holdings: BTreeMap<Decider, (Holding, u64)>,
+    pub holdings: BTreeMap<PartitionId, (QuotaHolding, u64)>,
 }
 
-impl Page {
+impl QuotaPage {
     /// Whether for every team pool and holdings are exactly its limit, and nothing is owed.
-    pub fn conserved(&self) -> bool {
-        let held = |team: &Team| -> Amounts {
-            self.holdings.values().filter_map(|(h, _)| h.has.get(team)).copied().sum()
+    pub fn is_conserved(&self) -> bool {
+        let held = |team: &TeamName| -> ResourceQuantities {
+            self.holdings.values().filter_map(|(h, _)| h.held.get(team)).copied().sum()
         };
-        let nothing = Amounts::default();
-        let known = |team: &Team| self.pool.0.teams.contains_key(team);
+        let nothing = ResourceQuantities::default();
+        let known = |team: &TeamName| self.pool.0.teams.contains_key(team);
         self.pool
             .0
             .teams
             .iter()
             .all(|(team, kept)| kept.free.covers(nothing) && kept.free + held(team) == kept.limit)
-            && self.holdings.values().all(|(h, _)| h.has.keys().all(known))
+            && self.holdings.values().all(|(h, _)| h.held.keys().all(known))
     }
 }
--- a/crates/replicated-records/src/constants.rs
+++ b/crates/replicated-records/src/constants.rs
@@ -2,12 +2,12 @@
 
 /// Part of the site's changes a second that all records together may take: a tenth, so that bindings and ends
 /// go on as if there were none.
-pub const CHANGES_PART: f64 = 0.1;
+pub const WRITE_RATE_SHARE: f64 = 0.1;
 /// Changes that may be saved up, in seconds' worth: a new leader's first plans come together.
-pub const SAVED_S: f64 = 10.0;
+pub const MAX_WRITE_BURST_S: f64 = 10.0;
 /// Changes in one transaction at most: it waits until all of them may be made.
-pub const BATCH_MOST: usize = 8;
+pub const MAX_BATCH_WRITES: usize = 8;
 /// Records under the prefix at most (memory, and what a new leader reads): a page holds 200.
-pub const RECORDS_MOST: usize = 2_000;
+pub const MAX_RECORDS: usize = 2_000;
 /// Bytes of all transactions' values at most: half of what a transaction may hold.
-pub const BATCH_BYTES: usize = 30 * 1024;
+pub const MAX_BATCH_BYTES: usize = 30 * 1024;
--- a/crates/replicated-records/src/lib.rs
+++ b/crates/replicated-records/src/lib.rs
@@ -11,8 +11,8 @@
 pub mod constants;
 mod versioned;
 
-pub use book::{Book, Limits, Outcome, Phase, Txn};
-pub use versioned::{Unread, Versioned};
+pub use book::{LoadPhase, RecordStore, RecordTransaction, StoreLimits, WriteOutcome};
+pub use versioned::{RecordReadError, Versioned};
 
 /// Steady time in ms.
 pub type Time = u64;
--- a/crates/replicated-records/src/versioned.rs
+++ b/crates/replicated-records/src/versioned.rs
@@ -6,13 +6,13 @@
 
 /// Why a record could not be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Unread {
+pub enum RecordReadError {
     /// A later program wrote it.
     #[error(
         "record {key} has form {found}, this program reads up to {known}: it is left as it is; run the later \
          version everywhere"
     )]
-    Newer {
+    UnsupportedFormat {
         /// Its key.
         key: String,
         /// Its form.
@@ -24,7 +24,7 @@
     #[error(
         "record {key} cannot be read: {cause}; it is left as it is; remove the key to begin anew"
     )]
-    Broken {
+    Malformed {
         /// Its key.
         key: String,
         /// What the parser said.
@@ -35,28 +35,34 @@
 /// A value with the version of its form.
 pub trait Versioned: Serialize + DeserializeOwned {
     /// The form that this program writes, and the latest that it reads.
-    const FORM: u32;
+    const FORMAT_VERSION: u32;
 
     /// Reads a record.
-    fn read(key: &str, value: &Value) -> Result<Self, Unread> {
+    fn from_record(key: &str, value: &Value) -> Result<Self, RecordReadError> {
         #[derive(Deserialize)]
         struct Form {
             v: u32,
         }
-        let broken =
-            |e: serde_json::Error| Unread::Broken { key: key.into(), cause: e.to_string() };
+        let broken = |e: serde_json::Error| RecordReadError::Malformed {
+            key: key.into(),
+            cause: e.to_string(),
+        };
         let found = Form::deserialize(value).map_err(broken)?.v;
-        if found > Self::FORM {
-            return Err(Unread::Newer { key: key.into(), found, known: Self::FORM });
+        if found > Self::FORMAT_VERSION {
+            return Err(RecordReadError::UnsupportedFormat {
+                key: key.into(),
+                found,
+                known: Self::FORMAT_VERSION,
+            });
         }
         Self::deserialize(value).map_err(broken)
     }
 
     /// The record as it is written.
-    fn record(&self) -> Value {
+    fn to_record(&self) -> Value {
         let mut value = serde_json::to_value(self).unwrap_or_default();
         if let Some(map) = value.as_object_mut() {
-            map.insert("v".into(), Self::FORM.into());
+            map.insert("v".into(), Self::FORMAT_VERSION.into());
         }
         value
     }
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -5,249 +5,268 @@
 use rand::rngs::StdRng;
 use rand_distr::{Distribution, LogNormal};
 use std::collections::BTreeMap;
-use swiftsail_controller::settings::Cloud as Limits;
-use swiftsail_controller::store::Bucket;
-use swiftsail_protocol::cloud::{Hull, Listed, ListedState, Listing, Rent, Types};
+use swiftsail_controller::settings::CloudSettings as Limits;
+use swiftsail_controller::store::TokenBucket;
+use swiftsail_protocol::cloud::{
+    ListedMachine, ListedMachineStatus, ListedMachineType, MachinePage, MachineTypes,
+    ProvisionMachinesRequest,
+};
 
 /// A machine type with what is to be had of it.
 #[derive(Debug, Clone)]
-pub struct Offered {
+pub struct MachineOffer {
     /// The type as the cloud publishes it.
-    pub hull: Hull,
+    pub machine_type: ListedMachineType,
     /// Machines of it in each zone, ordinary and spot each.
     pub capacity: u32,
 }
 
 /// A machine that was rented.
 #[derive(Debug, Clone)]
-pub struct Machine {
+pub struct CloudMachine {
     /// Number of its type among those offered.
-    pub kind: usize,
+    pub type_index: usize,
     /// Zone.
     pub zone: String,
     /// Spot.
     pub spot: bool,
     /// Its worker's address.
-    pub addr: String,
+    pub address: String,
     /// When it was rented.
-    pub rented_at: u64,
+    pub provisioned_at: u64,
     /// When it comes up; none: never.
     pub up_at: Option<u64>,
     /// When it was returned or taken, or died.
-    pub gone_at: Option<u64>,
+    pub terminated_at: Option<u64>,
     /// It died, and is listed for a while.
-    pub died: bool,
+    pub has_failed: bool,
 }
 
 /// The cloud.
-pub struct Cloud {
-    offered: Vec<Offered>,
-    machines: BTreeMap<String, Machine>,
-    served: BTreeMap<String, Vec<String>>,
+pub struct FakeCloud {
+    offers: Vec<MachineOffer>,
+    machines: BTreeMap<String, CloudMachine>,
+    provisioned_by_request: BTreeMap<String, Vec<String>>,
     limits: Limits,
-    bucket: Bucket,
+    rate_limiter: TokenBucket,
     rng: StdRng,
     speed: f64,
     /// Spot prices as shares of the nominal ones, and when they were made.
     prices: (u64, Vec<f64>),
-    spent: f64,
-    spent_at: u64,
-    next: u32,
+    money_spent: f64,
+    charged_until: u64,
+    last_machine_number: u32,
     /// Share of the machines that never come up.
-    pub never: f64,
+    pub never_boots_probability: f64,
     /// Boots take this many times as long as usual.
-    pub slower: f64,
+    pub slow_boot_probability: f64,
     /// Every machine is up within so long, ms; none: after its usual time.
-    pub boot_ms: Option<u64>,
+    pub fixed_boot_ms: Option<u64>,
 }
 
-impl Cloud {
+impl FakeCloud {
     /// A cloud that offers these types. `speed`: how many times as fast machines boot.
-    pub fn new(offered: Vec<Offered>, limits: Limits, rng: StdRng, speed: f64, now: u64) -> Cloud {
-        Cloud {
-            prices: (now, vec![1.0; offered.len()]),
-            offered,
+    pub fn new(
+        offers: Vec<MachineOffer>,
+        limits: Limits,
+        rng: StdRng,
+        speed: f64,
+        now: u64,
+    ) -> FakeCloud {
+        FakeCloud {
+            prices: (now, vec![1.0; offers.len()]),
+            offers,
             machines: BTreeMap::new(),
-            served: BTreeMap::new(),
-            bucket: Bucket::lasting(limits.rps, 2.0, now),
+            provisioned_by_request: BTreeMap::new(),
+            rate_limiter: TokenBucket::lasting(limits.rps, 2.0, now),
             limits,
             rng,
             speed,
-            spent: 0.0,
-            spent_at: now,
-            next: 0,
-            never: BOOT_NEVER,
-            slower: 1.0,
-            boot_ms: None,
+            money_spent: 0.0,
+            charged_until: now,
+            last_machine_number: 0,
+            never_boots_probability: FAILED_BOOT_SHARE,
+            slow_boot_probability: 1.0,
+            fixed_boot_ms: None,
         }
     }
 
     /// Whether the limit lets a request through: bursts worth two seconds.
     pub fn admit(&mut self, now: u64) -> bool {
-        let open = self.bucket.can(1.0, 0.0, now);
+        let open = self.rate_limiter.can(1.0, 0.0, now);
         if open {
-            self.bucket.take(1.0);
+            self.rate_limiter.take(1.0);
         }
         open
     }
 
     /// All types, with their prices now.
-    pub fn types(&mut self, now: u64) -> Types {
-        if now >= self.prices.0 + PRICE_MS {
-            self.charge(now);
+    pub fn list_machine_types(&mut self, now: u64) -> MachineTypes {
+        if now >= self.prices.0 + PRICE_INTERVAL_MS {
+            self.charge_until(now);
             let rng = &mut self.rng;
-            let price = |_: &Offered| 1.0 + rng.random_range(-PRICE_SPREAD..PRICE_SPREAD);
-            self.prices = (now, self.offered.iter().map(price).collect());
+            let price = |_: &MachineOffer| 1.0 + rng.random_range(-PRICE_SPREAD..PRICE_SPREAD);
+            self.prices = (now, self.offers.iter().map(price).collect());
         }
-        let with = |(o, share): (&Offered, &f64)| Hull {
-            market_price: o.hull.market_price * share,
-            ..o.hull.clone()
+        let with = |(o, share): (&MachineOffer, &f64)| ListedMachineType {
+            spot_price: o.machine_type.spot_price * share,
+            ..o.machine_type.clone()
         };
-        Types { hulls: self.offered.iter().zip(&self.prices.1).map(with).collect() }
+        MachineTypes { machine_types: self.offers.iter().zip(&self.prices.1).map(with).collect() }
     }
 
     /// The types as offered.
-    pub fn offered(&self) -> &[Offered] {
-        &self.offered
+    pub fn offers(&self) -> &[MachineOffer] {
+        &self.offers
     }
 
     /// Rents. None: no such type or zone, or a malformed number. Empty: no capacity.
-    pub fn rent(&mut self, rent: &Rent, now: u64) -> Option<Vec<String>> {
-        if let Some(names) = self.served.get(&rent.charter) {
+    pub fn provision(&mut self, rent: &ProvisionMachinesRequest, now: u64) -> Option<Vec<String>> {
+        if let Some(names) = self.provisioned_by_request.get(&rent.request_id) {
             return Some(names.clone());
         }
-        self.charge(now);
-        let kind = self.offered.iter().position(|o| o.hull.sku == rent.hull)?;
-        let offered = &self.offered[kind];
-        if !offered.hull.docks.contains(&rent.dock) || !(1..=RENT_MOST).contains(&rent.number) {
+        self.charge_until(now);
+        let kind = self.offers.iter().position(|o| o.machine_type.name == rent.machine_type)?;
+        let offered = &self.offers[kind];
+        if !offered.machine_type.zones.contains(&rent.zone)
+            || !(1..=MAX_PROVISION_MACHINES).contains(&rent.count)
+        {
             return None;
         }
         let held = self.machines.values().filter(|m| {
-            m.gone_at.is_none() && m.kind == kind && m.zone == rent.dock && m.spot == rent.driftwood
+            m.terminated_at.is_none()
+                && m.type_index == kind
+                && m.zone == rent.zone
+                && m.spot == rent.spot
         });
-        let number = rent.number.min(offered.capacity.saturating_sub(held.count() as u32));
-        let boot_ms = offered.hull.boot_s * MS_PER_S / self.speed * self.slower;
+        let number = rent.count.min(offered.capacity.saturating_sub(held.count() as u32));
+        let boot_ms =
+            offered.machine_type.boot_s * MS_PER_S / self.speed * self.slow_boot_probability;
         let mut names = Vec::new();
         for _ in 0..number {
-            self.next += 1;
-            let name = format!("m-{:06}", self.next);
+            self.last_machine_number += 1;
+            let name = format!("m-{:06}", self.last_machine_number);
             let factor = match self.rng.random_range(0.0..1.0) {
-                at if at < self.never => None,
-                at if at < self.never + BOOT_SLOW => Some(self.rng.random_range(2.0..5.0)),
-                _ => LogNormal::new(0.0, BOOT_SIGMA).ok().map(|d| d.sample(&mut self.rng)),
+                at if at < self.never_boots_probability => None,
+                at if at < self.never_boots_probability + SLOW_BOOT_SHARE => {
+                    Some(self.rng.random_range(2.0..5.0))
+                }
+                _ => LogNormal::new(0.0, BOOT_TIME_SIGMA).ok().map(|d| d.sample(&mut self.rng)),
             };
-            let quick = self.boot_ms.map(|most| now + self.rng.random_range(0..=most));
-            let machine = Machine {
-                kind,
-                zone: rent.dock.clone(),
-                spot: rent.driftwood,
-                addr: name.clone(),
-                rented_at: now,
+            let quick = self.fixed_boot_ms.map(|most| now + self.rng.random_range(0..=most));
+            let machine = CloudMachine {
+                type_index: kind,
+                zone: rent.zone.clone(),
+                spot: rent.spot,
+                address: name.clone(),
+                provisioned_at: now,
                 up_at: quick.or(factor.map(|f| now + (boot_ms * f) as u64)),
-                gone_at: None,
-                died: false,
+                terminated_at: None,
+                has_failed: false,
             };
             self.machines.insert(name.clone(), machine);
             names.push(name);
         }
         if !names.is_empty() {
-            self.served.insert(rent.charter.clone(), names.clone());
+            self.provisioned_by_request.insert(rent.request_id.clone(), names.clone());
         }
         Some(names)
     }
 
     /// Names of machines go on from a number: none is given twice, restarts included.
-    pub fn name_from(&mut self, number: u32) {
-        self.next = self.next.max(number);
+    pub fn raise_last_machine_number(&mut self, number: u32) {
+        self.last_machine_number = self.last_machine_number.max(number);
     }
 
     /// Number of the last machine named.
-    pub fn named(&self) -> u32 {
-        self.next
+    pub fn last_machine_number(&self) -> u32 {
+        self.last_machine_number
     }
 
     /// A machine.
-    pub fn machine(&self, name: &str) -> Option<&Machine> {
+    pub fn machine(&self, name: &str) -> Option<&CloudMachine> {
         self.machines.get(name)
     }
 
     /// Names where its worker takes commands.
-    pub fn address(&mut self, name: &str, addr: String) {
+    pub fn set_address(&mut self, name: &str, addr: String) {
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.addr = addr;
+            machine.address = addr;
         }
     }
 
     /// Machines returned, taken (`died` false) or dead: gone from now on.
-    pub fn gone(&mut self, names: &[String], died: bool, now: u64) {
-        self.charge(now);
+    pub fn terminate(&mut self, names: &[String], died: bool, now: u64) {
+        self.charge_until(now);
         for name in names {
             let Some(machine) = self.machines.get_mut(name) else { continue };
             // A dead machine that is returned is no longer listed.
-            machine.died &= died;
-            if machine.gone_at.is_none() {
-                machine.gone_at = Some(now);
-                machine.died = died;
-                if !died && now < machine.rented_at + (LEAST_COST_S * MS_PER_S) as u64 {
-                    let ran = now.saturating_sub(machine.rented_at) as f64 / MS_PER_S;
-                    let (kind, spot) = (machine.kind, machine.spot);
-                    self.spent += self.price(kind, spot) * (LEAST_COST_S - ran) / 3600.0;
+            machine.has_failed &= died;
+            if machine.terminated_at.is_none() {
+                machine.terminated_at = Some(now);
+                machine.has_failed = died;
+                if !died && now < machine.provisioned_at + (MIN_BILLED_S * MS_PER_S) as u64 {
+                    let ran = now.saturating_sub(machine.provisioned_at) as f64 / MS_PER_S;
+                    let (kind, spot) = (machine.type_index, machine.spot);
+                    self.money_spent += self.price_of(kind, spot) * (MIN_BILLED_S - ran) / 3600.0;
                 }
             }
         }
     }
 
     /// A page of the list, as it was a while ago.
-    pub fn list(&mut self, from: Option<&str>, most: usize, now: u64) -> Listing {
+    pub fn list_machines(&mut self, from: Option<&str>, most: usize, now: u64) -> MachinePage {
         let lag = self.limits.list_lag_s * MS_PER_S;
         let then = now.saturating_sub((lag * self.rng.random_range(0.5..2.0)) as u64);
         let mut berths = Vec::new();
         let mut has_next = false;
         for (name, m) in &self.machines {
-            if from.is_some_and(|f| name.as_str() <= f) || m.rented_at > then {
+            if from.is_some_and(|f| name.as_str() <= f) || m.provisioned_at > then {
                 continue;
             }
-            let listed_until = m.gone_at.map(|at| if m.died { at + DEAD_LISTED_MS } else { at });
-            if !m.died && listed_until.is_some_and(|until| until <= then) {
+            let listed_until = m
+                .terminated_at
+                .map(|at| if m.has_failed { at + DEAD_MACHINE_LISTED_MS } else { at });
+            if !m.has_failed && listed_until.is_some_and(|until| until <= then) {
                 continue;
             }
-            if berths.len() >= most.min(LIST_MOST) {
+            if berths.len() >= most.min(MAX_MACHINE_PAGE) {
                 has_next = true;
                 break;
             }
             let status = match m.up_at {
-                _ if listed_until.is_some_and(|until| until <= then) => ListedState::Failed,
-                Some(up) if up <= then => ListedState::Running,
-                _ => ListedState::Booting,
+                _ if listed_until.is_some_and(|until| until <= then) => ListedMachineStatus::Failed,
+                Some(up) if up <= then => ListedMachineStatus::Running,
+                _ => ListedMachineStatus::Booting,
             };
-            berths.push(Listed {
-                name_id: name.clone(),
-                addr: m.addr.clone(),
-                hull: self.offered[m.kind].hull.sku.clone(),
-                dock: m.zone.clone(),
-                driftwood: m.spot,
+            berths.push(ListedMachine {
+                name: name.clone(),
+                address: m.address.clone(),
+                machine_type: self.offers[m.type_index].machine_type.name.clone(),
+                zone: m.zone.clone(),
+                spot: m.spot,
                 status,
-                held_s: (then - m.rented_at) as f64 / MS_PER_S,
+                age_s: (then - m.provisioned_at) as f64 / MS_PER_S,
             });
         }
-        Listing { berths, has_next }
+        MachinePage { machines: berths, has_next }
     }
 
-    fn price(&self, kind: usize, spot: bool) -> f64 {
-        let hull = &self.offered[kind].hull;
-        if spot { hull.market_price * self.prices.1[kind] } else { hull.price }
+    fn price_of(&self, kind: usize, spot: bool) -> f64 {
+        let hull = &self.offers[kind].machine_type;
+        if spot { hull.spot_price * self.prices.1[kind] } else { hull.price }
     }
 
-    fn charge(&mut self, now: u64) {
-        let hours = now.saturating_sub(self.spent_at) as f64 / MS_PER_S / 3600.0;
-        let held = self.machines.values().filter(|m| m.gone_at.is_none());
-        self.spent += held.map(|m| self.price(m.kind, m.spot) * hours).sum::<f64>();
-        self.spent_at = now;
+    fn charge_until(&mut self, now: u64) {
+        let hours = now.saturating_sub(self.charged_until) as f64 / MS_PER_S / 3600.0;
+        let held = self.machines.values().filter(|m| m.terminated_at.is_none());
+        self.money_spent += held.map(|m| self.price_of(m.type_index, m.spot) * hours).sum::<f64>();
+        self.charged_until = now;
     }
 
     /// Money spent so far.
-    pub fn spent(&mut self, now: u64) -> f64 {
-        self.charge(now);
-        self.spent
+    pub fn money_spent(&mut self, now: u64) -> f64 {
+        self.charge_until(now);
+        self.money_spent
     }
 }
--- a/crates/simulation/src/explorer.rs
+++ b/crates/simulation/src/explorer.rs
@@ -9,40 +9,40 @@
 use std::hash::{Hash, Hasher};
 
 /// A small world.
-pub trait Small: Clone + Hash {
+pub trait Model: Clone + Hash {
     /// What may happen.
     type Step: Clone + Debug;
     /// All that may happen now.
-    fn steps(&self) -> Vec<Self::Step>;
+    fn enabled_steps(&self) -> Vec<Self::Step>;
     /// Lets it happen.
-    fn take(&mut self, step: &Self::Step);
+    fn apply(&mut self, step: &Self::Step);
     /// What is broken, if anything is.
-    fn broken(&self) -> Option<String>;
+    fn violation(&self) -> Option<String>;
 }
 
 /// What was found.
 #[derive(Debug, Clone)]
-pub struct Found<S> {
+pub struct CheckResult<S> {
     /// Worlds entered.
-    pub worlds: usize,
+    pub states: usize,
     /// Steps of the longest history entered.
     pub depth: usize,
     /// Every world within the bounds was entered.
-    pub whole: bool,
+    pub is_exhaustive: bool,
     /// What broke, and the history that led there.
-    pub broken: Option<(String, Vec<S>)>,
+    pub violation: Option<(String, Vec<S>)>,
 }
 
 /// Explores histories of at most so many steps, and at most so many worlds.
-pub fn explore<W: Small>(first: W, depth: usize, most: usize) -> Found<W::Step> {
+pub fn check_model<W: Model>(first: W, depth: usize, most: usize) -> CheckResult<W::Step> {
     // For each world entered: where it came from, and by which step.
     let mut came: Vec<(usize, Option<W::Step>)> = vec![(0, None)];
     let mut seen = FxHashSet::default();
-    seen.insert(number(&first));
-    let mut found = Found { worlds: 1, depth: 0, whole: true, broken: None };
+    seen.insert(state_hash(&first));
+    let mut found = CheckResult { states: 1, depth: 0, is_exhaustive: true, violation: None };
     let mut next = VecDeque::from([(first, 0, 0)]);
     while let Some((world, index, steps)) = next.pop_front() {
-        if let Some(what) = world.broken() {
+        if let Some(what) = world.violation() {
             let mut history = Vec::new();
             let mut at = index;
             while let (from, Some(step)) = &came[at] {
@@ -50,24 +50,24 @@
                 at = *from;
             }
             history.reverse();
-            found.broken = Some((what, history));
+            found.violation = Some((what, history));
             return found;
         }
         found.depth = found.depth.max(steps);
         if steps == depth {
             continue;
         }
-        for step in world.steps() {
+        for step in world.enabled_steps() {
             let mut to = world.clone();
-            to.take(&step);
-            if !seen.insert(number(&to)) {
+            to.apply(&step);
+            if !seen.insert(state_hash(&to)) {
                 continue;
             }
-            if found.worlds == most {
-                found.whole = false;
+            if found.states == most {
+                found.is_exhaustive = false;
                 break;
             }
-            found.worlds += 1;
+            found.states += 1;
             came.push((index, Some(step)));
             next.push_back((to, came.len() - 1, steps + 1));
         }
@@ -75,7 +75,7 @@
     found
 }
 
-fn number<W: Hash>(world: &W) -> u64 {
+fn state_hash<W: Hash>(world: &W) -> u64 {
     let mut hasher = FxHasher::default();
     world.hash(&mut hasher);
     hasher.finish()
--- a/crates/simulation/src/plant.rs
+++ b/crates/simulation/src/plant.rs
@@ -1,225 +1,250 @@
 //! All machines together, and what runs on them: gangs, checkpoints, results. A pure machine that
 //! serves simulated time and real sockets alike.
 
-use crate::cloud::{Cloud, Offered};
+use crate::cloud::{FakeCloud, MachineOffer};
 use crate::constants::*;
-use crate::worker::{Hardware, Stage, Worker};
+use crate::worker::{ExecutionPhase, FakeWorker, MachineHardware};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use swiftsail_controller::job::{Kind, Spec};
-use swiftsail_controller::settings::Platform;
-use swiftsail_protocol::cloud::Rent;
-use swiftsail_protocol::workers::{Cause, Command, Direct, Orders, Report, Verb};
+use swiftsail_controller::job::{JobKind, JobSpec};
+use swiftsail_controller::settings::PlatformSettings;
+use swiftsail_protocol::cloud::ProvisionMachinesRequest;
+use swiftsail_protocol::workers::{
+    Command, CommandKind, DirectCommands, ExitCause, HeartbeatResponse, StatusReport,
+};
 
 /// A job as the plant runs it.
 #[derive(Debug, Clone)]
-struct Load {
-    spec: Arc<Spec>,
+struct Workload {
+    spec: Arc<JobSpec>,
     /// True run time of each of its tasks, ms.
-    run_ms: f64,
+    true_runtime_ms: f64,
     /// Progress saved: of each task; of a gang, of task 0.
-    saved: BTreeMap<u32, f64>,
+    saved_progress: BTreeMap<u32, f64>,
 }
 
 /// A gang's attempt that is being stopped: the first stop, and the progress then.
 #[derive(Debug, Clone, Copy)]
-struct Stopping {
-    at: u64,
+struct StoppingAttempt {
+    stopped_at: u64,
     progress: f64,
 }
 
 /// All machines and their work.
-pub struct Plant {
+pub struct SimulatedCluster {
     /// The cloud that rents them.
-    pub cloud: Cloud,
+    pub cloud: FakeCloud,
     /// Workers by machine.
-    pub workers: BTreeMap<String, Worker>,
-    loads: BTreeMap<String, Load>,
+    pub workers: BTreeMap<String, FakeWorker>,
+    workloads: BTreeMap<String, Workload>,
     /// Results: they are kept, and a task started again exits at once.
-    pub done: BTreeSet<String>,
-    stopping: BTreeMap<(String, u64), Stopping>,
-    platform: Platform,
-    nodes: usize,
+    pub finished_tasks: BTreeSet<String>,
+    stopping: BTreeMap<(String, u64), StoppingAttempt>,
+    platform: PlatformSettings,
+    controller_count: usize,
     speed: f64,
     rng: StdRng,
-    at: BTreeMap<String, u64>,
+    last_step_at: BTreeMap<String, u64>,
     /// Jobs submitted with a mistake: their tasks fail on every machine.
-    pub mistaken: BTreeSet<String>,
+    pub faulty_jobs: BTreeSet<String>,
     /// Tasks that have failed so far, by job.
-    pub failed: BTreeMap<String, u64>,
+    pub failures_by_job: BTreeMap<String, u64>,
     /// Starts of tasks so far.
-    pub started: u64,
+    pub task_starts: u64,
     /// When each task was first on its machine.
-    pub first_run: BTreeMap<String, u64>,
+    pub first_started_at: BTreeMap<String, u64>,
     /// Tasks that commands have stopped.
-    pub halted: Vec<String>,
+    pub stopped_tasks: Vec<String>,
     /// Counts changes of what is on machines.
-    pub version: u64,
+    pub change_count: u64,
 }
 
-impl Plant {
+impl SimulatedCluster {
     /// An empty plant. `nodes`: controllers that workers know; `speed`: how many times as fast
     /// machines boot, fetch and run.
     pub fn new(
-        offered: Vec<Offered>,
-        platform: Platform,
-        nodes: usize,
+        offered: Vec<MachineOffer>,
+        platform: PlatformSettings,
+        controller_count: usize,
         speed: f64,
         seed: u64,
         now: u64,
-    ) -> Plant {
+    ) -> SimulatedCluster {
         let rng = StdRng::seed_from_u64(seed);
         let clouds = StdRng::seed_from_u64(seed ^ 0xc10d);
-        Plant {
-            cloud: Cloud::new(offered, platform.cloud.clone(), clouds, speed, now),
+        SimulatedCluster {
+            cloud: FakeCloud::new(offered, platform.cloud.clone(), clouds, speed, now),
             workers: BTreeMap::new(),
-            loads: BTreeMap::new(),
-            done: BTreeSet::new(),
+            workloads: BTreeMap::new(),
+            finished_tasks: BTreeSet::new(),
             stopping: BTreeMap::new(),
-            mistaken: BTreeSet::new(),
-            failed: BTreeMap::new(),
+            faulty_jobs: BTreeSet::new(),
+            failures_by_job: BTreeMap::new(),
             platform,
-            nodes,
+            controller_count,
             speed,
             rng,
-            at: BTreeMap::new(),
-            started: 0,
-            first_run: BTreeMap::new(),
-            halted: Vec::new(),
-            version: 0,
+            last_step_at: BTreeMap::new(),
+            task_starts: 0,
+            first_started_at: BTreeMap::new(),
+            stopped_tasks: Vec::new(),
+            change_count: 0,
         }
     }
 
     /// Whether a job's description is here.
-    pub fn knows(&self, job: &str) -> bool {
-        self.loads.contains_key(job)
+    pub fn has_job(&self, job: &str) -> bool {
+        self.workloads.contains_key(job)
     }
 
     /// What a job asks for, if its description is here.
-    pub fn spec(&self, job: &str) -> Option<Arc<Spec>> {
-        self.loads.get(job).map(|l| l.spec.clone())
+    pub fn spec(&self, job: &str) -> Option<Arc<JobSpec>> {
+        self.workloads.get(job).map(|l| l.spec.clone())
     }
 
     /// Takes a job's description: users upload it. `exact`: its tasks run as long as estimated.
-    pub fn describe(&mut self, job: &str, spec: Spec, exact: bool) {
-        let factor = match LogNormal::new(0.0, RUN_SIGMA) {
+    pub fn register_job(&mut self, job: &str, spec: JobSpec, exact: bool) {
+        let factor = match LogNormal::new(0.0, RUNTIME_SIGMA) {
             Ok(d) if !exact => d.sample(&mut self.rng),
             _ => 1.0,
         };
-        let run_ms = spec.estimate_s * MS_PER_S * factor;
-        let load = Load { spec: Arc::new(spec), run_ms, saved: BTreeMap::new() };
-        self.loads.entry(job.into()).or_insert(load);
+        let run_ms = spec.runtime_estimate_s * MS_PER_S * factor;
+        let load = Workload {
+            spec: Arc::new(spec),
+            true_runtime_ms: run_ms,
+            saved_progress: BTreeMap::new(),
+        };
+        self.workloads.entry(job.into()).or_insert(load);
     }
 
     /// Rents machines, as the cloud does. None: malformed.
-    pub fn rent(&mut self, rent: &Rent, now: u64) -> Option<Vec<String>> {
-        let names = self.cloud.rent(rent, now)?;
+    pub fn provision(&mut self, rent: &ProvisionMachinesRequest, now: u64) -> Option<Vec<String>> {
+        let names = self.cloud.provision(rent, now)?;
         for name in &names {
             if self.workers.contains_key(name) {
                 continue;
             }
             let Some(machine) = self.cloud.machine(name).cloned() else { continue };
-            let hull = &self.cloud.offered()[machine.kind].hull;
+            let hull = &self.cloud.offers()[machine.type_index].machine_type;
             let spread = |rng: &mut StdRng, by: f64| 1.0 + rng.random_range(-by..by);
-            let hardware = Hardware {
-                kind: hull.sku.clone(),
+            let hardware = MachineHardware {
+                machine_type: hull.name.clone(),
                 zone: machine.zone,
                 spot: machine.spot,
-                room: [hull.cpus, hull.accelerators, hull.memory_gb],
+                resources: [hull.cpus, hull.gpus, hull.memory_gb],
                 cache_gb: hull.cache_gb,
-                fetch: hull.fetch_gb_per_s * self.speed * spread(&mut self.rng, FETCH_SPREAD),
+                image_fetch_gb_per_s: hull.image_fetch_gb_per_s
+                    * self.speed
+                    * spread(&mut self.rng, FETCH_SPREAD),
                 speed: self.speed * spread(&mut self.rng, SPEED_SPREAD),
             };
             let up_at = machine.up_at.unwrap_or(u64::MAX);
             let timing = self.platform.workers.clone();
-            let mut worker = Worker::new(name, hardware, timing, self.nodes, up_at);
-            worker.addr = machine.addr;
+            let mut worker = FakeWorker::new(name, hardware, timing, self.controller_count, up_at);
+            worker.address = machine.address;
             self.workers.insert(name.clone(), worker);
         }
         Some(names)
     }
 
     /// Machines are gone: returned, taken, or dead.
-    pub fn gone(&mut self, names: &[String], died: bool, now: u64) {
-        self.cloud.gone(names, died, now);
+    pub fn terminate(&mut self, names: &[String], died: bool, now: u64) {
+        self.cloud.terminate(names, died, now);
         for name in names {
             if let Some(worker) = self.workers.get_mut(name) {
-                worker.gone = true;
+                worker.is_terminated = true;
                 worker.tasks.clear();
-                self.version += 1;
+                self.change_count += 1;
             }
         }
     }
 
     /// A machine's worker begins anew: nothing is on it, and its numbers count from the start.
-    pub fn reboot(&mut self, name: &str, now: u64) {
-        if let Some(worker) = self.workers.get_mut(name).filter(|w| !w.gone) {
-            worker.begin_anew(now);
-            self.version += 1;
+    pub fn restart_worker(&mut self, name: &str, now: u64) {
+        if let Some(worker) = self.workers.get_mut(name).filter(|w| !w.is_terminated) {
+            worker.restart(now);
+            self.change_count += 1;
         }
     }
 
     /// A response of a controller to a worker's report.
-    pub fn answered(&mut self, name: &str, orders: &Orders, session: u64, sent: u64, now: u64) {
+    pub fn handle_heartbeat_response(
+        &mut self,
+        name: &str,
+        orders: &HeartbeatResponse,
+        session: u64,
+        sent: u64,
+        now: u64,
+    ) {
         let Some(worker) = self.workers.get_mut(name) else { return };
-        if worker.answered(orders, session, sent, now) {
-            self.execute(name, &orders.orders, now);
+        if worker.handle_heartbeat_response(orders, session, sent, now) {
+            self.execute_commands(name, &orders.commands, now);
         }
     }
 
     /// Commands sent straight to a worker: its report, and whether they were executed. None: it does
     /// not answer.
-    pub fn direct(&mut self, name: &str, direct: &Direct, now: u64) -> Option<(bool, Report)> {
-        let worker = self.workers.get_mut(name).filter(|w| w.awake(now))?;
-        let good = worker.accepts(direct);
+    pub fn handle_direct_commands(
+        &mut self,
+        name: &str,
+        direct: &DirectCommands,
+        now: u64,
+    ) -> Option<(bool, StatusReport)> {
+        let worker = self.workers.get_mut(name).filter(|w| w.is_responsive(now))?;
+        let good = worker.accept_direct_commands(direct);
         if good {
-            self.execute(name, &direct.orders, now);
+            self.execute_commands(name, &direct.commands, now);
         }
         let worker = self.workers.get_mut(name)?;
-        Some((good, worker.report(now)))
+        Some((good, worker.build_report(now)))
     }
 
-    fn execute(&mut self, name: &str, orders: &[Command], now: u64) {
+    fn execute_commands(&mut self, name: &str, orders: &[Command], now: u64) {
         let peer_ms = (self.platform.workers.gang_peer_s * MS_PER_S) as u64;
         for order in orders {
             let Some(worker) = self.workers.get_mut(name) else { return };
-            self.version += 1;
-            match order.verb {
-                Verb::Start => {
-                    let job = order.shard.rsplit_once('/').map_or("", |(job, _)| job);
-                    let spec = self.loads.get(job).map(|l| l.spec.clone());
-                    worker.start(&order.shard, order.launch, spec);
+            self.change_count += 1;
+            match order.kind {
+                CommandKind::Start => {
+                    let job = order.task.rsplit_once('/').map_or("", |(job, _)| job);
+                    let spec = self.workloads.get(job).map(|l| l.spec.clone());
+                    worker.start_task(&order.task, order.attempt, spec);
                 }
-                Verb::Forget => worker.forget(&order.shard, order.launch),
-                Verb::Stop => {
-                    let Some(task) = worker.task(&order.shard, order.launch) else { continue };
-                    let ease = order.ease_s.unwrap_or(0.0);
+                CommandKind::Forget => worker.forget_task(&order.task, order.attempt),
+                CommandKind::Stop => {
+                    let Some(task) = worker.task_mut(&order.task, order.attempt) else { continue };
+                    let ease = order.grace_s.unwrap_or(0.0);
                     let Some(spec) = task.spec.clone() else { continue };
-                    let saves = spec.checkpoint_s > 0.0 && ease >= spec.save_s;
-                    let save_ms = (spec.save_s * MS_PER_S / self.speed) as u64;
-                    let gang = spec.kind == Kind::Gang;
-                    let (key, progress) = ((task.job().to_string(), order.launch), task.progress);
-                    let first = self.stopping.get(&key).map_or(now, |s| s.at);
-                    let to = match task.stage() {
+                    let saves =
+                        spec.checkpoint_interval_s > 0.0 && ease >= spec.checkpoint_duration_s;
+                    let save_ms = (spec.checkpoint_duration_s * MS_PER_S / self.speed) as u64;
+                    let gang = spec.kind == JobKind::Gang;
+                    let (key, progress) = ((task.job().to_string(), order.attempt), task.progress);
+                    let first = self.stopping.get(&key).map_or(now, |s| s.stopped_at);
+                    let to = match task.phase() {
                         // Told too late: the save has failed.
-                        Stage::Running if saves && gang && now > first + peer_ms => {
-                            Stage::Exited(Cause::PeersGone, false)
+                        ExecutionPhase::Running if saves && gang && now > first + peer_ms => {
+                            ExecutionPhase::Exited(ExitCause::GangMemberLost, false)
                         }
-                        Stage::Running if saves => Stage::Saving(now + save_ms),
+                        ExecutionPhase::Running if saves => ExecutionPhase::Saving(now + save_ms),
                         // A second stop without grace ends a save; one with grace changes nothing.
-                        Stage::Saving(until) if ease > 0.0 => Stage::Saving(until),
-                        _ => Stage::Exited(Cause::Stopped, false),
+                        ExecutionPhase::Saving(until) if ease > 0.0 => {
+                            ExecutionPhase::Saving(until)
+                        }
+                        _ => ExecutionPhase::Exited(ExitCause::Stopped, false),
                     };
-                    if gang && matches!(to, Stage::Saving(_)) {
-                        self.stopping.entry(key).or_insert(Stopping { at: now, progress });
+                    if gang && matches!(to, ExecutionPhase::Saving(_)) {
+                        self.stopping
+                            .entry(key)
+                            .or_insert(StoppingAttempt { stopped_at: now, progress });
                     }
-                    let (name, moved) = (task.name.clone(), task.advance(to));
+                    let (name, moved) = (task.name.clone(), task.advance_phase(to));
                     worker.changed |= moved;
                     if moved {
-                        self.halted.push(name);
+                        self.stopped_tasks.push(name);
                     }
                 }
             }
@@ -230,88 +255,102 @@
     }
 
     /// Lets time pass on a machine. Returns the report that is due, with the node it goes to.
-    pub fn step(&mut self, name: &str, now: u64) -> Option<(usize, Report)> {
-        let before = self.at.insert(name.to_string(), now).unwrap_or(now);
-        let taken = self.workers.get(name).is_some_and(|w| w.taken_at.is_some_and(|at| now >= at));
+    pub fn step_machine(&mut self, name: &str, now: u64) -> Option<(usize, StatusReport)> {
+        let before = self.last_step_at.insert(name.to_string(), now).unwrap_or(now);
+        let taken =
+            self.workers.get(name).is_some_and(|w| w.reclaim_at.is_some_and(|at| now >= at));
         if taken {
-            self.gone(&[name.to_string()], false, now);
-            self.at.remove(name);
+            self.terminate(&[name.to_string()], false, now);
+            self.last_step_at.remove(name);
             return None;
         }
-        let worker = self.workers.get_mut(name).filter(|w| w.awake(now))?;
-        if worker.check_lease(now) {
-            self.version += 1;
+        let worker = self.workers.get_mut(name).filter(|w| w.is_responsive(now))?;
+        if worker.enforce_lease(now) {
+            self.change_count += 1;
         }
         let ms = now.saturating_sub(before.max(worker.up_at)) as f64;
-        worker.fetch(ms);
-        self.run(name, ms, now);
-        self.workers.get_mut(name)?.report_due(now)
+        worker.advance_image_fetches(ms);
+        self.run_tasks(name, ms, now);
+        self.workers.get_mut(name)?.take_due_report(now)
     }
 
-    fn run(&mut self, name: &str, ms: f64, now: u64) {
+    fn run_tasks(&mut self, name: &str, ms: f64, now: u64) {
         let Some(worker) = self.workers.get(name) else { return };
-        let mut moves: Vec<(usize, Stage, f64)> = Vec::new();
-        for (n, task) in worker.tasks.iter().enumerate().filter(|(_, t)| t.occupies()) {
+        let mut moves: Vec<(usize, ExecutionPhase, f64)> = Vec::new();
+        for (n, task) in worker.tasks.iter().enumerate().filter(|(_, t)| t.occupies_resources()) {
             let Some(spec) = &task.spec else { continue };
-            let Some(load) = self.loads.get(task.job()) else { continue };
-            let number = number_of(&task.name);
-            let gang = spec.kind == Kind::Gang;
-            let over = self.done.contains(&task.name)
+            let Some(load) = self.workloads.get(task.job()) else { continue };
+            let number = task_number(&task.name);
+            let gang = spec.kind == JobKind::Gang;
+            let over = self.finished_tasks.contains(&task.name)
                 || gang
-                    && (0..spec.tasks).any(|t| self.done.contains(&format!("{}/{t}", task.job())));
+                    && (0..spec.tasks)
+                        .any(|t| self.finished_tasks.contains(&format!("{}/{t}", task.job())));
             let saved_key = if gang { 0 } else { number };
-            let saved = load.saved.get(&saved_key).copied().unwrap_or(0.0);
+            let saved = load.saved_progress.get(&saved_key).copied().unwrap_or(0.0);
             let here = worker.has_image(&spec.image);
-            let stage = task.stage();
+            let stage = task.phase();
             let mut progress = task.progress;
             let next = match stage {
-                Stage::Fetching if !here => stage,
-                Stage::Fetching if worker.faulty || self.mistaken.contains(task.job()) => {
-                    Stage::Exited(Cause::Error, false)
+                ExecutionPhase::Fetching if !here => stage,
+                ExecutionPhase::Fetching
+                    if worker.is_faulty || self.faulty_jobs.contains(task.job()) =>
+                {
+                    ExecutionPhase::Exited(ExitCause::Failed, false)
                 }
-                _ if over => Stage::Exited(Cause::Done, false),
-                Stage::Fetching if gang => Stage::Gathering(now),
-                Stage::Fetching => {
+                _ if over => ExecutionPhase::Exited(ExitCause::Completed, false),
+                ExecutionPhase::Fetching if gang => ExecutionPhase::WaitingForGang(now),
+                ExecutionPhase::Fetching => {
                     progress = saved;
-                    Stage::Running
+                    ExecutionPhase::Running
                 }
-                Stage::Gathering(since) => {
-                    let mates = self.mates(task.job(), task.launch, now);
+                ExecutionPhase::WaitingForGang(since) => {
+                    let mates = self.gang_members_present(task.job(), task.attempt, now);
                     let wait = (self.platform.workers.gang_wait_s * MS_PER_S) as u64;
                     if mates == spec.tasks {
                         progress = saved;
-                        Stage::Running
+                        ExecutionPhase::Running
                     } else if now >= since + wait {
-                        Stage::Exited(Cause::Alone, false)
+                        ExecutionPhase::Exited(ExitCause::GangIncomplete, false)
                     } else {
                         stage
                     }
                 }
-                Stage::Running => {
-                    let key = (task.job().to_string(), task.launch);
-                    if gang && !self.whole(task.job(), task.launch, spec.tasks, now) {
+                ExecutionPhase::Running => {
+                    let key = (task.job().to_string(), task.attempt);
+                    if gang && !self.is_gang_complete(task.job(), task.attempt, spec.tasks, now) {
                         let peer = (self.platform.workers.gang_peer_s * MS_PER_S) as u64;
-                        Stage::Broken(now + peer / 2)
+                        ExecutionPhase::GangMemberLost(now + peer / 2)
                     } else {
                         // A gang's progress stops with the first stop.
                         if !(gang && self.stopping.contains_key(&key)) {
-                            let slowest =
-                                if gang { self.slowest(&key) } else { worker.hardware.speed };
+                            let slowest = if gang {
+                                self.slowest_member_speed(&key)
+                            } else {
+                                worker.hardware.speed
+                            };
                             progress += ms * slowest;
                         }
-                        let ends = spec.kind != Kind::Service && progress >= load.run_ms;
-                        if ends { Stage::Exited(Cause::Done, false) } else { stage }
+                        let ends =
+                            spec.kind != JobKind::Service && progress >= load.true_runtime_ms;
+                        if ends {
+                            ExecutionPhase::Exited(ExitCause::Completed, false)
+                        } else {
+                            stage
+                        }
                     }
                 }
-                Stage::Broken(until) if now >= until => Stage::Exited(Cause::PeersGone, false),
-                Stage::Saving(until) if now >= until => {
+                ExecutionPhase::GangMemberLost(until) if now >= until => {
+                    ExecutionPhase::Exited(ExitCause::GangMemberLost, false)
+                }
+                ExecutionPhase::Saving(until) if now >= until => {
                     let peer = (self.platform.workers.gang_peer_s * MS_PER_S) as u64;
-                    let key = (task.job().to_string(), task.launch);
-                    let first = self.stopping.get(&key).map_or(now, |s| s.at);
-                    if !gang || self.all_saved(&key, spec.tasks, now) {
-                        Stage::Exited(Cause::Stopped, true)
+                    let key = (task.job().to_string(), task.attempt);
+                    let first = self.stopping.get(&key).map_or(now, |s| s.stopped_at);
+                    if !gang || self.has_whole_gang_saved(&key, spec.tasks, now) {
+                        ExecutionPhase::Exited(ExitCause::Stopped, true)
                     } else if now > first + peer {
-                        Stage::Exited(Cause::PeersGone, false)
+                        ExecutionPhase::Exited(ExitCause::GangMemberLost, false)
                     } else {
                         stage
                     }
@@ -323,109 +362,124 @@
             }
         }
         for (n, stage, progress) in moves {
-            self.apply(name, n, stage, progress, now);
+            self.apply_phase(name, n, stage, progress, now);
         }
     }
 
-    fn apply(&mut self, name: &str, n: usize, stage: Stage, progress: f64, now: u64) {
+    fn apply_phase(
+        &mut self,
+        name: &str,
+        n: usize,
+        stage: ExecutionPhase,
+        progress: f64,
+        now: u64,
+    ) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(task) = worker.tasks.get_mut(n) else { return };
         task.progress = progress;
-        let began = matches!(task.stage(), Stage::Fetching) && task.spec.is_some();
+        let began = matches!(task.phase(), ExecutionPhase::Fetching) && task.spec.is_some();
         let Some(spec) = task.spec.clone() else { return };
-        let (job, launch, number) = (task.job().to_string(), task.launch, number_of(&task.name));
+        let (job, launch, number) = (task.job().to_string(), task.attempt, task_number(&task.name));
         let full = task.name.clone();
-        if !task.advance(stage) {
-            return self.checkpoint(&job, &spec, number, progress);
+        if !task.advance_phase(stage) {
+            return self.record_checkpoint(&job, &spec, number, progress);
         }
         worker.changed = true;
-        self.version += 1;
-        if began && !matches!(stage, Stage::Exited(Cause::Error, _)) {
-            worker.use_image(&spec.image);
-            self.started += 1;
-            self.first_run.entry(full.clone()).or_insert(now);
+        self.change_count += 1;
+        if began && !matches!(stage, ExecutionPhase::Exited(ExitCause::Failed, _)) {
+            worker.touch_image(&spec.image);
+            self.task_starts += 1;
+            self.first_started_at.entry(full.clone()).or_insert(now);
         }
         match stage {
-            Stage::Exited(Cause::Error, _) => *self.failed.entry(job).or_default() += 1,
-            Stage::Exited(Cause::Done, _) => {
-                self.done.insert(full);
+            ExecutionPhase::Exited(ExitCause::Failed, _) => {
+                *self.failures_by_job.entry(job).or_default() += 1
             }
-            Stage::Exited(Cause::Stopped, true) => {
+            ExecutionPhase::Exited(ExitCause::Completed, _) => {
+                self.finished_tasks.insert(full);
+            }
+            ExecutionPhase::Exited(ExitCause::Stopped, true) => {
                 let kept =
                     self.stopping.get(&(job.clone(), launch)).map_or(progress, |s| s.progress);
-                self.save(&job, &spec, number, kept);
+                self.record_saved_progress(&job, &spec, number, kept);
             }
             _ => {}
         }
     }
 
     /// A running task saves by itself at multiples of its interval.
-    fn checkpoint(&mut self, job: &str, spec: &Spec, number: u32, progress: f64) {
-        if spec.checkpoint_s > 0.0 {
-            let step = spec.checkpoint_s * MS_PER_S;
-            self.save(job, spec, number, (progress / step).floor() * step);
+    fn record_checkpoint(&mut self, job: &str, spec: &JobSpec, number: u32, progress: f64) {
+        if spec.checkpoint_interval_s > 0.0 {
+            let step = spec.checkpoint_interval_s * MS_PER_S;
+            self.record_saved_progress(job, spec, number, (progress / step).floor() * step);
         }
     }
 
-    fn save(&mut self, job: &str, spec: &Spec, number: u32, progress: f64) {
-        let key = if spec.kind == Kind::Gang { 0 } else { number };
-        if let Some(load) = self.loads.get_mut(job) {
-            let held = load.saved.entry(key).or_insert(0.0);
+    fn record_saved_progress(&mut self, job: &str, spec: &JobSpec, number: u32, progress: f64) {
+        let key = if spec.kind == JobKind::Gang { 0 } else { number };
+        if let Some(load) = self.workloads.get_mut(job) {
+            let held = load.saved_progress.entry(key).or_insert(0.0);
             *held = held.max(progress);
         }
     }
 
     /// Tasks of an attempt that are on machines that are up, by what they do.
-    fn attempt<'a>(
+    fn tasks_of_attempt<'a>(
         &'a self,
         job: &'a str,
         launch: u64,
         now: u64,
-    ) -> impl Iterator<Item = (&'a Worker, Stage)> + 'a {
-        let up = self.workers.values().filter(move |w| !w.gone && now >= w.hang_until);
+    ) -> impl Iterator<Item = (&'a FakeWorker, ExecutionPhase)> + 'a {
+        let up = self.workers.values().filter(move |w| !w.is_terminated && now >= w.hang_until);
         up.flat_map(move |w| {
-            let its = w.tasks.iter().filter(move |t| t.launch == launch && t.job() == job);
-            its.map(move |t| (w, t.stage()))
+            let its = w.tasks.iter().filter(move |t| t.attempt == launch && t.job() == job);
+            its.map(move |t| (w, t.phase()))
         })
     }
 
-    fn mates(&self, job: &str, launch: u64, now: u64) -> u32 {
-        let there = |s: &Stage| matches!(s, Stage::Gathering(_) | Stage::Running);
-        self.attempt(job, launch, now).filter(|(_, s)| there(s)).count() as u32
+    fn gang_members_present(&self, job: &str, launch: u64, now: u64) -> u32 {
+        let there = |s: &ExecutionPhase| {
+            matches!(s, ExecutionPhase::WaitingForGang(_) | ExecutionPhase::Running)
+        };
+        self.tasks_of_attempt(job, launch, now).filter(|(_, s)| there(s)).count() as u32
     }
 
     /// Whether a running gang is all there: what is done, saves or has saved counts.
-    fn whole(&self, job: &str, launch: u64, tasks: u32, now: u64) -> bool {
-        let there = |s: &Stage| {
-            !matches!(s, Stage::Broken(_) | Stage::Fetching)
-                && (!matches!(s, Stage::Exited(..))
-                    || matches!(s, Stage::Exited(Cause::Done, _) | Stage::Exited(_, true)))
+    fn is_gang_complete(&self, job: &str, launch: u64, tasks: u32, now: u64) -> bool {
+        let there = |s: &ExecutionPhase| {
+            !matches!(s, ExecutionPhase::GangMemberLost(_) | ExecutionPhase::Fetching)
+                && (!matches!(s, ExecutionPhase::Exited(..))
+                    || matches!(
+                        s,
+                        ExecutionPhase::Exited(ExitCause::Completed, _)
+                            | ExecutionPhase::Exited(_, true)
+                    ))
         };
-        self.attempt(job, launch, now).filter(|(_, s)| there(s)).count() as u32 == tasks
+        self.tasks_of_attempt(job, launch, now).filter(|(_, s)| there(s)).count() as u32 == tasks
     }
 
-    fn all_saved(&self, key: &(String, u64), tasks: u32, now: u64) -> bool {
-        let saved = |s: &Stage| match s {
-            Stage::Saving(until) => now >= *until,
-            Stage::Exited(_, saved) => *saved,
+    fn has_whole_gang_saved(&self, key: &(String, u64), tasks: u32, now: u64) -> bool {
+        let saved = |s: &ExecutionPhase| match s {
+            ExecutionPhase::Saving(until) => now >= *until,
+            ExecutionPhase::Exited(_, saved) => *saved,
             _ => false,
         };
-        self.attempt(&key.0, key.1, now).filter(|(_, s)| saved(s)).count() as u32 == tasks
+        self.tasks_of_attempt(&key.0, key.1, now).filter(|(_, s)| saved(s)).count() as u32 == tasks
     }
 
-    fn slowest(&self, key: &(String, u64)) -> f64 {
-        let mates = self.attempt(&key.0, key.1, u64::MAX);
+    fn slowest_member_speed(&self, key: &(String, u64)) -> f64 {
+        let mates = self.tasks_of_attempt(&key.0, key.1, u64::MAX);
         mates.map(|(w, _)| w.hardware.speed).fold(f64::MAX, f64::min)
     }
 
     /// The cloud takes spot machines, some of them without notice. Returns how many.
-    pub fn take_spot(&mut self, number: usize, notice_ms: u64, now: u64) -> usize {
+    pub fn reclaim_spot_machines(&mut self, number: usize, notice_ms: u64, now: u64) -> usize {
         let spot = self.workers.values_mut();
-        let spot = spot.filter(|w| !w.gone && w.hardware.spot && w.taken_at.is_none());
+        let spot = spot.filter(|w| !w.is_terminated && w.hardware.spot && w.reclaim_at.is_none());
         let mut taken = 0;
         for worker in spot.filter(|w| now >= w.up_at).take(number) {
             let without = self.rng.random_bool(0.2);
-            worker.taken_at = Some(if without { now } else { now + notice_ms });
+            worker.reclaim_at = Some(if without { now } else { now + notice_ms });
             worker.changed = true;
             taken += 1;
         }
@@ -433,18 +487,18 @@
     }
 
     /// Machines hang for a while. Returns how many.
-    pub fn hang(&mut self, number: usize, for_ms: u64, now: u64) -> usize {
-        let busy = self.workers.values_mut().filter(|w| w.awake(now));
+    pub fn hang_machines(&mut self, number: usize, for_ms: u64, now: u64) -> usize {
+        let busy = self.workers.values_mut().filter(|w| w.is_responsive(now));
         busy.take(number).map(|w| w.hang_until = now + for_ms).count()
     }
 
     /// Every task that these machines start from now on fails. Returns how many.
-    pub fn spoil(&mut self, number: usize, now: u64) -> usize {
-        let up = self.workers.values_mut().filter(|w| w.awake(now) && !w.faulty);
-        up.take(number).map(|w| w.faulty = true).count()
+    pub fn make_machines_faulty(&mut self, number: usize, now: u64) -> usize {
+        let up = self.workers.values_mut().filter(|w| w.is_responsive(now) && !w.is_faulty);
+        up.take(number).map(|w| w.is_faulty = true).count()
     }
 }
 
-fn number_of(name: &str) -> u32 {
+fn task_number(name: &str) -> u32 {
     name.rsplit_once('/').and_then(|(_, n)| n.parse().ok()).unwrap_or(0)
 }
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -2,65 +2,67 @@
 
 use crate::constants::*;
 use std::collections::VecDeque;
-use swiftsail_controller::job::Spec;
-use swiftsail_controller::settings::Workers;
-use swiftsail_protocol::workers::{Cause, Direct, Orders, Phase, Report, Shard};
+use swiftsail_controller::job::JobSpec;
+use swiftsail_controller::settings::WorkerSettings;
+use swiftsail_protocol::workers::{
+    DirectCommands, ExitCause, HeartbeatResponse, StatusReport, TaskPhase, TaskStatus,
+};
 
 /// Where a task stands.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Stage {
+pub enum ExecutionPhase {
     /// Waits for its image.
     Fetching,
     /// Gang: waits for the others, since then.
-    Gathering(u64),
+    WaitingForGang(u64),
     /// Runs.
     Running,
     /// Gang: runs, but another is gone: exits by then.
-    Broken(u64),
+    GangMemberLost(u64),
     /// Was told to stop: has saved by then.
     Saving(u64),
     /// Ended, and whether its progress was saved.
-    Exited(Cause, bool),
+    Exited(ExitCause, bool),
 }
 
 /// A task on a machine.
 #[derive(Debug, Clone)]
-pub struct Task {
+pub struct WorkerTask {
     /// Its name.
     pub name: String,
     /// Its attempt.
-    pub launch: u64,
+    pub attempt: u64,
     /// Where it stands. Changed by [`Task::advance`] alone.
-    stage: Stage,
+    phase: ExecutionPhase,
     /// What it asks for; none if its job is not known.
-    pub spec: Option<std::sync::Arc<Spec>>,
+    pub spec: Option<std::sync::Arc<JobSpec>>,
     /// Progress, ms of run time.
     pub progress: f64,
 }
 
-impl Task {
+impl WorkerTask {
     /// Where it stands.
-    pub fn stage(&self) -> Stage {
-        self.stage
+    pub fn phase(&self) -> ExecutionPhase {
+        self.phase
     }
 
     /// The one function that changes where a task stands: what has exited stays so.
-    pub fn advance(&mut self, to: Stage) -> bool {
-        let moved = !matches!(self.stage, Stage::Exited(..)) && self.stage != to;
+    pub fn advance_phase(&mut self, to: ExecutionPhase) -> bool {
+        let moved = !matches!(self.phase, ExecutionPhase::Exited(..)) && self.phase != to;
         if moved {
-            self.stage = to;
+            self.phase = to;
         }
         moved
     }
 
     /// On its machine, from the moment it has its image until it exits (protocol).
-    pub fn on_machine(&self) -> bool {
-        !matches!(self.stage, Stage::Fetching | Stage::Exited(..))
+    pub fn is_on_machine(&self) -> bool {
+        !matches!(self.phase, ExecutionPhase::Fetching | ExecutionPhase::Exited(..))
     }
 
     /// Takes resources.
-    pub fn occupies(&self) -> bool {
-        !matches!(self.stage, Stage::Exited(..))
+    pub fn occupies_resources(&self) -> bool {
+        !matches!(self.phase, ExecutionPhase::Exited(..))
     }
 
     /// Its job's id.
@@ -71,110 +73,121 @@
 
 /// What a machine is.
 #[derive(Debug, Clone)]
-pub struct Hardware {
+pub struct MachineHardware {
     /// Name of its type.
-    pub kind: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Spot.
     pub spot: bool,
     /// CPUs, accelerators, memory in GB.
-    pub room: [f64; 3],
+    pub resources: [f64; 3],
     /// Image cache, GB.
     pub cache_gb: f64,
     /// Rate of fetches, GB a second.
-    pub fetch: f64,
+    pub image_fetch_gb_per_s: f64,
     /// How many times as fast as usual its tasks run.
     pub speed: f64,
 }
 
 /// A machine's worker.
 #[derive(Debug)]
-pub struct Worker {
+pub struct FakeWorker {
     /// The machine's name.
     pub name: String,
     /// Where it takes commands.
-    pub addr: String,
+    pub address: String,
     /// What the machine is.
-    pub hardware: Hardware,
+    pub hardware: MachineHardware,
     /// When it is up.
     pub up_at: u64,
     /// Gone for good.
-    pub gone: bool,
+    pub is_terminated: bool,
     /// Does nothing until then.
     pub hang_until: u64,
     /// Every task that it starts fails.
-    pub faulty: bool,
+    pub is_faulty: bool,
     /// When the cloud takes it.
-    pub taken_at: Option<u64>,
+    pub reclaim_at: Option<u64>,
     /// Its tasks.
-    pub tasks: Vec<Task>,
+    pub tasks: Vec<WorkerTask>,
     pub(crate) changed: bool,
-    timing: Workers,
+    timing: WorkerSettings,
     session: u64,
-    tick: u64,
-    token: u64,
+    sequence: u64,
+    fencing_token: u64,
     /// Node that it reports to, among so many.
-    node: usize,
-    nodes: usize,
-    in_flight: Option<u64>,
-    next_report: u64,
-    last_report: u64,
-    leased: u64,
+    controller: usize,
+    controller_count: usize,
+    unanswered_report_at: Option<u64>,
+    next_report_at: u64,
+    last_report_at: u64,
+    lease_renewed_at: u64,
     /// Images held, the latest last, with sizes; and those being fetched, with what is missing.
-    cache: VecDeque<(String, f64)>,
-    fetching: Vec<(String, f64)>,
+    cached_images: VecDeque<(String, f64)>,
+    image_fetches: Vec<(String, f64)>,
     /// Tasks killed by the end of a lease.
-    pub killed: u64,
+    pub tasks_killed: u64,
 }
 
-impl Worker {
+impl FakeWorker {
     /// A worker that comes up at a time.
     pub fn new(
         name: &str,
-        hardware: Hardware,
-        timing: Workers,
+        hardware: MachineHardware,
+        timing: WorkerSettings,
         nodes: usize,
         up_at: u64,
-    ) -> Worker {
-        Worker {
+    ) -> FakeWorker {
+        FakeWorker {
             name: name.into(),
-            addr: name.into(),
+            address: name.into(),
             hardware,
             up_at,
-            gone: false,
+            is_terminated: false,
             hang_until: 0,
-            faulty: false,
-            taken_at: None,
+            is_faulty: false,
+            reclaim_at: None,
             tasks: Vec::new(),
             changed: true,
             timing,
             session: 1,
-            tick: 0,
-            token: 0,
-            node: 0,
-            nodes: nodes.max(1),
-            in_flight: None,
-            next_report: up_at,
-            last_report: 0,
-            leased: up_at,
-            cache: VecDeque::new(),
-            fetching: Vec::new(),
-            killed: 0,
+            sequence: 0,
+            fencing_token: 0,
+            controller: 0,
+            controller_count: nodes.max(1),
+            unanswered_report_at: None,
+            next_report_at: up_at,
+            last_report_at: 0,
+            lease_renewed_at: up_at,
+            cached_images: VecDeque::new(),
+            image_fetches: Vec::new(),
+            tasks_killed: 0,
         }
     }
 
     /// It begins anew, with nothing on it.
-    pub fn begin_anew(&mut self, now: u64) {
-        let fresh =
-            Worker::new(&self.name, self.hardware.clone(), self.timing.clone(), self.nodes, now);
-        let (addr, killed) = (std::mem::take(&mut self.addr), self.killed);
-        *self = Worker { addr, killed, faulty: self.faulty, taken_at: self.taken_at, ..fresh };
+    pub fn restart(&mut self, now: u64) {
+        let fresh = FakeWorker::new(
+            &self.name,
+            self.hardware.clone(),
+            self.timing.clone(),
+            self.controller_count,
+            now,
+        );
+        let (addr, killed) = (std::mem::take(&mut self.address), self.tasks_killed);
+        *self = FakeWorker {
+            address: addr,
+            tasks_killed: killed,
+            is_faulty: self.is_faulty,
+            reclaim_at: self.reclaim_at,
+            ..fresh
+        };
     }
 
     /// Whether it does anything now.
-    pub fn awake(&self, now: u64) -> bool {
-        !self.gone && now >= self.up_at && now >= self.hang_until
+    pub fn is_responsive(&self, now: u64) -> bool {
+        !self.is_terminated && now >= self.up_at && now >= self.hang_until
     }
 
     /// Its session.
@@ -183,201 +196,220 @@
     }
 
     /// Its report now.
-    pub fn report(&mut self, now: u64) -> Report {
-        self.tick += 1;
+    pub fn build_report(&mut self, now: u64) -> StatusReport {
+        self.sequence += 1;
         let shards = self.tasks.iter().map(|t| {
-            let (status, exit) = match t.stage {
-                Stage::Fetching => (Phase::Fetching, None),
-                Stage::Gathering(_) => (Phase::Waiting, None),
-                Stage::Running | Stage::Broken(_) => (Phase::Running, None),
-                Stage::Saving(_) => (Phase::Saving, None),
-                Stage::Exited(cause, saved) => (Phase::Exited, Some((cause, saved))),
+            let (status, exit) = match t.phase {
+                ExecutionPhase::Fetching => (TaskPhase::Fetching, None),
+                ExecutionPhase::WaitingForGang(_) => (TaskPhase::WaitingForGang, None),
+                ExecutionPhase::Running | ExecutionPhase::GangMemberLost(_) => {
+                    (TaskPhase::Running, None)
+                }
+                ExecutionPhase::Saving(_) => (TaskPhase::Saving, None),
+                ExecutionPhase::Exited(cause, saved) => (TaskPhase::Exited, Some((cause, saved))),
             };
-            Shard {
-                shard: t.name.clone(),
-                launch: t.launch,
-                status,
-                cause: exit.map(|e| e.0),
-                stored: exit.filter(|e| e.1).map(|e| e.1),
+            TaskStatus {
+                task: t.name.clone(),
+                attempt: t.attempt,
+                phase: status,
+                exit_cause: exit.map(|e| e.0),
+                progress_saved: exit.filter(|e| e.1).map(|e| e.1),
             }
         });
-        Report {
-            berth: self.name.clone(),
-            addr: self.addr.clone(),
-            hull: self.hardware.kind.clone(),
-            dock: self.hardware.zone.clone(),
-            driftwood: self.hardware.spot,
-            watch: self.session,
-            tick: self.tick,
-            helm: self.token,
-            recall_s: self.taken_at.map(|at| at.saturating_sub(now) as f64 / MS_PER_S),
-            shards: shards.collect(),
+        StatusReport {
+            machine: self.name.clone(),
+            address: self.address.clone(),
+            machine_type: self.hardware.machine_type.clone(),
+            zone: self.hardware.zone.clone(),
+            spot: self.hardware.spot,
+            session: self.session,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
+            reclaim_in_s: self.reclaim_at.map(|at| at.saturating_sub(now) as f64 / MS_PER_S),
+            tasks: shards.collect(),
         }
     }
 
     /// The report that is due, and to which node.
-    pub fn report_due(&mut self, now: u64) -> Option<(usize, Report)> {
-        if let Some(sent) = self.in_flight {
-            if now < sent + ANSWER_MS {
+    pub fn take_due_report(&mut self, now: u64) -> Option<(usize, StatusReport)> {
+        if let Some(sent) = self.unanswered_report_at {
+            if now < sent + WORKER_ANSWER_TIMEOUT_MS {
                 return None;
             }
-            self.unanswered(sent, now);
+            self.handle_report_timeout(sent, now);
         }
-        let due =
-            now >= self.next_report || self.changed && now >= self.last_report + REPORT_LEAST_MS;
+        let due = now >= self.next_report_at
+            || self.changed && now >= self.last_report_at + MIN_REPORT_INTERVAL_MS;
         if !due {
             return None;
         }
-        self.in_flight = Some(now);
-        self.last_report = now;
+        self.unanswered_report_at = Some(now);
+        self.last_report_at = now;
         // A quarter more or less, by the machine and the report, so that reports spread.
-        let shift = (self.tick * 7 + self.name.len() as u64 * 13 + self.up_at) % 51;
+        let shift = (self.sequence * 7 + self.name.len() as u64 * 13 + self.up_at) % 51;
         let period = self.timing.report_s * MS_PER_S * (0.75 + shift as f64 / 100.0);
-        self.next_report = now + period as u64;
+        self.next_report_at = now + period as u64;
         self.changed = false;
-        Some((self.node, self.report(now)))
+        Some((self.controller, self.build_report(now)))
     }
 
     /// The report sent then had no answer that counts: the next node, a second later.
-    pub fn unanswered(&mut self, sent: u64, now: u64) {
-        if self.in_flight == Some(sent) {
-            self.in_flight = None;
-            self.node = (self.node + 1) % self.nodes;
-            self.next_report = now + NEXT_NODE_MS;
+    pub fn handle_report_timeout(&mut self, sent: u64, now: u64) {
+        if self.unanswered_report_at == Some(sent) {
+            self.unanswered_report_at = None;
+            self.controller = (self.controller + 1) % self.controller_count;
+            self.next_report_at = now + CONTROLLER_FAILOVER_DELAY_MS;
             self.changed = false;
         }
     }
 
     /// The node sent it to another.
-    pub fn redirected(&mut self, sent: u64, to: Option<usize>, now: u64) {
-        match to.filter(|n| *n != self.node && *n < self.nodes) {
-            Some(n) if self.in_flight == Some(sent) => {
-                self.in_flight = None;
-                self.node = n;
-                self.next_report = now;
+    pub fn handle_redirect(&mut self, sent: u64, to: Option<usize>, now: u64) {
+        match to.filter(|n| *n != self.controller && *n < self.controller_count) {
+            Some(n) if self.unanswered_report_at == Some(sent) => {
+                self.unanswered_report_at = None;
+                self.controller = n;
+                self.next_report_at = now;
             }
-            _ => self.unanswered(sent, now),
+            _ => self.handle_report_timeout(sent, now),
         }
     }
 
     /// The answer to the report sent then, in that session. Returns what must be executed.
-    pub fn answered(&mut self, orders: &Orders, session: u64, sent: u64, now: u64) -> bool {
+    pub fn handle_heartbeat_response(
+        &mut self,
+        orders: &HeartbeatResponse,
+        session: u64,
+        sent: u64,
+        now: u64,
+    ) -> bool {
         // An answer to a report given up, or of an earlier session, is dropped.
-        if self.in_flight != Some(sent) || !self.awake(now) {
+        if self.unanswered_report_at != Some(sent) || !self.is_responsive(now) {
             return false;
         }
-        self.in_flight = None;
-        if session != self.session || orders.helm < self.token {
+        self.unanswered_report_at = None;
+        if session != self.session || orders.fencing_token < self.fencing_token {
             return false;
         }
-        self.changed |= orders.helm > self.token;
-        self.token = orders.helm;
-        self.leased = sent;
+        self.changed |= orders.fencing_token > self.fencing_token;
+        self.fencing_token = orders.fencing_token;
+        self.lease_renewed_at = sent;
         true
     }
 
     /// Whether commands sent straight to it may be executed.
-    pub fn accepts(&mut self, direct: &Direct) -> bool {
-        let good = direct.helm >= self.token && direct.watch == self.session;
+    pub fn accept_direct_commands(&mut self, direct: &DirectCommands) -> bool {
+        let good = direct.fencing_token >= self.fencing_token && direct.session == self.session;
         if good {
-            self.token = direct.helm;
+            self.fencing_token = direct.fencing_token;
         }
         good
     }
 
     /// Ends the session if its lease has run out: all tasks are killed and forgotten.
-    pub fn check_lease(&mut self, now: u64) -> bool {
-        let over = now > self.leased + (self.timing.lease_s * MS_PER_S) as u64;
+    pub fn enforce_lease(&mut self, now: u64) -> bool {
+        let over = now > self.lease_renewed_at + (self.timing.lease_s * MS_PER_S) as u64;
         if over {
-            self.killed += self.tasks.iter().filter(|t| t.occupies()).count() as u64;
+            self.tasks_killed +=
+                self.tasks.iter().filter(|t| t.occupies_resources()).count() as u64;
             self.tasks.clear();
-            self.fetching.clear();
+            self.image_fetches.clear();
             self.session += 1;
-            self.leased = now;
-            self.in_flight = None;
+            self.lease_renewed_at = now;
+            self.unanswered_report_at = None;
             self.changed = true;
         }
         over
     }
 
     /// Starts an attempt, unless it is there in any state.
-    pub fn start(&mut self, name: &str, launch: u64, spec: Option<std::sync::Arc<Spec>>) {
-        if self.tasks.iter().any(|t| t.name == name && t.launch == launch) {
+    pub fn start_task(&mut self, name: &str, launch: u64, spec: Option<std::sync::Arc<JobSpec>>) {
+        if self.tasks.iter().any(|t| t.name == name && t.attempt == launch) {
             return;
         }
         self.changed = true;
-        let mut room = self.hardware.room;
-        for task in self.tasks.iter().filter(|t| t.occupies()) {
+        let mut room = self.hardware.resources;
+        for task in self.tasks.iter().filter(|t| t.occupies_resources()) {
             let Some(spec) = &task.spec else { continue };
             let takes = [spec.cpus, spec.gpus, spec.memory_gb];
             room.iter_mut().zip(takes).for_each(|(left, takes)| *left -= takes);
         }
-        let twice = self.tasks.iter().any(|t| t.name == name && t.occupies());
+        let twice = self.tasks.iter().any(|t| t.name == name && t.occupies_resources());
         let fits = spec.as_ref().is_some_and(|s| {
             let takes = [s.cpus, s.gpus, s.memory_gb];
             room.iter().zip(takes).all(|(left, takes)| left + 1e-6 >= takes)
         });
         let stage = match &spec {
-            None => Stage::Exited(Cause::NoSuch, false),
-            Some(_) if twice => Stage::Exited(Cause::InUse, false),
-            Some(_) if !fits => Stage::Exited(Cause::NoRoom, false),
-            Some(_) => Stage::Fetching,
+            None => ExecutionPhase::Exited(ExitCause::UnknownJob, false),
+            Some(_) if twice => ExecutionPhase::Exited(ExitCause::ConflictingAttempt, false),
+            Some(_) if !fits => ExecutionPhase::Exited(ExitCause::InsufficientResources, false),
+            Some(_) => ExecutionPhase::Fetching,
         };
-        self.tasks.push(Task { name: name.into(), launch, stage, spec, progress: 0.0 });
+        self.tasks.push(WorkerTask {
+            name: name.into(),
+            attempt: launch,
+            phase: stage,
+            spec,
+            progress: 0.0,
+        });
     }
 
     /// Fetches images for a while; returns whether any has come.
-    pub fn fetch(&mut self, ms: f64) -> bool {
+    pub fn advance_image_fetches(&mut self, ms: f64) -> bool {
         let wanted: Vec<(String, f64)> = self
             .tasks
             .iter()
-            .filter(|t| t.stage == Stage::Fetching)
+            .filter(|t| t.phase == ExecutionPhase::Fetching)
             .filter_map(|t| t.spec.as_ref().map(|s| (s.image.clone(), s.image_gb)))
             .collect();
         // A fetch for which no task waits any more is given up.
-        self.fetching.retain(|(image, _)| wanted.iter().any(|w| w.0 == *image));
+        self.image_fetches.retain(|(image, _)| wanted.iter().any(|w| w.0 == *image));
         for (image, gb) in wanted {
-            if !self.has_image(&image) && !self.fetching.iter().any(|f| f.0 == image) {
-                self.fetching.push((image, gb));
+            if !self.has_image(&image) && !self.image_fetches.iter().any(|f| f.0 == image) {
+                self.image_fetches.push((image, gb));
             }
         }
-        let share = self.hardware.fetch * ms / MS_PER_S / self.fetching.len().max(1) as f64;
-        self.fetching.iter_mut().for_each(|f| f.1 -= share);
-        let (here, still): (Vec<_>, Vec<_>) = self.fetching.drain(..).partition(|f| f.1 <= 0.0);
-        self.fetching = still;
+        let share = self.hardware.image_fetch_gb_per_s * ms
+            / MS_PER_S
+            / self.image_fetches.len().max(1) as f64;
+        self.image_fetches.iter_mut().for_each(|f| f.1 -= share);
+        let (here, still): (Vec<_>, Vec<_>) =
+            self.image_fetches.drain(..).partition(|f| f.1 <= 0.0);
+        self.image_fetches = still;
         let came = !here.is_empty();
         for (image, _) in here {
-            self.use_image(&image);
+            self.touch_image(&image);
         }
         came
     }
 
     /// Whether an image is here.
     pub fn has_image(&self, image: &str) -> bool {
-        self.cache.iter().any(|(held, _)| held == image)
+        self.cached_images.iter().any(|(held, _)| held == image)
     }
 
     /// Notes the use of an image; those used longest ago leave a full cache.
-    pub fn use_image(&mut self, image: &str) {
-        let of = |t: &Task| t.spec.as_ref().filter(|s| s.image == image).map(|s| s.image_gb);
+    pub fn touch_image(&mut self, image: &str) {
+        let of = |t: &WorkerTask| t.spec.as_ref().filter(|s| s.image == image).map(|s| s.image_gb);
         let gb = self.tasks.iter().find_map(of).unwrap_or(0.0);
-        self.cache.retain(|(held, _)| held != image);
-        self.cache.push_back((image.into(), gb));
-        while self.cache.iter().map(|c| c.1).sum::<f64>() > self.hardware.cache_gb
-            && self.cache.len() > 1
+        self.cached_images.retain(|(held, _)| held != image);
+        self.cached_images.push_back((image.into(), gb));
+        while self.cached_images.iter().map(|c| c.1).sum::<f64>() > self.hardware.cache_gb
+            && self.cached_images.len() > 1
         {
-            self.cache.pop_front();
+            self.cached_images.pop_front();
         }
     }
 
     /// The task and attempt of a command.
-    pub fn task(&mut self, name: &str, launch: u64) -> Option<&mut Task> {
-        self.tasks.iter_mut().find(|t| t.name == name && t.launch == launch)
+    pub fn task_mut(&mut self, name: &str, launch: u64) -> Option<&mut WorkerTask> {
+        self.tasks.iter_mut().find(|t| t.name == name && t.attempt == launch)
     }
 
     /// Drops an exited attempt from the reports.
-    pub fn forget(&mut self, name: &str, launch: u64) {
-        let over = |t: &Task| t.name == name && t.launch == launch && !t.occupies();
+    pub fn forget_task(&mut self, name: &str, launch: u64) {
+        let over =
+            |t: &WorkerTask| t.name == name && t.attempt == launch && !t.occupies_resources();
         self.tasks.retain(|t| !over(t));
     }
 }
--- a/crates/simulation/src/world/actions.rs
+++ b/crates/simulation/src/world/actions.rs
@@ -1,110 +1,141 @@
 //! What controllers ask of the world outside.
 
-use super::{Asker, Ev, NODES, World};
+use super::{CONTROLLER_COUNT, Requester, Simulation, SimulationEvent};
 use swiftsail_controller::job::keys;
-use swiftsail_controller::node::{Action, Event, Node, Reply};
-use swiftsail_failure_detector::Probe;
+use swiftsail_controller::node::{Action, Controller, Event, Reply};
+use swiftsail_failure_detector::ProbeOutcome;
 use swiftsail_protocol as wire;
-use swiftsail_protocol::controllers::Answers;
-use swiftsail_protocol::workers::{Direct, Orders};
+use swiftsail_protocol::controllers::ForwardedAnswers;
+use swiftsail_protocol::workers::{DirectCommands, HeartbeatResponse};
 
-impl World {
-    pub(super) fn act(&mut self, n: usize, life: u64, action: Action) {
+impl Simulation {
+    pub(super) fn execute_action(&mut self, n: usize, life: u64, action: Action) {
         self.record(n, life, &action);
-        let at = self.now + self.delay();
+        let at = self.now + self.draw_message_delay();
         match action {
-            Action::Reply(id, reply) => match self.askers.remove(&(n, life, id)) {
-                Some(Asker::Worker(name, watch, sent)) => {
-                    self.look_at_token(n, &reply);
-                    if self.deaf(&name, true) {
+            Action::Reply(id, reply) => match self.requesters.remove(&(n, life, id)) {
+                Some(Requester::Worker(name, watch, sent)) => {
+                    self.check_answer_token(n, &reply);
+                    if self.is_inbound_unreachable(&name, true) {
                         let given_up = (sent + 4_000).max(at);
-                        return self.at(given_up, Ev::Orders(name, watch, sent, None));
+                        return self.schedule(
+                            given_up,
+                            SimulationEvent::ReportAnswered(name, watch, sent, None),
+                        );
                     }
-                    let reply = (!self.lost()).then(|| Box::new(reply));
-                    self.at(at, Ev::Orders(name, watch, sent, reply));
+                    let reply = (!self.is_message_lost()).then(|| Box::new(reply));
+                    self.schedule(at, SimulationEvent::ReportAnswered(name, watch, sent, reply));
                 }
-                Some(Asker::Relay(to, to_life, to_id)) => {
+                Some(Requester::ForwardingController(to, to_life, to_id)) => {
                     let good = (reply.status == 200).then_some(reply.body);
-                    let answers = good.and_then(|body| wire::read::<Answers>(&body).ok());
-                    let event = Box::new(Event::Relayed(to_id, answers));
-                    self.at(at, Ev::ToNode(to, to_life, event));
+                    let answers =
+                        good.and_then(|body| wire::decode::<ForwardedAnswers>(&body).ok());
+                    let event = Box::new(Event::ForwardedAnswers(to_id, answers));
+                    self.schedule(at, SimulationEvent::DeliverToController(to, to_life, event));
                 }
-                Some(Asker::User(job, what, sent, node)) => {
-                    self.note_put_off(n, what, &reply);
+                Some(Requester::User(job, what, sent, node)) => {
+                    self.count_unavailable_answer(n, what, &reply);
                     if what == 1 {
                         let (turned, id, now) =
-                            (&mut self.turned[node], &self.jobs[job].id, self.now);
+                            (&mut self.rejected_polls[node], &self.jobs[job].id, self.now);
                         match reply.status {
-                            503 => turned.away(id, now),
-                            _ => turned.answered(id),
+                            503 => turned.on_rejected(id, now),
+                            _ => turned.on_answered(id),
                         }
                     }
-                    let reply = (!self.lost()).then_some(reply);
-                    self.at(at, Ev::UserReply(job, what, sent, reply));
+                    let reply = (!self.is_message_lost()).then_some(reply);
+                    self.schedule(at, SimulationEvent::UserReply(job, what, sent, reply));
                 }
-                Some(Asker::Look(job, what, sent)) if !self.lost() => {
-                    self.note_put_off(n, what, &reply);
-                    self.at(at, Ev::LookReply(job, what, sent, reply));
+                Some(Requester::ConsistencyProbe(job, what, sent)) if !self.is_message_lost() => {
+                    self.count_unavailable_answer(n, what, &reply);
+                    self.schedule(at, SimulationEvent::ProbeReply(job, what, sent, reply));
                 }
-                Some(Asker::Odd(what)) => self.at(at, Ev::OddReply(what, reply)),
-                Some(Asker::Admin(id)) => {
-                    self.answers.insert(id, reply);
+                Some(Requester::UnusualRequest(what)) => {
+                    self.schedule(at, SimulationEvent::UnusualReply(what, reply))
                 }
-                Some(Asker::Look(..)) => {}
+                Some(Requester::Operator(id)) => {
+                    self.admin_answers.insert(id, reply);
+                }
+                Some(Requester::ConsistencyProbe(..)) => {}
                 None => {}
             },
-            Action::Store(id, call) => self.at(at, Ev::StoreCall(n, life, id, call)),
-            Action::Cloud(call) => self.at(at + 100, Ev::CloudCall(n, life, Box::new(call))),
-            Action::Direct(addr, direct) => {
-                if let Some(until) = self.held_until(n, |c| c.workers) {
-                    return self.at(until, Ev::Direct(n, life, addr, Box::new(direct)));
+            Action::CallStore(id, call) => {
+                self.schedule(at, SimulationEvent::StoreCall(n, life, id, call))
+            }
+            Action::CallCloud(call) => {
+                self.schedule(at + 100, SimulationEvent::CloudCall(n, life, Box::new(call)))
+            }
+            Action::SendCommands(addr, direct) => {
+                if let Some(until) = self.partition_releases_at(n, |c| c.workers) {
+                    return self.schedule(
+                        until,
+                        SimulationEvent::DirectCommands(n, life, addr, Box::new(direct)),
+                    );
                 }
-                let cut = self.cut(n, |c| c.workers) || self.zone_cut(n, &addr);
-                if !self.lost() && !cut && !self.deaf(&addr, false) {
-                    self.at(at, Ev::Direct(n, life, addr, Box::new(direct)));
+                let cut =
+                    self.is_partitioned(n, |c| c.workers) || self.is_machine_partitioned(n, &addr);
+                if !self.is_message_lost() && !cut && !self.is_inbound_unreachable(&addr, false) {
+                    self.schedule(
+                        at,
+                        SimulationEvent::DirectCommands(n, life, addr, Box::new(direct)),
+                    );
                 }
             }
-            Action::Probe(id, addr) => {
-                let hang = |w: &&crate::worker::Worker| !w.gone && w.hang_until > self.now;
-                let mute = self.plant.workers.get(&*id).filter(hang).is_some();
-                let probe = if mute { Probe::Mute } else { Probe::Silent };
-                let message = Direct { helm: 0, watch: 0, orders: Vec::new() };
+            Action::ProbeMachine(id, addr) => {
+                let hang =
+                    |w: &&crate::worker::FakeWorker| !w.is_terminated && w.hang_until > self.now;
+                let mute = self.cluster.workers.get(&*id).filter(hang).is_some();
+                let probe =
+                    if mute { ProbeOutcome::NoResponse } else { ProbeOutcome::NoConnection };
+                let message = DirectCommands { fencing_token: 0, session: 0, commands: Vec::new() };
                 let now = self.now;
-                let cut = self.cut(n, |c| c.workers) || self.zone_cut(n, &addr);
-                let report = if mute || self.lost() || cut || self.deaf(&addr, false) {
+                let cut =
+                    self.is_partitioned(n, |c| c.workers) || self.is_machine_partitioned(n, &addr);
+                let report = if mute
+                    || self.is_message_lost()
+                    || cut
+                    || self.is_inbound_unreachable(&addr, false)
+                {
                     None
                 } else {
-                    self.plant.direct(&addr, &message, now)
+                    self.cluster.handle_direct_commands(&addr, &message, now)
                 };
                 let event = match report {
-                    Some((_, report)) => {
-                        (at, Event::Probed(id, Probe::Answered, Some(Box::new(report))))
-                    }
-                    None => (now + 1_200, Event::Probed(id, probe, None)),
+                    Some((_, report)) => (
+                        at,
+                        Event::ProbeFinished(id, ProbeOutcome::Answered, Some(Box::new(report))),
+                    ),
+                    None => (now + 1_200, Event::ProbeFinished(id, probe, None)),
                 };
-                self.at(event.0, Ev::ToNode(n, life, Box::new(event.1)));
+                self.schedule(
+                    event.0,
+                    SimulationEvent::DeliverToController(n, life, Box::new(event.1)),
+                );
             }
-            Action::Relay(id, leader, report) => {
+            Action::ForwardReports(id, leader, report) => {
                 let other = leader.trim_start_matches('n').parse().unwrap_or(0);
-                if self.lost() || self.apart(n, other) {
-                    let event = Box::new(Event::Relayed(id, None));
-                    return self.at(self.now + 2_500, Ev::ToNode(n, life, event));
+                if self.is_message_lost() || self.are_controllers_partitioned(n, other) {
+                    let event = Box::new(Event::ForwardedAnswers(id, None));
+                    return self.schedule(
+                        self.now + 2_500,
+                        SimulationEvent::DeliverToController(n, life, event),
+                    );
                 }
-                self.at(at, Ev::Relay(n, life, id, other, report));
+                self.schedule(at, SimulationEvent::ForwardReports(n, life, id, other, report));
             }
-            Action::Deliver(delivery) => {
-                let taken = !self.lost();
+            Action::DeliverEvents(delivery) => {
+                let taken = !self.is_message_lost();
                 if taken {
-                    self.delivered.push(delivery.clone());
+                    self.delivered_events.push(delivery.clone());
                 }
-                let event = Box::new(Event::Delivered(delivery.plugin, taken));
-                self.at(at, Ev::ToNode(n, life, event));
+                let event = Box::new(Event::HookDelivered(delivery.plugin, taken));
+                self.schedule(at, SimulationEvent::DeliverToController(n, life, event));
             }
-            Action::Beat(beat) => {
-                let beat = self.as_of(n, beat);
-                for other in (0..NODES).filter(|o| *o != n) {
-                    if !self.lost() && !self.apart(n, other) {
-                        self.at(at, Ev::Beat(n, life, other, beat.clone()));
+            Action::SendHeartbeat(beat) => {
+                let beat = self.heartbeat_as_version(n, beat);
+                for other in (0..CONTROLLER_COUNT).filter(|o| *o != n) {
+                    if !self.is_message_lost() && !self.are_controllers_partitioned(n, other) {
+                        self.schedule(at, SimulationEvent::Heartbeat(n, life, other, beat.clone()));
                     }
                 }
             }
@@ -112,11 +143,12 @@
     }
 
     /// Counts answers to reports under a token that is no longer the leader's key.
-    fn look_at_token(&mut self, n: usize, reply: &Reply) {
-        let orders = wire::read::<Orders>(&reply.body).ok().filter(|_| reply.status == 200);
-        let held = self.store.get(keys::LEADER).map(|pair| pair.stamp);
-        let own = self.nodes[n].as_ref().is_some_and(Node::leads);
-        if own && orders.is_some_and(|o| held != Some(o.helm)) {
+    fn check_answer_token(&mut self, n: usize, reply: &Reply) {
+        let orders =
+            wire::decode::<HeartbeatResponse>(&reply.body).ok().filter(|_| reply.status == 200);
+        let held = self.store.get(keys::LEADER).map(|pair| pair.mod_revision);
+        let own = self.controllers[n].as_ref().is_some_and(Controller::is_leader);
+        if own && orders.is_some_and(|o| held != Some(o.fencing_token)) {
             self.stale_answers += 1;
         }
     }
