--- a/crates/simulation/src/world/rules.rs
+++ b/crates/simulation/src/world/rules.rs
@@ -1,40 +1,42 @@
 //! The protocol's rules, checked on what is on the machines.
 
-use super::{UserJob, World};
-use crate::worker::Worker;
+use super::{SimulatedJob, Simulation};
+use crate::worker::FakeWorker;
 use serde_json::json;
 use std::collections::{BTreeMap, HashMap};
-use swiftsail_controller::node::Node;
+use swiftsail_controller::node::Controller;
 
-impl World {
+impl Simulation {
     /// Checks every rule on what is on the machines now.
-    pub fn check(&mut self) {
+    pub fn check_invariants(&mut self) {
         let mut seen: HashMap<&str, &str> = HashMap::new();
         let mut cpus: BTreeMap<&str, f64> = BTreeMap::new();
         let mut zones: HashMap<&str, BTreeMap<&str, u32>> = HashMap::new();
-        let jobs: HashMap<&str, &UserJob> = self.jobs.iter().map(|j| (j.id.as_str(), j)).collect();
+        let jobs: HashMap<&str, &SimulatedJob> =
+            self.jobs.iter().map(|j| (j.id.as_str(), j)).collect();
         let mut found = Vec::new();
-        let cancel_ms = (super::settings(0).settings.workers.cancel_s * 1_000.0) as u64;
+        let cancel_ms = (super::controller_settings(0).settings.workers.cancel_s * 1_000.0) as u64;
         let mut gpus: BTreeMap<&str, f64> = BTreeMap::new();
-        for worker in self.plant.workers.values().filter(|w| !w.gone) {
-            for task in worker.tasks.iter().filter(|t| t.on_machine()) {
+        for worker in self.cluster.workers.values().filter(|w| !w.is_terminated) {
+            for task in worker.tasks.iter().filter(|t| t.is_on_machine()) {
                 let id = task.name.split('/').next().unwrap_or("");
                 if let Some(other) = seen.insert(&task.name, &worker.name) {
                     found.push(format!("ran_twice: {} on {other} and {}", task.name, worker.name));
                 }
                 let Some(job) = jobs.get(id) else { continue };
-                *cpus.entry(job.text("crew")).or_default() += job.number("cpus");
-                *gpus.entry(job.text("crew")).or_default() += job.number("accelerators");
+                *cpus.entry(job.text_field("crew")).or_default() += job.number_field("cpus");
+                *gpus.entry(job.text_field("crew")).or_default() +=
+                    job.number_field("accelerators");
                 if worker.hardware.spot && !job.body["driftwood"].as_bool().unwrap_or(false)
                     || job.body["dock"].as_str().is_some_and(|z| z != worker.hardware.zone)
-                    || job.body["hulls"]
-                        .as_array()
-                        .is_some_and(|t| !t.iter().any(|t| t == worker.hardware.kind.as_str()))
+                    || job.body["hulls"].as_array().is_some_and(|t| {
+                        !t.iter().any(|t| t == worker.hardware.machine_type.as_str())
+                    })
                 {
                     found.push(format!("wrong_place: {} on {}", task.name, worker.name));
                 }
                 *zones.entry(id).or_default().entry(&worker.hardware.zone).or_default() += 1;
-                if job.told_cancelled.is_some_and(|at| self.now > at + cancel_ms) {
+                if job.cancellation_told_at.is_some_and(|at| self.now > at + cancel_ms) {
                     found.push(format!("ran_cancelled: {}", task.name));
                 }
             }
@@ -44,32 +46,42 @@
             if job.body["one_zone"] == json!(true) && zones.len() > 1 {
                 found.push(format!("wrong_place: {id} in several zones"));
             }
-            let cap = job.tasks().div_ceil(2);
+            let cap = job.task_count().div_ceil(2);
             if job.body["scatter"] == json!(true) && zones.values().any(|n| *n > cap) {
                 found.push(format!("wrong_place: {id} not spread"));
             }
         }
         // The leader counts a machine's room only when its work has changed: never to miss one.
-        for table in self.nodes.iter().flatten().filter_map(Node::tables) {
+        for table in self.controllers.iter().flatten().filter_map(Controller::cluster_state) {
             for machine in table.machines.values() {
-                let total = match machine.kind.as_str() {
+                let total = match machine.machine_type.as_str() {
                     "s4" => 4.0,
                     "g2" => 24.0,
                     _ => 8.0,
                 };
                 let held = machine.tasks.keys().filter_map(|(job, task)| {
                     let job = table.jobs.get(job)?;
-                    job.attempts.get(task).is_some_and(|a| a.occupies()).then_some(job.spec.cpus)
+                    job.attempts
+                        .get(task)
+                        .is_some_and(|a| a.occupies_resources())
+                        .then_some(job.spec.cpus)
                 });
-                let unknown = machine.strays.values().any(Option::is_none);
-                let strays: f64 = machine.strays.values().flatten().map(|r| r.cpus).sum();
+                let unknown = machine.orphaned_tasks.values().any(Option::is_none);
+                let strays: f64 = machine.orphaned_tasks.values().flatten().map(|r| r.cpus).sum();
                 let left = total - held.sum::<f64>() - strays;
-                if machine.free().is_some_and(|f| !unknown && (f.cpus - left).abs() > 1e-6) {
-                    found.push(format!("miscounted: {} holds {:?}", machine.id, machine.free()));
+                if machine
+                    .free_resources()
+                    .is_some_and(|f| !unknown && (f.cpus - left).abs() > 1e-6)
+                {
+                    found.push(format!(
+                        "miscounted: {} holds {:?}",
+                        machine.id,
+                        machine.free_resources()
+                    ));
                 }
             }
         }
-        let most = super::settings(0);
+        let most = super::controller_settings(0);
         for (crew, used) in gpus {
             let team = most.settings.teams.iter().find(|t| t.name == crew);
             if team.is_some_and(|t| t.gpus_max > 0.0 && used > t.gpus_max + 1e-6) {
@@ -84,54 +96,56 @@
         }
         // A start after its user was told: the rule allows it for `cancel_s`, and it serves no one.
         let mut starts = Vec::new();
-        for worker in self.plant.workers.values().filter(|w| !w.gone) {
-            for task in worker.tasks.iter().filter(|t| t.on_machine()) {
-                if self.seen_on.get(&task.name).is_none_or(|launch| *launch < task.launch) {
-                    starts.push((task.name.clone(), task.launch));
+        for worker in self.cluster.workers.values().filter(|w| !w.is_terminated) {
+            for task in worker.tasks.iter().filter(|t| t.is_on_machine()) {
+                if self.latest_attempts.get(&task.name).is_none_or(|launch| *launch < task.attempt)
+                {
+                    starts.push((task.name.clone(), task.attempt));
                 }
             }
         }
         for (name, launch) in starts {
             let id = name.split('/').next().unwrap_or("");
-            if jobs.get(id).is_some_and(|j| j.told_cancelled.is_some_and(|at| at < self.now)) {
-                self.started_cancelled.push(name.clone());
+            if jobs.get(id).is_some_and(|j| j.cancellation_told_at.is_some_and(|at| at < self.now))
+            {
+                self.starts_after_cancellation.push(name.clone());
             }
-            if !self.may_start(id) {
+            if !self.are_dependencies_done(id) {
                 found.push(format!("too_early: {name}"));
             }
-            self.seen_on.insert(name, launch);
+            self.latest_attempts.insert(name, launch);
         }
-        found.extend(self.look_beside_room());
+        found.extend(self.check_work_conservation());
         for it in found {
-            if !self.broken.contains(&it) {
-                self.broken.push(it);
+            if !self.violations.contains(&it) {
+                self.violations.push(it);
             }
         }
     }
 
     /// What the leader holds of a job, to understand a failure.
-    pub fn held(&self, id: &str) -> String {
-        let tables = self.nodes.iter().flatten().filter_map(Node::tables);
+    pub fn describe_job(&self, id: &str) -> String {
+        let tables = self.controllers.iter().flatten().filter_map(Controller::cluster_state);
         let jobs = tables.filter_map(|t| t.jobs.get(id));
         let on: Vec<_> = self
-            .plant
+            .cluster
             .workers
             .values()
-            .flat_map(|w| w.tasks.iter().map(move |t| (&w.name, w.gone, t)))
+            .flat_map(|w| w.tasks.iter().map(move |t| (&w.name, w.is_terminated, t)))
             .filter(|(_, _, t)| t.name.starts_with(&format!("{id}/")))
             .collect();
         format!("{:#?} {on:?}", jobs.collect::<Vec<_>>())
     }
 
     /// A violation planted by hand: a task that runs is put on a second machine.
-    pub fn plant_second_run(&mut self) -> bool {
-        let workers = &mut self.plant.workers;
-        let running = workers.values().find_map(|w: &Worker| {
-            let task = w.tasks.iter().find(|t| t.on_machine())?;
-            (!w.gone).then(|| (w.name.clone(), task.clone()))
+    pub fn inject_duplicate_run(&mut self) -> bool {
+        let workers = &mut self.cluster.workers;
+        let running = workers.values().find_map(|w: &FakeWorker| {
+            let task = w.tasks.iter().find(|t| t.is_on_machine())?;
+            (!w.is_terminated).then(|| (w.name.clone(), task.clone()))
         });
         let Some((name, task)) = running else { return false };
-        let other = workers.values_mut().find(|w| w.name != name && !w.gone);
+        let other = workers.values_mut().find(|w| w.name != name && !w.is_terminated);
         other.map(|w| w.tasks.push(task)).is_some()
     }
 }
--- a/crates/simulation/src/world/scene.rs
+++ b/crates/simulation/src/world/scene.rs
@@ -1,20 +1,20 @@
 //! The stand-in's deployment and its jobs.
 
-use super::World;
-use crate::cloud::Offered;
+use super::Simulation;
+use crate::cloud::MachineOffer;
 use serde_json::{Value, json};
 use std::sync::Arc;
-use swiftsail_controller::job::{Kind, Priority, Spec};
-use swiftsail_controller::settings::{Settings, State};
-use swiftsail_protocol::cloud::Hull;
+use swiftsail_controller::job::{JobKind, JobSpec, Priority};
+use swiftsail_controller::settings::{Settings, StoreSettings};
+use swiftsail_protocol::cloud::ListedMachineType;
 
 /// Controllers of the deployment.
-pub(super) const NODES: usize = 3;
+pub(super) const CONTROLLER_COUNT: usize = 3;
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
 /// Settings of the stand-in's deployment, for a node.
-pub fn settings(node: usize) -> Arc<Settings> {
-    let others: Vec<String> = (0..NODES)
+pub fn controller_settings(node: usize) -> Arc<Settings> {
+    let others: Vec<String> = (0..CONTROLLER_COUNT)
         .filter(|n| *n != node)
         .map(|n| {
             format!(
@@ -45,67 +45,74 @@
 }
 
 /// What a job of a kind asks for: the class is named after the kind.
-pub fn spec(kind: Kind, tasks: u32, cpus: f64, image: &str) -> Spec {
-    Spec {
+pub fn job_spec(kind: JobKind, tasks: u32, cpus: f64, image: &str) -> JobSpec {
+    JobSpec {
         class: format!("{kind:?}"),
         team: "blue".into(),
         kind,
-        priority: if kind == Kind::Service { Priority::Production } else { Priority::Normal },
+        priority: if kind == JobKind::Service { Priority::Production } else { Priority::Normal },
         tasks,
         cpus,
         gpus: 0.0,
         memory_gb: 0.5,
         image: image.into(),
         image_gb: 0.1,
-        types: None,
+        machine_types: None,
         zone: None,
-        one_zone: kind == Kind::Gang,
+        one_zone: kind == JobKind::Gang,
         spread: false,
-        spot: kind != Kind::Service,
-        estimate_s: 30.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
-        deadline_s: (kind == Kind::Array).then_some(600.0),
+        spot: kind != JobKind::Service,
+        runtime_estimate_s: 30.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
+        deadline_s: (kind == JobKind::Array).then_some(600.0),
     }
 }
 
 /// Limits that no test runs into: the node keeps its own.
-pub(super) fn free_limits() -> State {
-    let limits = settings(0).settings.state.clone();
-    State { rps: 1e6, write_rps: 1e6, ..limits }
+pub(super) fn unlimited_store_rates() -> StoreSettings {
+    let limits = controller_settings(0).settings.state.clone();
+    StoreSettings { rps: 1e6, write_rps: 1e6, ..limits }
 }
 
 /// Two machine types in three zones, so many of each, zone and kind.
-pub fn offered(capacity: u32) -> Vec<Offered> {
-    let hull = |sku: &str, cpus: f64, price: f64| Hull {
-        sku: sku.into(),
+pub fn machine_offers(capacity: u32) -> Vec<MachineOffer> {
+    let hull = |sku: &str, cpus: f64, price: f64| ListedMachineType {
+        name: sku.into(),
         cpus,
-        accelerators: 0.0,
+        gpus: 0.0,
         memory_gb: 64.0,
         cache_gb: 20.0,
-        fetch_gb_per_s: 0.5,
+        image_fetch_gb_per_s: 0.5,
         price,
-        market_price: price / 3.0,
+        spot_price: price / 3.0,
         boot_s: 5.0,
-        docks: ZONES.iter().map(|z| z.to_string()).collect(),
+        zones: ZONES.iter().map(|z| z.to_string()).collect(),
     };
     let types = [hull("s4", 4.0, 0.3), hull("m8", 8.0, 0.5)];
-    types.into_iter().map(|hull| Offered { hull, capacity }).collect()
+    types.into_iter().map(|hull| MachineOffer { machine_type: hull, capacity }).collect()
 }
 
 /// Machines with two accelerators beside the usual ones, so many in each zone, ordinary and spot each.
-pub fn accelerated(capacity: u32) -> Vec<Offered> {
-    let mut all = offered(2);
-    let mut hull = all[1].hull.clone();
-    (hull.sku, hull.cpus, hull.accelerators) = ("g2".into(), 24.0, 2.0);
-    (hull.price, hull.market_price) = (6.0, 2.4);
-    all.push(Offered { hull, capacity });
+pub fn gpu_machine_offers(capacity: u32) -> Vec<MachineOffer> {
+    let mut all = machine_offers(2);
+    let mut hull = all[1].machine_type.clone();
+    (hull.name, hull.cpus, hull.gpus) = ("g2".into(), 24.0, 2.0);
+    (hull.price, hull.spot_price) = (6.0, 2.4);
+    all.push(MachineOffer { machine_type: hull, capacity });
     all
 }
 
 /// A job that takes accelerators.
-pub fn gpu_job(id: &str, shape: &str, crew: &str, shards: u32, gpus: f64, eta_s: f64) -> Value {
-    let mut body = job(id, shape, crew, shards, 4.0, eta_s);
+pub fn gpu_job_body(
+    id: &str,
+    shape: &str,
+    crew: &str,
+    shards: u32,
+    gpus: f64,
+    eta_s: f64,
+) -> Value {
+    let mut body = job_body(id, shape, crew, shards, 4.0, eta_s);
     body["accelerators"] = gpus.into();
     body["bundle"] = format!("weights-{crew}").into();
     body["due_s"] = Value::Null;
@@ -116,7 +123,7 @@
 }
 
 /// A job of a shape, with what the tests vary.
-pub fn job(id: &str, shape: &str, crew: &str, shards: u32, cpus: f64, eta_s: f64) -> Value {
+pub fn job_body(id: &str, shape: &str, crew: &str, shards: u32, cpus: f64, eta_s: f64) -> Value {
     json!({"name_id": id, "jobclass": shape, "crew": crew, "shape": shape,
         "rank": if shape == "service" { "production" } else { "standard" },
         "shards": shards, "cpus": cpus, "accelerators": 0.0, "memory_gb": 1.0,
@@ -127,15 +134,15 @@
 }
 
 /// A mixed load: as many arrays, gangs and services, some of them cancelled.
-pub fn mixed_load(world: &mut World, number: u64) {
+pub fn submit_mixed_load(world: &mut Simulation, number: u64) {
     for n in 0..number {
         let id = format!("wk-a{n}");
         let cancel = (n % 3 == 2).then_some(20_000 + n * 5_000);
-        world.submit(500 + n * 4_000, cancel, job(&id, "array", "red", 8, 2.0, 6.0));
+        world.submit(500 + n * 4_000, cancel, job_body(&id, "array", "red", 8, 2.0, 6.0));
         let id = format!("wk-g{n}");
-        world.submit(1_000 + n * 5_000, None, job(&id, "gang", "blue", 3, 2.0, 8.0));
+        world.submit(1_000 + n * 5_000, None, job_body(&id, "gang", "blue", 3, 2.0, 8.0));
         let id = format!("wk-s{n}");
         let cancel = (n % 2 == 1).then_some(45_000 + n * 3_000);
-        world.submit(200 + n * 2_000, cancel, job(&id, "service", "blue", 2, 1.0, 0.0));
+        world.submit(200 + n * 2_000, cancel, job_body(&id, "service", "blue", 2, 1.0, 0.0));
     }
 }
--- a/crates/tiers/src/lib.rs
+++ b/crates/tiers/src/lib.rs
@@ -14,6 +14,9 @@
 pub mod line;
 pub mod table;
 
-pub use check::Flawed;
-pub use line::{Entry, Place, line};
-pub use table::{Facts, Rank, Shape, Table, TableRecord, TierLine, Tiers};
+pub use check::TierTableError;
+pub use line::{QueuePosition, WaitingJob, queue_order};
+pub use table::{
+    JobAttributes, JobKindAttribute, JobPriorityAttribute, TierAssignment, TierDefinition,
+    TierTable, TierTableRecord,
+};
--- a/examples/explore.rs
+++ b/examples/explore.rs
@@ -3,8 +3,8 @@
 
 use clap::Parser;
 use std::time::Instant;
-use swiftsail_simulation::amounts::{Chances, Deciders, Without};
-use swiftsail_simulation::explorer::explore;
+use swiftsail_simulation::amounts::{FaultBudget, QuotaModel, RemovedGuard};
+use swiftsail_simulation::explorer::check_model;
 
 #[derive(Parser)]
 struct Args {
@@ -28,18 +28,18 @@
 fn main() {
     let args = Args::parse();
     let [crashes, losses, changes] = args.chances[..] else { return };
-    let chances = Chances { crashes, losses, changes };
-    let first = Deciders::new(args.deciders, args.limit, Without::Nothing, chances);
+    let chances = FaultBudget { crashes, lost_answers: losses, limit_changes: changes };
+    let first = QuotaModel::new(args.deciders, args.limit, RemovedGuard::None, chances);
     let begin = Instant::now();
-    let found = explore(first.begun(args.limit), args.depth, args.worlds);
+    let found = check_model(first.with_initial_records(args.limit), args.depth, args.worlds);
     println!(
         "{} worlds, histories of up to {} steps{}, {:.1} s",
-        found.worlds,
+        found.states,
         found.depth,
-        if found.whole { ", all there are" } else { "" },
+        if found.is_exhaustive { ", all there are" } else { "" },
         begin.elapsed().as_secs_f64()
     );
-    match found.broken {
+    match found.violation {
         Some((what, history)) => println!("broken: {what}\n{history:#?}"),
         None => println!("nothing is broken"),
     }
--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -2,82 +2,88 @@
 //! `cargo run --release --example pass_cost`. Figures go into docs/plugins.md.
 
 use std::time::Instant;
-use swiftsail_controller::job::{JobRecord, Kind, keys};
+use swiftsail_controller::job::{JobKind, JobRecord, keys};
 use swiftsail_controller::machine::MachineType;
-use swiftsail_controller::node::{self, Asking, Now};
-use swiftsail_controller::placement::View;
-use swiftsail_controller::steering::Steering;
-use swiftsail_controller::tables::{Source, Tables};
-use swiftsail_policy::host::Host;
-use swiftsail_policy::plugin::{Kind as PluginKind, PluginRecord, State, hash};
-use swiftsail_policy::policy::Policy;
-use swiftsail_simulation::world::{BEGIN, offered, settings, spec};
-use swiftsail_protocol::workers::{Phase, Report, Shard};
+use swiftsail_controller::node::{self, Now, PolicyContext};
+use swiftsail_controller::placement::PlanningContext;
+use swiftsail_controller::steering::CyclePolicy;
+use swiftsail_controller::tables::{ClusterState, ReportSource};
+use swiftsail_policy::host::PluginHost;
+use swiftsail_policy::plugin::{PluginKind, PluginRecord, PluginState, source_hash};
+use swiftsail_policy::policy::SchedulingPolicy;
+use swiftsail_protocol::workers::{StatusReport, TaskPhase, TaskStatus};
+use swiftsail_simulation::world::{START_MS, controller_settings, job_spec, machine_offers};
 
 const MACHINES: usize = 800;
 const JOBS: usize = 190;
 const PASSES: u32 = 20;
 const TOKEN: u64 = 40;
 
-fn tables(types: &[MachineType]) -> Tables {
-    let mut tables = Tables::new(TOKEN, 1, BEGIN);
+fn tables(types: &[MachineType]) -> ClusterState {
+    let mut tables = ClusterState::new(TOKEN, 1, START_MS);
     for n in 0..JOBS {
         let record = JobRecord {
-            awaits: Vec::new(),
+            depends_on: Vec::new(),
             cancelled: false,
             cancelled_wall: 0,
-            accepted_wall: BEGIN,
+            accepted_wall: START_MS,
             chunk_tasks: 80,
-            nonce: 0,
+            write_number: 0,
             tier: None,
-            spec: spec(Kind::Array, 60, 1.0, &format!("i{}", n % 9)),
+            spec: job_spec(JobKind::Array, 60, 1.0, &format!("i{}", n % 9)),
         };
         let value = serde_json::to_value(&record).expect("our own record");
-        tables.upsert(&keys::job(&format!("wk-{n}")), &value, n as u64 + 1, BEGIN, BEGIN);
+        tables.apply_job_record(
+            &keys::job(&format!("wk-{n}")),
+            &value,
+            n as u64 + 1,
+            START_MS,
+            START_MS,
+        );
     }
-    report(&mut tables, types, 1, BEGIN);
+    report(&mut tables, types, 1, START_MS);
     tables
 }
 
 /// Every machine reports that what is bound to it runs.
-fn report(tables: &mut Tables, types: &[MachineType], tick: u64, now: u64) {
+fn report(tables: &mut ClusterState, types: &[MachineType], tick: u64, now: u64) {
     for n in 0..MACHINES {
         let name = format!("m-{n:06}");
         let held = tables.machines.get(name.as_str()).map(|m| m.tasks.clone()).unwrap_or_default();
-        let shards = held.iter().map(|((job, task), launch)| Shard {
-            shard: format!("{job}/{task}"),
-            launch: *launch,
-            status: Phase::Running,
-            cause: None,
-            stored: None,
+        let shards = held.iter().map(|((job, task), launch)| TaskStatus {
+            task: format!("{job}/{task}"),
+            attempt: *launch,
+            phase: TaskPhase::Running,
+            exit_cause: None,
+            progress_saved: None,
         });
-        let report = Report {
-            berth: name,
-            addr: "127.0.0.1:1".into(),
-            hull: "m8".into(),
-            dock: ["a", "b", "c"][n % 3].into(),
-            driftwood: n % 2 == 0,
-            watch: 1,
-            tick,
-            helm: TOKEN,
-            recall_s: None,
-            shards: shards.collect(),
+        let report = StatusReport {
+            machine: name,
+            address: "127.0.0.1:1".into(),
+            machine_type: "m8".into(),
+            zone: ["a", "b", "c"][n % 3].into(),
+            spot: n % 2 == 0,
+            session: 1,
+            sequence: tick,
+            fencing_token: TOKEN,
+            reclaim_in_s: None,
+            tasks: shards.collect(),
         };
-        tables.on_report(&report, Source::Report, now, types);
+        tables.on_status_report(&report, ReportSource::StatusReport, now, types);
     }
 }
 
-fn host(number: usize) -> Host {
+fn host(number: usize) -> PluginHost {
     let source = include_str!("plugins/night-batches.rhai");
-    let mut host = Host::default();
-    let hooks = host.check(PluginKind::Decision, source).expect("the example is sound");
+    let mut host = PluginHost::default();
+    let hooks = host.validate_source(PluginKind::Decision, source).expect("the example is sound");
     let set = (0..number).map(|n| {
         let record = PluginRecord {
             name: format!("p{n}"),
             kind: PluginKind::Decision,
-            state: State::Active,
+            state: PluginState::Active,
             version: 1,
-            hash: hash(source),
+            hash: source_hash(source),
             precedence: 100,
             chunks: 1,
             hooks: hooks.clone(),
@@ -98,8 +104,9 @@
 }
 
 fn main() {
-    let types: Vec<MachineType> = offered(6).iter().map(|o| MachineType::from(&o.hull)).collect();
-    let settings = settings(0);
+    let types: Vec<MachineType> =
+        machine_offers(6).iter().map(|o| MachineType::from(&o.machine_type)).collect();
+    let settings = controller_settings(0);
     println!(
         "plug-ins  asking, ms  pass, ms  calls a pass  operations a pass  plug-ins' memory, KB"
     );
@@ -109,29 +116,39 @@
         let mut host = host(number);
         let held = memory_kb().saturating_sub(before);
         let mut tables = tables(&types);
-        let (mut policy, mut steering) = (Policy::default(), Steering::default());
-        let (mut asking_s, mut pass_s, mut now) = (0.0, 0.0, BEGIN);
+        let (mut policy, mut steering) = (SchedulingPolicy::default(), CyclePolicy::default());
+        let (mut asking_s, mut pass_s, mut now) = (0.0, 0.0, START_MS);
         let (mut looked, mut scored) = (0, 0);
         for n in 0..PASSES {
             now += 2_000;
             report(&mut tables, &types, u64::from(n) + 2, now);
             let begin = Instant::now();
             let teams = &settings.settings.teams;
-            let at = Now { steady: now, wall: now };
-            let asking =
-                Asking { policy: &mut policy, host: &mut host, teams, types: &types, now: at };
+            let at = Now { monotonic: now, wall_clock: now };
+            let asking = PolicyContext {
+                policy: &mut policy,
+                host: &mut host,
+                teams,
+                types: &types,
+                now: at,
+            };
             node::steer(&tables, asking, &mut steering, true);
             asking_s += begin.elapsed().as_secs_f64();
             let begin = Instant::now();
-            let view =
-                View { now, wall: 0, settings: &settings, types: &types, steering: &steering };
-            let passed = node::pass(&mut tables, view, true);
+            let view = PlanningContext {
+                now,
+                wall_now: 0,
+                settings: &settings,
+                machine_types: &types,
+                policy: &steering,
+            };
+            let passed = node::run_scheduling_cycle(&mut tables, view, true);
             pass_s += begin.elapsed().as_secs_f64();
-            host.end_pass(passed.scored);
+            host.end_cycle(passed.scored);
             looked += passed.looked;
             scored += passed.scored;
         }
-        let shown = host.show();
+        let shown = host.statuses();
         let calls: u64 = shown.iter().map(|p| p.calls).sum();
         let ops: u64 = shown.iter().map(|p| p.ops).sum();
         let passes = f64::from(PASSES);
@@ -148,7 +165,7 @@
             looked / u64::from(PASSES),
             scored / u64::from(PASSES)
         );
-        for plugin in shown.iter().filter(|p| p.record.state != State::Active) {
+        for plugin in shown.iter().filter(|p| p.record.state != PluginState::Active) {
             println!(
                 "          {} is {:?}: {:?}",
                 plugin.record.name, plugin.record.state, plugin.record.reason
--- a/examples/trace/recording.rs
+++ b/examples/trace/recording.rs
@@ -4,7 +4,7 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use swiftsail_simulation::world::World;
+use swiftsail_simulation::world::Simulation;
 
 /// Digest and size of what was recorded.
 #[derive(Debug, PartialEq)]
@@ -42,7 +42,7 @@
 
 impl Recording {
     /// Plays a world, and records what its controllers send and what the state service holds in the end.
-    pub fn of(mut world: World, play: fn(&mut World)) -> Recording {
+    pub fn of(mut world: Simulation, play: fn(&mut Simulation)) -> Recording {
         let tally = Rc::new(RefCell::new(Tally::default()));
         let taken = tally.clone();
         world.recorder = Some(Box::new(move |now, node, life, bytes| {
--- a/examples/trace/scenarios.rs
+++ b/examples/trace/scenarios.rs
@@ -1,17 +1,19 @@
 //! The fixed worlds: what each is, and what happens in it.
 
 use serde_json::{Value, json};
-use swiftsail_controller::node::{AdminAsk, Node};
-use swiftsail_policy::operator::Operator;
-use swiftsail_policy::plugin::{Kind, Offer};
+use swiftsail_controller::node::{AdminRequest, Controller};
+use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_policy::plugin::{PluginKind, PluginOffer};
 use swiftsail_simulation::world::{
-    Cut, Deafness, Trouble, Weather, World, accelerated, gpu_job, job, mixed_load,
+    Fault, FaultRates, InboundFailure, NetworkPartition, Simulation, gpu_job_body,
+    gpu_machine_offers, job_body, submit_mixed_load,
 };
 
 /// Seeds under which every scenario is played.
 pub const SEEDS: [u64; 3] = [1, 2, 3];
 
-const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
+const CALM: FaultRates =
+    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
 const CHAIN: &str = r#"
 [dispatch]
 version = 1
@@ -34,9 +36,9 @@
     /// Its name.
     pub name: &'static str,
     /// Builds the world of a seed.
-    pub build: fn(u64) -> World,
+    pub build: fn(u64) -> Simulation,
     /// Plays it to the end.
-    pub play: fn(&mut World),
+    pub play: fn(&mut Simulation),
 }
 
 /// All scenarios, in a fixed order.
@@ -76,161 +78,175 @@
 
 // ---- worlds --------------------------------------------------------------------------------------
 
-fn calm(seed: u64) -> World {
-    World::new(seed, CALM, 150_000)
+fn calm(seed: u64) -> Simulation {
+    Simulation::new(seed, CALM, 150_000)
 }
 
-fn weather(seed: u64, loss: f64, late: f64, crashes: u32, outages: u32) -> World {
-    World::new(seed, Weather { loss, late, crashes, outages }, 90_000)
+fn weather(seed: u64, loss: f64, late: f64, crashes: u32, outages: u32) -> Simulation {
+    Simulation::new(
+        seed,
+        FaultRates { message_loss: loss, message_delay: late, crashes, outages_and_hangs: outages },
+        90_000,
+    )
 }
 
-fn operated(seed: u64, text: &str) -> World {
+fn operated(seed: u64, text: &str) -> Simulation {
     let mut world = calm(seed);
-    world.operator = Operator::parse("trace", text).expect("it is sound");
+    world.operator = OperatorSettings::parse("trace", text).expect("it is sound");
     world
 }
 
-fn durable(seed: u64) -> World {
+fn durable(seed: u64) -> Simulation {
     operated(seed, "[amounts]\ndurable = true\n")
 }
 
-fn tiers(seed: u64) -> World {
+fn tiers(seed: u64) -> Simulation {
     operated(seed, include_str!("../../deploy/tiers.toml"))
 }
 
-fn dispatch(seed: u64) -> World {
+fn dispatch(seed: u64) -> Simulation {
     operated(seed, CHAIN)
 }
 
-fn plugins(seed: u64) -> World {
+fn plugins(seed: u64) -> Simulation {
     operated(seed, "[plugins]\nenabled = true\n")
 }
 
-fn gpus(seed: u64) -> World {
-    let mut world = World::offering(seed, CALM, 400_000, accelerated(1));
-    world.operator = Operator::parse("trace", "[loans]\ndurable = true\n").expect("it is sound");
+fn gpus(seed: u64) -> Simulation {
+    let mut world = Simulation::with_offers(seed, CALM, 400_000, gpu_machine_offers(1));
+    world.operator =
+        OperatorSettings::parse("trace", "[loans]\ndurable = true\n").expect("it is sound");
     world
 }
 
 // ---- what happens --------------------------------------------------------------------------------
 
-fn leader(world: &World) -> Option<usize> {
-    (0..3).find(|n| world.nodes[*n].as_ref().is_some_and(Node::leads))
+fn leader(world: &Simulation) -> Option<usize> {
+    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
 }
 
-fn crash_leader(world: &mut World, at_ms: u64) {
-    world.run(at_ms);
+fn crash_leader(world: &mut Simulation, at_ms: u64) {
+    world.run_until(at_ms);
     if let Some(node) = leader(world) {
-        world.crash(at_ms, node);
+        world.schedule_crash(at_ms, node);
     }
 }
 
-fn mixed(world: &mut World, until_ms: u64) {
-    mixed_load(world, 6);
-    world.run(until_ms);
+fn mixed(world: &mut Simulation, until_ms: u64) {
+    submit_mixed_load(world, 6);
+    world.run_until(until_ms);
 }
 
-fn leader_crashes(world: &mut World) {
-    mixed_load(world, 6);
+fn leader_crashes(world: &mut Simulation) {
+    submit_mixed_load(world, 6);
     (1..6).for_each(|n| crash_leader(world, n * 14_000));
-    world.run(180_000);
-}
-
-fn network_cuts(world: &mut World) {
-    let cut = |node, from_ms| Cut::of(node, from_ms, 15_000);
-    world.cuts.push(Cut { workers: true, ..cut(0, 10_000) });
-    world.cuts.push(Cut { peers: true, ..cut(1, 30_000) });
-    world.cuts.push(Cut { store: true, ..cut(2, 50_000) });
-    world.cuts.push(Cut { workers: true, peers: true, hold: true, ..cut(0, 70_000) });
+    world.run_until(180_000);
+}
+
+fn network_cuts(world: &mut Simulation) {
+    let cut = |node, from_ms| NetworkPartition::of(node, from_ms, 15_000);
+    world.partitions.push(NetworkPartition { workers: true, ..cut(0, 10_000) });
+    world.partitions.push(NetworkPartition { peers: true, ..cut(1, 30_000) });
+    world.partitions.push(NetworkPartition { store: true, ..cut(2, 50_000) });
+    world.partitions.push(NetworkPartition {
+        workers: true,
+        peers: true,
+        holds_messages: true,
+        ..cut(0, 70_000)
+    });
     mixed(world, 200_000);
 }
 
-fn zone_away(world: &mut World) {
-    world.spell(30_000, 30_000, Trouble::ZoneAway { zone: "b".into(), node: 1 });
+fn zone_away(world: &mut Simulation) {
+    world.add_fault_window(
+        30_000,
+        30_000,
+        Fault::ZonePartition { zone: "b".into(), controller: 1 },
+    );
     mixed(world, 180_000);
 }
 
-fn store_outages(world: &mut World) {
-    world.outage(20_000, 12_000);
-    world.slow(45_000, 20_000);
-    world.outage(80_000, 4_000);
+fn store_outages(world: &mut Simulation) {
+    world.schedule_store_outage(20_000, 12_000);
+    world.schedule_store_slowdown(45_000, 20_000);
+    world.schedule_store_outage(80_000, 4_000);
     mixed(world, 200_000);
 }
 
-fn store_limits(world: &mut World) {
+fn store_limits(world: &mut Simulation) {
     world.limit_store(40.0, 12.0);
     mixed(world, 200_000);
 }
 
-fn lost_and_late_writes(world: &mut World) {
-    world.spell(10_000, 40_000, Trouble::AnswersLost(0.2));
-    world.spell(60_000, 40_000, Trouble::WritesLate(0.1));
+fn lost_and_late_writes(world: &mut Simulation) {
+    world.add_fault_window(10_000, 40_000, Fault::AnswersLost(0.2));
+    world.add_fault_window(60_000, 40_000, Fault::TransactionsLate(0.1));
     mixed(world, 200_000);
 }
 
-fn cloud_trouble(world: &mut World) {
-    world.spell(2_000, 20_000, Trouble::CloudSlow(6_000));
-    world.spell(40_000, 20_000, Trouble::CloudAway);
+fn cloud_trouble(world: &mut Simulation) {
+    world.add_fault_window(2_000, 20_000, Fault::SlowCloud(6_000));
+    world.add_fault_window(40_000, 20_000, Fault::CloudUnavailable);
     mixed(world, 180_000);
 }
 
-fn frozen(world: &mut World) {
+fn frozen(world: &mut Simulation) {
     for (n, for_ms) in [1_000, 2_600, 25_000, 7_000].into_iter().enumerate() {
-        world.freeze(12_000 + n as u64 * 22_000, n % 3, for_ms);
+        world.schedule_pause(12_000 + n as u64 * 22_000, n % 3, for_ms);
     }
     mixed(world, 200_000);
 }
 
-fn rolling_restarts(world: &mut World) {
-    world.restart_ms = Some(800);
+fn rolling_restarts(world: &mut Simulation) {
+    world.restart_delay_ms = Some(800);
     for node in 0..3 {
-        world.crash(30_000 + node as u64 * 15_000, node);
+        world.schedule_crash(30_000 + node as u64 * 15_000, node);
     }
     mixed(world, 180_000);
 }
 
-fn without(world: &mut World, nodes: &[usize]) {
-    world.restart_ms = Some(10_000_000);
-    nodes.iter().for_each(|node| world.crash(500, *node));
+fn without(world: &mut Simulation, nodes: &[usize]) {
+    world.restart_delay_ms = Some(10_000_000);
+    nodes.iter().for_each(|node| world.schedule_crash(500, *node));
     mixed(world, 180_000);
 }
 
-fn memory_pressure(world: &mut World) {
+fn memory_pressure(world: &mut Simulation) {
     world.memory_mb = 0.2;
     mixed(world, 180_000);
 }
 
-fn memory_pressure_one(world: &mut World) {
+fn memory_pressure_one(world: &mut Simulation) {
     world.memory_mb = 0.2;
     without(world, &[0, 2]);
 }
 
-fn scarce_processor(world: &mut World) {
-    world.cores = Some(0.02);
+fn scarce_processor(world: &mut Simulation) {
+    world.cores_per_controller = Some(0.02);
     mixed(world, 150_000);
 }
 
-fn gangs(world: &mut World) {
+fn gangs(world: &mut Simulation) {
     for n in 0..8u64 {
-        let body = job(&format!("wk-g{n}"), "gang", "blue", 2 + n as u32, 4.0, 12.0);
+        let body = job_body(&format!("wk-g{n}"), "gang", "blue", 2 + n as u32, 4.0, 12.0);
         world.submit(500 + n * 4_000, (n == 5).then_some(40_000), body);
     }
-    world.run(40_000);
+    world.run_until(40_000);
     let now = world.now;
-    world.plant.hang(2, 13_000, now);
-    world.run(60_000);
-    world.die(1, 4);
+    world.cluster.hang_machines(2, 13_000, now);
+    world.run_until(60_000);
+    world.kill_machines(1, 4);
     crash_leader(world, 75_000);
-    world.run(180_000);
+    world.run_until(180_000);
 }
 
 fn awaiting(id: &str, awaits: &[&str], tasks: u32) -> Value {
-    let mut body = job(id, "array", "blue", tasks, 1.0, 4.0);
+    let mut body = job_body(id, "array", "blue", tasks, 1.0, 4.0);
     (body["awaits"], body["due_s"]) = (json!(awaits), Value::Null);
     body
 }
 
-fn submit_pipelines(world: &mut World) {
+fn submit_pipelines(world: &mut Simulation) {
     for (n, line) in ["a", "b", "c"].into_iter().enumerate() {
         let id = |k: u32| format!("wk-{line}{k}");
         let at = 6_000 + n as u64 * 9_000;
@@ -242,102 +258,116 @@
     }
 }
 
-fn pipelines(world: &mut World) {
+fn pipelines(world: &mut Simulation) {
     submit_pipelines(world);
     crash_leader(world, 20_000);
     crash_leader(world, 32_000);
-    world.run(150_000);
+    world.run_until(150_000);
 }
 
-fn mixed_versions(world: &mut World) {
-    world.earlier_until_ms[1] = 40_000;
-    world.crash(30_000, 2);
+fn mixed_versions(world: &mut Simulation) {
+    world.old_version_until_ms[1] = 40_000;
+    world.schedule_crash(30_000, 2);
     submit_pipelines(world);
-    world.run(150_000);
+    world.run_until(150_000);
 }
 
-fn dispatch_deadlines(world: &mut World) {
-    world.run(8_000);
+fn dispatch_deadlines(world: &mut Simulation) {
+    world.run_until(8_000);
     let at_ms = 1_700_000_000_000 + world.now + 240_000;
     let body = json!({"name": "north", "chain": "lists", "at_ms": at_ms}).to_string();
     (0..3).for_each(|node| {
-        world.ask(8_000, node, AdminAsk::AddArrival(body.clone().into_bytes()));
-        world.ask(60_000, node, AdminAsk::Dispatch(None));
+        world.schedule_admin_request(
+            8_000,
+            node,
+            AdminRequest::AddArrival(body.clone().into_bytes()),
+        );
+        world.schedule_admin_request(60_000, node, AdminRequest::Dispatch(None));
     });
     for (n, class) in ["count", "list"].into_iter().enumerate() {
-        let mut body = job(&format!("wk-{class}"), "array", "blue", 4, 1.0, 20.0);
+        let mut body = job_body(&format!("wk-{class}"), "array", "blue", 4, 1.0, 20.0);
         (body["jobclass"], body["due_s"]) = (class.into(), 3_000.0.into());
         world.submit(14_000 + n as u64 * 45_000, None, body);
     }
     [20_000, 40_000, 75_000].into_iter().for_each(|at| crash_leader(world, at));
-    world.run(160_000);
+    world.run_until(160_000);
 }
 
-fn gpu_loans(world: &mut World) {
+fn gpu_loans(world: &mut Simulation) {
     for n in 0..4u64 {
-        let body = gpu_job(&format!("wk-t{n}"), "gang", "tuning", 2, 1.0, 200.0);
+        let body = gpu_job_body(&format!("wk-t{n}"), "gang", "tuning", 2, 1.0, 200.0);
         world.submit(500 + n * 900, None, body);
-        let body = gpu_job(&format!("wk-b{n}"), "array", "lab", 4, 1.0, 60.0);
+        let body = gpu_job_body(&format!("wk-b{n}"), "array", "lab", 4, 1.0, 60.0);
         world.submit(30_000 + n * 500, None, body);
     }
     for n in 0..3u64 {
-        let mut body = gpu_job(&format!("wk-s{n}"), "service", "serving", 2, 1.0, 0.0);
+        let mut body = gpu_job_body(&format!("wk-s{n}"), "service", "serving", 2, 1.0, 0.0);
         body["scatter"] = false.into();
         world.submit(90_000 + n * 2_000, Some(172_000 + n * 4_000), body);
     }
     for node in 0..3 {
-        world.ask(120_000, node, AdminAsk::Loans(None));
+        world.schedule_admin_request(120_000, node, AdminRequest::Loans(None));
     }
     [100_000, 130_000, 180_000].into_iter().for_each(|at| crash_leader(world, at));
-    world.run(400_000);
+    world.run_until(400_000);
 }
 
-fn offer(name: &str, kind: Kind, source: &str) -> AdminAsk {
-    let offer = Offer { kind, source: source.into(), precedence: 10, enable: true };
-    AdminAsk::Offer(name.into(), serde_json::to_vec(&offer).expect("our own type"))
+fn offer(name: &str, kind: PluginKind, source: &str) -> AdminRequest {
+    let offer = PluginOffer { kind, source: source.into(), precedence: 10, enable: true };
+    AdminRequest::Offer(name.into(), serde_json::to_vec(&offer).expect("our own type"))
 }
 
-fn play_plugins(world: &mut World) {
+fn play_plugins(world: &mut Simulation) {
     let advice = "fn priority(job, cluster) { if job.waiting > 3 { 50 } else { -50 } }\n\
                   fn spot_share(job, cluster) { 0.5 }";
-    world.ask(5_000, 0, offer("advice", Kind::Decision, advice));
-    world.ask(5_500, 1, offer("faulty", Kind::Decision, "fn class_order(c, l) { \"soon\" }"));
-    world.ask(6_000, 2, offer("events", Kind::Report, REPORT_HOOK));
+    world.schedule_admin_request(5_000, 0, offer("advice", PluginKind::Decision, advice));
+    world.schedule_admin_request(
+        5_500,
+        1,
+        offer("faulty", PluginKind::Decision, "fn class_order(c, l) { \"soon\" }"),
+    );
+    world.schedule_admin_request(6_000, 2, offer("events", PluginKind::EventReceiver, REPORT_HOOK));
     for node in 0..3 {
-        world.ask(30_000, node, AdminAsk::Plugins);
-        world.ask(31_000, node, AdminAsk::Explain("wk-s0".into()));
+        world.schedule_admin_request(30_000, node, AdminRequest::Plugins);
+        world.schedule_admin_request(31_000, node, AdminRequest::Explain("wk-s0".into()));
     }
-    mixed_load(world, 6);
+    submit_mixed_load(world, 6);
     crash_leader(world, 40_000);
-    world.run(150_000);
-    assert!(!world.delivered.is_empty(), "the report hook was sent nothing");
+    world.run_until(150_000);
+    assert!(!world.delivered_events.is_empty(), "the report hook was sent nothing");
 }
 
-fn binding_limits(world: &mut World) {
-    let mut long = job("wk-long", "array", "red", 90, 2.0, 30.0);
+fn binding_limits(world: &mut Simulation) {
+    let mut long = job_body("wk-long", "array", "red", 90, 2.0, 30.0);
     long["due_s"] = Value::Null;
     world.submit(500, None, long);
-    mixed_load(world, 4);
-    world.run(40_000);
-    world.red_most[1] = 24.0;
-    world.crash(40_000, 1);
+    submit_mixed_load(world, 4);
+    world.run_until(40_000);
+    world.team_red_limits[1] = 24.0;
+    world.schedule_crash(40_000, 1);
     crash_leader(world, 70_000);
-    world.run(160_000);
+    world.run_until(160_000);
 }
 
-fn odd_users(world: &mut World) {
-    world.spell(5_000, 60_000, Trouble::OddRequests);
-    world.spell(5_000, 60_000, Trouble::CloseLooks);
-    world.spell(5_000, 90_000, Trouble::CancelAtEnd(0.3));
-    world.cancel_now(45_000, 3, Some(6_000));
+fn odd_users(world: &mut Simulation) {
+    world.add_fault_window(5_000, 60_000, Fault::UnusualRequests);
+    world.add_fault_window(5_000, 60_000, Fault::ConsistencyProbes);
+    world.add_fault_window(5_000, 90_000, Fault::CancelAtCompletion(0.3));
+    world.schedule_running_cancellations(45_000, 3, Some(6_000));
     mixed(world, 180_000);
 }
 
-fn deaf_machines(world: &mut World) {
+fn deaf_machines(world: &mut Simulation) {
     let zone = Some("a".to_string());
     let names = Vec::new();
-    world.deafness.push(Deafness { from_ms: 25_000, for_ms: 20_000, zone, names, hears_each: 0 });
-    world.copies = Some((0.05, 20_000));
-    world.spell(60_000, 40_000, Trouble::SlowLinks(300));
+    world.inbound_failures.push(InboundFailure {
+        from_ms: 25_000,
+        for_ms: 20_000,
+        zone,
+        machines: names,
+        delivers_every: 0,
+    });
+    world.duplicate_reports = Some((0.05, 20_000));
+    world.add_fault_window(60_000, 40_000, Fault::SlowLinks(300));
     mixed(world, 180_000);
 }
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -1,15 +1,15 @@
 //! The operators' listener: JSON over HTTP, apart from the protocol's own listeners.
 
 use crate::constants::*;
-use crate::controller::{Asked, Controller, Incoming};
+use crate::controller::{ControllerActor, IncomingRequest, TypedRequest};
 use crate::front::respond;
 use actix::Addr;
 use actix_web::{App, HttpResponse, HttpServer, web};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
-use swiftsail_controller::node::{AdminAsk, Reply};
-use swiftsail_policy::plugin::Step;
+use swiftsail_controller::node::{AdminRequest, Reply};
+use swiftsail_policy::plugin::PluginTransition;
 
 /// Paths of this listener.
 pub mod path {
@@ -18,7 +18,7 @@
     /// Why a job is steered as it is.
     pub const EXPLAIN: &str = "/admin/jobs/{id}/explain";
     /// Where a job stands in the tiers and the line.
-    pub const TIER_OF: &str = "/admin/jobs/{id}/tier";
+    pub const JOB_TIER: &str = "/admin/jobs/{id}/tier";
     /// The jobs before and after one.
     pub const PIPELINE: &str = "/admin/jobs/{id}/pipeline";
     /// The table of tiers: GET shows it, PUT offers another.
@@ -37,108 +37,116 @@
     pub const DISABLE: &str = "/admin/plugins/{name}/disable";
 }
 
-type Node = web::Data<Addr<Controller>>;
+type ControllerAddress = web::Data<Addr<ControllerActor>>;
 
-async fn ask(to: &Addr<Controller>, ask: AdminAsk) -> HttpResponse {
-    let reply = to.send(Incoming(Asked::Admin(ask))).await;
-    respond(reply.unwrap_or_else(|_| Reply::later("this node is ending")), "application/json")
+async fn forward_to_controller(to: &Addr<ControllerActor>, ask: AdminRequest) -> HttpResponse {
+    let reply = to.send(IncomingRequest(TypedRequest::AdminRequest(ask))).await;
+    respond(reply.unwrap_or_else(|_| Reply::retry_later("this node is ending")), "application/json")
 }
 
 #[derive(Deserialize)]
-struct After {
+struct PageQuery {
     after: Option<String>,
 }
 
-async fn jobs(to: Node, query: web::Query<After>) -> HttpResponse {
-    ask(&to, AdminAsk::Jobs(query.into_inner().after)).await
+async fn list_jobs(to: ControllerAddress, query: web::Query<PageQuery>) -> HttpResponse {
+    forward_to_controller(&to, AdminRequest::Jobs(query.into_inner().after)).await
 }
 
-async fn explain(to: Node, id: web::Path<String>) -> HttpResponse {
-    ask(&to, AdminAsk::Explain(id.into_inner())).await
+async fn explain_job(to: ControllerAddress, id: web::Path<String>) -> HttpResponse {
+    forward_to_controller(&to, AdminRequest::Explain(id.into_inner())).await
 }
 
-async fn pipeline(to: Node, id: web::Path<String>) -> HttpResponse {
-    ask(&to, AdminAsk::Pipeline(id.into_inner())).await
+async fn show_pipeline(to: ControllerAddress, id: web::Path<String>) -> HttpResponse {
+    forward_to_controller(&to, AdminRequest::Pipeline(id.into_inner())).await
 }
 
-async fn tiers(to: Node) -> HttpResponse {
-    ask(&to, AdminAsk::Tiers).await
+async fn show_tiers(to: ControllerAddress) -> HttpResponse {
+    forward_to_controller(&to, AdminRequest::Tiers).await
 }
 
-async fn set_tiers(to: Node, body: web::Bytes) -> HttpResponse {
-    ask(&to, AdminAsk::SetTiers(body.to_vec())).await
+async fn set_tiers(to: ControllerAddress, body: web::Bytes) -> HttpResponse {
+    forward_to_controller(&to, AdminRequest::SetTiers(body.to_vec())).await
 }
 
-async fn tier_of(to: Node, id: web::Path<String>) -> HttpResponse {
-    ask(&to, AdminAsk::TierOf(id.into_inner())).await
+async fn explain_tier(to: ControllerAddress, id: web::Path<String>) -> HttpResponse {
+    forward_to_controller(&to, AdminRequest::TierOf(id.into_inner())).await
 }
 
 #[derive(Deserialize)]
-struct Of {
-    of: Option<String>,
+struct SelectionQuery {
+    #[serde(rename = "of")]
+    selected: Option<String>,
 }
 
-async fn dispatch(to: Node, query: web::Query<Of>) -> HttpResponse {
-    ask(&to, AdminAsk::Dispatch(query.into_inner().of)).await
+async fn show_dispatch(to: ControllerAddress, query: web::Query<SelectionQuery>) -> HttpResponse {
+    forward_to_controller(&to, AdminRequest::Dispatch(query.into_inner().selected)).await
 }
 
-async fn set_dispatch(to: Node, body: web::Bytes) -> HttpResponse {
-    ask(&to, AdminAsk::SetDispatch(body.to_vec())).await
+async fn set_dispatch(to: ControllerAddress, body: web::Bytes) -> HttpResponse {
+    forward_to_controller(&to, AdminRequest::SetDispatch(body.to_vec())).await
 }
 
-async fn add_arrival(to: Node, body: web::Bytes) -> HttpResponse {
-    ask(&to, AdminAsk::AddArrival(body.to_vec())).await
+async fn add_arrival(to: ControllerAddress, body: web::Bytes) -> HttpResponse {
+    forward_to_controller(&to, AdminRequest::AddArrival(body.to_vec())).await
 }
 
-async fn loans(to: Node, query: web::Query<Of>) -> HttpResponse {
-    ask(&to, AdminAsk::Loans(query.into_inner().of)).await
+async fn show_loans(to: ControllerAddress, query: web::Query<SelectionQuery>) -> HttpResponse {
+    forward_to_controller(&to, AdminRequest::Loans(query.into_inner().selected)).await
 }
 
-async fn plugins(to: Node) -> HttpResponse {
-    ask(&to, AdminAsk::Plugins).await
+async fn list_plugins(to: ControllerAddress) -> HttpResponse {
+    forward_to_controller(&to, AdminRequest::Plugins).await
 }
 
-async fn offer(to: Node, name: web::Path<String>, body: web::Bytes) -> HttpResponse {
-    ask(&to, AdminAsk::Offer(name.into_inner(), body.to_vec())).await
+async fn offer_plugin(
+    to: ControllerAddress,
+    name: web::Path<String>,
+    body: web::Bytes,
+) -> HttpResponse {
+    forward_to_controller(&to, AdminRequest::Offer(name.into_inner(), body.to_vec())).await
 }
 
-async fn enable(to: Node, name: web::Path<String>) -> HttpResponse {
-    ask(&to, AdminAsk::Change(name.into_inner(), Step::Enable)).await
+async fn enable_plugin(to: ControllerAddress, name: web::Path<String>) -> HttpResponse {
+    forward_to_controller(&to, AdminRequest::Change(name.into_inner(), PluginTransition::Enable))
+        .await
 }
 
-async fn disable(to: Node, name: web::Path<String>) -> HttpResponse {
-    ask(&to, AdminAsk::Change(name.into_inner(), Step::Disable)).await
+async fn disable_plugin(to: ControllerAddress, name: web::Path<String>) -> HttpResponse {
+    forward_to_controller(&to, AdminRequest::Change(name.into_inner(), PluginTransition::Disable))
+        .await
 }
 
-async fn remove(to: Node, name: web::Path<String>) -> HttpResponse {
-    ask(&to, AdminAsk::Change(name.into_inner(), Step::Remove)).await
+async fn remove_plugin(to: ControllerAddress, name: web::Path<String>) -> HttpResponse {
+    forward_to_controller(&to, AdminRequest::Change(name.into_inner(), PluginTransition::Remove))
+        .await
 }
 
 /// Serves operators until the process ends.
-pub async fn serve(listen: SocketAddr, to: Addr<Controller>) -> std::io::Result<()> {
+pub async fn serve(listen: SocketAddr, to: Addr<ControllerActor>) -> std::io::Result<()> {
     let data = web::Data::new(to);
     let server = HttpServer::new(move || {
         App::new()
             .app_data(data.clone())
-            .app_data(web::PayloadConfig::new(ADMIN_BODY_MOST))
-            .route(path::JOBS, web::get().to(jobs))
-            .route(path::EXPLAIN, web::get().to(explain))
-            .route(path::TIER_OF, web::get().to(tier_of))
-            .route(path::PIPELINE, web::get().to(pipeline))
-            .route(path::TIERS, web::get().to(tiers))
+            .app_data(web::PayloadConfig::new(MAX_ADMIN_BODY_BYTES))
+            .route(path::JOBS, web::get().to(list_jobs))
+            .route(path::EXPLAIN, web::get().to(explain_job))
+            .route(path::JOB_TIER, web::get().to(explain_tier))
+            .route(path::PIPELINE, web::get().to(show_pipeline))
+            .route(path::TIERS, web::get().to(show_tiers))
             .route(path::TIERS, web::put().to(set_tiers))
-            .route(path::LOANS, web::get().to(loans))
-            .route(path::DISPATCH, web::get().to(dispatch))
+            .route(path::LOANS, web::get().to(show_loans))
+            .route(path::DISPATCH, web::get().to(show_dispatch))
             .route(path::DISPATCH, web::put().to(set_dispatch))
             .route(path::DISPATCH, web::post().to(add_arrival))
-            .route(path::PLUGINS, web::get().to(plugins))
-            .route(path::PLUGIN, web::put().to(offer))
-            .route(path::PLUGIN, web::delete().to(remove))
-            .route(path::ENABLE, web::post().to(enable))
-            .route(path::DISABLE, web::post().to(disable))
+            .route(path::PLUGINS, web::get().to(list_plugins))
+            .route(path::PLUGIN, web::put().to(offer_plugin))
+            .route(path::PLUGIN, web::delete().to(remove_plugin))
+            .route(path::ENABLE, web::post().to(enable_plugin))
+            .route(path::DISABLE, web::post().to(disable_plugin))
     })
     .workers(1)
-    .max_connections(ADMIN_CONNECTIONS)
+    .max_connections(MAX_ADMIN_CONNECTIONS)
     .keep_alive(Duration::from_secs(KEEP_ALIVE_S))
     .disable_signals()
     .bind(listen)?;
--- a/src/client.rs
+++ b/src/client.rs
@@ -6,16 +6,16 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use swiftsail_controller::job::{JobId, Spec};
-use swiftsail_protocol::users::{JobAnswer, Problem, write_submission};
-use swiftsail_protocol::{read, users};
+use swiftsail_controller::job::{JobId, JobSpec};
+use swiftsail_protocol::users::{ErrorResponse, JobStatusResponse, write_submission};
+use swiftsail_protocol::{decode, users};
 
 /// Why a request came to nothing.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
     /// No address answered.
     #[error("no answer from {0}; is it running there, and is the address right?")]
-    Silent(String),
+    NoAnswer(String),
     /// It answered, and refused.
     #[error("refused with status {status}: {why}")]
     Refused {
@@ -28,7 +28,7 @@
     #[error(
         "not taken within {seconds} s: {why}; whether it was is not known, repeat with the same id"
     )]
-    Late {
+    TimedOut {
         /// Time, s.
         seconds: u64,
         /// The latest obstacle.
@@ -36,15 +36,15 @@
     },
     /// An answer that makes no sense.
     #[error("the answer from {0} cannot be read: {1}; is a swiftsail of this version there?")]
-    Odd(SocketAddr, String),
+    UnreadableAnswer(SocketAddr, String),
 }
 
 impl ClientError {
     /// Exit status of the program.
-    pub fn status(&self) -> u8 {
+    pub fn exit_status(&self) -> u8 {
         match self {
-            ClientError::Refused { .. } => STATUS_REFUSED,
-            _ => STATUS_SILENT,
+            ClientError::Refused { .. } => EXIT_STATUS_REFUSED,
+            _ => EXIT_STATUS_UNKNOWN,
         }
     }
 }
@@ -52,97 +52,103 @@
 /// A client of some addresses, tried in order.
 pub struct Client {
     http: Http,
-    to: Vec<SocketAddr>,
+    addresses: Vec<SocketAddr>,
 }
 
-struct Heard {
+struct ClientResponse {
     status: u16,
-    after: Option<u64>,
+    retry_after_s: Option<u64>,
     body: Vec<u8>,
-    from: SocketAddr,
+    responder: SocketAddr,
 }
 
 impl Client {
     /// A client of these addresses.
-    pub fn new(to: Vec<SocketAddr>) -> Client {
-        let timeout = Duration::from_millis(ANSWER_MS);
-        Client { http: Http::builder().disable_redirects().timeout(timeout).finish(), to }
+    pub fn new(addresses: Vec<SocketAddr>) -> Client {
+        let timeout = Duration::from_millis(CLIENT_TIMEOUT_MS);
+        Client { http: Http::builder().disable_redirects().timeout(timeout).finish(), addresses }
     }
 
     /// Submits a job, repeating until it is known whether it was taken.
     pub async fn submit(
         &self,
         id: &str,
-        spec: &Spec,
+        spec: &JobSpec,
         awaits: &[JobId],
-    ) -> Result<JobAnswer, ClientError> {
-        self.until_sure("POST", users::path::JOBS, write_submission(id, spec, awaits)).await
+    ) -> Result<JobStatusResponse, ClientError> {
+        self.retry_until_definite("POST", users::path::JOBS, write_submission(id, spec, awaits))
+            .await
     }
 
     /// Cancels a job, repeating until it is known.
-    pub async fn cancel(&self, id: &str) -> Result<JobAnswer, ClientError> {
-        self.until_sure("POST", &users::path::CANCEL.replace("{id}", id), Vec::new()).await
+    pub async fn cancel(&self, id: &str) -> Result<JobStatusResponse, ClientError> {
+        self.retry_until_definite("POST", &users::path::CANCEL.replace("{id}", id), Vec::new())
+            .await
     }
 
     /// A job's state.
-    pub async fn poll(&self, id: &str) -> Result<JobAnswer, ClientError> {
-        self.until_sure("GET", &users::path::JOB.replace("{id}", id), Vec::new()).await
+    pub async fn poll(&self, id: &str) -> Result<JobStatusResponse, ClientError> {
+        self.retry_until_definite("GET", &users::path::JOB.replace("{id}", id), Vec::new()).await
     }
 
-    async fn until_sure(
+    async fn retry_until_definite(
         &self,
         method: &str,
         path: &str,
         body: Vec<u8>,
-    ) -> Result<JobAnswer, ClientError> {
+    ) -> Result<JobStatusResponse, ClientError> {
         let begin = Instant::now();
         let mut why = String::new();
         for turn in 0.. {
-            let at = self.to[turn % self.to.len()];
-            let heard = self.ask(method, at, path, "application/msgpack", body.clone()).await;
+            let at = self.addresses[turn % self.addresses.len()];
+            let heard =
+                self.send_request(method, at, path, "application/msgpack", body.clone()).await;
             let pause = match heard {
                 Some(heard) if matches!(heard.status, 200 | 201) => {
-                    return read(&heard.body).map_err(|e| ClientError::Odd(at, e.to_string()));
+                    return decode(&heard.body)
+                        .map_err(|e| ClientError::UnreadableAnswer(at, e.to_string()));
                 }
                 Some(heard) => {
-                    let said = read::<Problem>(&heard.body).map(|p| p.error);
+                    let said = decode::<ErrorResponse>(&heard.body).map(|p| p.error);
                     why = said.unwrap_or_else(|_| format!("status {}", heard.status));
                     if matches!(heard.status, 400 | 404 | 422) {
                         return Err(ClientError::Refused { status: heard.status, why });
                     }
-                    heard.after.unwrap_or(0).min(REPEAT_PAUSE_MOST_S) * 1000
+                    heard.retry_after_s.unwrap_or(0).min(MAX_RETRY_DELAY_S) * 1000
                 }
                 // Nobody listens at any of them: not worth a minute.
-                None if turn + 1 >= self.to.len() && why.is_empty() => {
-                    return Err(ClientError::Silent(self.names()));
+                None if turn + 1 >= self.addresses.len() && why.is_empty() => {
+                    return Err(ClientError::NoAnswer(self.addresses_text()));
                 }
                 None => 0,
             };
-            if begin.elapsed() > Duration::from_millis(REPEAT_MS) {
+            if begin.elapsed() > Duration::from_millis(MAX_RETRY_MS) {
                 break;
             }
             // Repetitions of many clients spread: half as long again, by chance.
-            let pause = pause.max(REPEAT_PAUSE_MS) as f64 * (1.0 + 0.5 * rand::random::<f64>());
+            let pause = pause.max(RETRY_DELAY_MS) as f64 * (1.0 + 0.5 * rand::random::<f64>());
             actix_rt::time::sleep(Duration::from_millis(pause as u64)).await;
         }
-        Err(ClientError::Late { seconds: REPEAT_MS / 1000, why })
+        Err(ClientError::TimedOut { seconds: MAX_RETRY_MS / 1000, why })
     }
 
     /// An operator's request: the first address that can answer does.
-    pub async fn admin(
+    pub async fn admin_request(
         &self,
         method: &str,
         path: &str,
         body: Vec<u8>,
     ) -> Result<Value, ClientError> {
         let mut refused = None;
-        for at in &self.to {
-            let Some(heard) = self.ask(method, *at, path, "application/json", body.clone()).await
+        for at in &self.addresses {
+            let Some(heard) =
+                self.send_request(method, *at, path, "application/json", body.clone()).await
             else {
                 continue;
             };
             let found = serde_json::from_slice::<Value>(&heard.body);
-            let found = found.map_err(|e| ClientError::Odd(heard.from, e.to_string()))?;
+            let found =
+                found.map_err(|e| ClientError::UnreadableAnswer(heard.responder, e.to_string()))?;
             if heard.status == 200 {
                 return Ok(found);
             }
@@ -155,21 +161,21 @@
                 break;
             }
         }
-        Err(refused.unwrap_or_else(|| ClientError::Silent(self.names())))
+        Err(refused.unwrap_or_else(|| ClientError::NoAnswer(self.addresses_text())))
     }
 
-    fn names(&self) -> String {
-        self.to.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ")
+    fn addresses_text(&self) -> String {
+        self.addresses.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ")
     }
 
-    async fn ask(
+    async fn send_request(
         &self,
         method: &str,
         at: SocketAddr,
         path: &str,
         format: &str,
         body: Vec<u8>,
-    ) -> Option<Heard> {
+    ) -> Option<ClientResponse> {
         let url = format!("http://{at}{path}");
         let request = match method {
             "GET" => self.http.get(url),
@@ -184,7 +190,7 @@
         let after = response.headers().get("Retry-After").and_then(|v| v.to_str().ok());
         let after = after.and_then(|v| v.parse().ok());
         let status = response.status().as_u16();
-        let body = response.body().limit(RESPONSE_MOST).await.ok()?.to_vec();
-        Some(Heard { status, after, body, from: at })
+        let body = response.body().limit(MAX_RESPONSE_BYTES).await.ok()?.to_vec();
+        Some(ClientResponse { status, retry_after_s: after, body, responder: at })
     }
 }
--- a/src/commands/dispatch.rs
+++ b/src/commands/dispatch.rs
@@ -1,13 +1,13 @@
 //! Dispatch: list, show, add, why, set.
 
-use super::{Admin, ask, show};
+use super::{AdminTarget, admin_request, show};
 use crate::admin::path;
 use clap::Subcommand;
 use serde_json::{Value, json};
 use std::error::Error;
 use std::path::{Path, PathBuf};
 use swiftsail_controller::node::plan_of_file;
-use swiftsail_policy::operator::Operator;
+use swiftsail_policy::operator::OperatorSettings;
 
 /// What may be done with arrivals.
 #[derive(Debug, Subcommand)]
@@ -16,7 +16,7 @@
     List {
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
     /// Show the steps of an arrival: their jobs, deadlines and latest starts
     Show {
@@ -24,7 +24,7 @@
         arrival: String,
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
     /// Say in one line what an arrival is stuck at, and why
     Why {
@@ -32,7 +32,7 @@
         arrival: String,
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
     /// Add one arrival
     Add {
@@ -46,7 +46,7 @@
         at: String,
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
     /// Put the [dispatch] table of an operators' file in force, if its version is higher than the one there
     Set {
@@ -54,13 +54,16 @@
         file: PathBuf,
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
 }
 
 /// Checks the dispatch plan of an operators' file. An error names the file, the line of what it is about, and the
 /// remedy.
-pub fn plan_of(file: &Path, operator: &Operator) -> Result<Option<Value>, String> {
+pub fn load_dispatch_plan(
+    file: &Path,
+    operator: &OperatorSettings,
+) -> Result<Option<Value>, String> {
     let Some(table) = &operator.dispatch else { return Ok(None) };
     let calendar = plan_of_file(table.clone()).map_err(|why| {
         let text = std::fs::read_to_string(file).unwrap_or_default();
@@ -74,7 +77,7 @@
 }
 
 /// A time of day as ms since the epoch.
-fn when(text: &str) -> Result<i64, String> {
+fn parse_time(text: &str) -> Result<i64, String> {
     let stamp = text.parse::<jiff::Timestamp>().map(|t| t.as_millisecond());
     let zoned = || text.parse::<jiff::Zoned>().map(|z| z.timestamp().as_millisecond());
     stamp.or_else(|_| zoned()).map_err(|_| {
@@ -89,28 +92,28 @@
     pub fn run(self) -> Result<(), Box<dyn Error>> {
         match self {
             DispatchCommand::List { admin } => {
-                let all = ask(&admin, "GET", path::DISPATCH, Vec::new())?;
+                let all = admin_request(&admin, "GET", path::DISPATCH, Vec::new())?;
                 if admin.json {
-                    show::json(&all);
+                    show::print_json(&all);
                     return Ok(());
                 }
                 let fields = ["arrival", "chain", "phase", "in_s", "stuck_at", "why"];
                 let rows = all["arrivals"].as_array().into_iter().flatten();
-                show::table(&fields, rows.map(|a| show::cells(a, &fields)).collect());
+                show::print_table(&fields, rows.map(|a| show::row_cells(a, &fields)).collect());
             }
             DispatchCommand::Show { arrival, admin } => {
-                let found = one(&admin, &arrival)?;
+                let found = fetch_arrival(&admin, &arrival)?;
                 if admin.json {
-                    show::json(&found);
+                    show::print_json(&found);
                     return Ok(());
                 }
                 let fields = ["step", "stage", "job", "left_s", "deadline_ms", "latest_start_ms"];
                 let rows = found["steps"].as_array().into_iter().flatten();
-                show::table(&fields, rows.map(|s| show::cells(s, &fields)).collect());
+                show::print_table(&fields, rows.map(|s| show::row_cells(s, &fields)).collect());
             }
             DispatchCommand::Why { arrival, admin } => {
-                let found = one(&admin, &arrival)?;
-                let cell = |name: &str| show::cell(&found[name]);
+                let found = fetch_arrival(&admin, &arrival)?;
+                let cell = |name: &str| show::cell_text(&found[name]);
                 let said = match found["stuck_at"].is_null() {
                     true => format!("{}: {}, nothing is stuck", cell("arrival"), cell("phase")),
                     false => format!(
@@ -122,29 +125,30 @@
                         cell("in_s")
                     ),
                 };
-                show::line(&said);
+                show::print_line(&said);
             }
             DispatchCommand::Add { name, chain, at, admin } => {
-                let body = json!({ "name": name, "chain": chain, "at_ms": when(&at)? });
-                let done = ask(&admin, "POST", path::DISPATCH, serde_json::to_vec(&body)?)?;
+                let body = json!({ "name": name, "chain": chain, "at_ms": parse_time(&at)? });
+                let done =
+                    admin_request(&admin, "POST", path::DISPATCH, serde_json::to_vec(&body)?)?;
                 if admin.json {
-                    show::json(&done);
+                    show::print_json(&done);
                 } else {
-                    show::line(&format!(
+                    show::print_line(&format!(
                         "{}: {}",
-                        show::cell(&done["record"]),
-                        show::cell(&done["status"])
+                        show::cell_text(&done["record"]),
+                        show::cell_text(&done["status"])
                     ));
                 }
             }
             DispatchCommand::Set { file, admin } => {
-                let operator = Operator::load(&file)?;
+                let operator = OperatorSettings::load(&file)?;
                 let name = file.display();
-                let plan = plan_of(&file, &operator)?.ok_or_else(|| {
+                let plan = load_dispatch_plan(&file, &operator)?.ok_or_else(|| {
                     format!("operators' file {name}: it has no [dispatch] table; add one")
                 })?;
-                ask(&admin, "PUT", path::DISPATCH, serde_json::to_vec(&plan)?)?;
-                show::line(&format!("dispatch plan, version {}: committed", plan["version"]));
+                admin_request(&admin, "PUT", path::DISPATCH, serde_json::to_vec(&plan)?)?;
+                show::print_line(&format!("dispatch plan, version {}: committed", plan["version"]));
             }
         }
         Ok(())
@@ -152,8 +156,8 @@
 }
 
 /// The one arrival of that name or key, the next if it comes again.
-fn one(admin: &Admin, arrival: &str) -> Result<Value, Box<dyn Error>> {
-    let all = ask(admin, "GET", &format!("{}?of={arrival}", path::DISPATCH), Vec::new())?;
+fn fetch_arrival(admin: &AdminTarget, arrival: &str) -> Result<Value, Box<dyn Error>> {
+    let all = admin_request(admin, "GET", &format!("{}?of={arrival}", path::DISPATCH), Vec::new())?;
     let found = all["arrivals"].as_array().and_then(|a| a.first()).cloned();
     found.ok_or_else(|| format!("no arrival `{arrival}` in the next day; see dispatch list").into())
 }
--- a/src/commands/jobs.rs
+++ b/src/commands/jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs: submit, poll, cancel, list.
 
-use super::{Admin, To, show, wait};
+use super::{AdminTarget, ServiceTarget, block_on, show};
 use crate::admin::path;
 use crate::client::Client;
 use clap::Subcommand;
@@ -8,8 +8,8 @@
 use serde_json::{Value, json};
 use std::error::Error;
 use std::path::{Path, PathBuf};
-use swiftsail_controller::job::{JobId, Kind, Priority, Spec};
-use swiftsail_protocol::users::{JobAnswer, valid_id};
+use swiftsail_controller::job::{JobId, JobKind, JobSpec, Priority};
+use swiftsail_protocol::users::{JobStatusResponse, is_valid_job_id};
 
 /// What may be done with jobs.
 #[derive(Debug, Subcommand)]
@@ -27,7 +27,7 @@
         awaits: Vec<String>,
         /// Where it goes
         #[command(flatten)]
-        to: To,
+        to: ServiceTarget,
     },
     /// Show a job's state
     Poll {
@@ -35,7 +35,7 @@
         job: String,
         /// Where it goes
         #[command(flatten)]
-        to: To,
+        to: ServiceTarget,
     },
     /// Cancel a job
     Cancel {
@@ -43,13 +43,13 @@
         job: String,
         /// Where it goes
         #[command(flatten)]
-        to: To,
+        to: ServiceTarget,
     },
     /// List the jobs that are not over
     Jobs {
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
 }
 
@@ -59,7 +59,7 @@
 struct JobFile {
     class: String,
     team: String,
-    kind: Kind,
+    kind: JobKind,
     #[serde(default = "normal")]
     priority: Priority,
     tasks: u32,
@@ -96,13 +96,13 @@
     Priority::Normal
 }
 
-fn load(file: &Path) -> Result<(Spec, Vec<JobId>), Box<dyn Error>> {
+fn load_job_file(file: &Path) -> Result<(JobSpec, Vec<JobId>), Box<dyn Error>> {
     let name = file.display();
     let text = std::fs::read_to_string(file)
         .map_err(|e| format!("job file {name}: cannot be read: {e}; give a readable TOML file"))?;
     let j: JobFile = toml::from_str(&text).map_err(|e| format!("job file {name}: {e}"))?;
     let awaits = j.awaits.into_iter().map(JobId::from).collect();
-    let spec = Spec {
+    let spec = JobSpec {
         class: j.class,
         team: j.team,
         kind: j.kind,
@@ -113,14 +113,14 @@
         memory_gb: j.memory_gb,
         image: j.image,
         image_gb: j.image_gb,
-        types: j.types,
+        machine_types: j.types,
         zone: j.zone,
         one_zone: j.one_zone,
         spread: j.spread,
         spot: j.spot,
-        estimate_s: j.estimate_s,
-        checkpoint_s: j.checkpoint_s,
-        save_s: j.save_s,
+        runtime_estimate_s: j.estimate_s,
+        checkpoint_interval_s: j.checkpoint_s,
+        checkpoint_duration_s: j.save_s,
         deadline_s: j.deadline_s,
     };
     Ok((spec, awaits))
@@ -131,57 +131,58 @@
     pub fn run(self) -> Result<(), Box<dyn Error>> {
         match self {
             JobCommand::Submit { file, id, awaits: more, to } => {
-                let (spec, mut awaits) = load(&file)?;
+                let (spec, mut awaits) = load_job_file(&file)?;
                 awaits.extend(more.into_iter().map(JobId::from));
                 let id = id.unwrap_or_else(|| format!("wk-{:012x}", rand::random::<u64>() >> 16));
-                let id = checked(&id)?;
+                let id = checked_job_id(&id)?;
                 let client = || Client::new(to.to.clone());
-                let answer = wait(async { client().submit(id, &spec, &awaits).await })?;
-                show_answer(&answer, to.json);
+                let answer = block_on(async { client().submit(id, &spec, &awaits).await })?;
+                print_job_status(&answer, to.json);
             }
             JobCommand::Poll { job, to } => {
-                let id = checked(&job)?;
-                let answer = wait(async { Client::new(to.to.clone()).poll(id).await })?;
-                show_answer(&answer, to.json);
+                let id = checked_job_id(&job)?;
+                let answer = block_on(async { Client::new(to.to.clone()).poll(id).await })?;
+                print_job_status(&answer, to.json);
             }
             JobCommand::Cancel { job, to } => {
-                let id = checked(&job)?;
-                let answer = wait(async { Client::new(to.to.clone()).cancel(id).await })?;
-                show_answer(&answer, to.json);
+                let id = checked_job_id(&job)?;
+                let answer = block_on(async { Client::new(to.to.clone()).cancel(id).await })?;
+                print_job_status(&answer, to.json);
             }
-            JobCommand::Jobs { admin } => list(&admin)?,
+            JobCommand::Jobs { admin } => list_jobs(&admin)?,
         }
         Ok(())
     }
 }
 
-fn checked(id: &str) -> Result<&str, String> {
+fn checked_job_id(id: &str) -> Result<&str, String> {
     let why = || format!("`{id}` has not the form of a job's id: wk- and letters or digits");
-    valid_id(id).then_some(id).ok_or_else(why)
+    is_valid_job_id(id).then_some(id).ok_or_else(why)
 }
 
-fn show_answer(answer: &JobAnswer, as_json: bool) {
+fn print_job_status(answer: &JobStatusResponse, as_json: bool) {
     let value = serde_json::to_value(answer).unwrap_or(Value::Null);
     let shown = json!({
-        "job": answer.name_id, "status": value["status"],
-        "done": answer.done, "running": answer.running,
+        "job": answer.id, "status": value["status"],
+        "done": answer.tasks_done, "running": answer.tasks_running,
     });
     if as_json {
-        show::json(&shown);
+        show::print_json(&shown);
     } else {
         let fields = ["job", "status", "running", "done"];
-        show::table(&fields, vec![show::cells(&shown, &fields)]);
+        show::print_table(&fields, vec![show::row_cells(&shown, &fields)]);
     }
 }
 
-fn list(admin: &Admin) -> Result<(), Box<dyn Error>> {
+fn list_jobs(admin: &AdminTarget) -> Result<(), Box<dyn Error>> {
     let mut jobs: Vec<Value> = Vec::new();
     let client = || Client::new(admin.admin.clone());
-    wait(async {
+    block_on(async {
         let client = client();
         let mut after = String::new();
         loop {
-            let page = client.admin("GET", &format!("{}{after}", path::JOBS), Vec::new()).await?;
+            let page =
+                client.admin_request("GET", &format!("{}{after}", path::JOBS), Vec::new()).await?;
             jobs.extend(page["jobs"].as_array().into_iter().flatten().cloned());
             match page["next"].as_str() {
                 Some(next) => after = format!("?after={next}"),
@@ -190,7 +191,7 @@
         }
     })?;
     if admin.json {
-        show::json(&Value::Array(jobs));
+        show::print_json(&Value::Array(jobs));
         return Ok(());
     }
     let fields = [
@@ -206,6 +207,6 @@
         "age_s",
         "deadline_s",
     ];
-    show::table(&fields, jobs.iter().map(|j| show::cells(j, &fields)).collect());
+    show::print_table(&fields, jobs.iter().map(|j| show::row_cells(j, &fields)).collect());
     Ok(())
 }
--- a/src/commands/loans.rs
+++ b/src/commands/loans.rs
@@ -1,6 +1,6 @@
 //! Loans: list, show.
 
-use super::{Admin, ask, show};
+use super::{AdminTarget, admin_request, show};
 use crate::admin::path;
 use clap::Subcommand;
 use std::error::Error;
@@ -12,7 +12,7 @@
     List {
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
     /// Show what one job has lent and borrowed
     Show {
@@ -20,7 +20,7 @@
         job: String,
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
 }
 
@@ -31,14 +31,14 @@
             LoanCommand::List { admin } => (admin, path::LOANS.to_string()),
             LoanCommand::Show { job, admin } => (admin, format!("{}?of={job}", path::LOANS)),
         };
-        let all = ask(&admin, "GET", &path, Vec::new())?;
+        let all = admin_request(&admin, "GET", &path, Vec::new())?;
         if admin.json {
-            show::json(&all);
+            show::print_json(&all);
             return Ok(());
         }
         let fields = ["lender", "borrower", "machine", "gpus", "stage", "for_s"];
         let rows = all["loans"].as_array().into_iter().flatten();
-        show::table(&fields, rows.map(|l| show::cells(l, &fields)).collect());
+        show::print_table(&fields, rows.map(|l| show::row_cells(l, &fields)).collect());
         Ok(())
     }
 }
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -8,12 +8,12 @@
 mod show;
 mod tiers;
 
-pub use dispatch::{DispatchCommand, plan_of};
+pub use dispatch::{DispatchCommand, load_dispatch_plan};
 pub use jobs::JobCommand;
 pub use loans::LoanCommand;
 pub use pipelines::PipelineCommand;
 pub use plugins::PluginCommand;
-pub use tiers::{TierCommand, table_of};
+pub use tiers::{TierCommand, load_tier_table};
 
 use crate::client::{Client, ClientError};
 use crate::local::{Fault, path};
@@ -24,7 +24,7 @@
 
 /// Where users' requests go.
 #[derive(Debug, Clone, Args)]
-pub struct To {
+pub struct ServiceTarget {
     /// Addresses of controllers for users, tried in order
     #[arg(
         long,
@@ -41,7 +41,7 @@
 
 /// Where operators' requests go.
 #[derive(Debug, Clone, Args)]
-pub struct Admin {
+pub struct AdminTarget {
     /// Addresses of controllers for operators, tried in order
     #[arg(
         long,
@@ -57,20 +57,25 @@
 }
 
 /// Runs a request to its end on this thread.
-fn wait<T>(request: impl Future<Output = Result<T, ClientError>>) -> Result<T, Box<dyn Error>> {
+fn block_on<T>(request: impl Future<Output = Result<T, ClientError>>) -> Result<T, Box<dyn Error>> {
     Ok(actix::System::new().block_on(request)?)
 }
 
 /// Asks a controller something for an operator.
-fn ask(admin: &Admin, method: &str, path: &str, body: Vec<u8>) -> Result<Value, Box<dyn Error>> {
-    wait(async { Client::new(admin.admin.clone()).admin(method, path, body).await })
+fn admin_request(
+    admin: &AdminTarget,
+    method: &str,
+    path: &str,
+    body: Vec<u8>,
+) -> Result<Value, Box<dyn Error>> {
+    block_on(async { Client::new(admin.admin.clone()).admin_request(method, path, body).await })
 }
 
 /// Asks a `swiftsail local` that runs for a fault.
-pub fn fault(at: SocketAddr, fault: &Fault) -> Result<(), Box<dyn Error>> {
+pub fn inject_fault(at: SocketAddr, fault: &Fault) -> Result<(), Box<dyn Error>> {
     let body = serde_json::to_vec(fault)?;
     let client = || Client::new(vec![at]);
-    let answer = wait(async { client().admin("POST", path::FAULT, body).await })?;
-    show::line(answer["done"].as_str().unwrap_or("done"));
+    let answer = block_on(async { client().admin_request("POST", path::FAULT, body).await })?;
+    show::print_line(answer["done"].as_str().unwrap_or("done"));
     Ok(())
 }
--- a/src/commands/pipelines.rs
+++ b/src/commands/pipelines.rs
@@ -1,6 +1,6 @@
 //! Pipelines: what a job waits for, what waits for it, and by when each has to be done.
 
-use super::{Admin, ask, show};
+use super::{AdminTarget, admin_request, show};
 use crate::admin::path;
 use clap::Subcommand;
 use std::error::Error;
@@ -14,7 +14,7 @@
         job: String,
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
 }
 
@@ -22,15 +22,15 @@
     /// Does it.
     pub fn run(self) -> Result<(), Box<dyn Error>> {
         let PipelineCommand::Show { job, admin } = self;
-        let all = ask(&admin, "GET", &path::PIPELINE.replace("{id}", &job), Vec::new())?;
+        let all = admin_request(&admin, "GET", &path::PIPELINE.replace("{id}", &job), Vec::new())?;
         if admin.json {
-            show::json(&all);
+            show::print_json(&all);
             return Ok(());
         }
         let fields =
             ["job", "class", "state", "priority", "tasks", "done", "left_s", "awaits", "waits_for"];
         let rows = all["jobs"].as_array().into_iter().flatten();
-        show::table(&fields, rows.map(|j| show::cells(j, &fields)).collect());
+        show::print_table(&fields, rows.map(|j| show::row_cells(j, &fields)).collect());
         Ok(())
     }
 }
--- a/src/commands/plugins.rs
+++ b/src/commands/plugins.rs
@@ -1,14 +1,14 @@
 //! Plug-ins: add, list, show, switch on and off, remove, explain.
 
-use super::{Admin, ask, show};
+use super::{AdminTarget, admin_request, show};
 use crate::admin::path;
 use clap::Subcommand;
 use serde_json::Value;
 use std::error::Error;
 use std::path::{Path, PathBuf};
-use swiftsail_policy::constants::PRECEDENCE;
-use swiftsail_policy::host::{Host, try_hook};
-use swiftsail_policy::plugin::{Kind, Offer, valid_name};
+use swiftsail_policy::constants::DEFAULT_PRECEDENCE;
+use swiftsail_policy::host::{PluginHost, try_hook};
+use swiftsail_policy::plugin::{PluginKind, PluginOffer, is_valid_name};
 
 /// What may be done with plug-ins.
 #[derive(Debug, Subcommand)]
@@ -20,20 +20,20 @@
         /// Its source: functions (.rhai), or an address to report to (.toml)
         file: PathBuf,
         /// Order of precedence: the lower the stronger
-        #[arg(long, default_value_t = PRECEDENCE)]
+        #[arg(long, default_value_t = DEFAULT_PRECEDENCE)]
         precedence: u32,
         /// Leave it switched off
         #[arg(long)]
         disabled: bool,
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
     /// List the plug-ins, in the order in which they speak
     List {
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
     /// Show one plug-in
     Show {
@@ -41,7 +41,7 @@
         name: String,
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
     /// Switch a plug-in on, also one that was suspended
     Enable {
@@ -49,7 +49,7 @@
         name: String,
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
     /// Switch a plug-in off
     Disable {
@@ -57,7 +57,7 @@
         name: String,
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
     /// Remove a plug-in
     Remove {
@@ -65,7 +65,7 @@
         name: String,
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
     /// Show who said what of a job, and what was taken
     Explain {
@@ -73,7 +73,7 @@
         job: String,
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
     /// Check a plug-in's file without a service
     Check {
@@ -82,11 +82,11 @@
     },
 }
 
-fn read(file: &Path) -> Result<(Kind, String), Box<dyn Error>> {
+fn read_plugin_file(file: &Path) -> Result<(PluginKind, String), Box<dyn Error>> {
     let name = file.display();
     let kind = match file.extension().and_then(|e| e.to_str()) {
-        Some("rhai") => Kind::Decision,
-        Some("toml") => Kind::Report,
+        Some("rhai") => PluginKind::Decision,
+        Some("toml") => PluginKind::EventReceiver,
         _ => return Err(format!("plug-in {name}: give a file that ends in .rhai or .toml").into()),
     };
     let source = std::fs::read_to_string(file)
@@ -95,10 +95,10 @@
 }
 
 /// Checks a plug-in's file here: it compiles, and its hooks answer sensibly on samples.
-fn check(file: &Path) -> Result<(Kind, String), Box<dyn Error>> {
-    let (kind, source) = read(file)?;
+fn check_plugin_file(file: &Path) -> Result<(PluginKind, String), Box<dyn Error>> {
+    let (kind, source) = read_plugin_file(file)?;
     let refused = |flaw| format!("plug-in {}: {flaw}", file.display());
-    for hook in Host::default().check(kind, &source).map_err(refused)? {
+    for hook in PluginHost::default().validate_source(kind, &source).map_err(refused)? {
         try_hook(&source, hook)
             .map_err(|flaw| format!("{} (hook {} on samples)", refused(flaw), hook.name()))?;
     }
@@ -111,98 +111,108 @@
         let one = |template: &str, name: &str| template.replace("{name}", name);
         match self {
             PluginCommand::Check { file } => {
-                check(&file)?;
-                show::line(&format!("{}: the plug-in is sound", file.display()));
+                check_plugin_file(&file)?;
+                show::print_line(&format!("{}: the plug-in is sound", file.display()));
             }
             PluginCommand::Add { name, file, precedence, disabled, admin } => {
-                if !valid_name(&name) {
+                if !is_valid_name(&name) {
                     let why = "a name has 1 to 40 lower-case letters, digits and dashes";
                     return Err(format!("plug-in `{name}`: {why}").into());
                 }
                 // Here only the form is checked: what it does is the service's to judge.
-                let (kind, source) = read(&file)?;
-                let offer = Offer { kind, source, precedence, enable: !disabled };
+                let (kind, source) = read_plugin_file(&file)?;
+                let offer = PluginOffer { kind, source, precedence, enable: !disabled };
                 let body = serde_json::to_vec(&offer)?;
-                tell(&admin, "PUT", &one(path::PLUGIN, &name), body)?;
+                send_plugin_change(&admin, "PUT", &one(path::PLUGIN, &name), body)?;
             }
             PluginCommand::Enable { name, admin } => {
-                tell(&admin, "POST", &one(path::ENABLE, &name), Vec::new())?;
+                send_plugin_change(&admin, "POST", &one(path::ENABLE, &name), Vec::new())?;
             }
             PluginCommand::Disable { name, admin } => {
-                tell(&admin, "POST", &one(path::DISABLE, &name), Vec::new())?;
+                send_plugin_change(&admin, "POST", &one(path::DISABLE, &name), Vec::new())?;
             }
             PluginCommand::Remove { name, admin } => {
-                tell(&admin, "DELETE", &one(path::PLUGIN, &name), Vec::new())?;
+                send_plugin_change(&admin, "DELETE", &one(path::PLUGIN, &name), Vec::new())?;
             }
-            PluginCommand::List { admin } => list(&admin)?,
+            PluginCommand::List { admin } => list_plugins(&admin)?,
             PluginCommand::Show { name, admin } => {
-                let all = ask(&admin, "GET", path::PLUGINS, Vec::new())?;
+                let all = admin_request(&admin, "GET", path::PLUGINS, Vec::new())?;
                 let mut found = all["plugins"].as_array().into_iter().flatten();
                 let found = found.find(|p| p["name"] == name.as_str());
                 let found = found.ok_or_else(|| format!("no plug-in `{name}`; see plugin list"))?;
-                show::fields(found, admin.json);
+                show::print_fields(found, admin.json);
             }
             PluginCommand::Explain { job, admin } => {
                 let path = path::EXPLAIN.replace("{id}", &job);
-                let found = ask(&admin, "GET", &path, Vec::new())?;
-                explain(&found, admin.json);
+                let found = admin_request(&admin, "GET", &path, Vec::new())?;
+                print_explanation(&found, admin.json);
             }
         }
         Ok(())
     }
 }
 
-fn tell(admin: &Admin, method: &str, path: &str, body: Vec<u8>) -> Result<(), Box<dyn Error>> {
-    let done = ask(admin, method, path, body)?;
+fn send_plugin_change(
+    admin: &AdminTarget,
+    method: &str,
+    path: &str,
+    body: Vec<u8>,
+) -> Result<(), Box<dyn Error>> {
+    let done = admin_request(admin, method, path, body)?;
     if admin.json {
-        show::json(&done);
+        show::print_json(&done);
     } else {
-        let said = format!("{}: {}", show::cell(&done["plugin"]), show::cell(&done["status"]));
-        show::line(&said);
+        let said =
+            format!("{}: {}", show::cell_text(&done["plugin"]), show::cell_text(&done["status"]));
+        show::print_line(&said);
     }
     Ok(())
 }
 
-fn list(admin: &Admin) -> Result<(), Box<dyn Error>> {
-    let all = ask(admin, "GET", path::PLUGINS, Vec::new())?;
+fn list_plugins(admin: &AdminTarget) -> Result<(), Box<dyn Error>> {
+    let all = admin_request(admin, "GET", path::PLUGINS, Vec::new())?;
     if admin.json {
-        show::json(&all);
+        show::print_json(&all);
         return Ok(());
     }
     let fields =
         ["name", "kind", "state", "version", "precedence", "hooks", "calls", "ops", "reason"];
     let rows = all["plugins"].as_array().into_iter().flatten();
-    show::table(&fields, rows.map(|p| show::cells(p, &fields)).collect());
+    show::print_table(&fields, rows.map(|p| show::row_cells(p, &fields)).collect());
     Ok(())
 }
 
-fn explain(found: &Value, as_json: bool) {
+fn print_explanation(found: &Value, as_json: bool) {
     if as_json {
-        return show::json(found);
+        return show::print_json(found);
     }
     let mut rows = Vec::new();
     for part in ["waits", "limit"] {
         let said = if part == "limit" { &found["waits"]["limit"] } else { &found["waits"] };
         for (name, value) in said.as_object().into_iter().flatten().filter(|(_, v)| !v.is_object())
         {
-            rows.push(vec![name.clone(), part.into(), show::cell(value)]);
+            rows.push(vec![name.clone(), part.into(), show::cell_text(value)]);
         }
     }
     for lent in found["lent"].as_array().into_iter().flatten() {
-        rows.push(vec!["lent".into(), "loans".into(), show::cell(lent)]);
+        rows.push(vec!["lent".into(), "loans".into(), show::cell_text(lent)]);
     }
     for (name, value) in found["policy"].as_object().into_iter().flatten() {
-        rows.push(vec![name.clone(), "policy".into(), show::cell(value)]);
+        rows.push(vec![name.clone(), "policy".into(), show::cell_text(value)]);
     }
     for (hook, verdict) in found["hooks"].as_object().into_iter().flatten() {
         for said in verdict["said"].as_array().into_iter().flatten() {
             let answer = if said["fault"].is_null() { &said["answer"] } else { &said["fault"] };
             let answer = answer.as_object().and_then(|o| o.values().next()).unwrap_or(answer);
-            rows.push(vec![hook.clone(), show::cell(&said["plugin"]), show::cell(answer)]);
+            rows.push(vec![
+                hook.clone(),
+                show::cell_text(&said["plugin"]),
+                show::cell_text(answer),
+            ]);
         }
     }
     for (name, value) in found["taken"].as_object().into_iter().flatten() {
-        rows.push(vec![name.clone(), "taken".into(), show::cell(value)]);
+        rows.push(vec![name.clone(), "taken".into(), show::cell_text(value)]);
     }
-    show::table(&["what", "who", "said"], rows);
+    show::print_table(&["what", "who", "said"], rows);
 }
--- a/src/commands/show.rs
+++ b/src/commands/show.rs
@@ -5,17 +5,17 @@
 use std::io::Write;
 
 /// A line.
-pub fn line(text: &str) {
+pub fn print_line(text: &str) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
 /// A value as JSON.
-pub fn json(value: &Value) {
-    line(&serde_json::to_string_pretty(value).unwrap_or_default());
+pub fn print_json(value: &Value) {
+    print_line(&serde_json::to_string_pretty(value).unwrap_or_default());
 }
 
 /// A table with a head.
-pub fn table(head: &[&str], rows: Vec<Vec<String>>) {
+pub fn print_table(head: &[&str], rows: Vec<Vec<String>>) {
     let mut table = Table::new();
     table
         .load_preset(presets::UTF8_HORIZONTAL_ONLY)
@@ -24,11 +24,11 @@
     rows.into_iter().for_each(|row| {
         table.add_row(row);
     });
-    line(&table.to_string());
+    print_line(&table.to_string());
 }
 
 /// A value in a cell: text without its quotes, nothing as a dash, numbers short.
-pub fn cell(value: &Value) -> String {
+pub fn cell_text(value: &Value) -> String {
     match value {
         Value::Null => "-".into(),
         Value::String(text) => text.clone(),
@@ -36,22 +36,22 @@
             Some(n) if n.fract() != 0.0 => format!("{:.2}", n).trim_end_matches('0').to_string(),
             _ => number.to_string(),
         },
-        Value::Array(items) => items.iter().map(cell).collect::<Vec<_>>().join(", "),
+        Value::Array(items) => items.iter().map(cell_text).collect::<Vec<_>>().join(", "),
         other => other.to_string(),
     }
 }
 
 /// Fields of an object as cells.
-pub fn cells(value: &Value, fields: &[&str]) -> Vec<String> {
-    fields.iter().map(|f| cell(&value[*f])).collect()
+pub fn row_cells(value: &Value, fields: &[&str]) -> Vec<String> {
+    fields.iter().map(|f| cell_text(&value[*f])).collect()
 }
 
 /// The fields of an object, one a row, or the object as JSON.
-pub fn fields(value: &Value, as_json: bool) {
+pub fn print_fields(value: &Value, as_json: bool) {
     if as_json {
-        return json(value);
+        return print_json(value);
     }
     let fields = value.as_object().into_iter().flatten();
-    let rows = fields.map(|(name, v)| vec![name.clone(), cell(v)]);
-    table(&["field", "value"], rows.collect());
+    let rows = fields.map(|(name, v)| vec![name.clone(), cell_text(v)]);
+    print_table(&["field", "value"], rows.collect());
 }
--- a/src/commands/tiers.rs
+++ b/src/commands/tiers.rs
@@ -1,13 +1,13 @@
 //! Tiers: list, show, set, explain.
 
-use super::{Admin, ask, show};
+use super::{AdminTarget, admin_request, show};
 use crate::admin::path;
 use clap::Subcommand;
 use std::error::Error;
 use std::path::PathBuf;
 use swiftsail_controller::node::tiers_of_file;
-use swiftsail_policy::operator::{Operator, line_of};
-use swiftsail_tiers::{Flawed, Table, TableRecord};
+use swiftsail_policy::operator::{OperatorSettings, line_and_column};
+use swiftsail_tiers::{TierTable, TierTableError, TierTableRecord};
 
 /// What may be done with tiers.
 #[derive(Debug, Subcommand)]
@@ -16,13 +16,13 @@
     List {
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
     /// Show the table in force: its version, and whether it is held in the state service
     Show {
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
     /// Put the [tiers] table of an operators' file in force, if its version is higher than the one there
     Set {
@@ -30,7 +30,7 @@
         file: PathBuf,
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
     /// Show why a job is of its tier, and how many wait ahead of it
     Explain {
@@ -38,28 +38,32 @@
         job: String,
         /// Where it goes
         #[command(flatten)]
-        admin: Admin,
+        admin: AdminTarget,
     },
 }
 
 /// The table of an operators' file, checked; none: it has none. An error names the file, the line and the remedy.
-pub fn table_of(
+pub fn load_tier_table(
     file: &std::path::Path,
-    operator: &Operator,
-) -> Result<Option<TableRecord>, String> {
+    operator: &OperatorSettings,
+) -> Result<Option<TierTableRecord>, String> {
     let Some(tiers) = &operator.tiers else { return Ok(None) };
     let record = tiers_of_file(tiers);
-    match Table::new(record.clone()) {
+    match TierTable::new(record.clone()) {
         Ok(_) => Ok(Some(record)),
-        Err(flawed) => Err(place(file, operator, &flawed)),
+        Err(flawed) => Err(error_location(file, operator, &flawed)),
     }
 }
 
 /// Where in the file a flaw of a table lies.
-fn place(file: &std::path::Path, operator: &Operator, flawed: &Flawed) -> String {
+fn error_location(
+    file: &std::path::Path,
+    operator: &OperatorSettings,
+    flawed: &TierTableError,
+) -> String {
     let text = std::fs::read_to_string(file).unwrap_or_default();
     let when = operator.tiers.as_ref().and_then(|t| t.tier.get(flawed.number.saturating_sub(1)));
-    let (line, column) = when.map_or((0, 0), |t| line_of(&text, t.when.span().start));
+    let (line, column) = when.map_or((0, 0), |t| line_and_column(&text, t.when.span().start));
     // The text begins behind its quotes.
     let right = if flawed.line <= 1 { column + flawed.column } else { flawed.column };
     let line = line + flawed.line.saturating_sub(1);
@@ -76,41 +80,41 @@
     pub fn run(self) -> Result<(), Box<dyn Error>> {
         match self {
             TierCommand::List { admin } => {
-                let all = ask(&admin, "GET", path::TIERS, Vec::new())?;
+                let all = admin_request(&admin, "GET", path::TIERS, Vec::new())?;
                 if admin.json {
-                    show::json(&all);
+                    show::print_json(&all);
                     return Ok(());
                 }
                 let fields =
                     ["tier", "when", "ordered", "jobs", "tasks_waiting", "first", "held_by_limit"];
                 let rows = all["tiers"].as_array().into_iter().flatten();
-                show::table(&fields, rows.map(|t| show::cells(t, &fields)).collect());
+                show::print_table(&fields, rows.map(|t| show::row_cells(t, &fields)).collect());
             }
             TierCommand::Show { admin } => {
-                let mut all = ask(&admin, "GET", path::TIERS, Vec::new())?;
+                let mut all = admin_request(&admin, "GET", path::TIERS, Vec::new())?;
                 if let Some(tiers) = all["tiers"].as_array() {
                     let names = tiers.iter().map(|t| t["tier"].clone()).collect();
                     all["tiers"] = serde_json::Value::Array(names);
                 }
-                show::fields(&all, admin.json);
+                show::print_fields(&all, admin.json);
             }
             TierCommand::Set { file, admin } => {
-                let operator = Operator::load(&file)?;
+                let operator = OperatorSettings::load(&file)?;
                 let name = file.display();
-                let table = table_of(&file, &operator)?.ok_or_else(|| {
+                let table = load_tier_table(&file, &operator)?.ok_or_else(|| {
                     format!("operators' file {name}: it has no [tiers] table; add one")
                 })?;
-                let done = ask(&admin, "PUT", path::TIERS, serde_json::to_vec(&table)?)?;
+                let done = admin_request(&admin, "PUT", path::TIERS, serde_json::to_vec(&table)?)?;
                 if admin.json {
-                    show::json(&done);
+                    show::print_json(&done);
                 } else {
-                    show::line(&format!("tiers, version {}: committed", table.version));
+                    show::print_line(&format!("tiers, version {}: committed", table.version));
                 }
             }
             TierCommand::Explain { job, admin } => {
-                let path = path::TIER_OF.replace("{id}", &job);
-                let found = ask(&admin, "GET", &path, Vec::new())?;
-                show::fields(&found, admin.json);
+                let path = path::JOB_TIER.replace("{id}", &job);
+                let found = admin_request(&admin, "GET", &path, Vec::new())?;
+                show::print_fields(&found, admin.json);
             }
         }
         Ok(())
--- a/src/front.rs
+++ b/src/front.rs
@@ -2,8 +2,8 @@
 //! passes the gate before its body is read.
 
 use crate::constants::*;
-use crate::controller::{Asked, BeatIn, Controller, Incoming};
-use crate::entry::{Admitted, Entry};
+use crate::controller::{ControllerActor, IncomingHeartbeat, IncomingRequest, TypedRequest};
+use crate::entry::{AdmissionController, AdmittedRequest};
 use actix::Addr;
 use actix_web::dev::Payload;
 use actix_web::error::InternalError;
@@ -12,12 +12,12 @@
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::time::Duration;
-use swiftsail_controller::node::{Ask, Reply};
+use swiftsail_controller::node::{Reply, UserRequest};
 use swiftsail_controller::settings::Settings;
-use swiftsail_overload_control::budget::Budget;
-use swiftsail_overload_control::gate::Urgency;
-use swiftsail_protocol::users::Problem;
-use swiftsail_protocol::{controllers, read, users, workers, write};
+use swiftsail_overload_control::budget::MemoryBudget;
+use swiftsail_overload_control::gate::RequestPriority;
+use swiftsail_protocol::users::ErrorResponse;
+use swiftsail_protocol::{controllers, decode, encode, users, workers};
 
 /// A reply as an answer in a format.
 pub fn respond(reply: Reply, format: &str) -> HttpResponse {
@@ -30,83 +30,112 @@
     response.body(reply.body)
 }
 
-async fn ask(to: &Addr<Controller>, ask: Asked) -> HttpResponse {
-    match to.send(Incoming(ask)).await {
-        Ok(reply) => respond(reply, FORMAT),
-        Err(_) => respond(Reply::later("this node is ending"), FORMAT),
+async fn forward_to_controller(to: &Addr<ControllerActor>, ask: TypedRequest) -> HttpResponse {
+    match to.send(IncomingRequest(ask)).await {
+        Ok(reply) => respond(reply, MESSAGE_PACK),
+        Err(_) => respond(Reply::retry_later("this node is ending"), MESSAGE_PACK),
     }
 }
 
 /// Format of the protocol's bodies.
-pub const FORMAT: &str = "application/msgpack";
+pub const MESSAGE_PACK: &str = "application/msgpack";
 
-type Node = web::Data<Addr<Controller>>;
-type Gate = web::Data<Entry>;
+type ControllerAddress = web::Data<Addr<ControllerActor>>;
+type Admission = web::Data<AdmissionController>;
 
-async fn health(to: Node, gate: Gate) -> HttpResponse {
-    match gate.enter(Urgency::Withdraw, Some(0)) {
-        Ok(_held) => ask(&to, Asked::User(Ask::Health)).await,
+async fn get_health(to: ControllerAddress, gate: Admission) -> HttpResponse {
+    match gate.admit(RequestPriority::Cancellations, Some(0)) {
+        Ok(_held) => {
+            forward_to_controller(&to, TypedRequest::UserRequest(UserRequest::Health)).await
+        }
         Err(refused) => refused,
     }
 }
 
-async fn submit(to: Node, gate: Gate, request: HttpRequest, body: web::Payload) -> HttpResponse {
-    match gate.read(Urgency::Submit, &request, body).await {
-        Ok(Admitted { body, held: _held }) => {
-            ask(&to, Asked::User(Ask::Submit(body.to_vec()))).await
+async fn submit_job(
+    to: ControllerAddress,
+    gate: Admission,
+    request: HttpRequest,
+    body: web::Payload,
+) -> HttpResponse {
+    match gate.admit_and_read(RequestPriority::Submissions, &request, body).await {
+        Ok(AdmittedRequest { body, reservation: _held }) => {
+            forward_to_controller(
+                &to,
+                TypedRequest::UserRequest(UserRequest::Submit(body.to_vec())),
+            )
+            .await
         }
         Err(refused) => refused,
     }
 }
 
-async fn poll(to: Node, gate: Gate, id: web::Path<String>) -> HttpResponse {
+async fn poll_job(to: ControllerAddress, gate: Admission, id: web::Path<String>) -> HttpResponse {
     let id = id.into_inner();
     // Where polls are turned away, a job's second question is not turned away for others' first.
-    let pressing = gate.presses(&id);
-    let urgency = if pressing { Urgency::Withdraw } else { Urgency::Poll };
-    let response = match gate.enter(urgency, Some(0)) {
+    let pressing = gate.is_retried_poll(&id);
+    let urgency = if pressing { RequestPriority::Cancellations } else { RequestPriority::Polls };
+    let response = match gate.admit(urgency, Some(0)) {
         Ok(_held) => {
-            let asked = if pressing { Ask::Press(id.clone()) } else { Ask::Poll(id.clone()) };
-            ask(&to, Asked::User(asked)).await
+            let asked = if pressing {
+                UserRequest::RetriedPoll(id.clone())
+            } else {
+                UserRequest::Poll(id.clone())
+            };
+            forward_to_controller(&to, TypedRequest::UserRequest(asked)).await
         }
         Err(refused) => refused,
     };
-    gate.polled(&id, response.status() != StatusCode::SERVICE_UNAVAILABLE);
+    gate.record_poll(&id, response.status() != StatusCode::SERVICE_UNAVAILABLE);
     response
 }
 
-async fn cancel(to: Node, gate: Gate, id: web::Path<String>) -> HttpResponse {
-    match gate.enter(Urgency::Withdraw, Some(0)) {
-        Ok(_held) => ask(&to, Asked::User(Ask::Cancel(id.into_inner()))).await,
+async fn cancel_job(to: ControllerAddress, gate: Admission, id: web::Path<String>) -> HttpResponse {
+    match gate.admit(RequestPriority::Cancellations, Some(0)) {
+        Ok(_held) => {
+            forward_to_controller(
+                &to,
+                TypedRequest::UserRequest(UserRequest::Cancel(id.into_inner())),
+            )
+            .await
+        }
         Err(refused) => refused,
     }
 }
 
-async fn report(to: Node, gate: Gate, request: HttpRequest, body: web::Payload) -> HttpResponse {
-    let admitted = gate.read(Urgency::Reports, &request, body).await;
-    take::<workers::Report>(to, admitted, |report| Asked::Report(Box::new(report))).await
+async fn receive_status_report(
+    to: ControllerAddress,
+    gate: Admission,
+    request: HttpRequest,
+    body: web::Payload,
+) -> HttpResponse {
+    let admitted = gate.admit_and_read(RequestPriority::Reports, &request, body).await;
+    decode_and_forward::<workers::StatusReport>(to, admitted, |report| {
+        TypedRequest::StatusReport(Box::new(report))
+    })
+    .await
 }
 
-async fn take<T: DeserializeOwned>(
-    to: Node,
-    admitted: Result<Admitted, HttpResponse>,
-    asked: impl FnOnce(T) -> Asked,
+async fn decode_and_forward<T: DeserializeOwned>(
+    to: ControllerAddress,
+    admitted: Result<AdmittedRequest, HttpResponse>,
+    asked: impl FnOnce(T) -> TypedRequest,
 ) -> HttpResponse {
-    let Admitted { body, held: _held } = match admitted {
+    let AdmittedRequest { body, reservation: _held } = match admitted {
         Ok(admitted) => admitted,
         Err(refused) => return refused,
     };
-    match read::<T>(&body) {
-        Ok(found) => ask(&to, asked(found)).await,
-        Err(e) => respond(Reply::new(400, &Problem { error: e.to_string() }), FORMAT),
+    match decode::<T>(&body) {
+        Ok(found) => forward_to_controller(&to, asked(found)).await,
+        Err(e) => respond(Reply::new(400, &ErrorResponse { error: e.to_string() }), MESSAGE_PACK),
     }
 }
 
 /// Taken by what only controllers may ask. Users reach the front alone, so the listener tells who
 /// may speak for the controllers; elsewhere there is no such path.
-struct FromController;
+struct ControllerOrigin;
 
-impl FromRequest for FromController {
+impl FromRequest for ControllerOrigin {
     type Error = actix_web::Error;
     type Future = std::future::Ready<Result<Self, Self::Error>>;
 
@@ -114,7 +143,7 @@
         let own = request.app_data::<web::Data<SocketAddr>>();
         let here = own.is_some_and(|own| request.app_config().local_addr() == ***own);
         std::future::ready(if here {
-            Ok(FromController)
+            Ok(ControllerOrigin)
         } else {
             let absent = HttpResponse::NotFound().finish();
             Err(InternalError::from_response("not a controllers' listener", absent).into())
@@ -122,34 +151,37 @@
     }
 }
 
-async fn relay(
-    _: FromController,
-    to: Node,
-    gate: Gate,
+async fn receive_forwarded_reports(
+    _: ControllerOrigin,
+    to: ControllerAddress,
+    gate: Admission,
     request: HttpRequest,
     body: web::Payload,
 ) -> HttpResponse {
-    let admitted = gate.read(Urgency::Controllers, &request, body).await;
-    take::<controllers::Batch>(to, admitted, |batch| Asked::Batch(Box::new(batch))).await
+    let admitted = gate.admit_and_read(RequestPriority::Controllers, &request, body).await;
+    decode_and_forward::<controllers::ForwardedReports>(to, admitted, |batch| {
+        TypedRequest::ForwardedReports(Box::new(batch))
+    })
+    .await
 }
 
-async fn beat(
-    _: FromController,
-    to: Node,
-    gate: Gate,
+async fn receive_heartbeat(
+    _: ControllerOrigin,
+    to: ControllerAddress,
+    gate: Admission,
     request: HttpRequest,
     body: web::Payload,
 ) -> HttpResponse {
-    let Admitted { body, held: _held } = match gate.read(Urgency::Controllers, &request, body).await
-    {
-        Ok(admitted) => admitted,
-        Err(refused) => return refused,
-    };
-    let Ok(theirs) = read::<controllers::Beat>(&body) else {
+    let AdmittedRequest { body, reservation: _held } =
+        match gate.admit_and_read(RequestPriority::Controllers, &request, body).await {
+            Ok(admitted) => admitted,
+            Err(refused) => return refused,
+        };
+    let Ok(theirs) = decode::<controllers::Heartbeat>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
-    match to.send(BeatIn(theirs)).await {
-        Ok(ours) => HttpResponse::Ok().body(write(&ours)),
+    match to.send(IncomingHeartbeat(theirs)).await {
+        Ok(ours) => HttpResponse::Ok().body(encode(&ours)),
         Err(_) => HttpResponse::ServiceUnavailable().finish(),
     }
 }
@@ -157,9 +189,9 @@
 /// Serves both listeners until the process ends.
 pub async fn serve(
     settings: &Settings,
-    to: Addr<Controller>,
-    budget: &Budget,
-    entry: Entry,
+    to: Addr<ControllerActor>,
+    budget: &MemoryBudget,
+    entry: AdmissionController,
 ) -> std::io::Result<()> {
     let data = web::Data::new(to);
     let entry = web::Data::new(entry);
@@ -170,18 +202,18 @@
             .app_data(data.clone())
             .app_data(cluster.clone())
             .app_data(entry.clone())
-            .route(users::path::HEALTH, web::get().to(health))
-            .route(users::path::JOBS, web::post().to(submit))
-            .route(users::path::JOB, web::get().to(poll))
-            .route(users::path::CANCEL, web::post().to(cancel))
-            .route(workers::path::REPORT, web::post().to(report))
-            .route(controllers::path::RELAY, web::post().to(relay))
-            .route(controllers::path::BEAT, web::post().to(beat))
+            .route(users::path::HEALTH, web::get().to(get_health))
+            .route(users::path::JOBS, web::post().to(submit_job))
+            .route(users::path::JOB, web::get().to(poll_job))
+            .route(users::path::CANCEL, web::post().to(cancel_job))
+            .route(workers::path::REPORT, web::post().to(receive_status_report))
+            .route(controllers::path::FORWARDED_REPORTS, web::post().to(receive_forwarded_reports))
+            .route(controllers::path::HEARTBEAT, web::post().to(receive_heartbeat))
     })
     .workers(1)
     .max_connections(budget.connections)
-    .client_request_timeout(Duration::from_millis(HEAD_MS))
-    .backlog(BACKLOG)
+    .client_request_timeout(Duration::from_millis(REQUEST_HEAD_TIMEOUT_MS))
+    .backlog(LISTEN_BACKLOG)
     .keep_alive(Duration::from_secs(KEEP_ALIVE_S))
     .disable_signals()
     .bind(&both[..])?;
--- a/src/local/faults.rs
+++ b/src/local/faults.rs
@@ -1,6 +1,6 @@
 //! Faults that can be asked for while `swiftsail local` runs.
 
-use crate::constants::LOCAL_FAULT_MOST_S;
+use crate::constants::LOCAL_MAX_FAULT_S;
 use clap::Subcommand;
 use serde::{Deserialize, Serialize};
 
@@ -54,7 +54,7 @@
 
 impl Fault {
     /// What is impossible about it, if anything.
-    pub fn flaw(&self, nodes: usize, zones: &[String]) -> Option<String> {
+    pub fn validation_error(&self, nodes: usize, zones: &[String]) -> Option<String> {
         let (node, seconds) = match self {
             Fault::Crash { node } => (Some(*node), None),
             Fault::Store { seconds, node } => (*node, Some(*seconds)),
@@ -68,8 +68,8 @@
         if let Some(node) = node.filter(|n| *n >= nodes) {
             return Some(format!("controller {node} is unknown; there are 0 to {}", nodes - 1));
         }
-        let odd = |s: &f64| !(s.is_finite() && *s > 0.0 && *s <= LOCAL_FAULT_MOST_S);
+        let odd = |s: &f64| !(s.is_finite() && *s > 0.0 && *s <= LOCAL_MAX_FAULT_S);
         let odd = seconds.filter(odd)?;
-        Some(format!("{odd} s is not a time above 0 and up to {LOCAL_FAULT_MOST_S} s"))
+        Some(format!("{odd} s is not a time above 0 and up to {LOCAL_MAX_FAULT_S} s"))
     }
 }
--- a/src/local/keep.rs
+++ b/src/local/keep.rs
@@ -2,86 +2,86 @@
 
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::path::Path;
-use swiftsail_protocol::state::{Commit, Pair};
-use swiftsail_protocol::{read, write};
+use swiftsail_protocol::state::{KeyValue, Transaction};
+use swiftsail_protocol::{decode, encode};
 
-const PAIRS: TableDefinition<&str, &[u8]> = TableDefinition::new("pairs");
-const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
-const EPOCH: &str = "epoch";
-const MACHINES: &str = "machines";
+const KEY_VALUES: TableDefinition<&str, &[u8]> = TableDefinition::new("pairs");
+const METADATA: TableDefinition<&str, u64> = TableDefinition::new("meta");
+const REVISION_ENTRY: &str = "epoch";
+const MACHINE_COUNT_ENTRY: &str = "machines";
 
 /// What is kept.
-pub struct Keep {
-    base: Database,
+pub struct Persistence {
+    database: Database,
 }
 
-impl Keep {
+impl Persistence {
     /// Opens or makes the file.
-    pub fn open(path: &Path) -> Result<Keep, redb::Error> {
+    pub fn open(path: &Path) -> Result<Persistence, redb::Error> {
         let base = Database::create(path)?;
         let txn = base.begin_write()?;
-        txn.open_table(PAIRS)?;
-        txn.open_table(META)?;
+        txn.open_table(KEY_VALUES)?;
+        txn.open_table(METADATA)?;
         txn.commit()?;
-        Ok(Keep { base })
+        Ok(Persistence { database: base })
     }
 
     /// All pairs, and the revision.
-    pub fn load(&self) -> Result<(Vec<Pair>, u64), redb::Error> {
-        let txn = self.base.begin_read()?;
+    pub fn load(&self) -> Result<(Vec<KeyValue>, u64), redb::Error> {
+        let txn = self.database.begin_read()?;
         let mut pairs = Vec::new();
-        for entry in txn.open_table(PAIRS)?.iter()? {
+        for entry in txn.open_table(KEY_VALUES)?.iter()? {
             let (key, value) = entry?;
-            match read::<Pair>(value.value()) {
+            match decode::<KeyValue>(value.value()) {
                 Ok(pair) => pairs.push(pair),
                 Err(e) => {
                     tracing::error!(key = key.value(), cause = %e, "a kept value is unreadable")
                 }
             }
         }
-        let epoch = txn.open_table(META)?.get(EPOCH)?.map_or(0, |e| e.value());
+        let epoch = txn.open_table(METADATA)?.get(REVISION_ENTRY)?.map_or(0, |e| e.value());
         Ok((pairs, epoch))
     }
 
     /// Number of the last machine that was named.
-    pub fn machines(&self) -> Result<u32, redb::Error> {
-        let txn = self.base.begin_read()?;
-        let held = txn.open_table(META)?.get(MACHINES)?.map_or(0, |n| n.value());
+    pub fn machines_named(&self) -> Result<u32, redb::Error> {
+        let txn = self.database.begin_read()?;
+        let held = txn.open_table(METADATA)?.get(MACHINE_COUNT_ENTRY)?.map_or(0, |n| n.value());
         Ok(held.try_into().unwrap_or(u32::MAX))
     }
 
     /// Keeps the number of the last machine that was named: no name is given twice.
-    pub fn name_machines(&self, number: u32) -> Result<(), redb::Error> {
-        let txn = self.base.begin_write()?;
-        txn.open_table(META)?.insert(MACHINES, u64::from(number))?;
+    pub fn record_machines_named(&self, number: u32) -> Result<(), redb::Error> {
+        let txn = self.database.begin_write()?;
+        txn.open_table(METADATA)?.insert(MACHINE_COUNT_ENTRY, u64::from(number))?;
         txn.commit()?;
         Ok(())
     }
 
     /// Keeps a transaction that was applied at a revision, durably.
-    pub fn note(
+    pub fn record_transaction(
         &self,
-        commit: &Commit,
+        commit: &Transaction,
         epoch: u64,
-        now: impl Fn(&str) -> Option<Pair>,
+        now: impl Fn(&str) -> Option<KeyValue>,
     ) -> Result<(), redb::Error> {
-        use swiftsail_protocol::state::Change;
-        let txn = self.base.begin_write()?;
+        use swiftsail_protocol::state::Mutation;
+        let txn = self.database.begin_write()?;
         {
-            let mut pairs = txn.open_table(PAIRS)?;
-            for change in &commit.apply {
-                let (Change::Write { write: key, .. } | Change::Remove { remove: key }) = change;
+            let mut pairs = txn.open_table(KEY_VALUES)?;
+            for change in &commit.mutations {
+                let (Mutation::Put { key, .. } | Mutation::Delete { key }) = change;
                 // What hangs on a lease does not outlive the service.
-                match now(key).filter(|p| p.mooring.is_none()) {
+                match now(key).filter(|p| p.lease.is_none()) {
                     Some(pair) => {
-                        pairs.insert(key.as_str(), write(&pair).as_slice())?;
+                        pairs.insert(key.as_str(), encode(&pair).as_slice())?;
                     }
                     None => {
                         pairs.remove(key.as_str())?;
                     }
                 }
             }
-            txn.open_table(META)?.insert(EPOCH, epoch)?;
+            txn.open_table(METADATA)?.insert(REVISION_ENTRY, epoch)?;
         }
         txn.commit()?;
         Ok(())
--- a/src/local/link.rs
+++ b/src/local/link.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 
 /// Passes connections on from one address to another while `open` says so.
-pub async fn pass(
+pub async fn run_fault_proxy(
     at: SocketAddr,
     to: SocketAddr,
     open: watch::Receiver<bool>,
@@ -25,15 +25,15 @@
             let (from_there, to_there) = there.into_split();
             let back = open.clone();
             futures_util::future::join(
-                pump(from_here, to_there, open),
-                pump(from_there, to_here, back),
+                copy_while_open(from_here, to_there, open),
+                copy_while_open(from_there, to_here, back),
             )
             .await;
         });
     }
 }
 
-async fn pump(
+async fn copy_while_open(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
     mut open: watch::Receiver<bool>,
--- a/src/local/mod.rs
+++ b/src/local/mod.rs
@@ -10,8 +10,8 @@
 mod serve;
 
 pub use faults::Fault;
-pub use model::{Model, Ports, write_files};
-pub use outside::Standing;
+pub use model::{LocalConfig, PortPlan, write_controller_config};
+pub use outside::EmulatorStatus;
 pub use serve::path;
 
 use crate::constants::*;
@@ -19,9 +19,9 @@
 use actix::Actor;
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
-use keep::Keep;
-use outside::{HowIsIt, Outside};
-use processes::Processes;
+use keep::Persistence;
+use outside::{Emulator, GetEmulatorStatus};
+use processes::ControllerProcesses;
 use std::collections::BTreeSet;
 use std::error::Error;
 use std::io::{IsTerminal, Write};
@@ -40,7 +40,7 @@
     #[arg(long, default_value = "built-in", value_name = "FILE")]
     machines: PathBuf,
     /// How many times as fast machines boot, fetch and run
-    #[arg(long, default_value_t = 1.0, value_name = "X", value_parser = speed)]
+    #[arg(long, default_value_t = 1.0, value_name = "X", value_parser = parse_speed)]
     speed: f64,
     /// Keep the state service's contents, settings and logs in this folder
     #[arg(long, value_name = "DIR")]
@@ -49,7 +49,7 @@
     #[arg(long)]
     seed: Option<u64>,
     /// First of the ports used, some 100 and one a machine
-    #[arg(long, default_value_t = LOCAL_PORT)]
+    #[arg(long, default_value_t = LOCAL_BASE_PORT)]
     port: u16,
     #[command(subcommand)]
     command: Option<LocalCommand>,
@@ -76,7 +76,7 @@
     }
 }
 
-fn speed(text: &str) -> Result<f64, String> {
+fn parse_speed(text: &str) -> Result<f64, String> {
     let speed: f64 = text.parse().map_err(|e| format!("{e}"))?;
     if (0.1..=100.0).contains(&speed) { Ok(speed) } else { Err("is not from 0.1 to 100".into()) }
 }
@@ -84,15 +84,15 @@
 /// Runs until ctrl-C.
 pub fn run(args: &LocalArgs, log_format: LogFormat) -> Result<(), Box<dyn Error>> {
     let built_in = args.machines.as_os_str() == "built-in";
-    let model = Model::load((!built_in).then_some(args.machines.as_path()))?;
+    let model = LocalConfig::load((!built_in).then_some(args.machines.as_path()))?;
     let nodes = usize::from(args.controllers);
-    let machines = model.machines_most().min(LOCAL_MACHINES_MOST);
+    let machines = model.max_machines().min(LOCAL_MAX_MACHINES);
     if usize::from(args.port) + 100 + machines > usize::from(u16::MAX) {
         return Err(
             format!("--port {}: too few ports above it; give a lower one", args.port).into()
         );
     }
-    let ports = Ports::from(args.port);
+    let ports = PortPlan::from(args.port);
     // Without a folder of its own, what it writes goes when it ends.
     let scratch = args.data.is_none().then(tempfile::tempdir).transpose()?;
     let folder = match (&args.data, &scratch) {
@@ -103,14 +103,15 @@
     std::fs::create_dir_all(&folder)
         .map_err(|e| format!("--data {}: {e}; give a folder to write to", folder.display()))?;
     let keep = match &args.data {
-        Some(folder) => Some(Keep::open(&folder.join("state.redb")).map_err(|e| {
+        Some(folder) => Some(Persistence::open(&folder.join("state.redb")).map_err(|e| {
             format!("--data {}: {e}; end what uses it, or give another", folder.display())
         })?),
         None => None,
     };
     let files = (0..nodes).map(|node| {
-        let (config, operator) = model::write_files(&model, ports, node, nodes, &folder)?;
-        Ok((model::node_name(node), config, operator))
+        let (config, operator) =
+            model::write_controller_config(&model, ports, node, nodes, &folder)?;
+        Ok((model::controller_name(node), config, operator))
     });
     let files = files.collect::<std::io::Result<Vec<_>>>()?;
     let seed = args.seed.unwrap_or_else(rand::random);
@@ -121,18 +122,18 @@
     actix::System::new().block_on(async {
         let (links, cut) = watch::channel(BTreeSet::new());
         let (crash, mut crashes) = mpsc::unbounded_channel();
-        let outside = Outside::new(&model, ports, nodes, (args.speed, seed), keep, links, crash)?;
+        let outside = Emulator::new(&model, ports, nodes, (args.speed, seed), keep, links, crash)?;
         let outside = outside.start();
         actix::spawn(serve::serve(outside.clone(), ports, nodes, machines)?);
         for from in 0..nodes {
             for to in (0..nodes).filter(|to| *to != from) {
-                join(&model, ports, from, to, cut.clone());
+                start_fault_proxies(&model, ports, from, to, cut.clone());
             }
         }
-        let mut processes = Processes::start(files, form)?;
-        announce(ports, nodes, &folder, args.data.is_some());
+        let mut processes = ControllerProcesses::start(files, form)?;
+        announce_endpoints(ports, nodes, &folder, args.data.is_some());
         let mut progress = Progress::new();
-        let mut step = actix_rt::time::interval(Duration::from_millis(LOCAL_WATCH_MS));
+        let mut step = actix_rt::time::interval(Duration::from_millis(LOCAL_PROCESS_CHECK_INTERVAL_MS));
         let end = actix_rt::signal::ctrl_c();
         tokio::pin!(end);
         loop {
@@ -143,29 +144,32 @@
                 }
                 Some(node) = crashes.recv() => processes.kill(node),
                 _ = step.tick() => {
-                    processes.watch()?;
-                    if progress.due() && let Ok(standing) = outside.send(HowIsIt).await {
+                    processes.restart_exited()?;
+                    if progress.is_due() && let Ok(standing) = outside.send(GetEmulatorStatus).await {
                         progress.show(&standing);
                     }
                 }
             }
         }
-        progress.end();
-        say("ending: controllers first, then everything else");
+        progress.finish();
+        print_line("ending: controllers first, then everything else");
         drop(processes);
         Ok(())
     })
 }
 
 /// Passes connections on from one controller to another, while neither zone is cut off.
-fn join(
-    model: &Model,
-    ports: Ports,
+fn start_fault_proxies(
+    model: &LocalConfig,
+    ports: PortPlan,
     from: usize,
     to: usize,
     mut cut: watch::Receiver<BTreeSet<String>>,
 ) {
-    let zones = [model::site(&model.zones, from), model::site(&model.zones, to)];
+    let zones = [
+        model::zone_of_controller(&model.zones, from),
+        model::zone_of_controller(&model.zones, to),
+    ];
     let (open, opens) = watch::channel(true);
     actix::spawn(async move {
         while cut.changed().await.is_ok() {
@@ -176,38 +180,38 @@
     });
     let (here, there) = (ports.link(from, to), ports.cluster(to));
     actix::spawn(async move {
-        if let Err(e) = link::pass(here, there, opens).await {
+        if let Err(e) = link::run_fault_proxy(here, there, opens).await {
             tracing::error!(at = %here, cause = %e, "controllers cannot reach each other: free the address");
         }
     });
 }
 
 /// A line for the one who started it; a closed pipe is no reason to complain.
-fn say(line: &str) {
+fn print_line(line: &str) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
-fn announce(ports: Ports, nodes: usize, folder: &std::path::Path, kept: bool) {
+fn announce_endpoints(ports: PortPlan, nodes: usize, folder: &std::path::Path, kept: bool) {
     for node in 0..nodes {
-        say(&format!(
+        print_line(&format!(
             "{}: users and workers {}, operators {}",
-            model::node_name(node),
-            ports.front(node),
+            model::controller_name(node),
+            ports.http(node),
             ports.admin(node)
         ));
     }
-    say(&format!("state service {}, cloud {}", ports.state(0), ports.cloud(0)));
-    say(&format!("faults: swiftsail local fault --at {}", ports.control()));
+    print_line(&format!("state service {}, cloud {}", ports.state(0), ports.cloud(0)));
+    print_line(&format!("faults: swiftsail local fault --at {}", ports.control()));
     let logs = if kept { "state, settings and logs" } else { "settings and logs, while it runs" };
-    say(&format!("{logs}: {}", folder.display()));
-    say("submit with: swiftsail submit examples/array.toml    end with ctrl-C");
+    print_line(&format!("{logs}: {}", folder.display()));
+    print_line("submit with: swiftsail submit examples/array.toml    end with ctrl-C");
 }
 
 /// How things stand, shown as a line that changes, or as lines where there is no terminal.
 struct Progress {
     bar: Option<ProgressBar>,
-    next: Instant,
-    last: String,
+    next_update_at: Instant,
+    last_line: String,
 }
 
 impl Progress {
@@ -217,28 +221,29 @@
             ProgressBar::new_spinner()
                 .with_style(style.unwrap_or_else(|_| ProgressStyle::default_spinner()))
         });
-        Progress { bar, next: Instant::now(), last: String::new() }
+        Progress { bar, next_update_at: Instant::now(), last_line: String::new() }
     }
 
-    fn due(&mut self) -> bool {
-        let due = Instant::now() >= self.next;
+    fn is_due(&mut self) -> bool {
+        let due = Instant::now() >= self.next_update_at;
         if due {
-            self.next = Instant::now() + Duration::from_millis(LOCAL_PROGRESS_MS);
+            self.next_update_at =
+                Instant::now() + Duration::from_millis(LOCAL_PROGRESS_INTERVAL_MS);
         }
         due
     }
 
-    fn show(&mut self, s: &Standing) {
+    fn show(&mut self, s: &EmulatorStatus) {
         let line = format!(
             "leader {}, {} jobs, {} of {} machines up, {} tasks run, {} done, {} killed, {:.3} spent",
             s.leader.as_deref().unwrap_or("none"),
             s.jobs,
-            s.up,
+            s.machines_up,
             s.machines,
             s.tasks,
-            s.done,
-            s.killed,
-            s.spent
+            s.tasks_done,
+            s.tasks_killed,
+            s.money_spent
         );
         let what = line.rsplit_once(',').map_or(line.as_str(), |(what, _)| what).to_string();
         match &self.bar {
@@ -246,13 +251,13 @@
                 bar.set_message(line);
                 bar.tick();
             }
-            None if what != self.last => say(&line),
+            None if what != self.last_line => print_line(&line),
             None => {}
         }
-        self.last = what;
+        self.last_line = what;
     }
 
-    fn end(&self) {
+    fn finish(&self) {
         if let Some(bar) = &self.bar {
             bar.finish_and_clear();
         }
--- a/src/local/model.rs
+++ b/src/local/model.rs
@@ -4,9 +4,11 @@
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
-use swiftsail_controller::settings::{Cloud, MachineLimits, Platform, State, Team, Workers};
-use swiftsail_simulation::cloud::Offered;
-use swiftsail_protocol::cloud::Hull;
+use swiftsail_controller::settings::{
+    CloudSettings, MachineLimits, PlatformSettings, StoreSettings, TeamSettings, WorkerSettings,
+};
+use swiftsail_protocol::cloud::ListedMachineType;
+use swiftsail_simulation::cloud::MachineOffer;
 
 /// The file that is built in.
 const BUILT_IN: &str = include_str!("../../deploy/local.toml");
@@ -14,7 +16,7 @@
 /// A machine type, in the words of `deploy/local.toml`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct MachineType {
+pub struct ConfiguredMachineType {
     name: String,
     cpus: f64,
     #[serde(default)]
@@ -32,47 +34,47 @@
 /// The whole file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Model {
+pub struct LocalConfig {
     /// Zones; the first controllers stand in the first of them.
     pub zones: Vec<String>,
-    types: Vec<MachineType>,
-    teams: Vec<Team>,
-    workers: Workers,
-    state: State,
-    cloud: Cloud,
+    #[serde(rename = "types")]
+    machine_types: Vec<ConfiguredMachineType>,
+    teams: Vec<TeamSettings>,
+    workers: WorkerSettings,
+    state: StoreSettings,
+    cloud: CloudSettings,
 }
 
 /// Why a file of machines was refused.
 #[derive(Debug, thiserror::Error)]
-pub enum ModelError {
+pub enum LocalConfigError {
     /// It could not be read.
     #[error("machines' file {0}: cannot be read: {1}; give the path of a readable TOML file")]
     Read(String, std::io::Error),
     /// It is not of the expected form.
     #[error("machines' file {0}: {1}")]
-    Form(String, Box<toml::de::Error>),
+    Malformed(String, Box<toml::de::Error>),
     /// A value is impossible.
     #[error("machines' file {0}: {1}")]
-    Value(String, String),
+    InvalidValue(String, String),
 }
 
-impl Model {
+impl LocalConfig {
     /// The file of that path, or the built-in one.
-    pub fn load(path: Option<&Path>) -> Result<Model, ModelError> {
+    pub fn load(path: Option<&Path>) -> Result<LocalConfig, LocalConfigError> {
         let file = path.map_or("built-in".into(), |p| p.display().to_string());
         let text = match path {
-            Some(path) => {
-                std::fs::read_to_string(path).map_err(|e| ModelError::Read(file.clone(), e))?
-            }
+            Some(path) => std::fs::read_to_string(path)
+                .map_err(|e| LocalConfigError::Read(file.clone(), e))?,
             None => BUILT_IN.to_string(),
         };
-        let model: Model =
-            toml::from_str(&text).map_err(|e| ModelError::Form(file.clone(), Box::new(e)))?;
-        let bad = |why: String| Err(ModelError::Value(file.clone(), why));
-        if model.zones.is_empty() || model.types.is_empty() || model.teams.is_empty() {
+        let model: LocalConfig = toml::from_str(&text)
+            .map_err(|e| LocalConfigError::Malformed(file.clone(), Box::new(e)))?;
+        let bad = |why: String| Err(LocalConfigError::InvalidValue(file.clone(), why));
+        if model.zones.is_empty() || model.machine_types.is_empty() || model.teams.is_empty() {
             return bad("zones, types and teams are empty; name at least one of each".into());
         }
-        for t in &model.types {
+        for t in &model.machine_types {
             let amounts = [t.cpus, t.memory_gb, t.cache_gb, t.fetch_gb_per_s, t.price, t.boot_s];
             if amounts.iter().any(|a| !(a.is_finite() && *a > 0.0)) {
                 return bad(format!("type {}: an amount is not above 0; correct it", t.name));
@@ -85,32 +87,35 @@
     }
 
     /// What the cloud offers.
-    pub fn offered(&self) -> Vec<Offered> {
-        let hull = |t: &MachineType| Hull {
-            sku: t.name.clone(),
+    pub fn cloud_offers(&self) -> Vec<MachineOffer> {
+        let hull = |t: &ConfiguredMachineType| ListedMachineType {
+            name: t.name.clone(),
             cpus: t.cpus,
-            accelerators: t.gpus,
+            gpus: t.gpus,
             memory_gb: t.memory_gb,
             cache_gb: t.cache_gb,
-            fetch_gb_per_s: t.fetch_gb_per_s,
+            image_fetch_gb_per_s: t.fetch_gb_per_s,
             price: t.price,
-            market_price: t.spot_price,
+            spot_price: t.spot_price,
             boot_s: t.boot_s,
-            docks: t.zones.clone(),
+            zones: t.zones.clone(),
         };
-        self.types.iter().map(|t| Offered { hull: hull(t), capacity: t.capacity }).collect()
+        self.machine_types
+            .iter()
+            .map(|t| MachineOffer { machine_type: hull(t), capacity: t.capacity })
+            .collect()
     }
 
     /// Machines that there can be at once.
-    pub fn machines_most(&self) -> usize {
-        self.types.iter().map(|t| 2 * t.capacity as usize * t.zones.len()).sum()
+    pub fn max_machines(&self) -> usize {
+        self.machine_types.iter().map(|t| 2 * t.capacity as usize * t.zones.len()).sum()
     }
 
     /// The platform as the controllers' settings tell it.
-    pub fn platform(&self) -> Platform {
-        Platform {
+    pub fn platform(&self) -> PlatformSettings {
+        PlatformSettings {
             zones: self.zones.clone(),
-            clock_off_ms: LOCAL_CLOCK_OFF_MS,
+            clock_off_ms: LOCAL_MAX_CLOCK_OFFSET_MS,
             teams: self.teams.clone(),
             objectives: Vec::new(),
             workers: self.workers.clone(),
@@ -119,7 +124,7 @@
             machine_limits: MachineLimits {
                 cores: 1.0,
                 mem_mb: LOCAL_MEMORY_MB,
-                max_connections: LOCAL_SOCKETS,
+                max_connections: LOCAL_MAX_CONNECTIONS,
             },
         }
     }
@@ -127,21 +132,21 @@
 
 /// The addresses of everything, all on loopback.
 #[derive(Debug, Clone, Copy)]
-pub struct Ports {
+pub struct PortPlan {
     base: u16,
 }
 
-impl Ports {
+impl PortPlan {
     /// Addresses from a port on.
-    pub fn from(base: u16) -> Ports {
-        Ports { base }
+    pub fn from(base: u16) -> PortPlan {
+        PortPlan { base }
     }
 
     fn at(self, offset: usize) -> SocketAddr {
         SocketAddr::from((Ipv4Addr::LOCALHOST, self.base.saturating_add(offset as u16)))
     }
     /// Where a controller listens for users and workers.
-    pub fn front(self, node: usize) -> SocketAddr {
+    pub fn http(self, node: usize) -> SocketAddr {
         self.at(node)
     }
     /// Where it listens for the others.
@@ -162,7 +167,7 @@
     }
     /// The way from one controller to another, which can be cut.
     pub fn link(self, from: usize, to: usize) -> SocketAddr {
-        self.at(50 + from * LOCAL_CONTROLLERS_MOST + to)
+        self.at(50 + from * LOCAL_MAX_CONTROLLERS + to)
     }
     /// Where faults are asked for.
     pub fn control(self) -> SocketAddr {
@@ -175,17 +180,17 @@
 }
 
 /// The zone of a controller.
-pub fn site(zones: &[String], node: usize) -> String {
+pub fn zone_of_controller(zones: &[String], node: usize) -> String {
     zones[node % zones.len()].clone()
 }
 
 /// The name of a controller.
-pub fn node_name(node: usize) -> String {
+pub fn controller_name(node: usize) -> String {
     format!("node-{node}")
 }
 
 /// The number of a controller's name.
-pub fn node_number(name: &str) -> Option<usize> {
+pub fn controller_number(name: &str) -> Option<usize> {
     name.strip_prefix("node-")?.parse().ok()
 }
 
@@ -210,26 +215,26 @@
     cluster_listen: SocketAddr,
     endpoints: EndpointsFile,
     others: Vec<OtherFile>,
-    settings: Platform,
+    settings: PlatformSettings,
 }
 
 /// Writes a controller's settings and operators' file into a folder. Returns their paths.
-pub fn write_files(
-    model: &Model,
-    ports: Ports,
+pub fn write_controller_config(
+    model: &LocalConfig,
+    ports: PortPlan,
     node: usize,
     nodes: usize,
     folder: &Path,
 ) -> std::io::Result<(PathBuf, PathBuf)> {
     let others = (0..nodes).filter(|n| *n != node).map(|n| OtherFile {
-        host_name: node_name(n),
-        site: site(&model.zones, n),
+        host_name: controller_name(n),
+        site: zone_of_controller(&model.zones, n),
         address: ports.link(node, n),
     });
     let file = SettingsFile {
-        host_name: node_name(node),
-        site: site(&model.zones, node),
-        front: ports.front(node),
+        host_name: controller_name(node),
+        site: zone_of_controller(&model.zones, node),
+        front: ports.http(node),
         cluster_listen: ports.cluster(node),
         endpoints: EndpointsFile { cloud: ports.cloud(node), state: ports.state(node) },
         others: others.collect(),
@@ -237,8 +242,8 @@
     };
     let text = toml::to_string(&file).map_err(std::io::Error::other)?;
     let (config, operator) = (
-        folder.join(format!("{}.toml", node_name(node))),
-        folder.join(format!("{}-operator.toml", node_name(node))),
+        folder.join(format!("{}.toml", controller_name(node))),
+        folder.join(format!("{}-operator.toml", controller_name(node))),
     );
     std::fs::write(&config, text)?;
     // Tiers and dispatch are on with what holds without them, so that others can be put in force.
--- a/src/local/processes.rs
+++ b/src/local/processes.rs
@@ -6,58 +6,64 @@
 use std::time::{Duration, Instant};
 
 /// Where a controller's process stands.
-enum Phase {
+enum ProcessState {
     /// It runs.
     Running(Child),
     /// It ended, and starts again then.
-    Ended(Instant),
+    Exited(Instant),
 }
 
 /// One controller.
-struct Controller {
+struct ControllerProcess {
     name: String,
-    files: (PathBuf, PathBuf),
-    log: PathBuf,
-    phase: Phase,
+    config_files: (PathBuf, PathBuf),
+    log_file: PathBuf,
+    state: ProcessState,
 }
 
 /// All controllers.
-pub struct Processes {
-    controllers: Vec<Controller>,
+pub struct ControllerProcesses {
+    controllers: Vec<ControllerProcess>,
     log_format: &'static str,
 }
 
-impl Processes {
+impl ControllerProcesses {
     /// Starts a controller from each pair of files, with its log beside them.
     pub fn start(
         files: Vec<(String, PathBuf, PathBuf)>,
         log_format: &'static str,
-    ) -> std::io::Result<Processes> {
-        let mut all = Processes { controllers: Vec::new(), log_format };
+    ) -> std::io::Result<ControllerProcesses> {
+        let mut all = ControllerProcesses { controllers: Vec::new(), log_format };
         for (name, config, operator) in files {
             let log = config.with_extension("log");
-            let phase = Phase::Ended(Instant::now());
-            all.controllers.push(Controller { name, files: (config, operator), log, phase });
+            let phase = ProcessState::Exited(Instant::now());
+            all.controllers.push(ControllerProcess {
+                name,
+                config_files: (config, operator),
+                log_file: log,
+                state: phase,
+            });
         }
-        all.watch()?;
+        all.restart_exited()?;
         Ok(all)
     }
 
     /// Looks after them: one that ended is started again after a while.
-    pub fn watch(&mut self) -> std::io::Result<()> {
+    pub fn restart_exited(&mut self) -> std::io::Result<()> {
         for controller in &mut self.controllers {
-            match &mut controller.phase {
-                Phase::Running(child) => {
+            match &mut controller.state {
+                ProcessState::Running(child) => {
                     if let Some(status) = child.try_wait()? {
                         tracing::warn!(controller = %controller.name, %status, "controller ended");
-                        let again = Instant::now() + Duration::from_millis(LOCAL_RESTART_MS);
-                        controller.phase = Phase::Ended(again);
+                        let again = Instant::now() + Duration::from_millis(LOCAL_RESTART_DELAY_MS);
+                        controller.state = ProcessState::Exited(again);
                     }
                 }
-                Phase::Ended(at) if Instant::now() >= *at => {
-                    controller.phase = Phase::Running(run(controller, self.log_format)?);
+                ProcessState::Exited(at) if Instant::now() >= *at => {
+                    controller.state =
+                        ProcessState::Running(spawn_controller(controller, self.log_format)?);
                 }
-                Phase::Ended(_) => {}
+                ProcessState::Exited(_) => {}
             }
         }
         Ok(())
@@ -65,17 +71,19 @@
 
     /// Kills one, without a warning.
     pub fn kill(&mut self, node: usize) {
-        if let Some(Phase::Running(child)) = self.controllers.get_mut(node).map(|c| &mut c.phase) {
+        if let Some(ProcessState::Running(child)) =
+            self.controllers.get_mut(node).map(|c| &mut c.state)
+        {
             // It may have ended by itself meanwhile, which is as good.
             let _ = child.kill();
         }
     }
 }
 
-impl Drop for Processes {
+impl Drop for ControllerProcesses {
     fn drop(&mut self) {
         for controller in &mut self.controllers {
-            if let Phase::Running(child) = &mut controller.phase {
+            if let ProcessState::Running(child) = &mut controller.state {
                 let _ = child.kill();
                 let _ = child.wait();
             }
@@ -83,13 +91,13 @@
     }
 }
 
-fn run(controller: &Controller, log_format: &str) -> std::io::Result<Child> {
-    let log = std::fs::File::options().create(true).append(true).open(&controller.log)?;
+fn spawn_controller(controller: &ControllerProcess, log_format: &str) -> std::io::Result<Child> {
+    let log = std::fs::File::options().create(true).append(true).open(&controller.log_file)?;
     Command::new(std::env::current_exe()?)
         .args(["--log-format", log_format, "--operator"])
-        .arg(&controller.files.1)
+        .arg(&controller.config_files.1)
         .arg("--config")
-        .arg(&controller.files.0)
+        .arg(&controller.config_files.0)
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(log)
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -20,7 +20,7 @@
 }
 
 /// Starts the log, in the amount that the variable `LOG_LEVEL` says.
-pub fn start(format: LogFormat) {
+pub fn init_logging(format: LogFormat) {
     let asked = std::env::var(LOG_LEVEL).unwrap_or_default();
     let level = match asked.as_str() {
         "error" => Some(LevelFilter::ERROR),
--- a/src/program.rs
+++ b/src/program.rs
@@ -5,8 +5,8 @@
     DispatchCommand, JobCommand, LoanCommand, PipelineCommand, PluginCommand, TierCommand,
 };
 use crate::constants::*;
-use crate::controller::Controller;
-use crate::entry::Entry;
+use crate::controller::ControllerActor;
+use crate::entry::AdmissionController;
 use crate::local::{LocalArgs, LocalCommand};
 use crate::logging::{self, LogFormat};
 use crate::{admin, commands, front, local};
@@ -19,8 +19,8 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use swiftsail_controller::settings::Settings;
-use swiftsail_overload_control::budget::Budget;
-use swiftsail_policy::operator::Operator;
+use swiftsail_overload_control::budget::MemoryBudget;
+use swiftsail_policy::operator::OperatorSettings;
 
 /// A cluster scheduler that places work by its chance of meeting its deadline.
 #[derive(Debug, Parser)]
@@ -31,7 +31,7 @@
     after_help = "Exit status: 0 done; 2 refused (a file, an argument, or the service's answer); 3 no answer, or \
 not known whether it was done."
 )]
-struct Args {
+struct CommandLine {
     /// Run a controller with this settings file, the platform's
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
@@ -84,13 +84,13 @@
 
 /// Runs the program.
 pub fn main() -> ExitCode {
-    let args = Args::parse();
+    let args = CommandLine::parse();
     let outcome = match (args.command, args.config) {
-        (Some(Command::Check { config, operator }), _) => check(config, operator),
+        (Some(Command::Check { config, operator }), _) => check_configuration(config, operator),
         (Some(Command::Local(mut local)), _) => match local.command() {
-            Some(LocalCommand::Fault { at, fault }) => commands::fault(at, &fault),
+            Some(LocalCommand::Fault { at, fault }) => commands::inject_fault(at, &fault),
             None => {
-                logging::start(args.log_format);
+                logging::init_logging(args.log_format);
                 local::run(&local, args.log_format)
             }
         },
@@ -102,14 +102,14 @@
         (Some(Command::Dispatch(dispatch)), _) => dispatch.run(),
         (Some(Command::Completions { shell }), _) => {
             let mut out = Vec::new();
-            clap_complete::generate(shell, &mut Args::command(), "swiftsail", &mut out);
+            clap_complete::generate(shell, &mut CommandLine::command(), "swiftsail", &mut out);
             // A closed pipe is no reason to complain.
             let _ = std::io::stdout().write_all(&out);
             Ok(())
         }
         (None, Some(config)) => {
-            logging::start(args.log_format);
-            run(&config, args.operator.as_deref())
+            logging::init_logging(args.log_format);
+            run_controller(&config, args.operator.as_deref())
         }
         (None, None) => Err("nothing to do; give --config FILE, or --help for more".into()),
     };
@@ -117,13 +117,16 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
             let _ = writeln!(std::io::stderr(), "swiftsail: {why}");
-            let silent = why.downcast_ref::<ClientError>().map(ClientError::status);
-            ExitCode::from(silent.unwrap_or(STATUS_REFUSED))
+            let silent = why.downcast_ref::<ClientError>().map(ClientError::exit_status);
+            ExitCode::from(silent.unwrap_or(EXIT_STATUS_REFUSED))
         }
     }
 }
 
-fn check(config: Option<PathBuf>, operator: Option<PathBuf>) -> Result<(), Box<dyn Error>> {
+fn check_configuration(
+    config: Option<PathBuf>,
+    operator: Option<PathBuf>,
+) -> Result<(), Box<dyn Error>> {
     // A closed pipe is no reason to complain.
     let mut out = std::io::stdout();
     if let Some(file) = config {
@@ -138,23 +141,23 @@
 }
 
 /// Reads the operators' file and checks all of it.
-fn load_operator(file: &Path) -> Result<Operator, Box<dyn Error>> {
-    let operator = Operator::load(file)?;
-    commands::table_of(file, &operator)?;
-    commands::plan_of(file, &operator)?;
+fn load_operator(file: &Path) -> Result<OperatorSettings, Box<dyn Error>> {
+    let operator = OperatorSettings::load(file)?;
+    commands::load_tier_table(file, &operator)?;
+    commands::load_dispatch_plan(file, &operator)?;
     Ok(operator)
 }
 
-fn run(config: &Path, operator: Option<&Path>) -> Result<(), Box<dyn Error>> {
+fn run_controller(config: &Path, operator: Option<&Path>) -> Result<(), Box<dyn Error>> {
     let settings = Arc::new(Settings::load(config)?);
     let operator = operator.map(load_operator).transpose()?.unwrap_or_default();
     tracing::info!(node = %settings.host_name, site = %settings.site, front = %settings.front, "starting");
     let seed = rand::random();
     let served = actix::System::new().block_on(async move {
         let limits = &settings.settings.machine_limits;
-        let budget = Budget::of(limits.mem_mb, limits.max_connections);
-        let entry = Entry::new(budget.body_bytes);
-        let controller = Controller::new(settings.clone(), &operator, entry.clone(), seed).start();
+        let budget = MemoryBudget::divide(limits.mem_mb, limits.max_connections);
+        let entry = AdmissionController::new(budget.body_bytes);
+        let controller = ControllerActor::new(settings.clone(), &operator, entry.clone(), seed).start();
         if let Some(listen) = operator.admin.listen {
             let to = controller.clone();
             actix::spawn(async move {
--- a/tests/beside_room.rs
+++ b/tests/beside_room.rs
@@ -4,30 +4,31 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
-use swiftsail_controller::node::Node;
-use swiftsail_simulation::world::{Trouble, Weather, World, job};
+use swiftsail_controller::node::Controller;
+use swiftsail_simulation::world::{Fault, FaultRates, Simulation, job_body};
 
-const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
+const NO_FAULTS: FaultRates =
+    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-fn leader(world: &World) -> Option<usize> {
-    (0..3).find(|n| world.nodes[*n].as_ref().is_some_and(Node::leads))
+fn leader_index(world: &Simulation) -> Option<usize> {
+    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
 }
 
 /// Seeds played: of the environment's variable, or these.
-fn seeds(usual: u64) -> std::ops::Range<u64> {
+fn seed_range(usual: u64) -> std::ops::Range<u64> {
     let given = std::env::var("DAYS").ok().and_then(|range| {
         range.split_once("..").and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?))
     });
     given.unwrap_or(0..usual)
 }
 
-fn job_of(rng: &mut StdRng, n: u64) -> Value {
+fn random_constrained_job(rng: &mut StdRng, n: u64) -> Value {
     let shape = ["array", "gang", "array", "array", "service"][n as usize % 5];
     let (crew, most) = [("red", 8), ("blue", 5)][rng.random_range(0..2)];
     let tasks = if shape == "service" { 4 } else { rng.random_range(1..=most) };
     let eta = [6.0, 25.0, 70.0][rng.random_range(0..3)];
-    let mut body = job(&format!("wk-{n}"), shape, crew, tasks, 2.0, eta);
+    let mut body = job_body(&format!("wk-{n}"), shape, crew, tasks, 2.0, eta);
     if rng.random_bool(0.35) {
         body["dock"] = json!(ZONES[rng.random_range(0..3)]);
         body["scatter"] = json!(false);
@@ -47,65 +48,73 @@
 }
 
 /// All machines of a zone that are up, or some of them.
-fn of_zone(world: &World, zone: &str, share: f64, rng: &mut StdRng) -> Vec<String> {
-    let up = world.up();
-    let its = up.into_iter().filter(|n| world.plant.workers[n].hardware.zone == zone);
+fn machines_of_zone(world: &Simulation, zone: &str, share: f64, rng: &mut StdRng) -> Vec<String> {
+    let up = world.running_machines();
+    let its = up.into_iter().filter(|n| world.cluster.workers[n].hardware.zone == zone);
     its.filter(|_| rng.random_bool(share)).collect()
 }
 
 /// A day on which machines of a zone are lost, twice, in one of several ways, beside another trouble.
-fn day(seed: u64) -> (World, usize) {
+fn run_day(seed: u64) -> (Simulation, usize) {
     let mut rng = StdRng::seed_from_u64(seed);
     let capacity = [2, 3, 6][seed as usize % 3];
-    let mut world = World::sized(seed, CALM, 1_000, capacity);
-    world.restart_ms = [None, Some(200), Some(1_000)][rng.random_range(0..3)];
+    let mut world = Simulation::with_capacity(seed, NO_FAULTS, 1_000, capacity);
+    world.restart_delay_ms = [None, Some(200), Some(1_000)][rng.random_range(0..3)];
     for n in 0..24 {
         let cancel = rng.random_bool(0.2).then(|| rng.random_range(40_000..130_000));
-        let body = job_of(&mut rng, n);
+        let body = random_constrained_job(&mut rng, n);
         let service = body["shape"] == "service";
         let cancel = cancel.or(service.then_some(400_000));
         world.submit(500 + n * 4_500, cancel, body);
     }
     if rng.random_bool(0.4) {
-        world.spell(20_000, 100_000, Trouble::SlowLinks(rng.random_range(100..400)));
+        world.add_fault_window(20_000, 100_000, Fault::SlowLinks(rng.random_range(100..400)));
     }
     if rng.random_bool(0.3) {
-        world.plant.cloud.boot_ms = Some(1_500);
+        world.cluster.cloud.fixed_boot_ms = Some(1_500);
     }
     let mut lost = 0;
     for at in [35_000, 80_000, 110_000] {
-        world.run(at);
+        world.run_until(at);
         let zone = ZONES[rng.random_range(0..3)];
-        let names = of_zone(&world, zone, [0.4, 1.0][rng.random_range(0..2)], &mut rng);
+        let names = machines_of_zone(&world, zone, [0.4, 1.0][rng.random_range(0..2)], &mut rng);
         lost += names.len();
         match rng.random_range(0..5) {
-            0 => world.plant.gone(&names, true, world.now),
-            1 => world.plant.gone(&names, false, world.now),
+            0 => world.cluster.terminate(&names, true, world.now),
+            1 => world.cluster.terminate(&names, false, world.now),
             2 => {
                 for name in &names {
-                    if let Some(w) = world.plant.workers.get_mut(name) {
+                    if let Some(w) = world.cluster.workers.get_mut(name) {
                         w.hang_until = world.now + rng.random_range(3_000..40_000);
                     }
                 }
             }
-            3 => world.spell(at, rng.random_range(5_000..25_000), Trouble::Mute(names)),
+            3 => world.add_fault_window(
+                at,
+                rng.random_range(5_000..25_000),
+                Fault::OutboundUnreachable(names),
+            ),
             _ => {
                 let node = rng.random_range(0..3);
-                let trouble = Trouble::ZoneAway { zone: zone.into(), node };
-                world.spell(at, rng.random_range(5_000..25_000), trouble);
+                let trouble = Fault::ZonePartition { zone: zone.into(), controller: node };
+                world.add_fault_window(at, rng.random_range(5_000..25_000), trouble);
             }
         }
         match rng.random_range(0..5) {
-            0 => world.crash(at + rng.random_range(0..2_000), leader(&world).unwrap_or(0)),
-            1 => world.outage(at + rng.random_range(0..2_000), rng.random_range(2_000..20_000)),
-            2 => world.spell(at, 15_000, Trouble::WritesLate(0.15)),
-            3 => (0..3).for_each(|n| world.crash(at + rng.random_range(0..1_500), n)),
+            0 => world
+                .schedule_crash(at + rng.random_range(0..2_000), leader_index(&world).unwrap_or(0)),
+            1 => world.schedule_store_outage(
+                at + rng.random_range(0..2_000),
+                rng.random_range(2_000..20_000),
+            ),
+            2 => world.add_fault_window(at, 15_000, Fault::TransactionsLate(0.15)),
+            3 => (0..3).for_each(|n| world.schedule_crash(at + rng.random_range(0..1_500), n)),
             _ => {}
         }
     }
-    world.troubles_over_ms = Some(140_000);
-    world.watches_waiting = true;
-    world.run(560_000);
+    world.faults_end_ms = Some(140_000);
+    world.checks_work_conservation = true;
+    world.run_until(560_000);
     (world, lost)
 }
 
@@ -113,13 +122,13 @@
 #[test]
 fn jobs_bound_to_zones_lose_machines() {
     let mut lost = 0;
-    for seed in seeds(30) {
-        let (world, some) = day(seed);
+    for seed in seed_range(30) {
+        let (world, some) = run_day(seed);
         lost += some;
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
         for job in &world.jobs {
-            let held = world.held(&job.id);
-            assert!(job.over(), "seed {seed}: {} is {:?}: {held}", job.id, job.last);
+            let held = world.describe_job(&job.id);
+            assert!(job.is_over(), "seed {seed}: {} is {:?}: {held}", job.id, job.last_status);
         }
     }
     assert!(lost > 60, "{lost} machines were lost");
@@ -128,14 +137,14 @@
 /// More work than room, urgent and not, over slow links (three times 400 ms are yet less than a user waits): urgent work first, and whoever waits begins.
 #[test]
 fn more_work_than_room_over_slow_links() {
-    for seed in seeds(8) {
+    for seed in seed_range(8) {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut world = World::sized(seed, CALM, 1_000, 1);
-        world.spell(0, 300_000, Trouble::SlowLinks([100, 250, 400][seed as usize % 3]));
+        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 1_000, 1);
+        world.add_fault_window(0, 300_000, Fault::SlowLinks([100, 250, 400][seed as usize % 3]));
         let mut urgent = Vec::new();
         for n in 0..40u64 {
             let rank = ["low", "standard", "high"][n as usize % 3];
-            let mut body = job(&format!("wk-{n}"), "array", "blue", 6, 2.0, 12.0);
+            let mut body = job_body(&format!("wk-{n}"), "array", "blue", 6, 2.0, 12.0);
             body["rank"] = json!(rank);
             body["jobclass"] = json!(rank);
             if rank == "high" {
@@ -144,24 +153,25 @@
             world.submit(500 + n * 1_500, None, body);
         }
         if rng.random_bool(0.5) {
-            world.run(40_000);
-            let leads = leader(&world).expect("somebody leads");
-            world.crash(40_000, leads);
+            world.run_until(40_000);
+            let leads = leader_index(&world).expect("somebody leads");
+            world.schedule_crash(40_000, leads);
         }
-        world.troubles_over_ms = Some(80_000);
-        world.watches_waiting = true;
-        world.run(900_000);
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
-        assert!(world.jobs.iter().all(|j| j.over()), "seed {seed}");
+        world.faults_end_ms = Some(80_000);
+        world.checks_work_conservation = true;
+        world.run_until(900_000);
+        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
+        assert!(world.jobs.iter().all(|j| j.is_over()), "seed {seed}");
         let waited = |n: usize| {
             let id = &world.jobs[n].id;
-            let first = (0..6).filter_map(|t| world.plant.first_run.get(&format!("{id}/{t}")));
-            first.min().copied().unwrap_or(u64::MAX) - world.jobs[n].at
+            let first =
+                (0..6).filter_map(|t| world.cluster.first_started_at.get(&format!("{id}/{t}")));
+            first.min().copied().unwrap_or(u64::MAX) - world.jobs[n].submit_at
         };
         let mean = |of: &[usize]| of.iter().map(|n| waited(*n)).sum::<u64>() / of.len() as u64;
         let others: Vec<usize> = (0..40).filter(|n| !urgent.contains(n)).collect();
         assert!(mean(&urgent) < mean(&others), "seed {seed}: urgent work comes first");
-        assert_eq!(world.served(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.unmet_service_levels(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -169,27 +179,27 @@
 /// team have what it cannot use.
 #[test]
 fn what_is_bound_to_a_full_zone_holds_nobody_up() {
-    for seed in seeds(6) {
-        let mut world = World::sized(seed, CALM, 1_000, 1);
+    for seed in seed_range(6) {
+        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 1_000, 1);
         // Zone a has 24 CPUs in all, of which other teams take most.
-        let mut other = job("wk-1", "array", "blue", 10, 2.0, 900.0);
+        let mut other = job_body("wk-1", "array", "blue", 10, 2.0, 900.0);
         other["dock"] = json!("a");
         world.submit(500, None, other);
-        let mut bound = job("wk-2", "array", "red", 40, 2.0, 60.0);
+        let mut bound = job_body("wk-2", "array", "red", 40, 2.0, 60.0);
         (bound["dock"], bound["due_s"]) = (json!("a"), Value::Null);
         world.submit(30_000, None, bound);
         for n in 3..9 {
-            let mut free = job(&format!("wk-{n}"), "array", "red", 4, 2.0, 30.0);
+            let mut free = job_body(&format!("wk-{n}"), "array", "red", 4, 2.0, 30.0);
             free["rank"] = json!(["low", "standard"][n as usize % 2]);
             free["due_s"] = json!(60.0);
             world.submit(31_000 + n * 500, None, free);
         }
-        world.troubles_over_ms = Some(32_000);
-        world.watches_waiting = true;
-        world.run(400_000);
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+        world.faults_end_ms = Some(32_000);
+        world.checks_work_conservation = true;
+        world.run_until(400_000);
+        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
         for job in &world.jobs[2..] {
-            assert!(job.over(), "seed {seed}: {} waits behind what has no room", job.id);
+            assert!(job.is_over(), "seed {seed}: {} waits behind what has no room", job.id);
         }
     }
 }
--- a/tests/chance.rs
+++ b/tests/chance.rs
@@ -2,37 +2,47 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use swiftsail_controller::chance::{Histories, Pmf};
-use swiftsail_controller::job::{Kind, Spec};
-use swiftsail_simulation::world::spec;
+use swiftsail_controller::chance::{Pmf, RunTimeHistory};
+use swiftsail_controller::job::{JobKind, JobSpec};
+use swiftsail_simulation::world::job_spec;
 
 /// A job of class `c`, its tasks estimated at 10 s.
-fn ours() -> Spec {
-    Spec { class: "c".into(), estimate_s: 10.0, ..spec(Kind::Array, 100, 1.0, "i") }
+fn test_spec() -> JobSpec {
+    JobSpec {
+        class: "c".into(),
+        runtime_estimate_s: 10.0,
+        ..job_spec(JobKind::Array, 100, 1.0, "i")
+    }
 }
 
-fn runner() -> TestRunner {
+fn test_runner() -> TestRunner {
     let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
     // A fixed seed: the same verdict each time.
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]))
 }
 
-fn points() -> impl Strategy<Value = Vec<(f64, f64)>> {
+fn distribution_points() -> impl Strategy<Value = Vec<(f64, f64)>> {
     prop::collection::vec((0.0..100_000.0f64, 0.01..5.0f64), 1..12)
 }
 
-fn total(pmf: &Pmf) -> f64 {
+fn total_probability(pmf: &Pmf) -> f64 {
     pmf.mass.iter().map(|m| f64::from(*m)).sum()
 }
 
 #[test]
 fn mass_is_conserved() {
-    let strategy = (points(), points(), 0.0..200_000.0f64, 0.0..100_000.0f64);
-    runner()
+    let strategy =
+        (distribution_points(), distribution_points(), 0.0..200_000.0f64, 0.0..100_000.0f64);
+    test_runner()
         .run(&strategy, |(a, b, deadline, elapsed)| {
             let (a, b) = (Pmf::from_points(&a), Pmf::from_points(&b));
-            for pmf in [a.convolve(&b), a.clone().cut(deadline), a.remaining(elapsed)] {
-                prop_assert!((total(&pmf) - 1.0).abs() < 1e-3, "mass {}", total(&pmf));
+            for pmf in [a.convolve(&b), a.clone().clamp_to_deadline(deadline), a.remaining(elapsed)]
+            {
+                prop_assert!(
+                    (total_probability(&pmf) - 1.0).abs() < 1e-3,
+                    "mass {}",
+                    total_probability(&pmf)
+                );
             }
             Ok(())
         })
@@ -41,27 +51,32 @@
 
 #[test]
 fn chance_grows_with_the_deadline() {
-    runner()
-        .run(&(points(), 0.0..150_000.0f64, 0.0..50_000.0f64), |(a, deadline, more)| {
-            let a = Pmf::from_points(&a);
-            prop_assert!(a.chance(deadline) <= a.chance(deadline + more) + 1e-9);
-            prop_assert_eq!(a.chance(f64::NEG_INFINITY), 0.0);
-            Ok(())
-        })
+    test_runner()
+        .run(
+            &(distribution_points(), 0.0..150_000.0f64, 0.0..50_000.0f64),
+            |(a, deadline, more)| {
+                let a = Pmf::from_points(&a);
+                prop_assert!(
+                    a.probability_before(deadline) <= a.probability_before(deadline + more) + 1e-9
+                );
+                prop_assert_eq!(a.probability_before(f64::NEG_INFINITY), 0.0);
+                Ok(())
+            },
+        )
         .unwrap();
 }
 
 #[test]
 fn a_sum_is_what_enumeration_says() {
-    runner()
-        .run(&(points(), points()), |(a, b)| {
+    test_runner()
+        .run(&(distribution_points(), distribution_points()), |(a, b)| {
             let (pa, pb) = (Pmf::from_points(&a), Pmf::from_points(&b));
             let sum = pa.convolve(&pb);
             // Each step rounds to the nearest of a few bins: half a bin each way.
             let slack = sum.step / 2.0 + 1.0;
             prop_assert!((sum.mean() - pa.mean() - pb.mean()).abs() <= slack);
             let least = pa.origin + pb.origin;
-            prop_assert!(sum.chance(least) < 1e-6);
+            prop_assert!(sum.probability_before(least) < 1e-6);
             Ok(())
         })
         .unwrap();
@@ -69,10 +84,10 @@
 
 #[test]
 fn mass_past_a_deadline_moves_onto_it() {
-    runner()
-        .run(&(points(), 1.0..100_000.0f64), |(a, deadline)| {
+    test_runner()
+        .run(&(distribution_points(), 1.0..100_000.0f64), |(a, deadline)| {
             let whole = Pmf::from_points(&a);
-            let cut = whole.clone().cut(deadline);
+            let cut = whole.clone().clamp_to_deadline(deadline);
             let last = cut.origin + (cut.mass.len() - 1) as f64 * cut.step;
             let first = whole.origin.min(deadline);
             prop_assert!(last <= deadline + 1.0);
@@ -84,25 +99,34 @@
 
 #[test]
 fn a_history_moves_from_the_estimate_to_what_was_seen() {
-    let mut histories = Histories::default();
-    let (id, ours) = ("wk-1".into(), ours());
+    let mut histories = RunTimeHistory::default();
+    let (id, ours) = ("wk-1".into(), test_spec());
     let prior = histories.run_time(&id, &ours, "big");
     assert!((prior.mean() - 17_500.0).abs() < 1.0, "evenly from 5 s to 30 s");
     for _ in 0..50 {
-        histories.finished(&id, &ours, "big", 8_000);
+        histories.record_finish(&id, &ours, "big", 8_000);
     }
     let learnt = histories.run_time(&id, &ours, "big");
-    assert!(learnt.chance(9_500.0) > 0.9, "chance {}", learnt.chance(9_500.0));
-    assert!(learnt.chance(7_000.0) < 0.1);
+    assert!(
+        learnt.probability_before(9_500.0) > 0.9,
+        "chance {}",
+        learnt.probability_before(9_500.0)
+    );
+    assert!(learnt.probability_before(7_000.0) < 0.1);
 }
 
 #[test]
 fn a_class_teaches_its_next_job_how_far_estimates_miss() {
-    let mut histories = Histories::default();
+    let mut histories = RunTimeHistory::default();
     for job in 0..12 {
         for _ in 0..100 {
             // Estimated at 10 s, run 12 s; one job alone must not speak for its class.
-            histories.finished(&format!("wk-{job}").as_str().into(), &ours(), "big", 12_000);
+            histories.record_finish(
+                &format!("wk-{job}").as_str().into(),
+                &test_spec(),
+                "big",
+                12_000,
+            );
         }
         let prior = histories.prior("c", 100.0);
         assert_eq!(job < 2, (prior.mean() - 175_000.0).abs() < 1.0, "after job {job}");
