--- a/tests/deciders.rs
+++ b/tests/deciders.rs
@@ -3,32 +3,36 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
-use swiftsail_quota::account::{Next, Outcome};
-use swiftsail_quota::planner::{Action, Message, Need, Planner};
-use swiftsail_quota::records::{Key, Txn};
-use swiftsail_quota::{Account, Amounts};
 use swiftsail_controller::accounts;
-use swiftsail_controller::settings::State;
-use swiftsail_simulation::amounts::{Chances, Deciders, Step, Without};
-use swiftsail_simulation::explorer::{Found, explore};
-use swiftsail_simulation::store::{Committed, Store};
-use swiftsail_protocol::state::{Change, Commit};
-
-fn small(without: Without, chances: Chances, most: usize) -> Found<Step> {
-    explore(Deciders::new(2, 2, without, chances).begun(2), 40, most)
+use swiftsail_controller::settings::StoreSettings;
+use swiftsail_protocol::state::{Mutation, Transaction};
+use swiftsail_quota::account::{AccountStep, TransactionOutcome};
+use swiftsail_quota::planner::{QuotaAction, QuotaMessage, QuotaPlanner, TeamDemand};
+use swiftsail_quota::records::{QuotaKey, QuotaTransaction};
+use swiftsail_quota::{QuotaAccount, ResourceQuantities};
+use swiftsail_simulation::amounts::{FaultBudget, QuotaModel, QuotaStep, RemovedGuard};
+use swiftsail_simulation::explorer::{CheckResult, check_model};
+use swiftsail_simulation::store::{FakeStore, TransactionResult};
+
+fn check_quota_model(
+    without: RemovedGuard,
+    chances: FaultBudget,
+    most: usize,
+) -> CheckResult<QuotaStep> {
+    check_model(QuotaModel::new(2, 2, without, chances).with_initial_records(2), 40, most)
 }
 
-const FEW: Chances = Chances { crashes: 1, losses: 1, changes: 0 };
+const FEW_FAULTS: FaultBudget = FaultBudget { crashes: 1, lost_answers: 1, limit_changes: 0 };
 
 #[test]
 fn no_order_of_steps_breaks_a_limit() {
-    for chances in [FEW, Chances { crashes: 0, losses: 1, changes: 1 }] {
-        let found = small(Without::Nothing, chances, 60_000);
-        assert!(found.broken.is_none(), "{found:?}");
+    for chances in [FEW_FAULTS, FaultBudget { crashes: 0, lost_answers: 1, limit_changes: 1 }] {
+        let found = check_quota_model(RemovedGuard::None, chances, 60_000);
+        assert!(found.violation.is_none(), "{found:?}");
         assert!(
-            found.worlds == 60_000 && found.depth >= 6,
+            found.states == 60_000 && found.depth >= 6,
             "{} worlds, {}",
-            found.worlds,
+            found.states,
             found.depth
         );
     }
@@ -37,23 +41,24 @@
 /// Each guard that keeps a limit is needed: without it the explorer finds a history that breaks one.
 #[test]
 fn every_guard_is_needed() {
-    let crash = Chances { crashes: 1, losses: 0, changes: 0 };
-    let calm = Chances { crashes: 0, losses: 0, changes: 0 };
-    let change = Chances { crashes: 0, losses: 0, changes: 2 };
+    let crash = FaultBudget { crashes: 1, lost_answers: 0, limit_changes: 0 };
+    let calm = FaultBudget { crashes: 0, lost_answers: 0, limit_changes: 0 };
+    let change = FaultBudget { crashes: 0, lost_answers: 0, limit_changes: 2 };
     let guards = [
-        (Without::Token, crash),
-        (Without::OwnStamp, calm),
-        (Without::OtherStamp, calm),
-        (Without::OnItsWay, calm),
-        (Without::Unproved, calm),
-        (Without::LowerLimit, change),
+        (RemovedGuard::FencingToken, crash),
+        (RemovedGuard::OwnRevision, calm),
+        (RemovedGuard::OtherRevision, calm),
+        (RemovedGuard::InFlightTransactions, calm),
+        (RemovedGuard::UnconfirmedTerminations, calm),
+        (RemovedGuard::LowestLimit, change),
     ];
     for (without, chances) in guards {
-        let found = small(without, chances, 200_000);
-        let (what, history) = found.broken.unwrap_or_else(|| panic!("{without:?} is not missed"));
+        let found = check_quota_model(without, chances, 200_000);
+        let (what, history) =
+            found.violation.unwrap_or_else(|| panic!("{without:?} is not missed"));
         assert!(history.len() <= 10, "{without:?}: {what}, after {history:?}");
-        let same = small(Without::Nothing, chances, found.worlds);
-        assert!(same.broken.is_none(), "{same:?}");
+        let same = check_quota_model(RemovedGuard::None, chances, found.states);
+        assert!(same.violation.is_none(), "{same:?}");
     }
 }
 
@@ -65,82 +70,83 @@
 
 /// A task that waits or runs: urgency, CPUs, and when it ends.
 #[derive(Debug, Clone, Copy)]
-struct Task {
-    level: usize,
+struct SimulatedTask {
+    urgency_level: usize,
     cpus: f64,
-    ends: u64,
+    ends_at: u64,
 }
 
-struct Decider {
+struct SimulatedDecider {
     name: String,
-    token: u64,
-    holder: Option<Planner>,
-    back_at: u64,
-    waiting: Vec<Vec<Task>>,
-    running: Vec<Vec<Task>>,
+    fencing_token: u64,
+    planner: Option<QuotaPlanner>,
+    restarts_at: u64,
+    waiting: Vec<Vec<SimulatedTask>>,
+    running: Vec<Vec<SimulatedTask>>,
 }
 
-enum Mail {
-    Txn(usize, u64, Txn, bool),
-    Outcome(usize, u64, (u64, u64), Outcome),
-    Between(usize, usize, Message),
+enum QuotaMail {
+    Transaction(usize, u64, QuotaTransaction, bool),
+    TransactionOutcome(usize, u64, (u64, u64), TransactionOutcome),
+    PeerMessage(usize, usize, QuotaMessage),
 }
 
-struct Day {
+struct QuotaSimulation {
     now: u64,
     rng: StdRng,
-    store: Store,
-    tokens: u64,
-    deciders: Vec<Decider>,
-    mail: Vec<(u64, Mail)>,
-    away: std::ops::Range<u64>,
-    apart: std::ops::Range<u64>,
-    loss: f64,
-    late: f64,
-    writes: u64,
-    refused: u64,
-    broken: Vec<String>,
+    store: FakeStore,
+    last_fencing_token: u64,
+    deciders: Vec<SimulatedDecider>,
+    messages_in_flight: Vec<(u64, QuotaMail)>,
+    store_outage: std::ops::Range<u64>,
+    peer_partition: std::ops::Range<u64>,
+    message_loss: f64,
+    message_delay: f64,
+    transaction_count: u64,
+    refused_count: u64,
+    violations: Vec<String>,
 }
 
-fn team(n: usize) -> String {
+fn team_name(n: usize) -> String {
     format!("team-{n:02}")
 }
 
-fn settings() -> BTreeMap<String, Amounts> {
-    (0..TEAMS).map(|t| (team(t), Account::of_settings(LIMIT, 0.0))).collect()
+fn team_limits() -> BTreeMap<String, ResourceQuantities> {
+    (0..TEAMS).map(|t| (team_name(t), QuotaAccount::limits_from_settings(LIMIT, 0.0))).collect()
 }
 
-fn name_of(key: &Key) -> String {
+fn key_text(key: &QuotaKey) -> String {
     match key {
-        Key::Token(d) => format!("token/{d}"),
-        other => accounts::key(0, other),
+        QuotaKey::FencingToken(d) => format!("token/{d}"),
+        other => accounts::store_key(0, other),
     }
 }
 
-impl Day {
-    fn new(seed: u64, deciders: usize) -> Day {
-        let limits = State { rps: 600.0, write_rps: 60.0, value_kb: 8.0, txn_ops: 16, next: None };
-        let mut day = Day {
+impl QuotaSimulation {
+    fn new(seed: u64, deciders: usize) -> QuotaSimulation {
+        let limits =
+            StoreSettings { rps: 600.0, write_rps: 60.0, value_kb: 8.0, txn_ops: 16, next: None };
+        let mut day = QuotaSimulation {
             now: 1_000,
             rng: StdRng::seed_from_u64(seed),
-            store: Store::new(limits, 1_000),
-            tokens: 0,
+            store: FakeStore::new(limits, 1_000),
+            last_fencing_token: 0,
             deciders: Vec::new(),
-            mail: Vec::new(),
-            away: 0..0,
-            apart: 0..0,
-            loss: 0.0,
-            late: 0.0,
-            writes: 0,
-            refused: 0,
-            broken: Vec::new(),
+            messages_in_flight: Vec::new(),
+            store_outage: 0..0,
+            peer_partition: 0..0,
+            message_loss: 0.0,
+            message_delay: 0.0,
+            transaction_count: 0,
+            refused_count: 0,
+            violations: Vec::new(),
         };
         for n in 0..deciders {
-            day.deciders.push(Decider {
+            day.deciders.push(SimulatedDecider {
                 name: format!("share-{n}"),
-                token: 0,
-                holder: None,
-                back_at: 0,
+                fencing_token: 0,
+                planner: None,
+                restarts_at: 0,
                 waiting: vec![Vec::new(); TEAMS],
                 running: vec![Vec::new(); TEAMS],
             });
@@ -149,93 +155,106 @@
     }
 
     fn crash(&mut self, n: usize) {
-        self.deciders[n].holder = None;
-        self.deciders[n].back_at = self.now + 2_000;
+        self.deciders[n].planner = None;
+        self.deciders[n].restarts_at = self.now + 2_000;
     }
 
-    fn claim(&mut self, n: usize) {
+    fn take_over(&mut self, n: usize) {
         // The store is the arbiter of tokens, as ever: a key of the decider, written anew.
         let key = format!("token/{}", self.deciders[n].name);
-        let write = Change::Write { write: key, value: 1.into(), mooring: None };
-        let done = self.store.commit(&Commit { when: Vec::new(), apply: vec![write] });
-        let Committed::At(token) = done else { panic!("{done:?}") };
+        let write = Mutation::Put { key, value: 1.into(), lease: None };
+        let done = self
+            .store
+            .apply_transaction(&Transaction { preconditions: Vec::new(), mutations: vec![write] });
+        let TransactionResult::Committed(token) = done else { panic!("{done:?}") };
         let pace = 100 * self.deciders.len() as u64;
-        let mut planner = Planner::new(&self.deciders[n].name, token, pace);
-        planner.set_limits(settings());
-        self.tokens += 1;
-        (self.deciders[n].token, self.deciders[n].holder) = (token, Some(planner));
+        let mut planner = QuotaPlanner::new(&self.deciders[n].name, token, pace);
+        planner.set_limits(team_limits());
+        self.last_fencing_token += 1;
+        (self.deciders[n].fencing_token, self.deciders[n].planner) = (token, Some(planner));
     }
 
-    fn need(decider: &Decider, t: usize) -> Need {
-        let mut need = Need::default();
+    fn quota_need(decider: &SimulatedDecider, t: usize) -> TeamDemand {
+        let mut need = TeamDemand::default();
         for task in &decider.running[t] {
-            need.used[task.level] += Amounts::need(task.cpus, 0.0);
+            need.used[task.urgency_level] += ResourceQuantities::from_request(task.cpus, 0.0);
         }
         for task in &decider.waiting[t] {
-            need.wants[task.level] += Amounts::need(task.cpus, 0.0);
+            need.wanted[task.urgency_level] += ResourceQuantities::from_request(task.cpus, 0.0);
         }
         need
     }
 
-    fn used(&self, t: usize) -> f64 {
+    fn used_cpus(&self, t: usize) -> f64 {
         self.deciders.iter().flat_map(|d| &d.running[t]).map(|task| task.cpus).sum()
     }
 
-    fn wanted(&self, t: usize) -> f64 {
+    fn wanted_cpus(&self, t: usize) -> f64 {
         let waiting: f64 = self.deciders.iter().flat_map(|d| &d.waiting[t]).map(|t| t.cpus).sum();
-        waiting + self.used(t)
+        waiting + self.used_cpus(t)
     }
 
     fn submit(&mut self, n: usize, t: usize, level: usize, tasks: usize) {
         for _ in 0..tasks {
             let cpus = f64::from(self.rng.random_range(1..=10u32)) / 10.0;
             let ends = self.rng.random_range(2_000..8_000);
-            self.deciders[n].waiting[t].push(Task { level, cpus, ends });
+            self.deciders[n].waiting[t].push(SimulatedTask {
+                urgency_level: level,
+                cpus,
+                ends_at: ends,
+            });
         }
     }
 
-    fn post(&mut self, after: u64, mail: Mail) {
-        let lost = self.rng.random_bool(self.loss);
-        let late = self.rng.random_bool(self.late);
+    fn post_message(&mut self, after: u64, mail: QuotaMail) {
+        let lost = self.rng.random_bool(self.message_loss);
+        let late = self.rng.random_bool(self.message_delay);
         let after = if late { self.rng.random_range(2_000..20_000) } else { after };
         if !lost {
-            self.mail.push((self.now + after, mail));
+            self.messages_in_flight.push((self.now + after, mail));
         }
     }
 
-    fn act(&mut self, n: usize, actions: Vec<Action>) {
-        let token = self.deciders[n].token;
+    fn execute_actions(&mut self, n: usize, actions: Vec<QuotaAction>) {
+        let token = self.deciders[n].fencing_token;
         for action in actions {
             match action {
-                Action::Send(txn) => {
+                QuotaAction::SendTransaction(txn) => {
                     // Its answer may be lost: after a second it is not known.
-                    let by = txn.by;
-                    self.mail
-                        .push((self.now + 1_000, Mail::Outcome(n, token, by, Outcome::Unknown)));
-                    self.post(10, Mail::Txn(n, token, txn, true));
+                    let by = txn.id;
+                    self.messages_in_flight.push((
+                        self.now + 1_000,
+                        QuotaMail::TransactionOutcome(n, token, by, TransactionOutcome::Unknown),
+                    ));
+                    self.post_message(10, QuotaMail::Transaction(n, token, txn, true));
                 }
-                Action::Read if !self.away.contains(&self.now) => {
-                    let page = accounts::page(0, &self.store.list(accounts::PREFIX, None, 1_000));
+                QuotaAction::ReadPage if !self.store_outage.contains(&self.now) => {
+                    let page = accounts::parse_page(
+                        0,
+                        &self.store.list(accounts::KEY_PREFIX, None, 1_000),
+                    );
                     let now = self.now;
-                    if let Some(holder) = &mut self.deciders[n].holder {
+                    if let Some(holder) = &mut self.deciders[n].planner {
                         holder.on_page(&page, now);
                     }
                 }
-                Action::Read => {}
-                Action::Tell(to, message) => {
+                QuotaAction::ReadPage => {}
+                QuotaAction::SendMessage(to, message) => {
                     let to = self.deciders.iter().position(|d| d.name == to).expect("a decider");
-                    if !self.apart.contains(&self.now) {
-                        self.post(5, Mail::Between(n, to, message));
+                    if !self.peer_partition.contains(&self.now) {
+                        self.post_message(5, QuotaMail::PeerMessage(n, to, message));
                     }
                 }
-                Action::Free { team: name, level, amount } => {
-                    let t = (0..TEAMS).find(|t| team(*t) == name).expect("a team");
-                    let mut left = amount.cpus.number();
+                QuotaAction::StopWork { team: name, level, amount } => {
+                    let t = (0..TEAMS).find(|t| team_name(*t) == name).expect("a team");
+                    let mut left = amount.cpus.to_f64();
                     // Proof takes a moment: they end soon, and are counted until then.
-                    for task in self.deciders[n].running[t].iter_mut().filter(|t| t.level > level) {
+                    for task in
+                        self.deciders[n].running[t].iter_mut().filter(|t| t.urgency_level > level)
+                    {
                         if left > 0.0 {
                             left -= task.cpus;
-                            task.ends = task.ends.min(self.now + 400);
+                            task.ends_at = task.ends_at.min(self.now + 400);
                         }
                     }
                 }
@@ -243,138 +262,158 @@
         }
     }
 
-    fn deliver(&mut self, mail: Mail) {
+    fn deliver_message(&mut self, mail: QuotaMail) {
         match mail {
-            Mail::Txn(n, token, txn, answer) => {
-                let refused = !self.store.admit(txn.apply.len(), self.now);
-                self.refused += u64::from(refused);
-                if refused || self.away.contains(&self.now) {
+            QuotaMail::Transaction(n, token, txn, answer) => {
+                let refused = !self.store.admit(txn.writes.len(), self.now);
+                self.refused_count += u64::from(refused);
+                if refused || self.store_outage.contains(&self.now) {
                     return;
                 }
-                self.writes += txn.apply.len() as u64;
-                let commit = accounts::commit(&txn, name_of);
-                let keys = txn.when.iter().map(|(k, _)| k.clone());
-                let outcome = match self.store.commit(&commit) {
-                    Committed::At(stamp) => Outcome::Committed(stamp),
-                    Committed::Failed(failed) => {
-                        Outcome::Conflict(keys.filter(|k| failed.contains(&name_of(k))).collect())
-                    }
+                self.transaction_count += txn.writes.len() as u64;
+                let commit = accounts::to_commit(&txn, key_text);
+                let keys = txn.conditions.iter().map(|(k, _)| k.clone());
+                let outcome = match self.store.apply_transaction(&commit) {
+                    TransactionResult::Committed(stamp) => TransactionOutcome::Committed(stamp),
+                    TransactionResult::PreconditionFailed(failed) => TransactionOutcome::Conflict(
+                        keys.filter(|k| failed.contains(&key_text(k))).collect(),
+                    ),
                     other => panic!("{other:?}"),
                 };
                 if answer {
-                    self.post(10, Mail::Outcome(n, token, txn.by, outcome));
+                    self.post_message(10, QuotaMail::TransactionOutcome(n, token, txn.id, outcome));
                 }
             }
-            Mail::Outcome(n, token, by, outcome) if self.deciders[n].token == token => {
-                let Some(holder) = &mut self.deciders[n].holder else { return };
+            QuotaMail::TransactionOutcome(n, token, by, outcome)
+                if self.deciders[n].fencing_token == token =>
+            {
+                let Some(holder) = &mut self.deciders[n].planner else { return };
                 match holder.account.on_outcome(by, &outcome) {
-                    Next::Again(txn) => self.act(n, vec![Action::Send(txn)]),
-                    Next::Read => self.act(n, vec![Action::Read]),
-                    Next::Rest => {}
+                    AccountStep::Resend(txn) => {
+                        self.execute_actions(n, vec![QuotaAction::SendTransaction(txn)])
+                    }
+                    AccountStep::ReadPage => self.execute_actions(n, vec![QuotaAction::ReadPage]),
+                    AccountStep::Wait => {}
                 }
             }
-            Mail::Between(from, to, message) => {
+            QuotaMail::PeerMessage(from, to, message) => {
                 let (name, now) = (self.deciders[from].name.clone(), self.now);
-                if let Some(holder) = &mut self.deciders[to].holder {
+                if let Some(holder) = &mut self.deciders[to].planner {
                     let actions = holder.on_message(&name, message, now);
-                    self.act(to, actions);
+                    self.execute_actions(to, actions);
                 }
             }
-            Mail::Outcome(..) => {}
+            QuotaMail::TransactionOutcome(..) => {}
         }
     }
 
-    fn step(&mut self) {
+    fn run_step(&mut self) {
         self.now += STEP_MS;
         let now = self.now;
         for decider in &mut self.deciders {
-            decider.running.iter_mut().for_each(|tasks| tasks.retain(|t| t.ends > now));
+            decider.running.iter_mut().for_each(|tasks| tasks.retain(|t| t.ends_at > now));
         }
-        let (due, later) = std::mem::take(&mut self.mail).into_iter().partition(|m| m.0 <= now);
-        self.mail = later;
-        let due: Vec<(u64, Mail)> = due;
-        due.into_iter().for_each(|(_, mail)| self.deliver(mail));
+        let (due, later) =
+            std::mem::take(&mut self.messages_in_flight).into_iter().partition(|m| m.0 <= now);
+        self.messages_in_flight = later;
+        let due: Vec<(u64, QuotaMail)> = due;
+        due.into_iter().for_each(|(_, mail)| self.deliver_message(mail));
         for n in 0..self.deciders.len() {
-            if self.deciders[n].holder.is_none()
-                && now >= self.deciders[n].back_at
-                && !self.away.contains(&now)
+            if self.deciders[n].planner.is_none()
+                && now >= self.deciders[n].restarts_at
+                && !self.store_outage.contains(&now)
             {
-                self.claim(n);
+                self.take_over(n);
             }
             // The watch of the page, and what waits.
             if now.is_multiple_of(STEP_MS * 4) {
-                self.act(n, vec![Action::Read]);
+                self.execute_actions(n, vec![QuotaAction::ReadPage]);
             }
-            let away = self.away.contains(&now);
+            let away = self.store_outage.contains(&now);
             let decider = &mut self.deciders[n];
-            let Some(mut holder) = decider.holder.take() else { continue };
+            let Some(mut holder) = decider.planner.take() else { continue };
             for t in 0..TEAMS {
-                decider.waiting[t].sort_by_key(|t| std::cmp::Reverse(t.level));
-                holder.set_need(&team(t), Day::need(decider, t));
+                decider.waiting[t].sort_by_key(|t| std::cmp::Reverse(t.urgency_level));
+                holder.set_demand(&team_name(t), QuotaSimulation::quota_need(decider, t));
                 while let Some(next) = decider.waiting[t].last().copied()
                     && !away
-                    && holder.leaves(&team(t), next.level).covers(Amounts::need(next.cpus, 0.0))
+                    && holder
+                        .bindable_amount(&team_name(t), next.urgency_level)
+                        .covers(ResourceQuantities::from_request(next.cpus, 0.0))
                 {
                     decider.waiting[t].pop();
-                    decider.running[t].push(Task { ends: now + next.ends, ..next });
-                    holder.set_need(&team(t), Day::need(decider, t));
+                    decider.running[t].push(SimulatedTask { ends_at: now + next.ends_at, ..next });
+                    holder.set_demand(&team_name(t), QuotaSimulation::quota_need(decider, t));
                 }
             }
             let actions = holder.tick(now);
-            decider.holder = Some(holder);
-            self.act(n, actions);
+            decider.planner = Some(holder);
+            self.execute_actions(n, actions);
         }
-        self.check();
+        self.check_invariants();
     }
 
-    fn check(&mut self) {
+    fn check_invariants(&mut self) {
         for t in 0..TEAMS {
-            let used = self.used(t);
+            let used = self.used_cpus(t);
             if used > LIMIT + 1e-6 {
-                self.broken.push(format!("quota: {} uses {used} at {}", team(t), self.now));
+                self.violations.push(format!(
+                    "quota: {} uses {used} at {}",
+                    team_name(t),
+                    self.now
+                ));
             }
         }
-        let page = accounts::page(0, &self.store.list(accounts::PREFIX, None, 1_000));
-        if !page.conserved() {
-            self.broken.push(format!("not conserved at {}: {page:?}", self.now));
+        let page = accounts::parse_page(0, &self.store.list(accounts::KEY_PREFIX, None, 1_000));
+        if !page.is_conserved() {
+            self.violations.push(format!("not conserved at {}: {page:?}", self.now));
         }
     }
 
     /// Lets time pass. Returns what each team used on the mean of the second half, as a share of its limit.
-    fn run(&mut self, ms: u64, mut arrivals: impl FnMut(&mut Day)) -> Vec<f64> {
+    fn run(&mut self, ms: u64, mut arrivals: impl FnMut(&mut QuotaSimulation)) -> Vec<f64> {
         let (begin, mut used, mut steps) = (self.now, vec![0.0; TEAMS], 0.0);
         while self.now < begin + ms {
             arrivals(self);
-            self.step();
+            self.run_step();
             if self.now > begin + ms / 2 {
                 steps += LIMIT;
-                (0..TEAMS).for_each(|t| used[t] += self.used(t));
+                (0..TEAMS).for_each(|t| used[t] += self.used_cpus(t));
             }
         }
-        assert!(self.broken.is_empty(), "{:?}", &self.broken[..self.broken.len().min(3)]);
+        assert!(
+            self.violations.is_empty(),
+            "{:?}",
+            &self.violations[..self.violations.len().min(3)]
+        );
         used.iter().map(|u| u / steps).collect()
     }
 
     /// Lets time pass until a team uses so much of its limit. Returns the time it took, ms.
-    fn until_used(
+    fn run_until_used(
         &mut self,
         t: usize,
         share: f64,
         most: u64,
-        mut arrivals: impl FnMut(&mut Day),
+        mut arrivals: impl FnMut(&mut QuotaSimulation),
     ) -> u64 {
         let begin = self.now;
-        while self.used(t) < LIMIT * share {
-            assert!(self.now < begin + most, "{} of {} after {most} ms", self.used(t), team(t));
+        while self.used_cpus(t) < LIMIT * share {
+            assert!(
+                self.now < begin + most,
+                "{} of {} after {most} ms",
+                self.used_cpus(t),
+                team_name(t)
+            );
             arrivals(self);
-            self.step();
+            self.run_step();
         }
         self.now - begin
     }
 }
 
 /// Keeps so many CPUs of a team wanted at a decider.
-fn keep(day: &mut Day, n: usize, t: usize, level: usize, cpus: f64) {
+fn keep_running(day: &mut QuotaSimulation, n: usize, t: usize, level: usize, cpus: f64) {
     while day.deciders[n].waiting[t].iter().map(|t| t.cpus).sum::<f64>() < cpus {
         day.submit(n, t, level, 4);
     }
@@ -384,20 +423,22 @@
 #[test]
 fn a_hot_teams_amounts_follow_its_work() {
     for deciders in [3, 8] {
-        let mut day = Day::new(7, deciders);
+        let mut day = QuotaSimulation::new(7, deciders);
         let mut took = Vec::new();
         for turn in 0..6 {
             let at = turn % deciders;
             let begin = day.now;
-            let alone =
-                |d: &Day| Day::need(&d.deciders[at], 0).uses().cpus.number() >= 0.95 * LIMIT;
+            let alone = |d: &QuotaSimulation| {
+                QuotaSimulation::quota_need(&d.deciders[at], 0).total_used().cpus.to_f64()
+                    >= 0.95 * LIMIT
+            };
             while !alone(&day) {
-                assert!(day.now < begin + 15_000, "{} used", day.used(0));
-                keep(&mut day, at, 0, 2, 150.0);
-                day.step();
+                assert!(day.now < begin + 15_000, "{} used", day.used_cpus(0));
+                keep_running(&mut day, at, 0, 2, 150.0);
+                day.run_step();
             }
             took.push(day.now - begin);
-            let used = day.run(16_000, |d| keep(d, at, 0, 2, 150.0))[0];
+            let used = day.run(16_000, |d| keep_running(d, at, 0, 2, 150.0))[0];
             assert!(used >= 0.95, "{used} of the limit used");
             day.deciders[at].waiting[0].clear();
         }
@@ -410,18 +451,24 @@
 #[test]
 fn all_decide_at_once() {
     for deciders in [3, 8] {
-        let mut day = Day::new(8, deciders);
-        let all = |d: &mut Day| {
-            (0..deciders).for_each(|n| (0..TEAMS).for_each(|t| keep(d, n, t, 2, 60.0)))
+        let mut day = QuotaSimulation::new(8, deciders);
+        let all = |d: &mut QuotaSimulation| {
+            (0..deciders).for_each(|n| (0..TEAMS).for_each(|t| keep_running(d, n, t, 2, 60.0)))
         };
         day.run(20_000, all);
-        let before = day.writes;
+        let before = day.transaction_count;
         let used = day.run(20_000, all);
         // Of the 60 changes a second that the state service takes, once it is divided: two at most.
-        assert!(day.writes - before <= 40, "{} changes in 20 s", day.writes - before);
+        assert!(
+            day.transaction_count - before <= 40,
+            "{} changes in 20 s",
+            day.transaction_count - before
+        );
         assert!(used.iter().all(|u| *u >= 0.95), "{used:?}");
-        let least = |d: &Decider| {
-            (0..TEAMS).map(|t| Day::need(d, t).uses().cpus.number()).fold(f64::MAX, f64::min)
+        let least = |d: &SimulatedDecider| {
+            (0..TEAMS)
+                .map(|t| QuotaSimulation::quota_need(d, t).total_used().cpus.to_f64())
+                .fold(f64::MAX, f64::min)
         };
         let least = day.deciders.iter().map(least).fold(f64::MAX, f64::min);
         assert!(least >= 0.3 * LIMIT / deciders as f64, "some decider uses {least} of a team");
@@ -431,17 +478,21 @@
 /// Production of a team at its limit does not wait for the team's other work elsewhere.
 #[test]
 fn production_elsewhere_has_less_urgent_work_stopped() {
-    let mut day = Day::new(9, 3);
-    day.until_used(0, 0.95, 12_000, |d| keep(d, 0, 0, 2, 150.0));
+    let mut day = QuotaSimulation::new(9, 3);
+    day.run_until_used(0, 0.95, 12_000, |d| keep_running(d, 0, 0, 2, 150.0));
     day.submit(1, 0, 0, 40);
     let wants: f64 = day.deciders[1].waiting[0].iter().map(|t| t.cpus).sum();
     let begin = day.now;
     while !day.deciders[1].waiting[0].is_empty() {
-        assert!(day.now < begin + 4_000, "{} of {wants} CPUs of production wait", day.wanted(0));
-        keep(&mut day, 0, 0, 2, 150.0);
-        day.step();
+        assert!(
+            day.now < begin + 4_000,
+            "{} of {wants} CPUs of production wait",
+            day.wanted_cpus(0)
+        );
+        keep_running(&mut day, 0, 0, 2, 150.0);
+        day.run_step();
     }
-    assert!(day.broken.is_empty(), "{:?}", day.broken);
+    assert!(day.violations.is_empty(), "{:?}", day.violations);
 }
 
 /// Crashes, cuts between deciders, the state service away, lost and late messages, all at once and wanted
@@ -451,25 +502,25 @@
     let mut back = Vec::new();
     for seed in 0..6 {
         let deciders = [3, 5, 8][seed as usize % 3];
-        let mut day = Day::new(seed, deciders);
-        (day.loss, day.late) = (0.05, 0.02);
+        let mut day = QuotaSimulation::new(seed, deciders);
+        (day.message_loss, day.message_delay) = (0.05, 0.02);
         for round in 0..5u64 {
             let (now, n) = (day.now, day.rng.random_range(0..deciders));
             match round {
                 0 | 3 => day.crash(n),
-                1 => day.away = now..now + 6_000,
-                2 => day.apart = now..now + 8_000,
+                1 => day.store_outage = now..now + 6_000,
+                2 => day.peer_partition = now..now + 8_000,
                 _ => (0..deciders).for_each(|n| day.crash(n)),
             }
             day.run(12_000, |d| {
                 let (n, t) = (d.rng.random_range(0..deciders), d.rng.random_range(0..TEAMS));
                 let level = d.rng.random_range(0..3);
                 d.submit(n, t, level, 2);
-                keep(d, 0, 0, 2, 100.0);
+                keep_running(d, 0, 0, 2, 100.0);
             });
         }
-        (day.loss, day.late) = (0.0, 0.0);
-        back.push(day.until_used(0, 0.95, 15_000, |d| keep(d, 0, 0, 2, 150.0)));
+        (day.message_loss, day.message_delay) = (0.0, 0.0);
+        back.push(day.run_until_used(0, 0.95, 15_000, |d| keep_running(d, 0, 0, 2, 150.0)));
     }
 }
 
@@ -478,19 +529,19 @@
 #[test]
 fn the_lower_of_two_limits_counts() {
     let lower = |cpus: f64| {
-        let mut settings = settings();
-        settings.insert(team(0), Account::of_settings(cpus, 0.0));
+        let mut settings = team_limits();
+        settings.insert(team_name(0), QuotaAccount::limits_from_settings(cpus, 0.0));
         settings
     };
-    let set = |day: &mut Day, n: usize, cpus: f64| {
-        day.deciders[n].holder.as_mut().expect("a holder").set_limits(lower(cpus));
+    let set = |day: &mut QuotaSimulation, n: usize, cpus: f64| {
+        day.deciders[n].planner.as_mut().expect("a holder").set_limits(lower(cpus));
     };
-    let mut day = Day::new(11, 3);
-    let all = |d: &mut Day| (0..3).for_each(|n| keep(d, n, 0, 1, 60.0));
+    let mut day = QuotaSimulation::new(11, 3);
+    let all = |d: &mut QuotaSimulation| (0..3).for_each(|n| keep_running(d, n, 0, 1, 60.0));
     assert!(day.run(12_000, all)[0] >= 0.95);
     set(&mut day, 1, 60.0);
     day.run(4_000, all);
-    assert!(day.used(0) <= 60.0, "{} used of 60", day.used(0));
+    assert!(day.used_cpus(0) <= 60.0, "{} used of 60", day.used_cpus(0));
     let used = day.run(8_000, all)[0];
     assert!((0.55..=0.6).contains(&used), "{used}");
     for n in [0, 2] {
@@ -505,29 +556,32 @@
     // A team that nobody names any more gives up its amounts.
     for n in 0..3 {
         day.deciders[n].waiting[0].clear();
-        let mut without = settings();
-        without.remove(&team(0));
-        day.deciders[n].holder.as_mut().expect("a holder").set_limits(without);
+        let mut without = team_limits();
+        without.remove(&team_name(0));
+        day.deciders[n].planner.as_mut().expect("a holder").set_limits(without);
     }
     day.run(14_000, |_| ());
-    let page = accounts::page(0, &day.store.list(accounts::PREFIX, None, 1_000));
-    assert!(!page.pool.0.teams.contains_key(&team(0)), "{page:?}");
+    let page = accounts::parse_page(0, &day.store.list(accounts::KEY_PREFIX, None, 1_000));
+    assert!(!page.pool.0.teams.contains_key(&team_name(0)), "{page:?}");
 }
 
 /// A decider that is no longer there holds nothing back: its amounts go to the pool, then it leaves the page.
 #[test]
 fn a_decider_that_retires_leaves_nothing_behind() {
-    let mut day = Day::new(12, 3);
-    let all = |d: &mut Day| (0..3).for_each(|n| keep(d, n, 0, 1, 60.0));
+    let mut day = QuotaSimulation::new(12, 3);
+    let all = |d: &mut QuotaSimulation| (0..3).for_each(|n| keep_running(d, n, 0, 1, 60.0));
     day.run(10_000, all);
     (0..TEAMS).for_each(|t| day.deciders[2].waiting[t].clear());
-    day.run(16_000, |d| (0..2).for_each(|n| keep(d, n, 0, 1, 60.0)));
-    let mut holder = day.deciders[2].holder.take().expect("a holder");
-    day.deciders[2].back_at = u64::MAX;
-    let txn = holder.account.retire().expect("it holds nothing");
-    assert!(matches!(day.store.commit(&accounts::commit(&txn, name_of)), Committed::At(_)));
-    assert!(day.run(8_000, |d| (0..2).for_each(|n| keep(d, n, 0, 1, 60.0)))[0] >= 0.95);
-    let page = accounts::page(0, &day.store.list(accounts::PREFIX, None, 1_000));
+    day.run(16_000, |d| (0..2).for_each(|n| keep_running(d, n, 0, 1, 60.0)));
+    let mut holder = day.deciders[2].planner.take().expect("a holder");
+    day.deciders[2].restarts_at = u64::MAX;
+    let txn = holder.account.remove_holding().expect("it holds nothing");
+    assert!(matches!(
+        day.store.apply_transaction(&accounts::to_commit(&txn, key_text)),
+        TransactionResult::Committed(_)
+    ));
+    assert!(day.run(8_000, |d| (0..2).for_each(|n| keep_running(d, n, 0, 1, 60.0)))[0] >= 0.95);
+    let page = accounts::parse_page(0, &day.store.list(accounts::KEY_PREFIX, None, 1_000));
     assert_eq!(page.holdings.len(), 2);
 }
 
@@ -535,29 +589,47 @@
 /// is recalled where most of it is, once, and answered when it is proved gone.
 #[test]
 fn borrowed_work_is_recalled_where_most_of_it_is() {
-    let mut day = Day::new(13, 3);
-    let used = |d: &Day, n: usize| Day::need(&d.deciders[n], 1).uses().cpus.number();
+    let mut day = QuotaSimulation::new(13, 3);
+    let used = |d: &QuotaSimulation, n: usize| {
+        QuotaSimulation::quota_need(&d.deciders[n], 1).total_used().cpus.to_f64()
+    };
     day.run(12_000, |d| {
         for (n, most) in [(0, 20.0), (1, 60.0), (2, 10.0)] {
             if used(d, n) < most {
-                keep(d, n, 1, 2, 5.0);
+                keep_running(d, n, 1, 2, 5.0);
             }
         }
     });
-    let guarantees = BTreeMap::from([(team(1), Amounts::limit(30.0, 0.0))]);
+    let guarantees = BTreeMap::from([(team_name(1), ResourceQuantities::from_limit(30.0, 0.0))]);
     let before: Vec<f64> = (0..3).map(|n| used(&day, n)).collect();
     let now = day.now;
-    let holder = day.deciders[0].holder.as_mut().expect("a holder");
-    let one = Amounts::need(1.0, 0.0);
-    assert!(!holder.guaranteed(&team(1), Amounts::limit(30.0, 0.0), one));
-    assert!(holder.guaranteed(&team(1), Amounts::limit(300.0, 0.0), one));
-    let lacks = Amounts::need(15.0, 0.0);
-    let asked = holder.recall(&guarantees, lacks, now).expect("there is something to recall");
-    assert!(holder.recall(&guarantees, lacks, now).is_none(), "one question at a time");
-    assert!(matches!(&asked, Action::Tell(to, _) if to == "share-1"), "{asked:?}");
-    day.act(0, vec![asked]);
+    let holder = day.deciders[0].planner.as_mut().expect("a holder");
+    let one = ResourceQuantities::from_request(1.0, 0.0);
+    assert!(!holder.is_within_guarantee(
+        &team_name(1),
+        ResourceQuantities::from_limit(30.0, 0.0),
+        one
+    ));
+    assert!(holder.is_within_guarantee(
+        &team_name(1),
+        ResourceQuantities::from_limit(300.0, 0.0),
+        one
+    ));
+    let lacks = ResourceQuantities::from_request(15.0, 0.0);
+    let asked = holder
+        .revoke_borrowed_quota(&guarantees, lacks, now)
+        .expect("there is something to recall");
+    assert!(
+        holder.revoke_borrowed_quota(&guarantees, lacks, now).is_none(),
+        "one question at a time"
+    );
+    assert!(matches!(&asked, QuotaAction::SendMessage(to, _) if to == "share-1"), "{asked:?}");
+    day.execute_actions(0, vec![asked]);
     day.run(1_500, |_| ());
     assert!(used(&day, 1) <= before[1] - 15.0, "{before:?}, now {}", used(&day, 1));
-    let holder = day.deciders[0].holder.as_mut().expect("a holder");
-    assert!(holder.recall(&guarantees, lacks, day.now).is_some(), "the first has come to its end");
+    let holder = day.deciders[0].planner.as_mut().expect("a holder");
+    assert!(
+        holder.revoke_borrowed_quota(&guarantees, lacks, day.now).is_some(),
+        "the first has come to its end"
+    );
 }
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -7,23 +7,26 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use swiftsail_controller::node::{AdminAsk, Node};
-use swiftsail_deadline_planning::backward::{backward, quantile};
-use swiftsail_deadline_planning::board::Took;
-use swiftsail_deadline_planning::{Arrival, Board, Calendar, ChainLine, Phase, Plan, Stage, StepLine, Work};
+use swiftsail_controller::node::{AdminRequest, Controller};
+use swiftsail_deadline_planning::backward::{plan_backward, quantile};
+use swiftsail_deadline_planning::board::StepDurations;
+use swiftsail_deadline_planning::{
+    ChainDefinition, DeadlinePlan, DeadlineSchedule, DeadlineTracker, Occurrence, OccurrencePhase,
+    StepDefinition, StepJob, StepPhase,
+};
+use swiftsail_policy::operator::OperatorSettings;
 use swiftsail_replicated_records::Versioned;
-use swiftsail_policy::operator::Operator;
-use swiftsail_simulation::world::{Weather, World, job};
-use swiftsail_tiers::{Facts, Rank, Shape};
+use swiftsail_simulation::world::{FaultRates, Simulation, job_body};
+use swiftsail_tiers::{JobAttributes, JobKindAttribute, JobPriorityAttribute};
 
-const HOUR: u64 = 3_600_000;
+const HOUR_MS: u64 = 3_600_000;
 
-fn runner(cases: u32) -> TestRunner {
+fn test_runner(cases: u32) -> TestRunner {
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[36; 32]))
 }
 
-fn plan(text: &str) -> Result<Calendar, String> {
+fn parse_plan(text: &str) -> Result<DeadlineSchedule, String> {
     let table: toml::Table = toml::from_str(text).expect("it is TOML");
     swiftsail_controller::node::plan_of_file(table)
 }
@@ -43,13 +46,13 @@
 margin_s = 300.0
 "#;
 
-fn with(arrival: &str) -> String {
+fn plan_with_arrival(arrival: &str) -> String {
     format!(
         "{CHAIN}\n[[arrival]]\nname = \"a\"\nchain = \"lists\"\nzone = \"Europe/Stockholm\"\n{arrival}\n"
     )
 }
 
-fn ms(text: &str) -> u64 {
+fn parse_ms(text: &str) -> u64 {
     text.parse::<jiff::Timestamp>().expect("a time").as_millisecond() as u64
 }
 
@@ -57,29 +60,41 @@
 /// after the change, of the one that it has twice the first counts; exceptions and days of the week hold.
 #[test]
 fn arrivals_keep_their_time_of_day() {
-    let calendar = plan(&with("at = \"02:30\"")).expect("it is sound");
-    let spring = calendar.times(0, ms("2026-03-28T00:00:00Z"), ms("2026-03-31T00:00:00Z"));
+    let calendar = parse_plan(&plan_with_arrival("at = \"02:30\"")).expect("it is sound");
+    let spring = calendar.occurrences_between(
+        0,
+        parse_ms("2026-03-28T00:00:00Z"),
+        parse_ms("2026-03-31T00:00:00Z"),
+    );
     let expected = ["2026-03-28T01:30:00Z", "2026-03-29T01:30:00Z", "2026-03-30T00:30:00Z"];
-    assert_eq!(spring, expected.map(ms), "02:30 is 03:30 in the night that has none");
-    let autumn = calendar.times(0, ms("2026-10-24T12:00:00Z"), ms("2026-10-26T12:00:00Z"));
-    assert_eq!(autumn, ["2026-10-25T00:30:00Z", "2026-10-26T01:30:00Z"].map(ms));
+    assert_eq!(spring, expected.map(parse_ms), "02:30 is 03:30 in the night that has none");
+    let autumn = calendar.occurrences_between(
+        0,
+        parse_ms("2026-10-24T12:00:00Z"),
+        parse_ms("2026-10-26T12:00:00Z"),
+    );
+    assert_eq!(autumn, ["2026-10-25T00:30:00Z", "2026-10-26T01:30:00Z"].map(parse_ms));
     let days = "at = \"06:30\"\ndays = [\"mon\", \"wed\"]\nexcept = [\"2026-12-02\"]";
-    let calendar = plan(&with(days)).expect("it is sound");
-    let week = calendar.times(0, ms("2026-11-29T23:00:00Z"), ms("2026-12-10T23:00:00Z"));
+    let calendar = parse_plan(&plan_with_arrival(days)).expect("it is sound");
+    let week = calendar.occurrences_between(
+        0,
+        parse_ms("2026-11-29T23:00:00Z"),
+        parse_ms("2026-12-10T23:00:00Z"),
+    );
     let expected = ["2026-11-30T05:30:00Z", "2026-12-07T05:30:00Z", "2026-12-09T05:30:00Z"];
-    assert_eq!(week, expected.map(ms));
+    assert_eq!(week, expected.map(parse_ms));
 }
 
 /// Each flaw names what it is about and the remedy; the file under `deploy/` is sound.
 #[test]
 fn a_plan_that_is_not_sound_is_refused() {
     let cases = [
-        (with("at = \"25:10\""), "no time of day"),
-        (with("at = \"06:30\"\ndays = [\"mod\"]"), "did you mean `mon`"),
-        (with("at = \"06:30\"\non = \"2026-02-30\""), "no date"),
-        (with("at = \"06:30\"").replace("Stockholm", "Stokholm"), "no time zone"),
+        (plan_with_arrival("at = \"25:10\""), "no time of day"),
+        (plan_with_arrival("at = \"06:30\"\ndays = [\"mod\"]"), "did you mean `mon`"),
+        (plan_with_arrival("at = \"06:30\"\non = \"2026-02-30\""), "no date"),
+        (plan_with_arrival("at = \"06:30\"").replace("Stockholm", "Stokholm"), "no time zone"),
         (
-            with("at = \"06:30\"").replace("chain = \"lists\"", "chain = \"list\""),
+            plan_with_arrival("at = \"06:30\"").replace("chain = \"lists\"", "chain = \"list\""),
             "did you mean `lists`",
         ),
         (CHAIN.replace("after = [\"count\"]", "after = [\"cuont\"]"), "did you mean `count`"),
@@ -88,18 +103,19 @@
         (CHAIN.replace("job.class == \"count\"", "job.waiting > 2"), "changes while a job waits"),
     ];
     for (text, part) in cases {
-        let refused = plan(&text).expect_err(part);
+        let refused = parse_plan(&text).expect_err(part);
         assert!(refused.contains(part), "{part}: {refused}");
     }
     let one = "[[arrival]]\nname = \"a\"\nchain = \"lists\"\nzone = \"UTC\"\nat = \"06:30\"\n";
     let many = format!("{CHAIN}\n{}", one.repeat(100_000));
-    assert!(plan(&many).expect_err("too many").contains("200 at most"));
+    assert!(parse_plan(&many).expect_err("too many").contains("200 at most"));
     let text = include_str!("../deploy/dispatch.toml");
-    let operator = Operator::parse("deploy/dispatch.toml", text).expect("it is sound");
-    swiftsail_controller::node::plan_of_file(operator.dispatch.expect("a plan")).expect("it is sound");
+    let operator = OperatorSettings::parse("deploy/dispatch.toml", text).expect("it is sound");
+    swiftsail_controller::node::plan_of_file(operator.dispatch.expect("a plan"))
+        .expect("it is sound");
     assert!(matches!(
-        Plan::read("dispatch", &json!({"v": 7})),
-        Err(swiftsail_replicated_records::Unread::Newer { .. })
+        DeadlinePlan::from_record("dispatch", &json!({"v": 7})),
+        Err(swiftsail_replicated_records::RecordReadError::UnsupportedFormat { .. })
     ));
 }
 
@@ -108,9 +124,9 @@
 #[test]
 fn a_chain_is_planned_backward() {
     let steps = prop::collection::vec((0u8..255, 0u32..900, 1u64..5_000_000), 1..10);
-    runner(200)
+    test_runner(200)
         .run(&steps, |steps| {
-            let line = |(n, (bits, margin, _)): (usize, &(u8, u32, u64))| StepLine {
+            let line = |(n, (bits, margin, _)): (usize, &(u8, u32, u64))| StepDefinition {
                 name: format!("s{n}"),
                 when: "true".into(),
                 after: (0..n.min(8))
@@ -119,23 +135,25 @@
                     .collect(),
                 margin_s: f64::from(*margin),
             };
-            let chain =
-                ChainLine { name: "c".into(), steps: steps.iter().enumerate().map(line).collect() };
+            let chain = ChainDefinition {
+                name: "c".into(),
+                steps: steps.iter().enumerate().map(line).collect(),
+            };
             let order: Vec<usize> = (0..steps.len()).collect();
             let takes: Vec<u64> = steps.iter().map(|s| s.2).collect();
             let at = 1_000_000_000_000;
-            let times = backward(&chain, &order, at, &takes);
+            let times = plan_backward(&chain, &order, at, &takes);
             for (n, step) in chain.steps.iter().enumerate() {
-                prop_assert_eq!(times[n].start + takes[n], times[n].deadline);
+                prop_assert_eq!(times[n].latest_start + takes[n], times[n].deadline);
                 let margin = (step.margin_s * 1_000.0) as u64;
                 prop_assert!(times[n].deadline + margin <= at);
                 for name in &step.after {
                     let before = chain.steps.iter().position(|s| s.name == *name).unwrap();
                     let spare = (chain.steps[before].margin_s * 1_000.0) as u64;
-                    prop_assert!(times[before].deadline + spare <= times[n].start);
+                    prop_assert!(times[before].deadline + spare <= times[n].latest_start);
                 }
             }
-            let later = backward(&chain, &order, at + 77, &takes);
+            let later = plan_backward(&chain, &order, at + 77, &takes);
             prop_assert!(times.iter().zip(&later).all(|(a, b)| b.deadline == a.deadline + 77));
             Ok(())
         })
@@ -144,13 +162,13 @@
     assert_eq!(quantile(&[], 0.75), None);
 }
 
-fn work(class: &str, accepted_wall: u64, ends_wall: Option<u64>) -> Work {
-    let facts = Facts {
+fn completed_work(class: &str, accepted_wall: u64, ends_wall: Option<u64>) -> StepJob {
+    let facts = JobAttributes {
         id: String::new(),
         class: class.into(),
         team: "yard".into(),
-        kind: Shape::Array,
-        priority: Rank::Normal,
+        kind: JobKindAttribute::Array,
+        priority: JobPriorityAttribute::Normal,
         tasks: 4,
         cpus: 1.0,
         gpus: 0.0,
@@ -159,18 +177,26 @@
         estimate_s: 60.0,
         spot: true,
     };
-    Work { facts, accepted_wall, ends_wall, waits_for: "its tasks wait for a place".into() }
+    StepJob {
+        facts,
+        accepted_at_wall: accepted_wall,
+        expected_end_wall: ends_wall,
+        wait_reason: "its tasks wait for a place".into(),
+    }
 }
 
 /// A board as the next leader reads it.
-fn handed(board: &Board, took: &BTreeMap<String, Took>) -> Board {
-    let mut next = Board::default();
-    for (key, arrival) in board.all() {
-        let read = Arrival::read(key, &arrival.record()).expect("it is sound");
+fn hand_over(board: &DeadlineTracker, took: &BTreeMap<String, StepDurations>) -> DeadlineTracker {
+    let mut next = DeadlineTracker::default();
+    for (key, arrival) in board.occurrences() {
+        let read = Occurrence::from_record(key, &arrival.to_record()).expect("it is sound");
         next.restore(key, read);
     }
     for (step, took) in took {
-        next.restore_took(step, Took::read(step, &took.record()).expect("it is sound"));
+        next.restore_durations(
+            step,
+            StepDurations::from_record(step, &took.to_record()).expect("it is sound"),
+        );
     }
     next
 }
@@ -180,43 +206,43 @@
 /// hour before its latest start, and what is submitted in time is ready.
 #[test]
 fn a_week_of_arrivals_survives_its_leaders() {
-    let two = with("at = \"06:30\"")
+    let two = plan_with_arrival("at = \"06:30\"")
         + "[[arrival]]\nname = \"b\"\nchain = \"lists\"\nzone = \"Europe/Stockholm\"\nat = \"02:30\"\n";
-    let calendar = plan(&two).expect("it is sound");
-    let (begin, end) = (ms("2026-03-26T12:00:00Z"), ms("2026-04-02T12:00:00Z"));
+    let calendar = parse_plan(&two).expect("it is sound");
+    let (begin, end) = (parse_ms("2026-03-26T12:00:00Z"), parse_ms("2026-04-02T12:00:00Z"));
     let mut expected: BTreeMap<String, u64> = BTreeMap::new();
     for (n, name) in ["a", "b"].iter().enumerate() {
-        for at in calendar.times(n, begin, end) {
-            expected.insert(Arrival::key(name, at), at);
+        for at in calendar.occurrences_between(n, begin, end) {
+            expected.insert(Occurrence::key(name, at), at);
         }
     }
     assert_eq!(expected.len(), 14);
     for seed in 0..4u64 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let (mut board, mut took) = (Board::default(), BTreeMap::new());
-        let mut jobs: BTreeMap<String, (Work, u64)> = BTreeMap::new();
+        let (mut board, mut took) = (DeadlineTracker::default(), BTreeMap::new());
+        let mut jobs: BTreeMap<String, (StepJob, u64)> = BTreeMap::new();
         let mut done: BTreeMap<String, bool> = BTreeMap::new();
         let mut deadlines: BTreeMap<String, Vec<u64>> = BTreeMap::new();
-        let mut last: BTreeMap<String, Phase> = BTreeMap::new();
+        let mut last: BTreeMap<String, OccurrencePhase> = BTreeMap::new();
         let mut warned: BTreeMap<String, u64> = BTreeMap::new();
         let mut submitted: BTreeMap<(String, &str), String> = BTreeMap::new();
         let (mut now, mut leaders) = (begin, 0);
-        while now < end + HOUR {
+        while now < end + HOUR_MS {
             now += rng.random_range(60_000..300_000);
             if rng.random_bool(0.2) {
-                board = handed(&board, &took);
+                board = hand_over(&board, &took);
                 leaders += 1;
             }
-            board.foresee(&calendar, now);
+            board.sync_with_schedule(&calendar, now);
             // Users submit both jobs two hours ahead, but for every fifth arrival, whose list nobody submits.
             for (n, (key, at)) in expected.iter().enumerate() {
                 for (step, class) in [("count", "count"), ("list", "list")] {
                     let left_out = n % 5 == 4 && step == "list";
-                    let due = now + 2 * HOUR >= *at && now < *at;
+                    let due = now + 2 * HOUR_MS >= *at && now < *at;
                     if due && !left_out && !submitted.contains_key(&(key.clone(), step)) {
                         let id = format!("wk-{}", submitted.len());
                         let ends = now + rng.random_range(120_000..400_000);
-                        jobs.insert(id.clone(), (work(class, now, Some(ends)), ends));
+                        jobs.insert(id.clone(), (completed_work(class, now, Some(ends)), ends));
                         submitted.insert((key.clone(), step), id);
                     }
                 }
@@ -227,16 +253,16 @@
                 jobs.remove(&id);
                 done.insert(id, true);
             }
-            let known: BTreeMap<&str, Work> =
+            let known: BTreeMap<&str, StepJob> =
                 jobs.iter().map(|(id, (w, _))| (id.as_str(), w.clone())).collect();
-            let told = board.step(&calendar, &known, |id| done.get(id).copied(), now);
-            for it in told.into_iter().filter(|t| t.why.is_some()) {
+            let told = board.update(&calendar, &known, |id| done.get(id).copied(), now);
+            for it in told.into_iter().filter(|t| t.lateness_cause.is_some()) {
                 warned.entry(it.key).or_insert(now);
             }
-            for (step, t) in board.take_learnt() {
+            for (step, t) in board.take_changed_durations() {
                 took.insert(step, t);
             }
-            for (key, arrival) in board.all() {
+            for (key, arrival) in board.occurrences() {
                 let times: Vec<u64> = arrival.steps.iter().map(|s| s.deadline).collect();
                 assert_eq!(*deadlines.entry(key.clone()).or_insert(times.clone()), times, "{key}");
                 last.insert(key.clone(), arrival.phase());
@@ -246,16 +272,16 @@
         let missed = expected.keys().filter(|k| !last.contains_key(*k)).count();
         assert_eq!(missed, 0, "seed {seed}: arrivals forgotten");
         let early = last.keys().filter(|k| !expected.contains_key(*k));
-        assert!(early.into_iter().all(|k| deadlines[k][1] > end - HOUR), "seed {seed}: made up");
+        assert!(early.into_iter().all(|k| deadlines[k][1] > end - HOUR_MS), "seed {seed}: made up");
         for (n, key) in expected.keys().enumerate() {
             let phase = last[key];
             if n % 5 != 4 {
-                assert_eq!(phase, Phase::Ready, "seed {seed}: {key}");
+                assert_eq!(phase, OccurrencePhase::Ready, "seed {seed}: {key}");
                 continue;
             }
-            assert_eq!(phase, Phase::Missed, "seed {seed}: {key}");
+            assert_eq!(phase, OccurrencePhase::Missed, "seed {seed}: {key}");
             let ahead = expected[key].saturating_sub(warned[key]);
-            assert!(ahead >= HOUR, "seed {seed}: {key} was warned of {ahead} ms ahead");
+            assert!(ahead >= HOUR_MS, "seed {seed}: {key} was warned of {ahead} ms ahead");
         }
     }
 }
@@ -264,25 +290,31 @@
 /// for a step that ends late keeps the arrival's own time.
 #[test]
 fn late_and_cancelled_steps_are_told() {
-    let calendar = plan(&with("at = \"06:30\"")).expect("it is sound");
-    let now = ms("2026-12-03T04:30:00Z");
-    let mut board = Board::default();
-    board.foresee(&calendar, now);
-    let key = board.all().next().expect("one").0.clone();
+    let calendar = parse_plan(&plan_with_arrival("at = \"06:30\"")).expect("it is sound");
+    let now = parse_ms("2026-12-03T04:30:00Z");
+    let mut board = DeadlineTracker::default();
+    board.sync_with_schedule(&calendar, now);
+    let key = board.occurrences().next().expect("one").0.clone();
     let none = |_: &str| None;
-    let at = |board: &Board| board.all().find(|(k, _)| **k == key).expect("it is there").1.clone();
-    let first = work("count", now, Some(now + 60_000));
-    board.step(&calendar, &BTreeMap::from([("wk-1", first)]), none, now);
+    let at = |board: &DeadlineTracker| {
+        board.occurrences().find(|(k, _)| **k == key).expect("it is there").1.clone()
+    };
+    let first = completed_work("count", now, Some(now + 60_000));
+    board.update(&calendar, &BTreeMap::from([("wk-1", first)]), none, now);
     assert_eq!(at(&board).steps[0].job.as_deref(), Some("wk-1"));
     let plans: Vec<u64> = at(&board).steps.iter().map(|s| s.deadline).collect();
     // Cancelled: another takes its place.
-    board.step(&calendar, &BTreeMap::new(), |_| Some(false), now + 1_000);
-    assert_eq!(at(&board).steps[0].stage(), Stage::Awaited);
-    let late = work("count", now + 2_000, Some(plans[0] + 90_000));
-    let told = board.step(&calendar, &BTreeMap::from([("wk-2", late)]), none, now + 3_000);
-    let why = told.iter().find(|t| t.key == key).and_then(|t| t.why.clone()).expect("it is told");
+    board.update(&calendar, &BTreeMap::new(), |_| Some(false), now + 1_000);
+    assert_eq!(at(&board).steps[0].phase(), StepPhase::Awaited);
+    let late = completed_work("count", now + 2_000, Some(plans[0] + 90_000));
+    let told = board.update(&calendar, &BTreeMap::from([("wk-2", late)]), none, now + 3_000);
+    let why = told
+        .iter()
+        .find(|t| t.key == key)
+        .and_then(|t| t.lateness_cause.clone())
+        .expect("it is told");
     assert!(why.0 == "count" && why.1.contains("90 s late"), "{why:?}");
-    assert_eq!(at(&board).phase(), Phase::Late);
+    assert_eq!(at(&board).phase(), OccurrencePhase::Late);
     let after: Vec<u64> = at(&board).steps.iter().map(|s| s.deadline).collect();
     assert_eq!(plans, after, "the arrival's own times stay");
 }
@@ -291,38 +323,44 @@
 /// deadlines are what they were, and it is ready in the end.
 #[test]
 fn no_failure_of_controllers_forgets_a_deadline() {
-    const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
+    const NO_FAULTS: FaultRates =
+        FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
     let text = CHAIN
         .replace("[[chain", "[[dispatch.chain")
         .replace("version = 1", "[dispatch]\nversion = 1");
-    let operator = Operator::parse("dispatch", &text).expect("it is sound");
+    let operator = OperatorSettings::parse("dispatch", &text).expect("it is sound");
     for seed in 0..5u64 {
-        let mut world = World::new(seed, CALM, 200_000);
+        let mut world = Simulation::new(seed, NO_FAULTS, 200_000);
         world.operator = operator.clone();
-        world.restart_ms = (seed % 2 == 0).then_some(100);
-        world.run(8_000);
-        let leads = |world: &World| {
+        world.restart_delay_ms = (seed % 2 == 0).then_some(100);
+        world.run_until(8_000);
+        let leads = |world: &Simulation| {
             (0..3)
-                .find(|n| world.nodes[*n].as_ref().is_some_and(Node::leads))
+                .find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
                 .expect("somebody leads")
         };
         let at_ms = 1_700_000_000_000 + world.now + 240_000;
         let body = json!({"name": "north", "chain": "lists", "at_ms": at_ms}).to_string();
         let node = leads(&world);
-        let asked = world.ask(8_000, node, AdminAsk::AddArrival(body.into_bytes()));
+        let asked =
+            world.schedule_admin_request(8_000, node, AdminRequest::AddArrival(body.into_bytes()));
         for (n, class) in ["count", "list"].iter().enumerate() {
-            let mut body = job(&format!("wk-{class}"), "array", "blue", 4, 1.0, 20.0);
+            let mut body = job_body(&format!("wk-{class}"), "array", "blue", 4, 1.0, 20.0);
             body["jobclass"] = (*class).into();
             body["due_s"] = 3_000.0.into();
             world.submit(14_000 + n as u64 * 45_000, None, body);
         }
         let mut times: Option<Value> = None;
         for at in (1..17).map(|n| 8_000 + n * 9_000) {
-            world.run(at);
+            world.run_until(at);
             let node = leads(&world);
-            let shown = world.ask(at, node, AdminAsk::Dispatch(Some("north".into())));
-            world.run(at + 200);
-            let reply = world.answers.remove(&shown).expect("an answer");
+            let shown = world.schedule_admin_request(
+                at,
+                node,
+                AdminRequest::Dispatch(Some("north".into())),
+            );
+            world.run_until(at + 200);
+            let reply = world.admin_answers.remove(&shown).expect("an answer");
             let body: Value = serde_json::from_slice(&reply.body).expect("JSON");
             let all = body["arrivals"].as_array().cloned().unwrap_or_default();
             assert_eq!(all.len(), 1, "seed {seed} at {at}: {body}");
@@ -332,18 +370,18 @@
             assert_eq!(*times.get_or_insert(now.clone()), now, "seed {seed} at {at}");
             if seed > 0 && at < 130_000 {
                 match seed % 3 {
-                    0 => (0..3).for_each(|n| world.crash(at + 300, n)),
-                    _ => world.crash(at + 300, leads(&world)),
+                    0 => (0..3).for_each(|n| world.schedule_crash(at + 300, n)),
+                    _ => world.schedule_crash(at + 300, leads(&world)),
                 }
-                world.run(at + 8_900);
+                world.run_until(at + 8_900);
             }
             if at > 150_000 {
                 assert_eq!(all[0]["phase"], json!("ready"), "seed {seed}: {}", all[0]);
             }
         }
-        assert_eq!(world.answers.remove(&asked).map(|r| r.status), Some(200), "seed {seed}");
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+        assert_eq!(world.admin_answers.remove(&asked).map(|r| r.status), Some(200), "seed {seed}");
+        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
         // The deadline that the arrival gives its job is sooner than the job's own.
-        assert!(world.jobs.iter().all(|j| j.over()), "seed {seed}");
+        assert!(world.jobs.iter().all(|j| j.is_over()), "seed {seed}");
     }
 }
--- a/tests/hung.rs
+++ b/tests/hung.rs
@@ -5,35 +5,44 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use swiftsail_controller::job::MachineId;
-use swiftsail_controller::node::Node;
-use swiftsail_controller::tables::Tables;
-use swiftsail_simulation::world::{Cut, Deafness, Trouble, Weather, World, accelerated, gpu_job, job};
+use swiftsail_controller::node::Controller;
+use swiftsail_controller::tables::ClusterState;
+use swiftsail_simulation::world::{
+    Fault, FaultRates, InboundFailure, NetworkPartition, Simulation, gpu_job_body,
+    gpu_machine_offers, job_body,
+};
 
-const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
+const NO_FAULTS: FaultRates =
+    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
 
-fn leader(world: &World) -> Option<usize> {
-    (0..3).find(|n| world.nodes[*n].as_ref().is_some_and(Node::leads))
+fn leader_index(world: &Simulation) -> Option<usize> {
+    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
 }
 
-fn ends_well(world: &World, what: &str) {
-    assert!(world.broken.is_empty(), "{what}: {:?}", world.broken);
+fn assert_ends_well(world: &Simulation, what: &str) {
+    assert!(world.violations.is_empty(), "{what}: {:?}", world.violations);
     for job in &world.jobs {
-        let end = job.last.as_deref().unwrap_or("no answer");
-        assert!(job.over(), "{what}: {} ended as {end}: {}", job.id, world.held(&job.id));
+        let end = job.last_status.as_deref().unwrap_or("no answer");
+        assert!(
+            job.is_over(),
+            "{what}: {} ended as {end}: {}",
+            job.id,
+            world.describe_job(&job.id)
+        );
     }
 }
 
 /// Machines that hold tasks, as the stand-in knows them.
-fn holding(world: &World) -> Vec<String> {
-    let workers = world.plant.workers.iter().filter(|(_, w)| !w.gone);
-    let held = workers.filter(|(_, w)| w.tasks.iter().any(|t| t.on_machine()));
+fn machines_with_tasks(world: &Simulation) -> Vec<String> {
+    let workers = world.cluster.workers.iter().filter(|(_, w)| !w.is_terminated);
+    let held = workers.filter(|(_, w)| w.tasks.iter().any(|t| t.is_on_machine()));
     held.map(|(name, _)| name.clone()).collect()
 }
 
-fn hang(world: &mut World, names: &[String], for_ms: u64) {
+fn hang_machines(world: &mut Simulation, names: &[String], for_ms: u64) {
     let until = world.now + for_ms;
     for name in names {
-        if let Some(worker) = world.plant.workers.get_mut(name) {
+        if let Some(worker) = world.cluster.workers.get_mut(name) {
             worker.hang_until = until;
         }
     }
@@ -42,15 +51,15 @@
 // ---- refused, then away ------------------------------------------------------------------------
 
 /// Many long tasks on their machines, the leader, and the time.
-fn busy(seed: u64) -> (World, usize, u64) {
-    let mut world = World::new(seed, CALM, 1_000);
+fn run_until_busy(seed: u64) -> (Simulation, usize, u64) {
+    let mut world = Simulation::new(seed, NO_FAULTS, 1_000);
     for n in 0..24 {
         let id = format!("wk-b{n}");
         let late = 140_000 + n * 500;
-        world.submit(500 + n * 100, Some(late), job(&id, "array", "blue", 2, 1.0, 400.0));
+        world.submit(500 + n * 100, Some(late), job_body(&id, "array", "blue", 2, 1.0, 400.0));
     }
-    world.run(40_000);
-    let leads = leader(&world).expect("somebody leads");
+    world.run_until(40_000);
+    let leads = leader_index(&world).expect("somebody leads");
     (world, leads, 40_000)
 }
 
@@ -64,17 +73,19 @@
         [300, 1_000, 2_000, 2_450, 2_520, 2_600, 2_700, 3_000, 4_500].into_iter().enumerate()
     {
         for (m, hang_ms) in [None, Some(8_000), Some(50_000)].into_iter().enumerate() {
-            let (mut world, leads, at) = busy(n as u64 * 3 + m as u64);
-            world.cuts.push(Cut { store: true, ..Cut::of(leads, at, 30_000) });
-            world.outage(at + gap, 58_000);
-            world.cancel_now(at, 12, hang_ms);
-            world.run(at + gap + 1_000);
-            loading += usize::from(leader(&world).is_none());
-            world.run(at + gap + 56_000);
-            told += world.jobs.iter().filter(|j| j.told_cancelled.is_some()).count();
-            hung += world.met.get("hung").copied().unwrap_or(0);
-            world.run(at + 260_000);
-            ends_well(&world, &format!("gap {gap}, hang {hang_ms:?}"));
+            let (mut world, leads, at) = run_until_busy(n as u64 * 3 + m as u64);
+            world
+                .partitions
+                .push(NetworkPartition { store: true, ..NetworkPartition::of(leads, at, 30_000) });
+            world.schedule_store_outage(at + gap, 58_000);
+            world.schedule_running_cancellations(at, 12, hang_ms);
+            world.run_until(at + gap + 1_000);
+            loading += usize::from(leader_index(&world).is_none());
+            world.run_until(at + gap + 56_000);
+            told += world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
+            hung += world.fault_counts.get("hung").copied().unwrap_or(0);
+            world.run_until(at + 260_000);
+            assert_ends_well(&world, &format!("gap {gap}, hang {hang_ms:?}"));
         }
     }
     assert!(told >= 100, "{told} were told in the gap");
@@ -87,27 +98,30 @@
 fn cancelled_while_cloud_and_state_service_are_slow_or_away() {
     let (mut told, mut met) = (0, 0);
     for seed in 0..12u64 {
-        let (mut world, leads, at) = busy(seed);
+        let (mut world, leads, at) = run_until_busy(seed);
         let mut rng = StdRng::seed_from_u64(seed ^ 0xc1);
         match seed % 3 {
-            0 => world.slow(at, 40_000),
-            1 => world.outage(at + 1_500, 45_000),
+            0 => world.schedule_store_slowdown(at, 40_000),
+            1 => world.schedule_store_outage(at + 1_500, 45_000),
             _ => {
-                world.cuts.push(Cut { store: true, ..Cut::of(leads, at, 20_000) });
-                world.outage(at + 1_000, 50_000);
+                world.partitions.push(NetworkPartition {
+                    store: true,
+                    ..NetworkPartition::of(leads, at, 20_000)
+                });
+                world.schedule_store_outage(at + 1_000, 50_000);
             }
         }
         match seed % 2 {
-            0 => world.spell(at, 60_000, Trouble::CloudSlow(5_500)),
-            _ => world.spell(at + 21_000, 8_000, Trouble::CloudAway),
+            0 => world.add_fault_window(at, 60_000, Fault::SlowCloud(5_500)),
+            _ => world.add_fault_window(at + 21_000, 8_000, Fault::CloudUnavailable),
         }
         let hang_ms = [2_500, 9_000, 30_000, 90_000][rng.random_range(0..4)];
-        world.cancel_now(at, 14, Some(hang_ms));
-        world.run(at + 70_000);
-        told += world.jobs.iter().filter(|j| j.told_cancelled.is_some()).count();
-        met += world.met.get("cloud trouble").copied().unwrap_or(0);
-        world.run(at + 260_000);
-        ends_well(&world, &format!("seed {seed}"));
+        world.schedule_running_cancellations(at, 14, Some(hang_ms));
+        world.run_until(at + 70_000);
+        told += world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
+        met += world.fault_counts.get("cloud trouble").copied().unwrap_or(0);
+        world.run_until(at + 260_000);
+        assert_ends_well(&world, &format!("seed {seed}"));
     }
     assert!(told >= 60, "{told} were told");
     assert!(met >= 60, "{met} calls to the cloud were slow or refused");
@@ -119,29 +133,33 @@
 fn while_nobody_leads_machines_that_hang_are_returned() {
     let (mut told, mut hung, mut nobody) = (0, 0, 0);
     for seed in 0..24u64 {
-        let (mut world, leads, at) = busy(seed);
-        world.restart_ms = Some([100, 5_000][seed as usize % 2]);
-        world.cancel_now(at, 8, Some(70_000));
+        let (mut world, leads, at) = run_until_busy(seed);
+        world.restart_delay_ms = Some([100, 5_000][seed as usize % 2]);
+        world.schedule_running_cancellations(at, 8, Some(70_000));
         let mut gap = 2_000;
         match seed % 3 {
             // It ends: the others know from its heartbeats.
-            0 => world.crash(at + 1_800, leads),
+            0 => world.schedule_crash(at + 1_800, leads),
             // It stands still, and cannot prove its lead anew.
-            1 => world.freeze(at + 1_800, leads, [24_000, 12_000][seed as usize % 2]),
+            1 => world.schedule_pause(at + 1_800, leads, [24_000, 12_000][seed as usize % 2]),
             // It hears no other until its lead has ended and the next one has begun to read, which it never ends.
             _ => {
                 gap = 2_340 + seed * 20;
-                world.cuts.push(Cut { store: true, peers: true, ..Cut::of(leads, at, 10_000) });
+                world.partitions.push(NetworkPartition {
+                    store: true,
+                    peers: true,
+                    ..NetworkPartition::of(leads, at, 10_000)
+                });
             }
         }
-        world.outage(at + gap, 60_000);
-        world.run(at + 15_000);
-        nobody += usize::from(leader(&world).is_none());
-        world.run(at + 60_000);
-        told += world.jobs.iter().filter(|j| j.told_cancelled.is_some()).count();
-        hung += world.met.get("hung").copied().unwrap_or(0);
-        world.run(at + 260_000);
-        ends_well(&world, &format!("seed {seed}"));
+        world.schedule_store_outage(at + gap, 60_000);
+        world.run_until(at + 15_000);
+        nobody += usize::from(leader_index(&world).is_none());
+        world.run_until(at + 60_000);
+        told += world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
+        hung += world.fault_counts.get("hung").copied().unwrap_or(0);
+        world.run_until(at + 260_000);
+        assert_ends_well(&world, &format!("seed {seed}"));
     }
     println!("nobody led {nobody} times, {told} told, {hung} hung");
     assert!(nobody >= 7, "nobody led on {nobody} days");
@@ -153,28 +171,28 @@
 /// says that the machine is gone.
 #[test]
 fn a_pressing_return_waits_for_no_other() {
-    let (mut tables, now) = (Tables::new(9, 1, 1_000), 10_000);
+    let (mut tables, now) = (ClusterState::new(9, 1, 1_000), 10_000);
     let (idle, late) = (MachineId::from("m-1"), MachineId::from("m-2"));
-    assert!(tables.want_return(&idle, "it is idle", now));
-    assert_eq!(tables.rentals.next_returns(), std::slice::from_ref(&idle));
-    assert!(tables.want_return(&late, "a cancelled task is not proved gone", now));
-    assert!(tables.rentals.next_returns().is_empty(), "one flies at a time");
-    tables.rentals.press(&late);
-    assert_eq!(tables.rentals.pressing_returns(now), std::slice::from_ref(&late));
-    tables.rentals.press(&late);
-    assert!(tables.rentals.pressing_returns(now + 1_000).is_empty(), "asked for just now");
+    assert!(tables.request_return(&idle, "it is idle", now));
+    assert_eq!(tables.provisioning.next_returns(), std::slice::from_ref(&idle));
+    assert!(tables.request_return(&late, "a cancelled task is not proved gone", now));
+    assert!(tables.provisioning.next_returns().is_empty(), "one flies at a time");
+    tables.provisioning.mark_urgent(&late);
+    assert_eq!(tables.provisioning.next_urgent_returns(now), std::slice::from_ref(&late));
+    tables.provisioning.mark_urgent(&late);
+    assert!(tables.provisioning.next_urgent_returns(now + 1_000).is_empty(), "asked for just now");
     assert_eq!(
-        tables.rentals.pressing_returns(now + 3_000),
+        tables.provisioning.next_urgent_returns(now + 3_000),
         std::slice::from_ref(&late),
         "and again"
     );
-    tables.returned(&late, now + 3_100);
+    tables.on_returned(&late, now + 3_100);
     // The first try is given up only now.
-    tables.rentals.not_returned(late.clone());
-    tables.rentals.press(&late);
-    assert!(tables.rentals.pressing_returns(now + 9_000).is_empty());
-    tables.returned(&idle, now + 9_000);
-    assert!(tables.rentals.next_returns().is_empty(), "it is gone");
+    tables.provisioning.on_return_failed(late.clone());
+    tables.provisioning.mark_urgent(&late);
+    assert!(tables.provisioning.next_urgent_returns(now + 9_000).is_empty());
+    tables.on_returned(&idle, now + 9_000);
+    assert!(tables.provisioning.next_returns().is_empty(), "it is gone");
 }
 
 // ---- commands held up --------------------------------------------------------------------------
@@ -187,35 +205,45 @@
     for seed in 0..10u64 {
         let mut rng = StdRng::seed_from_u64(seed ^ 0xde);
         // Messages of every kind are late now and then, also the answer that carries a start.
-        let weather = Weather { loss: 0.01, late: 0.05, ..CALM };
-        let mut world = World::new(seed, weather, 90_000);
+        let weather = FaultRates { message_loss: 0.01, message_delay: 0.05, ..NO_FAULTS };
+        let mut world = Simulation::new(seed, weather, 90_000);
         for n in 0..20 {
             let id = format!("wk-c{n}");
             let cancel = (n % 4 != 3).then_some(39_000 + rng.random_range(0..6_000));
             let (shape, tasks) = if n % 3 == 2 { ("gang", 3) } else { ("array", 3) };
-            world.submit(500 + n * 100, cancel, job(&id, shape, "red", tasks, 1.0, 40.0));
+            world.submit(500 + n * 100, cancel, job_body(&id, shape, "red", tasks, 1.0, 40.0));
         }
-        world.run(40_000);
-        let leads = leader(&world).expect("somebody leads");
-        let all = holding(&world);
+        world.run_until(40_000);
+        let leads = leader_index(&world).expect("somebody leads");
+        let all = machines_with_tasks(&world);
         let hangs: Vec<String> = all.iter().filter(|_| rng.random_bool(0.4)).cloned().collect();
-        hang(&mut world, &hangs, [3_000, 7_000, 9_500, 14_000][rng.random_range(0..4)]);
+        hang_machines(&mut world, &hangs, [3_000, 7_000, 9_500, 14_000][rng.random_range(0..4)]);
         for (n, from) in [(leads, 41_000), ((leads + 1) % 3, 47_000), (leads, 53_000)] {
             let for_ms = rng.random_range(1_500..7_000);
-            world.cuts.push(Cut { workers: true, hold: true, ..Cut::of(n, from, for_ms) });
+            world.partitions.push(NetworkPartition {
+                workers: true,
+                holds_messages: true,
+                ..NetworkPartition::of(n, from, for_ms)
+            });
         }
         let names: Vec<String> =
             all.into_iter().filter(|n| !hangs.contains(n)).step_by(3).collect();
         let (from_ms, for_ms) = (42_000, rng.random_range(3_000..30_000));
-        world.deafness.push(Deafness { from_ms, for_ms, zone: None, names, hears_each: seed % 3 });
+        world.inbound_failures.push(InboundFailure {
+            from_ms,
+            for_ms,
+            zone: None,
+            machines: names,
+            delivers_every: seed % 3,
+        });
         if seed % 2 == 0 {
-            world.crash(43_000 + rng.random_range(0..8_000), leads);
+            world.schedule_crash(43_000 + rng.random_range(0..8_000), leads);
         }
-        world.run(100_000);
-        held += world.met.get("held by a hang").copied().unwrap_or(0);
-        told += world.jobs.iter().filter(|j| j.told_cancelled.is_some()).count();
-        world.run(400_000);
-        ends_well(&world, &format!("seed {seed}"));
+        world.run_until(100_000);
+        held += world.fault_counts.get("held by a hang").copied().unwrap_or(0);
+        told += world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
+        world.run_until(400_000);
+        assert_ends_well(&world, &format!("seed {seed}"));
     }
     assert!(held >= 10, "{held} commands waited for a machine that hung");
     assert!(told >= 10 * 12, "{told} were told");
@@ -224,62 +252,74 @@
 // ---- at random ---------------------------------------------------------------------------------
 
 /// A trouble that begins then, of one of those that two or three at a time meet.
-fn trouble(world: &mut World, kind: usize, at: u64, rng: &mut StdRng) {
-    let node = match leader(world).filter(|_| rng.random_bool(0.6)) {
+fn inject_fault(world: &mut Simulation, kind: usize, at: u64, rng: &mut StdRng) {
+    let node = match leader_index(world).filter(|_| rng.random_bool(0.6)) {
         Some(leads) => leads,
         None => rng.random_range(0..3),
     };
     let for_ms = rng.random_range(1_000..45_000);
-    let cut = Cut { hold: rng.random_bool(0.3), ..Cut::of(node, at, for_ms) };
-    let some = |world: &World, rng: &mut StdRng| -> Vec<String> {
+    let cut = NetworkPartition {
+        holds_messages: rng.random_bool(0.3),
+        ..NetworkPartition::of(node, at, for_ms)
+    };
+    let some = |world: &Simulation, rng: &mut StdRng| -> Vec<String> {
         let share = rng.random_range(0.1..0.9);
-        holding(world).into_iter().filter(|_| rng.random_bool(share)).collect()
+        machines_with_tasks(world).into_iter().filter(|_| rng.random_bool(share)).collect()
     };
     match kind {
-        0 => world.cuts.push(Cut { store: true, ..cut }),
-        1 => world.cuts.push(Cut { store: true, peers: true, ..cut }),
-        2 => world.cuts.push(Cut { workers: true, ..cut }),
+        0 => world.partitions.push(NetworkPartition { store: true, ..cut }),
+        1 => world.partitions.push(NetworkPartition { store: true, peers: true, ..cut }),
+        2 => world.partitions.push(NetworkPartition { workers: true, ..cut }),
         3 => {
-            world.cuts.push(Cut { store: true, ..Cut::of(node, at, 30_000) });
-            world.outage(at + rng.random_range(300..6_000), 40_000 + for_ms);
+            world
+                .partitions
+                .push(NetworkPartition { store: true, ..NetworkPartition::of(node, at, 30_000) });
+            world.schedule_store_outage(at + rng.random_range(300..6_000), 40_000 + for_ms);
         }
-        4 => world.outage(at, for_ms + 15_000),
-        5 => world.crash(at, node),
-        6 => (0..3).for_each(|n| world.crash(at + rng.random_range(0..1_500), n)),
-        7 => world.freeze(at, node, for_ms.min(25_000)),
-        8 => world.slow(at, for_ms),
-        9 => world.copies = Some((0.1, 40_000)),
+        4 => world.schedule_store_outage(at, for_ms + 15_000),
+        5 => world.schedule_crash(at, node),
+        6 => (0..3).for_each(|n| world.schedule_crash(at + rng.random_range(0..1_500), n)),
+        7 => world.schedule_pause(at, node, for_ms.min(25_000)),
+        8 => world.schedule_store_slowdown(at, for_ms),
+        9 => world.duplicate_reports = Some((0.1, 40_000)),
         10 => {
             let (names, hears_each) = (some(world, rng), rng.random_range(0..4));
-            world.deafness.push(Deafness { from_ms: at, for_ms, zone: None, names, hears_each });
+            world.inbound_failures.push(InboundFailure {
+                from_ms: at,
+                for_ms,
+                zone: None,
+                machines: names,
+                delivers_every: hears_each,
+            });
         }
         11 => {
             let names = some(world, rng);
-            world.spell(at, for_ms * 2, Trouble::Mute(names));
+            world.add_fault_window(at, for_ms * 2, Fault::OutboundUnreachable(names));
         }
         12 => {
             let zone = ["a", "b", "c"][rng.random_range(0..3)].to_string();
-            world.spell(at, for_ms, Trouble::ZoneAway { zone, node });
+            world.add_fault_window(at, for_ms, Fault::ZonePartition { zone, controller: node });
         }
         13 => {
             let names = some(world, rng);
-            hang(world, &names, [3_000, 9_000, 15_000, 100_000][rng.random_range(0..4)]);
+            hang_machines(world, &names, [3_000, 9_000, 15_000, 100_000][rng.random_range(0..4)]);
         }
-        14 => world.spell(at, for_ms.min(9_000), Trouble::CloudAway),
-        15 => world.spell(at, for_ms, Trouble::CloudSlow(5_000)),
-        16 => world.spell(at, for_ms, Trouble::WritesLate(0.2)),
-        17 => world.spell(at, for_ms, Trouble::AnswersLost(0.2)),
+        14 => world.add_fault_window(at, for_ms.min(9_000), Fault::CloudUnavailable),
+        15 => world.add_fault_window(at, for_ms, Fault::SlowCloud(5_000)),
+        16 => world.add_fault_window(at, for_ms, Fault::TransactionsLate(0.2)),
+        17 => world.add_fault_window(at, for_ms, Fault::AnswersLost(0.2)),
         _ => world.store.limit_sizes(0.7, [1, 5][rng.random_range(0..2)]),
     }
 }
 
 /// A day on which two or three of them meet, twice, while jobs are cancelled at that moment.
-fn day(seed: u64) -> World {
+fn run_day(seed: u64) -> Simulation {
     let mut rng = StdRng::seed_from_u64(seed ^ 0x0dd);
     let late = [0.0, 0.01, 0.03][seed as usize % 3];
-    let weather = Weather { loss: late, late, crashes: 0, outages: 0 };
-    let mut world = World::offering(seed, weather, 160_000, accelerated(3));
-    world.restart_ms = [None, Some(100), Some(1_000)][rng.random_range(0..3)];
+    let weather =
+        FaultRates { message_loss: late, message_delay: late, crashes: 0, outages_and_hangs: 0 };
+    let mut world = Simulation::with_offers(seed, weather, 160_000, gpu_machine_offers(3));
+    world.restart_delay_ms = [None, Some(100), Some(1_000)][rng.random_range(0..3)];
     if rng.random_bool(0.3) {
         world.memory_mb = 0.2;
     }
@@ -291,9 +331,9 @@
         let cancel = (shape == "service").then_some(150_000);
         let crew = ["red", "blue", "tuning", "serving"][rng.random_range(0..4)];
         let mut body = match crew {
-            "red" => job(&id, shape, crew, 6, 2.0, eta),
-            "blue" => job(&id, shape, crew, 3, 2.0, eta),
-            _ => gpu_job(&id, shape, crew, 4, 1.0, eta),
+            "red" => job_body(&id, shape, crew, 6, 2.0, eta),
+            "blue" => job_body(&id, shape, crew, 3, 2.0, eta),
+            _ => gpu_job_body(&id, shape, crew, 4, 1.0, eta),
         };
         if shape == "service" {
             body["scatter"] = rng.random_bool(0.5).into();
@@ -301,27 +341,31 @@
         world.submit(at, cancel, body);
     }
     for at in [40_000, 95_000] {
-        world.run(at);
+        world.run_until(at);
         let hang_ms = [None, Some(4_000), Some(9_500), Some(60_000)][rng.random_range(0..4)];
         let kinds: Vec<usize> =
             (0..2 + usize::from(rng.random_bool(0.3))).map(|_| rng.random_range(0..19)).collect();
         // Where all controllers end at once and the state service is away before one has read it, nobody on earth
         // knows what hangs: machines then go on within a lease, which ends their tasks.
         let hang_ms = hang_ms.map(|ms| if kinds.contains(&6) { ms.min(9_500) } else { ms });
-        world.cancel_now(at + rng.random_range(0..3_500), rng.random_range(1..5), hang_ms);
+        world.schedule_running_cancellations(
+            at + rng.random_range(0..3_500),
+            rng.random_range(1..5),
+            hang_ms,
+        );
         for kind in kinds.iter().copied() {
             let after = rng.random_range(0..3_000);
             if kind == 13 && kinds.contains(&6) {
                 continue;
             }
-            trouble(&mut world, kind, at + after, &mut rng);
+            inject_fault(&mut world, kind, at + after, &mut rng);
         }
     }
-    world.run(200_000);
+    world.run_until(200_000);
     world.store.limit_sizes(8.0, 16);
-    world.troubles_over_ms = Some(215_000);
-    world.watches_waiting = true;
-    world.run(480_000);
+    world.faults_end_ms = Some(215_000);
+    world.checks_work_conservation = true;
+    world.run_until(480_000);
     world
 }
 
@@ -336,12 +380,12 @@
     let once: &[u64] = if range.is_none() { &[83, 194] } else { &[] };
     let (mut told, mut bad) = (0, Vec::new());
     for seed in (from..to).chain(once.iter().copied()) {
-        let world = day(seed);
-        told += world.jobs.iter().filter(|j| j.told_cancelled.is_some()).count();
+        let world = run_day(seed);
+        told += world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
         let open: Vec<&str> =
-            world.jobs.iter().filter(|j| !j.over()).map(|j| j.id.as_str()).collect();
-        if !world.broken.is_empty() || !open.is_empty() {
-            bad.push(format!("seed {seed}: {:?}, not over: {open:?}", world.broken));
+            world.jobs.iter().filter(|j| !j.is_over()).map(|j| j.id.as_str()).collect();
+        if !world.violations.is_empty() || !open.is_empty() {
+            bad.push(format!("seed {seed}: {:?}, not over: {open:?}", world.violations));
         }
     }
     assert!(bad.is_empty(), "{}", bad.join("\n"));
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -6,36 +6,39 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::Value;
-use swiftsail_controller::node::{AdminAsk, Node};
+use swiftsail_controller::node::{AdminRequest, Controller};
 use swiftsail_gpu_lending::constants::*;
-use swiftsail_gpu_lending::{Lent, Loans, Seen, Stage, Todo};
+use swiftsail_gpu_lending::{GpuLoans, LenderRecord, LoanAction, LoanObservation, LoanPhase};
+use swiftsail_policy::operator::OperatorSettings;
 use swiftsail_replicated_records::Versioned;
-use swiftsail_policy::operator::Operator;
-use swiftsail_simulation::explorer::{Small, explore};
-use swiftsail_simulation::world::{BEGIN, Weather, World, accelerated, gpu_job};
+use swiftsail_simulation::explorer::{Model, check_model};
+use swiftsail_simulation::world::{
+    FaultRates, START_MS, Simulation, gpu_job_body, gpu_machine_offers,
+};
 
-const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
+const NO_FAULTS: FaultRates =
+    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
 
-fn leader(world: &World) -> Option<usize> {
-    (0..3).find(|n| world.nodes[*n].as_ref().is_some_and(Node::leads))
+fn leader_index(world: &Simulation) -> Option<usize> {
+    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
 }
 
-fn seen(bits: u8) -> Seen {
+fn loan_facts(bits: u8) -> LoanObservation {
     let bit = |n: u8| bits & (1 << n) != 0;
-    Seen {
-        lender_lives: bit(0),
-        borrower_lives: bit(1),
-        borrower_waits: bit(2),
-        machine_there: bit(3),
-        lender_there: bit(4),
-        borrower_there: bit(5),
-        lender_waits: bit(6),
+    LoanObservation {
+        lender_is_live: bit(0),
+        borrower_is_live: bit(1),
+        borrower_is_waiting: bit(2),
+        machine_is_available: bit(3),
+        lender_on_machine: bit(4),
+        borrower_on_machine: bit(5),
+        lender_is_waiting: bit(6),
     }
 }
 
-fn opened(now: u64) -> Loans {
-    let mut loans = Loans::default();
-    assert!(loans.ask("wk-l", "wk-b", &[("m-1".into(), 2.0)], now));
+fn open_loan(now: u64) -> GpuLoans {
+    let mut loans = GpuLoans::default();
+    assert!(loans.request_loan("wk-l", "wk-b", &[("m-1".into(), 2.0)], now));
     loans
 }
 
@@ -51,38 +54,44 @@
     runner
         .run(&history, |history| {
             let mut now = 1_000_000;
-            let mut loans = opened(now);
-            let mut last = Stage::Asked;
+            let mut loans = open_loan(now);
+            let mut last = LoanPhase::Asked;
             for (bits, ms, handed) in history {
                 now += ms;
                 if handed {
                     // A new leader reads what was written.
-                    let lent = loans.of("wk-l").map(|l| l.record());
-                    loans = Loans::default();
+                    let lent = loans.lender_record("wk-l").map(|l| l.to_record());
+                    loans = GpuLoans::default();
                     if let Some(record) = lent {
                         loans.restore(
                             "wk-l",
-                            Lent::read("loan/wk-l", &record).expect("it is sound"),
+                            LenderRecord::from_record("loan/wk-l", &record).expect("it is sound"),
                         );
                     }
                 }
                 if bits & 128 != 0 {
-                    loans.confirm("wk-l", now);
+                    loans.on_committed("wk-l", now);
                 }
-                let todo = loans.step(now, |_, _| seen(bits));
-                let keeps = todo.iter().filter(|t| matches!(t, Todo::Keep { .. })).count();
+                let todo = loans.advance_loans(now, |_, _| loan_facts(bits));
+                let keeps =
+                    todo.iter().filter(|t| matches!(t, LoanAction::ReserveRoom { .. })).count();
                 prop_assert!(keeps <= 1, "{todo:?}");
-                let Some(loan) = loans.of("wk-l").and_then(|l| l.loans.first()) else { break };
-                prop_assert!(loan.stage() >= last, "{last:?} to {:?}", loan.stage());
-                let stops = todo.iter().any(|t| matches!(t, Todo::Stop { .. }));
-                prop_assert_eq!(stops, loan.stage() == Stage::Stopping);
+                let Some(loan) = loans.lender_record("wk-l").and_then(|l| l.loans.first()) else {
+                    break;
+                };
+                prop_assert!(loan.phase() >= last, "{last:?} to {:?}", loan.phase());
+                let stops = todo.iter().any(|t| matches!(t, LoanAction::StopLender { .. }));
+                prop_assert_eq!(stops, loan.phase() == LoanPhase::Stopping);
                 prop_assert!(
-                    loan.stage() == Stage::Serving || now <= loan.since_wall + TAKE_MS.max(BACK_MS),
+                    loan.phase() == LoanPhase::Serving
+                        || now
+                            <= loan.phase_since_wall
+                                + LOAN_START_TIMEOUT_MS.max(LOAN_RETURN_TIMEOUT_MS),
                     "{:?} for {} ms",
-                    loan.stage(),
-                    now - loan.since_wall
+                    loan.phase(),
+                    now - loan.phase_since_wall
                 );
-                last = loan.stage();
+                last = loan.phase();
             }
             Ok(())
         })
@@ -92,48 +101,51 @@
 /// A job is not stopped again and again, whoever leads.
 #[test]
 fn surges_that_come_and_go_do_not_make_work_swing() {
-    let (mut loans, mut stops) = (Loans::default(), 0);
+    let (mut loans, mut stops) = (GpuLoans::default(), 0);
     for minute in 0..60u64 {
         let now = 10_000_000 + minute * 60_000;
-        if loans.ask("wk-l", "wk-b", &[("m-1".into(), 2.0)], now) {
+        if loans.request_loan("wk-l", "wk-b", &[("m-1".into(), 2.0)], now) {
             stops += 1;
         }
-        loans.confirm("wk-l", now);
+        loans.on_committed("wk-l", now);
         // Given back at once each time.
         for bits in [0b0100_1111, 0b0010_1011, 0b0100_1011, 0b0001_1011] {
-            loans.step(now + 1_000, |_, _| seen(bits));
+            loans.advance_loans(now + 1_000, |_, _| loan_facts(bits));
         }
-        let record = loans.of("wk-l").map(|l| l.record());
-        loans = Loans::default();
+        let record = loans.lender_record("wk-l").map(|l| l.to_record());
+        loans = GpuLoans::default();
         if let Some(record) = record {
-            loans.restore("wk-l", Lent::read("loan/wk-l", &record).expect("it is sound"));
+            loans.restore(
+                "wk-l",
+                LenderRecord::from_record("loan/wk-l", &record).expect("it is sound"),
+            );
         }
     }
-    assert_eq!(stops, STOPS_MOST, "stops in an hour");
+    assert_eq!(stops, MAX_PREEMPTIONS_PER_WINDOW, "stops in an hour");
 }
 
 /// One loan with its leader, its record and its machine: every order of asking, writing, confirming, stopping,
 /// binding, ending, crashing and waiting.
 #[derive(Clone, Hash)]
-struct OneLoan {
+struct LoanModel {
     now: u64,
     /// What the leader knows, as its record would be; none: no leader has read it yet.
-    held: Option<String>,
+    leader_record: Option<String>,
     /// What the state service holds.
-    written: Option<String>,
-    lender_on: bool,
-    borrower_on: bool,
-    borrower_over: bool,
+    stored_record: Option<String>,
+    lender_running: bool,
+    borrower_running: bool,
+    borrower_finished: bool,
     stopped: bool,
     stops: u8,
     crashes: u8,
     /// The guard is taken away: the stop does not wait for the record.
-    hasty: bool,
-    wrong: Option<&'static str>,
+    stops_before_record: bool,
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Debug)]
-enum Move {
+enum LoanStep {
     Ask,
     Write,
     Step,
@@ -144,150 +156,160 @@
     Wait,
 }
 
-impl OneLoan {
-    fn loans(&self) -> Loans {
-        let mut loans = Loans::default();
-        if let Some(held) = self.held.as_ref().filter(|h| !h.is_empty()) {
+impl LoanModel {
+    fn read_loans(&self) -> GpuLoans {
+        let mut loans = GpuLoans::default();
+        if let Some(held) = self.leader_record.as_ref().filter(|h| !h.is_empty()) {
             let value: Value = serde_json::from_str(held).expect("it is JSON");
-            loans.restore("wk-l", Lent::read("l", &value).expect("it is sound"));
+            loans.restore("wk-l", LenderRecord::from_record("l", &value).expect("it is sound"));
         }
         loans
     }
 
-    fn hold(&mut self, loans: &Loans) {
-        self.held = Some(loans.of("wk-l").map_or(String::new(), |l| l.record().to_string()));
+    fn record_loans(&mut self, loans: &GpuLoans) {
+        self.leader_record =
+            Some(loans.lender_record("wk-l").map_or(String::new(), |l| l.to_record().to_string()));
     }
 }
 
-impl Small for OneLoan {
-    type Step = Move;
+impl Model for LoanModel {
+    type Step = LoanStep;
 
-    fn steps(&self) -> Vec<Move> {
-        let mut all = vec![Move::Write, Move::Step];
-        let waits = !self.borrower_on && !self.borrower_over;
-        if waits && self.lender_on {
-            all.push(Move::Ask);
+    fn enabled_steps(&self) -> Vec<LoanStep> {
+        let mut all = vec![LoanStep::Write, LoanStep::Step];
+        let waits = !self.borrower_running && !self.borrower_finished;
+        if waits && self.lender_running {
+            all.push(LoanStep::Ask);
         }
-        if self.lender_on && self.stopped {
-            all.push(Move::Leave);
+        if self.lender_running && self.stopped {
+            all.push(LoanStep::Leave);
         }
-        if waits && !self.lender_on {
-            all.push(Move::Bind);
+        if waits && !self.lender_running {
+            all.push(LoanStep::Bind);
         }
-        if self.borrower_on {
-            all.push(Move::End);
+        if self.borrower_running {
+            all.push(LoanStep::End);
         }
         if self.crashes < 2 {
-            all.push(Move::Crash);
+            all.push(LoanStep::Crash);
         }
         if self.now < 400_000 {
-            all.push(Move::Wait);
+            all.push(LoanStep::Wait);
         }
         all
     }
 
-    fn take(&mut self, step: &Move) {
-        let mut loans = self.loans();
+    fn apply(&mut self, step: &LoanStep) {
+        let mut loans = self.read_loans();
         match step {
-            Move::Ask => {
-                loans.ask("wk-l", "wk-b", &[("m-1".into(), 2.0)], self.now);
-                self.hold(&loans);
+            LoanStep::Ask => {
+                loans.request_loan("wk-l", "wk-b", &[("m-1".into(), 2.0)], self.now);
+                self.record_loans(&loans);
             }
-            Move::Write => self.written = self.held.clone(),
-            Move::Step => {
-                if self.hasty || self.written == self.held {
-                    loans.confirm("wk-l", self.now);
+            LoanStep::Write => self.stored_record = self.leader_record.clone(),
+            LoanStep::Step => {
+                if self.stops_before_record || self.stored_record == self.leader_record {
+                    loans.on_committed("wk-l", self.now);
                 }
                 let (lender_on, borrower_on, over) =
-                    (self.lender_on, self.borrower_on, self.borrower_over);
-                let todo = loans.step(self.now, |_, _| Seen {
-                    lender_lives: true,
-                    borrower_lives: !over,
-                    borrower_waits: !over && !borrower_on,
-                    machine_there: true,
-                    lender_there: lender_on,
-                    borrower_there: borrower_on,
-                    lender_waits: !lender_on,
+                    (self.lender_running, self.borrower_running, self.borrower_finished);
+                let todo = loans.advance_loans(self.now, |_, _| LoanObservation {
+                    lender_is_live: true,
+                    borrower_is_live: !over,
+                    borrower_is_waiting: !over && !borrower_on,
+                    machine_is_available: true,
+                    lender_on_machine: lender_on,
+                    borrower_on_machine: borrower_on,
+                    lender_is_waiting: !lender_on,
                 });
                 for it in todo {
-                    if matches!(it, Todo::Stop { .. }) && self.lender_on && !self.stopped {
+                    if matches!(it, LoanAction::StopLender { .. })
+                        && self.lender_running
+                        && !self.stopped
+                    {
                         (self.stopped, self.stops) = (true, self.stops + 1);
-                        let known = self.written.as_ref().is_some_and(|w| w.contains("wk-b"));
+                        let known = self.stored_record.as_ref().is_some_and(|w| w.contains("wk-b"));
                         if !known {
-                            self.wrong = Some("stopped for what the next leader would not know");
+                            self.violation =
+                                Some("stopped for what the next leader would not know");
                         }
                     }
-                    if let Todo::Keep { job, .. } = it
+                    if let LoanAction::ReserveRoom { job, .. } = it
                         && job == "wk-l"
-                        && !self.lender_on
-                        && !self.borrower_on
+                        && !self.lender_running
+                        && !self.borrower_running
                     {
                         // It goes on where it was.
-                        (self.lender_on, self.stopped) = (true, false);
+                        (self.lender_running, self.stopped) = (true, false);
                     }
                 }
-                self.hold(&loans);
+                self.record_loans(&loans);
             }
-            Move::Leave => self.lender_on = false,
-            Move::Bind => self.borrower_on = true,
-            Move::End => (self.borrower_on, self.borrower_over) = (false, true),
-            Move::Crash => {
+            LoanStep::Leave => self.lender_running = false,
+            LoanStep::Bind => self.borrower_running = true,
+            LoanStep::End => (self.borrower_running, self.borrower_finished) = (false, true),
+            LoanStep::Crash => {
                 self.crashes += 1;
-                self.held = self.written.clone();
+                self.leader_record = self.stored_record.clone();
             }
-            Move::Wait => self.now += 30_000,
+            LoanStep::Wait => self.now += 30_000,
         }
     }
 
-    fn broken(&self) -> Option<String> {
-        if self.lender_on && self.borrower_on {
+    fn violation(&self) -> Option<String> {
+        if self.lender_running && self.borrower_running {
             return Some("two on one machine".into());
         }
-        if usize::from(self.stops) > STOPS_MOST {
+        if usize::from(self.stops) > MAX_PREEMPTIONS_PER_WINDOW {
             return Some("it swings".into());
         }
-        self.wrong.map(str::to_string)
+        self.violation.map(str::to_string)
     }
 }
 
-fn one_loan(hasty: bool) -> OneLoan {
-    OneLoan {
+fn check_one_loan(hasty: bool) -> LoanModel {
+    LoanModel {
         now: 0,
-        held: Some(String::new()),
-        written: Some(String::new()),
-        lender_on: true,
-        borrower_on: false,
-        borrower_over: false,
+        leader_record: Some(String::new()),
+        stored_record: Some(String::new()),
+        lender_running: true,
+        borrower_running: false,
+        borrower_finished: false,
         stopped: false,
         stops: 0,
         crashes: 0,
-        hasty,
-        wrong: None,
+        stops_before_record: hasty,
+        violation: None,
     }
 }
 
 /// Nothing breaks in any order; without the rule that the record comes first, it does within a few steps.
 #[test]
 fn every_order_of_one_loan() {
-    let found = explore(one_loan(false), 14, 60_000);
-    assert!(found.broken.is_none(), "{:?}", found.broken);
-    assert!(found.worlds > 2_000, "{} worlds", found.worlds);
-    let hasty = explore(one_loan(true), 14, 60_000).broken.expect("the guard is needed");
+    let found = check_model(check_one_loan(false), 14, 60_000);
+    assert!(found.violation.is_none(), "{:?}", found.violation);
+    assert!(found.states > 2_000, "{} worlds", found.states);
+    let hasty =
+        check_model(check_one_loan(true), 14, 60_000).violation.expect("the guard is needed");
     assert!(hasty.1.len() <= 4, "{hasty:?}");
 }
 
-fn durable() -> Operator {
-    Operator::parse("loans", "[loans]\ndurable = true\n").expect("it is sound")
+fn operator_with_loans() -> OperatorSettings {
+    OperatorSettings::parse("loans", "[loans]\ndurable = true\n").expect("it is sound")
 }
 
-fn runs(world: &World, id: &str) -> usize {
-    let tasks = world.plant.workers.values().filter(|w| !w.gone).flat_map(|w| &w.tasks);
-    tasks.filter(|t| t.on_machine() && t.name.starts_with(&format!("{id}/"))).count()
+fn running_tasks(world: &Simulation, id: &str) -> usize {
+    let tasks = world.cluster.workers.values().filter(|w| !w.is_terminated).flat_map(|w| &w.tasks);
+    tasks.filter(|t| t.is_on_machine() && t.name.starts_with(&format!("{id}/"))).count()
 }
 
-fn begun(world: &World, id: &str) -> Option<u64> {
-    let own = world.plant.first_run.iter().filter(|(task, _)| task.starts_with(&format!("{id}/")));
-    own.map(|(_, at)| at - BEGIN).max()
+fn first_started_ms(world: &Simulation, id: &str) -> Option<u64> {
+    let own = world
+        .cluster
+        .first_started_at
+        .iter()
+        .filter(|(task, _)| task.starts_with(&format!("{id}/")));
+    own.map(|(_, at)| at - START_MS).max()
 }
 
 /// Idle-hours batches fill every accelerator. Fine-tuning within its guarantee, gangs of one and of several whole
@@ -295,25 +317,25 @@
 #[test]
 fn fine_tuning_takes_its_guarantee_from_batches() {
     for seed in 0..3 {
-        let mut world = World::offering(seed, CALM, 400_000, accelerated(1));
+        let mut world = Simulation::with_offers(seed, NO_FAULTS, 400_000, gpu_machine_offers(1));
         for n in 0..4 {
             let id = format!("wk-b{n}");
-            world.submit(500 + n * 500, None, gpu_job(&id, "array", "lab", 8, 1.0, 400.0));
+            world.submit(500 + n * 500, None, gpu_job_body(&id, "array", "lab", 8, 1.0, 400.0));
         }
-        world.submit(60_000, None, gpu_job("wk-t1", "gang", "tuning", 1, 2.0, 60.0));
-        world.submit(62_000, None, gpu_job("wk-t2", "gang", "tuning", 2, 2.0, 60.0));
+        world.submit(60_000, None, gpu_job_body("wk-t1", "gang", "tuning", 1, 2.0, 60.0));
+        world.submit(62_000, None, gpu_job_body("wk-t2", "gang", "tuning", 2, 2.0, 60.0));
         if seed > 0 {
-            world.run(67_000);
-            if let Some(node) = leader(&world) {
-                world.crash(67_000 + seed * 300, node);
+            world.run_until(67_000);
+            if let Some(node) = leader_index(&world) {
+                world.schedule_crash(67_000 + seed * 300, node);
             }
         }
-        world.run(130_000);
+        world.run_until(130_000);
         for id in ["wk-t1", "wk-t2"] {
-            let at = begun(&world, id);
+            let at = first_started_ms(&world, id);
             assert!(at.is_some_and(|at| at < 115_000), "seed {seed}: {id}: {at:?}");
         }
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
     }
 }
 
@@ -325,46 +347,58 @@
     let mut lent = 0;
     for seed in 0..8u64 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let weather = Weather { loss: 0.005, late: 0.0, crashes: 0, outages: 0 };
-        let weather = if seed < 2 { CALM } else { weather };
-        let mut world = World::offering(seed, weather, 400_000, accelerated(1));
-        world.operator = durable();
-        world.restart_ms = (seed % 3 == 0).then_some(100);
+        let weather = FaultRates {
+            message_loss: 0.005,
+            message_delay: 0.0,
+            crashes: 0,
+            outages_and_hangs: 0,
+        };
+        let weather = if seed < 2 { NO_FAULTS } else { weather };
+        let mut world = Simulation::with_offers(seed, weather, 400_000, gpu_machine_offers(1));
+        world.operator = operator_with_loans();
+        world.restart_delay_ms = (seed % 3 == 0).then_some(100);
         for n in 0..4 {
             let id = format!("wk-t{n}");
-            world.submit(500 + n * 900, None, gpu_job(&id, "gang", "tuning", 2, 1.0, 200.0));
+            world.submit(500 + n * 900, None, gpu_job_body(&id, "gang", "tuning", 2, 1.0, 200.0));
         }
         for n in 0..3 {
             let id = format!("wk-s{n}");
-            let mut body = gpu_job(&id, "service", "serving", 2, 1.0, 0.0);
+            let mut body = gpu_job_body(&id, "service", "serving", 2, 1.0, 0.0);
             body["scatter"] = false.into();
             world.submit(90_000 + n * 2_000, Some(172_000 + n * 4_000), body);
         }
         for until in [150_000u64, 240_000] {
             let mut crash = if until < 200_000 { 93_000 } else { 168_000 };
             while seed > 0 && crash < until {
-                world.run(crash);
-                let tables = world.nodes.iter().flatten().filter_map(Node::tables);
-                lent += tables.map(|t| t.loans.open()).sum::<usize>();
-                if let Some(node) = leader(&world) {
-                    world.crash(crash, node);
+                world.run_until(crash);
+                let tables =
+                    world.controllers.iter().flatten().filter_map(Controller::cluster_state);
+                lent += tables.map(|t| t.gpu_loans.open_loans()).sum::<usize>();
+                if let Some(node) = leader_index(&world) {
+                    world.schedule_crash(crash, node);
                 }
                 crash += rng.random_range(9_000..25_000);
             }
             if until < 200_000 {
-                world.run(167_000);
-                let replicas: usize = (0..3).map(|n| runs(&world, &format!("wk-s{n}"))).sum();
+                world.run_until(167_000);
+                let replicas: usize =
+                    (0..3).map(|n| running_tasks(&world, &format!("wk-s{n}"))).sum();
                 assert!(replicas >= 5, "seed {seed}: {replicas} of 6 replicas run");
             }
         }
-        world.run(900_000);
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
-        let unfinished = world.jobs.iter().filter(|j| !j.over()).map(|j| j.id.as_str());
+        world.run_until(900_000);
+        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
+        let unfinished = world.jobs.iter().filter(|j| !j.is_over()).map(|j| j.id.as_str());
         let unfinished: Vec<&str> = unfinished.collect();
         assert!(unfinished.is_empty(), "seed {seed}: {unfinished:?}");
-        let tables = world.nodes.iter().flatten().find_map(Node::tables).expect("a leader");
-        assert_eq!(tables.loans.open(), 0, "seed {seed}");
-        let records = world.store.list("order/loan/", None, 100).pairs.len();
+        let tables = world
+            .controllers
+            .iter()
+            .flatten()
+            .find_map(Controller::cluster_state)
+            .expect("a leader");
+        assert_eq!(tables.gpu_loans.open_loans(), 0, "seed {seed}");
+        let records = world.store.list("order/loan/", None, 100).entries.len();
         assert_eq!(records, 0, "seed {seed}: records of jobs that are over");
     }
     assert!(lent > 0, "nothing was ever lent");
@@ -373,11 +407,11 @@
 /// Operators see what is lent, and by whom.
 #[test]
 fn operators_see_what_is_lent() {
-    let mut world = World::offering(1, CALM, 400_000, accelerated(1));
-    world.operator = durable();
-    let id = world.ask(20_000, 0, AdminAsk::Loans(None));
-    world.run(21_000);
-    let reply = world.answers.remove(&id).expect("an answer");
+    let mut world = Simulation::with_offers(1, NO_FAULTS, 400_000, gpu_machine_offers(1));
+    world.operator = operator_with_loans();
+    let id = world.schedule_admin_request(20_000, 0, AdminRequest::Loans(None));
+    world.run_until(21_000);
+    let reply = world.admin_answers.remove(&id).expect("an answer");
     let body: Value = serde_json::from_slice(&reply.body).expect("JSON");
     assert!(reply.status == 421 || body["loans"].as_array().is_some_and(Vec::is_empty), "{body}");
 }
--- a/tests/pipelines_small.rs
+++ b/tests/pipelines_small.rs
@@ -1,26 +1,29 @@
 //! Every order of events in a small world of two stages: acceptance, a cancellation, ends, moves to the last place, late
 //! bindings, leaders that begin anew, a question read step by step. Each guard left out is found.
 
-use swiftsail_dag::{Fate, Graph, JobId, Seen, Standing, Verdict, Walk};
-use swiftsail_simulation::explorer::{Found, Small, explore};
+use swiftsail_dag::{
+    DependencyGraph, DependencyState, DependencyTraversal, DependencyVerdict, JobId, JobOutcome,
+    VisitedJob,
+};
+use swiftsail_simulation::explorer::{CheckResult, Model, check_model};
 
 /// What is left out to see that the explorer finds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Without {
-    Nothing,
+enum RemovedGuard {
+    None,
     /// A leader binds what awaits others like anything else.
-    Waiting,
+    DependencyWait,
     /// A leader takes a job that it knows nothing of for done.
-    Reading,
+    OutcomeLookup,
     /// Whoever is asked reads a job's last place before its first.
-    Order,
+    LookupOrder,
     /// Whoever is asked goes by what it read of the job before the question, and by nothing before it.
-    Walking,
+    LookupFreshness,
 }
 
 /// A job's record in the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Record {
+enum StoredJobRecord {
     Absent,
     Live,
     Cancelled,
@@ -30,306 +33,346 @@
 
 /// What a leader knows.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-struct Leader {
+struct ModelLeader {
     /// Jobs in its tables that are not over: cancelled or not.
     jobs: [Option<bool>; 2],
-    graph: Graph,
+    graph: DependencyGraph,
     /// It asks what became of the first: it has read that it is not in its first place.
-    asks: Option<bool>,
+    outcome_lookup: Option<bool>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Question {
-    walk: Walk,
+struct PendingQuestion {
+    lookup: DependencyTraversal,
     /// The cancellation had been told when it was asked.
-    told: bool,
+    cancellation_told: bool,
     /// Which place is read next: the other was read, and it was not there.
-    second: bool,
+    reads_second_place: bool,
 }
 
 #[derive(Debug, Clone, Hash)]
-struct World {
-    without: Without,
-    store: [Record; 2],
-    token: u8,
-    leader: Option<Leader>,
+struct DependencyModel {
+    removed_guard: RemovedGuard,
+    store: [StoredJobRecord; 2],
+    fencing_token: u8,
+    leader: Option<ModelLeader>,
     /// Bindings under way: under which token.
-    binding: [Option<u8>; 2],
+    bindings_in_flight: [Option<u8>; 2],
     bound: [bool; 2],
     started: [bool; 2],
     finished: [bool; 2],
-    told: bool,
-    question: Option<Question>,
+    cancellation_told: bool,
+    question: Option<PendingQuestion>,
     /// An answer said that the second is called off.
-    said_off: bool,
-    broken: Option<&'static str>,
+    reported_cancelled: bool,
+    violation: Option<&'static str>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Step {
+enum DependencyStep {
     Accept(usize),
     Cancel(usize),
-    Lead,
-    See(usize),
-    Stranger,
+    TakeLeadership,
+    ObserveRecord(usize),
+    StartOutcomeLookup,
     Bind(usize),
     Commit(usize),
     Start(usize),
     Finish(usize),
-    End(usize),
-    Move(usize),
+    RecordEnd(usize),
+    MoveRecord(usize),
     Ask,
     Read,
 }
 
-fn id(n: usize) -> JobId {
+fn job_id(n: usize) -> JobId {
     ["wk-0", "wk-1"][n].into()
 }
 
-fn fate(done: bool) -> Fate {
-    if done { Fate::Done(1) } else { Fate::CalledOff }
+fn job_outcome(done: bool) -> JobOutcome {
+    if done { JobOutcome::Done(1) } else { JobOutcome::Cancelled }
 }
 
-impl World {
-    fn new(without: Without) -> World {
-        World {
-            without,
-            store: [Record::Absent; 2],
-            token: 0,
+impl DependencyModel {
+    fn new(removed_guard: RemovedGuard) -> DependencyModel {
+        DependencyModel {
+            removed_guard,
+            store: [StoredJobRecord::Absent; 2],
+            fencing_token: 0,
             leader: None,
-            binding: [None; 2],
+            bindings_in_flight: [None; 2],
             bound: [false; 2],
             started: [false; 2],
             finished: [false; 2],
-            told: false,
+            cancellation_told: false,
             question: None,
-            said_off: false,
-            broken: None,
+            reported_cancelled: false,
+            violation: None,
         }
     }
 
     /// A leader takes in a job's record from its first place.
-    fn see(&self, leader: &mut Leader, n: usize) {
+    fn observe_record(&self, leader: &mut ModelLeader, n: usize) {
         let over = match self.store[n] {
-            Record::Live => None,
-            Record::Cancelled => Some(false),
-            Record::Over(done) => Some(done),
-            Record::Absent | Record::Moved(_) => return,
+            StoredJobRecord::Live => None,
+            StoredJobRecord::Cancelled => Some(false),
+            StoredJobRecord::Over(done) => Some(done),
+            StoredJobRecord::Absent | StoredJobRecord::Moved(_) => return,
         };
-        if matches!(self.store[n], Record::Over(_)) {
+        if matches!(self.store[n], StoredJobRecord::Over(_)) {
             leader.jobs[n] = None;
         } else {
             leader.jobs[n] = Some(over.is_some());
             if n == 1 {
-                leader.graph.add(&id(1), &[id(0)]);
+                leader.graph.add_job(&job_id(1), &[job_id(0)]);
                 if leader.jobs[0] == Some(true) {
-                    leader.graph.ended(&id(0), Fate::CalledOff);
+                    leader.graph.on_job_ended(&job_id(0), JobOutcome::Cancelled);
                 }
             }
         }
         if let Some(done) = over {
-            leader.graph.ended(&id(n), fate(done));
+            leader.graph.on_job_ended(&job_id(n), job_outcome(done));
         }
     }
 
-    fn standing(&self, leader: &Leader, n: usize) -> Standing {
-        match leader.graph.standing(&id(n)) {
-            Some(Standing::Waits) if self.without == Without::Waiting => Standing::Ready(0),
-            Some(Standing::Waits)
-                if self.without == Without::Reading && leader.jobs[0].is_none() =>
+    fn dependency_state(&self, leader: &ModelLeader, n: usize) -> DependencyState {
+        match leader.graph.state_of(&job_id(n)) {
+            Some(DependencyState::Waiting)
+                if self.removed_guard == RemovedGuard::DependencyWait =>
             {
-                Standing::Ready(0)
+                DependencyState::Ready(0)
+            }
+            Some(DependencyState::Waiting)
+                if self.removed_guard == RemovedGuard::OutcomeLookup
+                    && leader.jobs[0].is_none() =>
+            {
+                DependencyState::Ready(0)
             }
             Some(standing) => standing,
-            None => Standing::Ready(0),
+            None => DependencyState::Ready(0),
         }
     }
 
     /// A leader's end of a job, if it has come to one: done, or not.
-    fn end(&self, n: usize) -> Option<bool> {
+    fn final_result(&self, n: usize) -> Option<bool> {
         let leader = self.leader.as_ref()?;
-        let cancelled = leader.jobs[n]? || self.standing(leader, n) == Standing::CalledOff;
-        let idle =
-            !self.bound[n] && self.binding[n].is_none_or(|t| t != self.token) || self.finished[n];
+        let cancelled = leader.jobs[n]?
+            || self.dependency_state(leader, n) == DependencyState::CancelledByDependency;
+        let idle = !self.bound[n]
+            && self.bindings_in_flight[n].is_none_or(|t| t != self.fencing_token)
+            || self.finished[n];
         match (cancelled, self.store[n]) {
             // What it has seen of the record is the condition of its write.
-            (true, Record::Live | Record::Cancelled) if idle => Some(false),
-            (false, Record::Live) if self.finished[n] => Some(true),
+            (true, StoredJobRecord::Live | StoredJobRecord::Cancelled) if idle => Some(false),
+            (false, StoredJobRecord::Live) if self.finished[n] => Some(true),
             _ => None,
         }
     }
 
-    fn answer(&mut self, walk: &Walk, told: bool) {
+    fn answer_question(&mut self, walk: &DependencyTraversal, told: bool) {
         let Some(verdict) = walk.verdict() else { return };
         self.question = None;
-        let off = verdict == Verdict::CalledOff;
+        let off = verdict == DependencyVerdict::CancelledByDependency;
         if !off && told {
-            self.broken =
+            self.violation =
                 Some("orphaned: called open though its user was told before the question");
         }
-        if !off && self.said_off {
-            self.broken = Some("went_back: called open after it was called off");
+        if !off && self.reported_cancelled {
+            self.violation = Some("went_back: called open after it was called off");
         }
         if off
-            && self.store[0] != Record::Cancelled
-            && !matches!(self.store[0], Record::Over(false) | Record::Moved(false))
+            && self.store[0] != StoredJobRecord::Cancelled
+            && !matches!(
+                self.store[0],
+                StoredJobRecord::Over(false) | StoredJobRecord::Moved(false)
+            )
         {
-            self.broken = Some("went_back: called off though nothing was cancelled");
+            self.violation = Some("went_back: called off though nothing was cancelled");
         }
-        self.said_off |= off;
+        self.reported_cancelled |= off;
     }
 }
 
-impl Small for World {
-    type Step = Step;
+impl Model for DependencyModel {
+    type Step = DependencyStep;
 
-    fn steps(&self) -> Vec<Step> {
-        let accepted = |n: usize| self.store[n] != Record::Absent;
+    fn enabled_steps(&self) -> Vec<DependencyStep> {
+        let accepted = |n: usize| self.store[n] != StoredJobRecord::Absent;
         let leader = self.leader.as_ref();
         let mut steps = Vec::new();
-        let mut may = |step: Step, allowed: bool| {
+        let mut may = |step: DependencyStep, allowed: bool| {
             if allowed {
                 steps.push(step);
             }
         };
-        may(Step::Lead, self.token < 3);
+        may(DependencyStep::TakeLeadership, self.fencing_token < 3);
         may(
-            Step::Stranger,
+            DependencyStep::StartOutcomeLookup,
             leader.is_some_and(|l| l.jobs[1] == Some(false) && l.jobs[0].is_none()),
         );
-        may(Step::Ask, self.question.is_none() && self.store[1] == Record::Live);
-        may(Step::Read, self.question.is_some());
+        may(DependencyStep::Ask, self.question.is_none() && self.store[1] == StoredJobRecord::Live);
+        may(DependencyStep::Read, self.question.is_some());
         for n in 0..2 {
-            let knows = |l: &Leader| {
-                l.jobs[n] == Some(false) && matches!(self.standing(l, n), Standing::Ready(_))
+            let knows = |l: &ModelLeader| {
+                l.jobs[n] == Some(false)
+                    && matches!(self.dependency_state(l, n), DependencyState::Ready(_))
             };
             let first = !accepted(n) && (n == 0 || accepted(0));
-            may(Step::Accept(n), first);
-            may(Step::Cancel(n), self.store[n] == Record::Live);
-            may(Step::See(n), leader.is_some());
-            let free = !self.bound[n] && self.binding[n].is_none();
-            may(Step::Bind(n), free && leader.is_some_and(knows));
-            may(Step::Commit(n), self.binding[n].is_some());
-            may(Step::Start(n), self.bound[n] && !self.started[n]);
-            may(Step::Finish(n), self.started[n] && !self.finished[n]);
-            may(Step::End(n), self.end(n).is_some());
-            may(Step::Move(n), leader.is_some() && matches!(self.store[n], Record::Over(_)));
+            may(DependencyStep::Accept(n), first);
+            may(DependencyStep::Cancel(n), self.store[n] == StoredJobRecord::Live);
+            may(DependencyStep::ObserveRecord(n), leader.is_some());
+            let free = !self.bound[n] && self.bindings_in_flight[n].is_none();
+            may(DependencyStep::Bind(n), free && leader.is_some_and(knows));
+            may(DependencyStep::Commit(n), self.bindings_in_flight[n].is_some());
+            may(DependencyStep::Start(n), self.bound[n] && !self.started[n]);
+            may(DependencyStep::Finish(n), self.started[n] && !self.finished[n]);
+            may(DependencyStep::RecordEnd(n), self.final_result(n).is_some());
+            may(
+                DependencyStep::MoveRecord(n),
+                leader.is_some() && matches!(self.store[n], StoredJobRecord::Over(_)),
+            );
         }
         steps
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &DependencyStep) {
         match *step {
-            Step::Accept(n) => self.store[n] = Record::Live,
-            Step::Cancel(n) => {
-                self.store[n] = Record::Cancelled;
-                self.told |= n == 0;
+            DependencyStep::Accept(n) => self.store[n] = StoredJobRecord::Live,
+            DependencyStep::Cancel(n) => {
+                self.store[n] = StoredJobRecord::Cancelled;
+                self.cancellation_told |= n == 0;
             }
-            Step::Lead => {
-                self.token += 1;
-                let mut leader = Leader::default();
-                (0..2).for_each(|n| self.see(&mut leader, n));
+            DependencyStep::TakeLeadership => {
+                self.fencing_token += 1;
+                let mut leader = ModelLeader::default();
+                (0..2).for_each(|n| self.observe_record(&mut leader, n));
                 self.leader = Some(leader);
             }
-            Step::See(n) => {
+            DependencyStep::ObserveRecord(n) => {
                 let mut leader = self.leader.take().unwrap_or_default();
-                self.see(&mut leader, n);
+                self.observe_record(&mut leader, n);
                 self.leader = Some(leader);
             }
-            Step::Stranger => {
+            DependencyStep::StartOutcomeLookup => {
                 let Some(leader) = &mut self.leader else { return };
-                let told = match (leader.asks, self.store[0]) {
-                    (_, Record::Over(done)) if leader.asks.is_none() => Some(done),
-                    (Some(_), Record::Moved(done)) => Some(done),
+                let told = match (leader.outcome_lookup, self.store[0]) {
+                    (_, StoredJobRecord::Over(done)) if leader.outcome_lookup.is_none() => {
+                        Some(done)
+                    }
+                    (Some(_), StoredJobRecord::Moved(done)) => Some(done),
                     _ => None,
                 };
-                leader.asks = if told.is_none() { Some(true) } else { None };
+                leader.outcome_lookup = if told.is_none() { Some(true) } else { None };
                 if let Some(done) = told {
-                    leader.graph.ended(&id(0), fate(done));
+                    leader.graph.on_job_ended(&job_id(0), job_outcome(done));
                 }
             }
-            Step::Bind(n) => self.binding[n] = Some(self.token),
-            Step::Commit(n) => {
-                let token = self.binding[n].take();
-                let leads = token == Some(self.token);
-                self.bound[n] |= leads && self.store[n] == Record::Live;
+            DependencyStep::Bind(n) => self.bindings_in_flight[n] = Some(self.fencing_token),
+            DependencyStep::Commit(n) => {
+                let token = self.bindings_in_flight[n].take();
+                let leads = token == Some(self.fencing_token);
+                self.bound[n] |= leads && self.store[n] == StoredJobRecord::Live;
             }
-            Step::Start(n) => {
+            DependencyStep::Start(n) => {
                 self.started[n] = true;
                 if n == 1 && !self.finished[0] {
-                    self.broken = Some("too_early");
+                    self.violation = Some("too_early");
                 }
-                if matches!(self.store[n], Record::Over(_) | Record::Moved(_)) {
-                    self.broken = Some("a start after the end");
+                if matches!(self.store[n], StoredJobRecord::Over(_) | StoredJobRecord::Moved(_)) {
+                    self.violation = Some("a start after the end");
                 }
             }
-            Step::Finish(n) => self.finished[n] = true,
-            Step::End(n) => {
-                let Some(done) = self.end(n) else { return };
-                self.store[n] = Record::Over(done);
+            DependencyStep::Finish(n) => self.finished[n] = true,
+            DependencyStep::RecordEnd(n) => {
+                let Some(done) = self.final_result(n) else { return };
+                self.store[n] = StoredJobRecord::Over(done);
                 if let Some(leader) = &mut self.leader {
                     leader.jobs[n] = None;
-                    leader.graph.ended(&id(n), fate(done));
-                    leader.graph.forget(&id(n));
+                    leader.graph.on_job_ended(&job_id(n), job_outcome(done));
+                    leader.graph.remove_job(&job_id(n));
                 }
             }
-            Step::Move(n) => {
-                if let Record::Over(done) = self.store[n] {
-                    self.store[n] = Record::Moved(done);
+            DependencyStep::MoveRecord(n) => {
+                if let StoredJobRecord::Over(done) = self.store[n] {
+                    self.store[n] = StoredJobRecord::Moved(done);
                 }
             }
-            Step::Ask => {
-                let told = self.told;
-                let walks = self.without != Without::Walking;
-                let walk = Walk::new(&[id(0)][..usize::from(walks)]);
-                self.question = Some(Question { walk: walk.clone(), told, second: false });
-                self.answer(&walk, told);
+            DependencyStep::Ask => {
+                let told = self.cancellation_told;
+                let walks = self.removed_guard != RemovedGuard::LookupFreshness;
+                let walk = DependencyTraversal::new(&[job_id(0)][..usize::from(walks)]);
+                self.question = Some(PendingQuestion {
+                    lookup: walk.clone(),
+                    cancellation_told: told,
+                    reads_second_place: false,
+                });
+                self.answer_question(&walk, told);
             }
-            Step::Read => {
+            DependencyStep::Read => {
                 let Some(mut question) = self.question.take() else { return };
-                let last_place = question.second != (self.without == Without::Order);
+                let last_place = question.reads_second_place
+                    != (self.removed_guard == RemovedGuard::LookupOrder);
                 let seen = match self.store[0] {
-                    Record::Moved(done) if last_place => Some(Seen::Ended(fate(done))),
-                    Record::Over(done) if !last_place => Some(Seen::Ended(fate(done))),
-                    Record::Cancelled if !last_place => Some(Seen::Ended(Fate::CalledOff)),
-                    Record::Live if !last_place => Some(Seen::Live(Vec::new())),
-                    _ if question.second => Some(Seen::Never),
+                    StoredJobRecord::Moved(done) if last_place => {
+                        Some(VisitedJob::Ended(job_outcome(done)))
+                    }
+                    StoredJobRecord::Over(done) if !last_place => {
+                        Some(VisitedJob::Ended(job_outcome(done)))
+                    }
+                    StoredJobRecord::Cancelled if !last_place => {
+                        Some(VisitedJob::Ended(JobOutcome::Cancelled))
+                    }
+                    StoredJobRecord::Live if !last_place => Some(VisitedJob::Live(Vec::new())),
+                    _ if question.reads_second_place => Some(VisitedJob::NeverAccepted),
                     _ => None,
                 };
-                let told = question.told;
+                let told = question.cancellation_told;
                 match seen {
                     Some(seen) => {
-                        question.walk.tell(&seen);
-                        let walk = question.walk.clone();
+                        question.lookup.on_job_state(&seen);
+                        let walk = question.lookup.clone();
                         self.question = Some(question);
-                        self.answer(&walk, told);
+                        self.answer_question(&walk, told);
+                    }
+                    None => {
+                        self.question =
+                            Some(PendingQuestion { reads_second_place: true, ..question })
                     }
-                    None => self.question = Some(Question { second: true, ..question }),
                 }
             }
         }
     }
 
-    fn broken(&self) -> Option<String> {
-        self.broken.map(str::to_string)
+    fn violation(&self) -> Option<String> {
+        self.violation.map(str::to_string)
     }
 }
 
-fn explored(without: Without) -> Found<Step> {
-    explore(World::new(without), 40, 1_500_000)
+fn check_dependency_model(without: RemovedGuard) -> CheckResult<DependencyStep> {
+    check_model(DependencyModel::new(without), 40, 1_500_000)
 }
 
 #[test]
 fn in_every_order_stages_keep_the_rules() {
-    let found = explored(Without::Nothing);
-    assert!(found.broken.is_none(), "{:?}", found.broken);
-    assert!(found.whole && found.worlds > 2_000, "{} worlds, whole: {}", found.worlds, found.whole);
+    let found = check_dependency_model(RemovedGuard::None);
+    assert!(found.violation.is_none(), "{:?}", found.violation);
+    assert!(
+        found.is_exhaustive && found.states > 2_000,
+        "{} worlds, whole: {}",
+        found.states,
+        found.is_exhaustive
+    );
 }
 
 #[test]
 fn each_guard_of_pipelines_is_needed() {
-    for without in [Without::Waiting, Without::Reading, Without::Order, Without::Walking] {
-        let found = explored(without);
-        assert!(found.broken.is_some(), "{without:?}: nothing found in {} worlds", found.worlds);
+    for without in [
+        RemovedGuard::DependencyWait,
+        RemovedGuard::OutcomeLookup,
+        RemovedGuard::LookupOrder,
+        RemovedGuard::LookupFreshness,
+    ] {
+        let found = check_dependency_model(without);
+        assert!(found.violation.is_some(), "{without:?}: nothing found in {} worlds", found.states);
     }
 }
--- a/tests/recorded_bytes/files.rs
+++ b/tests/recorded_bytes/files.rs
@@ -3,10 +3,10 @@
 use crate::{entries, same, to_hex};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde_json::json;
-use swiftsail::local::keep::Keep;
-use swiftsail::local::{Model, Ports, write_files};
+use swiftsail::local::keep::Persistence;
+use swiftsail::local::{LocalConfig, PortPlan, write_controller_config};
 use swiftsail_controller::settings::Settings;
-use swiftsail_protocol::state::{Change, Commit, Pair};
+use swiftsail_protocol::state::{KeyValue, Mutation, Transaction};
 
 const WHOLE: &str = include_str!("fixtures/settings.toml");
 const PAIRS: TableDefinition<&str, &[u8]> = TableDefinition::new("pairs");
@@ -64,7 +64,7 @@
     let found = Settings::parse("whole", WHOLE).expect("the file is sound");
     let text = serde_json::to_string(&found.settings).expect("they have a JSON form");
     same("platform.json", include_str!("fixtures/platform.json"), &text);
-    let again = serde_json::from_str::<swiftsail_controller::settings::Platform>(&text);
+    let again = serde_json::from_str::<swiftsail_controller::settings::PlatformSettings>(&text);
     let again = serde_json::to_string(&again.expect("it is read")).expect("it is written");
     assert_eq!(again, text);
 }
@@ -73,48 +73,53 @@
 #[test]
 fn files_of_local_controllers_are_written_as_before() {
     let folder = tempfile::tempdir().expect("a folder for trials");
-    let model = Model::load(None).expect("the built-in file is sound");
+    let model = LocalConfig::load(None).expect("the built-in file is sound");
     let (config, operator) =
-        write_files(&model, Ports::from(7000), 1, 3, folder.path()).expect("they are written");
+        write_controller_config(&model, PortPlan::from(7000), 1, 3, folder.path())
+            .expect("they are written");
     assert!(config.ends_with("node-1.toml") && operator.ends_with("node-1-operator.toml"));
     let text = |path| std::fs::read_to_string(path).expect("it was written");
     same("local-settings.toml", include_str!("fixtures/local-settings.toml"), &text(config));
     same("local-operator.toml", include_str!("fixtures/local-operator.toml"), &text(operator));
 }
 
-fn pair(key: &str, stamp: u64, mooring: Option<u64>) -> Pair {
-    Pair { key: key.into(), value: json!({"x": 1}), stamp, mooring }
+fn pair(key: &str, stamp: u64, mooring: Option<u64>) -> KeyValue {
+    KeyValue { key: key.into(), value: json!({"x": 1}), mod_revision: stamp, lease: mooring }
 }
 
-fn put(key: &str) -> Change {
-    Change::Write { write: key.into(), value: json!({"x": 1}), mooring: None }
+fn put(key: &str) -> Mutation {
+    Mutation::Put { key: key.into(), value: json!({"x": 1}), lease: None }
 }
 
 /// A transaction of a key that stays, one that hangs on a lease, and one that is removed.
-fn note(keep: &Keep) {
-    let gone = Change::Remove { remove: "a/gone".into() };
-    let commit = Commit { when: vec![], apply: vec![put("a/stays"), put("a/leased"), gone] };
+fn note(keep: &Persistence) {
+    let gone = Mutation::Delete { key: "a/gone".into() };
+    let commit = Transaction {
+        preconditions: vec![],
+        mutations: vec![put("a/stays"), put("a/leased"), gone],
+    };
     let now = |key: &str| match key {
         "a/stays" => Some(pair(key, 432, None)),
         "a/leased" => Some(pair(key, 432, Some(7))),
         _ => None,
     };
-    keep.note(&commit, 432, now).expect("it is kept");
-    keep.name_machines(17).expect("it is kept");
+    keep.record_transaction(&commit, 432, now).expect("it is kept");
+    keep.record_machines_named(17).expect("it is kept");
 }
 
 #[test]
 fn the_local_database_is_written_as_before() {
     let folder = tempfile::tempdir().expect("a folder for trials");
     let path = folder.path().join("kept");
-    note(&Keep::open(&path).expect("it is made"));
+    note(&Persistence::open(&path).expect("it is made"));
     let base = Database::open(&path).expect("it is there");
     let txn = base.begin_read().expect("it is read");
     let mut found = String::new();
     let pairs = txn.open_table(PAIRS).expect("the table of pairs");
     for entry in pairs.iter().expect("its entries") {
         let (key, value) = entry.expect("an entry");
-        let json: serde_json::Value = swiftsail_protocol::read(value.value()).expect("MessagePack");
+        let json: serde_json::Value =
+            swiftsail_protocol::decode(value.value()).expect("MessagePack");
         found.push_str(&format!("{}\n{json}\n{}\n\n", key.value(), to_hex(value.value())));
     }
     same("kept.txt", include_str!("fixtures/kept.txt"), &found);
@@ -145,7 +150,7 @@
     }
     txn.commit().expect("it is written");
     drop(base);
-    let keep = Keep::open(&path).expect("it is there");
+    let keep = Persistence::open(&path).expect("it is there");
     assert_eq!(keep.load().expect("it is read"), (vec![pair("a/stays", 432, None)], 432));
-    assert_eq!(keep.machines().expect("it is read"), 17);
+    assert_eq!(keep.machines_named().expect("it is read"), 17);
 }
--- a/tests/recorded_bytes/keys.rs
+++ b/tests/recorded_bytes/keys.rs
@@ -1,10 +1,10 @@
 //! The keys of the state service and the paths of every interface.
 
-use swiftsail_quota::records::Key;
 use swiftsail_controller::accounts;
 use swiftsail_controller::job::{chunk_key, keys};
-use swiftsail_deadline_planning::Arrival;
+use swiftsail_deadline_planning::Occurrence;
 use swiftsail_protocol::{cloud, controllers, state, users, workers};
+use swiftsail_quota::records::QuotaKey;
 
 #[test]
 fn keys_are_as_before() {
@@ -19,7 +19,7 @@
         (keys::LEADER, "term/leader"),
         (keys::TERM, "term/"),
         (keys::TYPES, "types/all"),
-        (accounts::PREFIX, "amount/"),
+        (accounts::KEY_PREFIX, "amount/"),
     ];
     fixed.iter().for_each(|(now, before)| assert_eq!(now, before));
     let built = [
@@ -29,10 +29,10 @@
         (keys::place("wk-1", true), "end/wk-1"),
         (keys::place("wk-1", false), "job/wk-1"),
         (chunk_key(&"wk-1".into(), 12), "bind/wk-1/00012"),
-        (accounts::key(2, &Key::Token("d".into())), "term/leader"),
-        (accounts::key(2, &Key::Pool), "amount/2/pool"),
-        (accounts::key(2, &Key::Of("north".into())), "amount/2/of/north"),
-        (Arrival::key("north", 1_700_000_600_000), "01700000600000-north"),
+        (accounts::store_key(2, &QuotaKey::FencingToken("d".into())), "term/leader"),
+        (accounts::store_key(2, &QuotaKey::Pool), "amount/2/pool"),
+        (accounts::store_key(2, &QuotaKey::Holding("north".into())), "amount/2/of/north"),
+        (Occurrence::key("north", 1_700_000_600_000), "01700000600000-north"),
     ];
     built.iter().for_each(|(now, before)| assert_eq!(now, before));
 }
@@ -47,17 +47,17 @@
         (workers::path::REPORT, "/v1/report"),
         (workers::path::COMMANDS, "/commands"),
         (workers::path::INSPECT, "/inspect"),
-        (cloud::path::TYPES, "/machine_types"),
+        (cloud::path::MACHINE_TYPES, "/machine_types"),
         (cloud::path::MACHINES, "/machines"),
-        (cloud::path::RETURN, "/machines/return"),
+        (cloud::path::RELEASE_MACHINES, "/machines/return"),
         (cloud::NO_CAPACITY, "no capacity"),
-        (state::path::KV, "/kv"),
-        (state::path::COMMIT, "/commit"),
-        (state::path::GRANTS, "/grants"),
-        (state::path::EXTEND, "extend"),
-        (state::path::FOLLOW, "/follow"),
-        (controllers::path::BEAT, "/beat"),
-        (controllers::path::RELAY, "/relay"),
+        (state::path::KEYS, "/kv"),
+        (state::path::TRANSACTIONS, "/commit"),
+        (state::path::LEASES, "/grants"),
+        (state::path::LEASE_RENEWAL, "extend"),
+        (state::path::WATCH, "/follow"),
+        (controllers::path::HEARTBEAT, "/beat"),
+        (controllers::path::FORWARDED_REPORTS, "/relay"),
     ];
     paths.iter().for_each(|(now, before)| assert_eq!(now, before));
 }
@@ -68,7 +68,7 @@
     let paths = [
         (path::JOBS, "/admin/jobs"),
         (path::EXPLAIN, "/admin/jobs/{id}/explain"),
-        (path::TIER_OF, "/admin/jobs/{id}/tier"),
+        (path::JOB_TIER, "/admin/jobs/{id}/tier"),
         (path::PIPELINE, "/admin/jobs/{id}/pipeline"),
         (path::TIERS, "/admin/tiers"),
         (path::DISPATCH, "/admin/dispatch"),
@@ -78,8 +78,8 @@
         (path::ENABLE, "/admin/plugins/{name}/enable"),
         (path::DISABLE, "/admin/plugins/{name}/disable"),
         (swiftsail::local::path::FAULT, "/fault"),
-        (swiftsail::local::path::STANDING, "/standing"),
-        (swiftsail::front::FORMAT, "application/msgpack"),
+        (swiftsail::local::path::STATUS, "/standing"),
+        (swiftsail::front::MESSAGE_PACK, "application/msgpack"),
     ];
     paths.iter().for_each(|(now, before)| assert_eq!(now, before));
 }
--- a/tests/recorded_bytes/main.rs
+++ b/tests/recorded_bytes/main.rs
@@ -17,8 +17,8 @@
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::Value;
 use std::collections::BTreeMap;
+use swiftsail_protocol::{decode, encode};
 use swiftsail_replicated_records::Versioned;
-use swiftsail_protocol::{read, write};
 
 /// Reads bytes into today's type and writes them again.
 pub type Again = Box<dyn Fn(&[u8]) -> Result<Vec<u8>, String>>;
@@ -35,31 +35,31 @@
     /// A message of MessagePack.
     pub fn message<T: Serialize + DeserializeOwned + 'static>(name: &str, value: &T) -> Case {
         let again = |bytes: &[u8]| {
-            let found: T = read(bytes).map_err(|e| e.to_string())?;
-            Ok(write(&found))
+            let found: T = decode(bytes).map_err(|e| e.to_string())?;
+            Ok(encode(&found))
         };
-        Case { name: name.into(), bytes: write(value), again: Some(Box::new(again)), json: false }
+        Case { name: name.into(), bytes: encode(value), again: Some(Box::new(again)), json: false }
     }
 
     /// A record of the state service: a value within a message, with its fields in the order of their names.
     pub fn record<T: Serialize + DeserializeOwned + 'static>(name: &str, value: &T) -> Case {
         let again = |bytes: &[u8]| {
-            let held: Value = read(bytes).map_err(|e| e.to_string())?;
+            let held: Value = decode(bytes).map_err(|e| e.to_string())?;
             let found: T = serde_json::from_value(held).map_err(|e| e.to_string())?;
-            Ok(write(&serde_json::to_value(&found).map_err(|e| e.to_string())?))
+            Ok(encode(&serde_json::to_value(&found).map_err(|e| e.to_string())?))
         };
-        let bytes = write(&serde_json::to_value(value).expect("our own records have a JSON form"));
+        let bytes = encode(&serde_json::to_value(value).expect("our own records have a JSON form"));
         Case { name: name.into(), bytes, again: Some(Box::new(again)), json: false }
     }
 
     /// A record with the version of its form.
     pub fn versioned<T: Versioned + 'static>(name: &str, value: &T) -> Case {
         let again = |bytes: &[u8]| {
-            let held: Value = read(bytes).map_err(|e| e.to_string())?;
-            let found = T::read("fixture", &held).map_err(|e| e.to_string())?;
-            Ok(write(&found.record()))
+            let held: Value = decode(bytes).map_err(|e| e.to_string())?;
+            let found = T::from_record("fixture", &held).map_err(|e| e.to_string())?;
+            Ok(encode(&found.to_record()))
         };
-        let bytes = write(&value.record());
+        let bytes = encode(&value.to_record());
         Case { name: name.into(), bytes, again: Some(Box::new(again)), json: false }
     }
 
@@ -86,7 +86,7 @@
     fn decoded(&self) -> String {
         let value: Value = match self.json {
             true => serde_json::from_slice(&self.bytes).expect("it is JSON"),
-            false => read(&self.bytes).expect("it is MessagePack"),
+            false => decode(&self.bytes).expect("it is MessagePack"),
         };
         value.to_string()
     }
--- a/tests/recorded_bytes/messages.rs
+++ b/tests/recorded_bytes/messages.rs
@@ -3,189 +3,259 @@
 use crate::records::{hull, least_spec, whole_spec};
 use crate::{Case, compare};
 use serde_json::json;
-use swiftsail_controller::job::{Kind, Priority, Spec};
-use swiftsail_protocol::cloud::{Berths, Listed, ListedState, Listing, Rent, Types};
-use swiftsail_protocol::controllers::{Answers, Batch, Beat, Passed};
+use swiftsail_controller::job::{JobKind, JobSpec, Priority};
+use swiftsail_protocol::cloud::{
+    ListedMachine, ListedMachineStatus, MachineNames, MachinePage, MachineTypes,
+    ProvisionMachinesRequest,
+};
+use swiftsail_protocol::controllers::{
+    ForwardedAnswers, ForwardedReport, ForwardedReports, Heartbeat,
+};
 use swiftsail_protocol::state::{
-    Ask, Change, Commit, Committed, Granted, Item, News, Page, Pair, When,
+    KeyPage, KeyValue, LeaseRequest, LeaseResponse, Mutation, Precondition, Transaction,
+    TransactionResponse, WatchEvent, WatchResponse,
+};
+use swiftsail_protocol::users::{
+    ErrorResponse, JobStatus, JobStatusResponse, read_submission, write_submission,
 };
-use swiftsail_protocol::users::{JobAnswer, Problem, Status, read_submission, write_submission};
 use swiftsail_protocol::workers::{
-    Cause, Command, Direct, Orders, Phase, Redirect, Report, Shard, Verb,
+    Command, CommandKind, DirectCommands, ExitCause, HeartbeatResponse, Redirect, StatusReport,
+    TaskPhase, TaskStatus,
 };
 
 const RECORDED: &str = include_str!("fixtures/messages.txt");
 
 /// A report with every field set.
-pub fn report() -> Report {
-    Report {
-        berth: "m-000231".into(),
-        addr: "10.1.0.232:9000".into(),
-        hull: "g8".into(),
-        dock: "a".into(),
-        driftwood: true,
-        watch: 1,
-        tick: 88,
-        helm: 41,
-        recall_s: Some(30.5),
-        shards: shards(),
+pub fn report() -> StatusReport {
+    StatusReport {
+        machine: "m-000231".into(),
+        address: "10.1.0.232:9000".into(),
+        machine_type: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        session: 1,
+        sequence: 88,
+        fencing_token: 41,
+        reclaim_in_s: Some(30.5),
+        tasks: shards(),
     }
 }
 
-fn shards() -> Vec<Shard> {
-    use Cause::*;
-    let phases = [Phase::Fetching, Phase::Waiting, Phase::Running, Phase::Saving, Phase::Unknown];
-    let of = |n: usize, status, cause, stored| Shard {
-        shard: format!("wk-000412/{n}"),
-        launch: 2,
-        status,
-        cause,
-        stored,
+fn shards() -> Vec<TaskStatus> {
+    use ExitCause::*;
+    let phases = [
+        TaskPhase::Fetching,
+        TaskPhase::WaitingForGang,
+        TaskPhase::Running,
+        TaskPhase::Saving,
+        TaskPhase::Unknown,
+    ];
+    let of = |n: usize, status, cause, stored| TaskStatus {
+        task: format!("wk-000412/{n}"),
+        attempt: 2,
+        phase: status,
+        exit_cause: cause,
+        progress_saved: stored,
     };
-    let mut all: Vec<Shard> =
+    let mut all: Vec<TaskStatus> =
         phases.iter().enumerate().map(|(n, p)| of(n, *p, None, None)).collect();
-    let causes = [Done, Stopped, PeersGone, Alone, Error, NoRoom, InUse, NoSuch, Other];
+    let causes = [
+        Completed,
+        Stopped,
+        GangMemberLost,
+        GangIncomplete,
+        Failed,
+        InsufficientResources,
+        ConflictingAttempt,
+        UnknownJob,
+        Other,
+    ];
     for (n, cause) in causes.into_iter().enumerate() {
-        all.push(of(5 + n, Phase::Exited, Some(cause), (cause == Stopped).then_some(true)));
+        all.push(of(5 + n, TaskPhase::Exited, Some(cause), (cause == Stopped).then_some(true)));
     }
     all
 }
 
 /// A report without what may be left out.
-pub fn short_report() -> Report {
-    Report { driftwood: false, recall_s: None, shards: Vec::new(), ..report() }
+pub fn short_report() -> StatusReport {
+    StatusReport { spot: false, reclaim_in_s: None, tasks: Vec::new(), ..report() }
 }
 
 fn commands() -> Vec<Command> {
-    let of =
-        |verb, shard: &str, launch, ease_s| Command { verb, shard: shard.into(), launch, ease_s };
+    let of = |verb, shard: &str, launch, ease_s| Command {
+        kind: verb,
+        task: shard.into(),
+        attempt: launch,
+        grace_s: ease_s,
+    };
     vec![
-        of(Verb::Start, "wk-000412/4", 2, None),
-        of(Verb::Stop, "wk-000377/1", 1, Some(10.0)),
-        of(Verb::Forget, "wk-000398/0", 1, None),
+        of(CommandKind::Start, "wk-000412/4", 2, None),
+        of(CommandKind::Stop, "wk-000377/1", 1, Some(10.0)),
+        of(CommandKind::Forget, "wk-000398/0", 1, None),
     ]
 }
 
-fn whole_beat() -> Beat {
-    Beat {
-        node: "berth-1".into(),
-        token: 41,
-        leads: true,
-        store_age_ms: 120,
-        shares: true,
-        load: Some(310),
-        upkeep: Some(42),
-        counts: vec![("wk-1".into(), 3, 13)],
-        cluster: vec![1.0, 2.5],
-        process: 9_001,
-        number: 17,
-        floor: Some(430),
-        read: 431,
-        cancelled: vec![("wk-2".into(), 432, 1_700_000_000_001)],
-        owed: vec![("m-000231".into(), 1_700_000_000_002)],
-        taken: vec![("berth-2".into(), 9_002, 18)],
-        form: 2,
-        brief: true,
+fn whole_beat() -> Heartbeat {
+    Heartbeat {
+        controller: "berth-1".into(),
+        fencing_token: 41,
+        is_leader: true,
+        since_store_response_ms: 120,
+        distributes_workers: true,
+        cpu_load_permille: Some(310),
+        machine_cpu_load_permille: Some(42),
+        job_counts: vec![("wk-1".into(), 3, 13)],
+        cluster_attributes: vec![1.0, 2.5],
+        incarnation: 9_001,
+        sequence: 17,
+        required_leader_revision: Some(430),
+        applied_through: 431,
+        pending_cancellations: vec![("wk-2".into(), 432, 1_700_000_000_001)],
+        pending_terminations: vec![("m-000231".into(), 1_700_000_000_002)],
+        acknowledged_heartbeats: vec![("berth-2".into(), 9_002, 18)],
+        format_version: 2,
+        is_abridged: true,
     }
 }
 
 fn controllers() -> Vec<Case> {
-    let whole = Passed::Whole { report: Box::new(report()), shown: 5 };
-    let same = Passed::Same { berth: "m-000231".into(), watch: 1, tick: 89, shown: 6 };
-    let batch = Batch { node: "berth-1".into(), reports: vec![whole, same], well: Vec::new() };
-    let well = Batch { well: vec![("m-000232".into(), 1, 90, 7)], ..batch.clone() };
+    let whole = ForwardedReport::Full { report: Box::new(report()), content_hash: 5 };
+    let same = ForwardedReport::Unchanged {
+        machine: "m-000231".into(),
+        session: 1,
+        sequence: 89,
+        content_hash: 6,
+    };
+    let batch = ForwardedReports {
+        controller: "berth-1".into(),
+        reports: vec![whole, same],
+        locally_answered: Vec::new(),
+    };
+    let well =
+        ForwardedReports { locally_answered: vec![("m-000232".into(), 1, 90, 7)], ..batch.clone() };
     let orders = vec![Some(commands()), Some(Vec::new()), None];
-    let answers =
-        Answers { helm: 41, orders, calm: vec![1], look: vec!["m-9".into()], duty_ms: 800 };
-    let least = Answers { calm: Vec::new(), look: Vec::new(), duty_ms: 0, ..answers.clone() };
+    let answers = ForwardedAnswers {
+        fencing_token: 41,
+        commands: orders,
+        delegable_reports: vec![1],
+        must_forward_machines: vec!["m-9".into()],
+        delegation_ms: 800,
+    };
+    let least = ForwardedAnswers {
+        delegable_reports: Vec::new(),
+        must_forward_machines: Vec::new(),
+        delegation_ms: 0,
+        ..answers.clone()
+    };
     vec![
         Case::message("beat", &whole_beat()),
-        Case::message("beat least", &Beat { node: "berth-1".into(), ..Beat::default() }),
+        Case::message(
+            "beat least",
+            &Heartbeat { controller: "berth-1".into(), ..Heartbeat::default() },
+        ),
         Case::message("batch", &batch),
         Case::message("batch with well machines", &well),
-        Case::message("batch without anything", &Batch::default()),
+        Case::message("batch without anything", &ForwardedReports::default()),
         Case::message("answers", &answers),
         Case::message("answers least", &least),
     ]
 }
 
 fn workers() -> Vec<Case> {
-    let redirect = |harbor: Option<&str>| Redirect { harbor: harbor.map(str::to_string) };
+    let redirect = |harbor: Option<&str>| Redirect { controller: harbor.map(str::to_string) };
     vec![
         Case::message("report", &report()),
         Case::message("report least", &short_report()),
-        Case::message("orders", &Orders { helm: 41, orders: commands() }),
-        Case::message("direct", &Direct { helm: 41, watch: 1, orders: commands() }),
+        Case::message("orders", &HeartbeatResponse { fencing_token: 41, commands: commands() }),
+        Case::message(
+            "direct",
+            &DirectCommands { fencing_token: 41, session: 1, commands: commands() },
+        ),
         Case::message("redirect", &redirect(Some("berth-2"))),
         Case::message("redirect to nobody", &redirect(None)),
     ]
 }
 
 fn cloud() -> Vec<Case> {
-    let rent = Rent {
-        charter: "r-17".into(),
-        hull: "g8".into(),
-        dock: "a".into(),
-        driftwood: true,
-        number: 12,
+    let rent = ProvisionMachinesRequest {
+        request_id: "r-17".into(),
+        machine_type: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        count: 12,
     };
-    let listed = |status| Listed {
-        name_id: "m-000231".into(),
-        addr: "10.1.0.232:9000".into(),
-        hull: "g8".into(),
-        dock: "a".into(),
-        driftwood: true,
+    let listed = |status| ListedMachine {
+        name: "m-000231".into(),
+        address: "10.1.0.232:9000".into(),
+        machine_type: "g8".into(),
+        zone: "a".into(),
+        spot: true,
         status,
-        held_s: 61.5,
+        age_s: 61.5,
     };
-    use ListedState::*;
+    use ListedMachineStatus::*;
     let berths = [Booting, Running, Failed, Unknown].map(listed).into();
     vec![
-        Case::message("machine types", &Types { hulls: vec![hull()] }),
+        Case::message("machine types", &MachineTypes { machine_types: vec![hull()] }),
         Case::message("rental", &rent),
-        Case::message("machines rented", &Berths { berths: vec!["m-000231".into()] }),
-        Case::message("machine list", &Listing { berths, has_next: true }),
-        Case::message("machine list without anything", &Listing::default()),
+        Case::message("machines rented", &MachineNames { machines: vec!["m-000231".into()] }),
+        Case::message("machine list", &MachinePage { machines: berths, has_next: true }),
+        Case::message("machine list without anything", &MachinePage::default()),
     ]
 }
 
 fn state() -> Vec<Case> {
-    let pair = |mooring| Pair { key: "a/b".into(), value: json!({"x": 1}), stamp: 412, mooring };
-    let page = Page { pairs: vec![pair(Some(7)), pair(None)], has_next: true, epoch: 431 };
-    let put = |mooring| Change::Write { write: "a/b".into(), value: json!({"x": 1}), mooring };
-    let commit = Commit {
-        when: vec![When { key: "a/b".into(), stamp: 9 }],
-        apply: vec![put(Some(7)), put(None), Change::Remove { remove: "c/d".into() }],
+    let pair = |mooring| KeyValue {
+        key: "a/b".into(),
+        value: json!({"x": 1}),
+        mod_revision: 412,
+        lease: mooring,
+    };
+    let page = KeyPage { entries: vec![pair(Some(7)), pair(None)], has_next: true, revision: 431 };
+    let put = |mooring| Mutation::Put { key: "a/b".into(), value: json!({"x": 1}), lease: mooring };
+    let commit = Transaction {
+        preconditions: vec![Precondition { key: "a/b".into(), mod_revision: 9 }],
+        mutations: vec![put(Some(7)), put(None), Mutation::Delete { key: "c/d".into() }],
     };
-    let item = |write: Option<&str>, remove: Option<&str>| Item {
-        write: write.map(str::to_string),
-        remove: remove.map(str::to_string),
+    let item = |write: Option<&str>, remove: Option<&str>| WatchEvent {
+        put_key: write.map(str::to_string),
+        deleted_key: remove.map(str::to_string),
         value: write.map_or(json!(null), |_| json!({"x": 1})),
-        stamp: 433,
+        mod_revision: 433,
+    };
+    let news = WatchResponse {
+        revision: 434,
+        events: vec![item(Some("c/9"), None), item(None, Some("c/d"))],
     };
-    let news = News { epoch: 434, news: vec![item(Some("c/9"), None), item(None, Some("c/d"))] };
     vec![
         Case::message("pair", &pair(Some(7))),
         Case::message("page", &page),
         Case::message("transaction", &commit),
-        Case::message("transaction taken", &Committed { epoch: 432, failed: vec!["a/b".into()] }),
-        Case::message("lease asked", &Ask { ttl_ms: 5_000 }),
-        Case::message("lease", &Granted { mooring: 7 }),
+        Case::message(
+            "transaction taken",
+            &TransactionResponse { revision: 432, failed_keys: vec!["a/b".into()] },
+        ),
+        Case::message("lease asked", &LeaseRequest { ttl_ms: 5_000 }),
+        Case::message("lease", &LeaseResponse { lease: 7 }),
         Case::message("news", &news),
     ]
 }
 
 fn users() -> Vec<Case> {
-    let answer =
-        |status, done, running| JobAnswer { name_id: "wk-1".into(), status, done, running };
-    let spec = |kind, priority| Spec { kind, priority, ..least_spec() };
-    let sent = |name: &str, spec: &Spec, awaits: &[&str]| {
+    let answer = |status, done, running| JobStatusResponse {
+        id: "wk-1".into(),
+        status,
+        tasks_done: done,
+        tasks_running: running,
+    };
+    let spec = |kind, priority| JobSpec { kind, priority, ..least_spec() };
+    let sent = |name: &str, spec: &JobSpec, awaits: &[&str]| {
         let awaits: Vec<_> = awaits.iter().map(|id| (*id).into()).collect();
         let mut case = Case::bytes(name, write_submission("wk-1", spec, &awaits));
         case.again = Some(Box::new(|bytes| {
             let found = read_submission(bytes).map_err(|e| e.to_string())?;
             let spec = found.spec.map_err(|e| e.to_string())?;
-            Ok(write_submission(&found.id, &spec, &found.awaits))
+            Ok(write_submission(&found.id, &spec, &found.depends_on))
         }));
         case
     };
@@ -193,14 +263,14 @@
         sent("submission", &whole_spec(), &[]),
         sent("submission that awaits", &whole_spec(), &["wk-2", "wk-3"]),
         sent("submission least", &least_spec(), &[]),
-        sent("submission array low", &spec(Kind::Array, Priority::Low), &[]),
-        sent("submission array normal", &spec(Kind::Array, Priority::Normal), &[]),
-        sent("submission service", &spec(Kind::Service, Priority::Production), &[]),
-        Case::message("job pending", &answer(Status::Pending, None, None)),
-        Case::message("job running", &answer(Status::Running, Some(3), Some(13))),
-        Case::message("job done", &answer(Status::Done, Some(16), Some(0))),
-        Case::message("job withdrawn", &answer(Status::Cancelled, None, None)),
-        Case::message("problem", &Problem { error: "no such job".into() }),
+        sent("submission array low", &spec(JobKind::Array, Priority::Low), &[]),
+        sent("submission array normal", &spec(JobKind::Array, Priority::Normal), &[]),
+        sent("submission service", &spec(JobKind::Service, Priority::Production), &[]),
+        Case::message("job pending", &answer(JobStatus::Pending, None, None)),
+        Case::message("job running", &answer(JobStatus::Running, Some(3), Some(13))),
+        Case::message("job done", &answer(JobStatus::Done, Some(16), Some(0))),
+        Case::message("job withdrawn", &answer(JobStatus::Cancelled, None, None)),
+        Case::message("problem", &ErrorResponse { error: "no such job".into() }),
     ]
 }
 
--- a/tests/recorded_bytes/operators.rs
+++ b/tests/recorded_bytes/operators.rs
@@ -1,12 +1,12 @@
 //! The operators' file, with every table and field, and the files under `deploy/`.
 
 use std::collections::BTreeMap;
-use swiftsail::local::Model;
+use swiftsail::local::LocalConfig;
 use swiftsail_controller::node::{plan_of_file, tiers_of_file};
-use swiftsail_deadline_planning::{ChainLine, Entry, Plan, StepLine};
-use swiftsail_policy::operator::{Operator, Setting};
-use swiftsail_tiers::{TableRecord, TierLine};
-use swiftsail_protocol::cloud::Hull;
+use swiftsail_deadline_planning::{ChainDefinition, DeadlinePlan, ScheduleEntry, StepDefinition};
+use swiftsail_policy::operator::{OperatorSettings, PolicySetting};
+use swiftsail_protocol::cloud::ListedMachineType;
+use swiftsail_tiers::{TierDefinition, TierTableRecord};
 
 const WHOLE: &str = r#"
 [admin]
@@ -63,8 +63,8 @@
 idle_s = 20.0
 "#;
 
-fn whole() -> Operator {
-    Operator::parse("whole", WHOLE).expect("the file is sound")
+fn whole() -> OperatorSettings {
+    OperatorSettings::parse("whole", WHOLE).expect("the file is sound")
 }
 
 #[test]
@@ -74,23 +74,27 @@
     assert!(found.plugins.enabled && found.amounts.durable && found.loans.durable);
     let share = "if job.gpus > 0.0 { 0.0 } else { 0.9 }";
     let policy = [
-        ("threshold", Setting::Number(0.5)),
-        ("toggle", Setting::Whole(2)),
-        ("spot_share", Setting::Expression(share.into())),
-        ("line_cap", Setting::Whole(5)),
-        ("round_s", Setting::Number(1.5)),
-        ("reserve", Setting::Whole(3)),
-        ("idle_s", Setting::Number(20.0)),
+        ("threshold", PolicySetting::Number(0.5)),
+        ("toggle", PolicySetting::Integer(2)),
+        ("spot_share", PolicySetting::Expression(share.into())),
+        ("line_cap", PolicySetting::Integer(5)),
+        ("round_s", PolicySetting::Number(1.5)),
+        ("reserve", PolicySetting::Integer(3)),
+        ("idle_s", PolicySetting::Number(20.0)),
     ];
-    let policy: BTreeMap<String, Setting> =
+    let policy: BTreeMap<String, PolicySetting> =
         policy.into_iter().map(|(name, set)| (name.to_string(), set)).collect();
     assert_eq!(found.policy, policy);
-    let none = Operator::parse("none", "").expect("all may be left out");
-    assert_eq!(none, Operator::default());
+    let none = OperatorSettings::parse("none", "").expect("all may be left out");
+    assert_eq!(none, OperatorSettings::default());
     for table in ["admin", "plugins", "amounts", "loans"] {
         let text = format!("[{table}]\n");
-        assert_eq!(Operator::parse(table, &text).expect("it may be empty"), none, "{table}");
-        assert!(Operator::parse(table, &format!("{text}other = 1\n")).is_err(), "{table}");
+        assert_eq!(
+            OperatorSettings::parse(table, &text).expect("it may be empty"),
+            none,
+            "{table}"
+        );
+        assert!(OperatorSettings::parse(table, &format!("{text}other = 1\n")).is_err(), "{table}");
     }
 }
 
@@ -99,7 +103,7 @@
 fn switches_of_the_operators_file_are_told_apart() {
     let on = |table: &str, field: &str| {
         let text = format!("[{table}]\n{field} = true\n");
-        let found = Operator::parse(table, &text).expect("it is sound");
+        let found = OperatorSettings::parse(table, &text).expect("it is sound");
         (found.plugins.enabled, found.amounts.durable, found.loans.durable)
     };
     assert_eq!(on("plugins", "enabled"), (true, false, false));
@@ -110,27 +114,27 @@
 #[test]
 fn tiers_of_the_operators_file_are_read_as_before() {
     let found = whole().tiers.expect("there are tiers");
-    let line = |name: &str, when: &str, ordered| TierLine {
+    let line = |name: &str, when: &str, ordered| TierDefinition {
         name: name.into(),
         when: when.into(),
         ordered,
     };
     let core = line("core", r#"job.priority == "production""#, true);
     let tiers = vec![core, line("other", "true", false)];
-    assert_eq!(tiers_of_file(&found), TableRecord { form: 0, version: 4, tiers });
+    assert_eq!(tiers_of_file(&found), TierTableRecord { format_version: 0, version: 4, tiers });
 }
 
 #[test]
 fn the_plan_of_the_operators_file_is_read_as_before() {
     let found = plan_of_file(whole().dispatch.expect("there is a plan")).expect("it is sound");
-    let step = |name: &str, after: &[&str], margin_s| StepLine {
+    let step = |name: &str, after: &[&str], margin_s| StepDefinition {
         name: name.into(),
         when: format!("job.class == \"{name}\""),
         after: after.iter().map(|a| a.to_string()).collect(),
         margin_s,
     };
     let steps = vec![step("count", &[], 90.0), step("list", &["count"], 60.0)];
-    let north = Entry {
+    let north = ScheduleEntry {
         name: "north".into(),
         yard: "norrkoping".into(),
         haulier: "nord-frakt".into(),
@@ -141,7 +145,7 @@
         on: None,
         except: vec!["2026-12-24".into()],
     };
-    let once = Entry {
+    let once = ScheduleEntry {
         name: "once".into(),
         yard: String::new(),
         haulier: String::new(),
@@ -151,13 +155,17 @@
         except: Vec::new(),
         ..north.clone()
     };
-    let chains = vec![ChainLine { name: "lists".into(), steps }];
-    assert_eq!(*found.plan(), Plan { form: 0, version: 5, arrivals: vec![north, once], chains });
+    let chains = vec![ChainDefinition { name: "lists".into(), steps }];
+    assert_eq!(
+        *found.plan(),
+        DeadlinePlan { format_version: 0, version: 5, arrivals: vec![north, once], chains }
+    );
 }
 
 #[test]
 fn deployed_files_are_read_as_before() {
-    let read = |text: &str| Operator::parse("deploy", text).expect("the deployed file is sound");
+    let read =
+        |text: &str| OperatorSettings::parse("deploy", text).expect("the deployed file is sound");
     let usual = read(include_str!("../../deploy/operator.toml"));
     assert_eq!((usual.policy.len(), usual.plugins.enabled), (7, false));
     assert!(read(include_str!("../../deploy/amounts.toml")).amounts.durable);
@@ -172,20 +180,20 @@
 /// The machines that `swiftsail local` offers, as its built-in file names them.
 #[test]
 fn the_file_of_local_machines_is_read_as_before() {
-    let model = Model::load(None).expect("the built-in file is sound");
+    let model = LocalConfig::load(None).expect("the built-in file is sound");
     assert_eq!(model.zones, ["north", "south", "west"]);
-    let offered = model.offered();
-    let gpu = Hull {
-        sku: "gpu".into(),
+    let offered = model.cloud_offers();
+    let gpu = ListedMachineType {
+        name: "gpu".into(),
         cpus: 24.0,
-        accelerators: 2.0,
+        gpus: 2.0,
         memory_gb: 96.0,
         cache_gb: 60.0,
-        fetch_gb_per_s: 1.0,
+        image_fetch_gb_per_s: 1.0,
         price: 6.0,
-        market_price: 2.4,
+        spot_price: 2.4,
         boot_s: 12.0,
-        docks: vec!["north".into(), "south".into()],
+        zones: vec!["north".into(), "south".into()],
     };
-    assert_eq!((offered.len(), &offered[2].hull, offered[2].capacity), (3, &gpu, 2));
+    assert_eq!((offered.len(), &offered[2].machine_type, offered[2].capacity), (3, &gpu, 2));
 }
--- a/tests/recorded_bytes/records.rs
+++ b/tests/recorded_bytes/records.rs
@@ -2,29 +2,33 @@
 
 use crate::{Case, compare};
 use std::collections::BTreeMap;
-use swiftsail_quota::records::{Holding, Kept, Pool};
-use swiftsail_quota::{Amount, Amounts};
 use swiftsail_controller::job::{
-    Bound, Chunk, Ending, FinalRecord, JobRecord, Kind, Priority, Spec, StoredJob,
+    Binding, BindingChunk, FinalRecord, FinalState, JobKind, JobRecord, JobSpec, Priority,
+    StoredJob,
 };
-use swiftsail_controller::tables::SheetRecord;
+use swiftsail_controller::tables::LogSegmentRecord;
 use swiftsail_controller::term::LeaderRecord;
-use swiftsail_deadline_planning::board::Took;
-use swiftsail_deadline_planning::{Arrival, ChainLine, Entry, Plan, Stage, Step, StepLine};
-use swiftsail_gpu_lending::{Lent, Loan, Loans, Seen};
+use swiftsail_deadline_planning::board::StepDurations;
+use swiftsail_deadline_planning::{
+    ChainDefinition, DeadlinePlan, Occurrence, OccurrenceStep, ScheduleEntry, StepDefinition,
+    StepPhase,
+};
+use swiftsail_gpu_lending::{GpuLoan, GpuLoans, LenderRecord, LoanObservation};
 use swiftsail_policy::hooks::Hook;
-use swiftsail_policy::plugin::{Kind as PluginKind, PluginRecord, State};
-use swiftsail_tiers::{TableRecord, TierLine};
-use swiftsail_protocol::cloud::{Hull, Types};
+use swiftsail_policy::plugin::{PluginKind, PluginRecord, PluginState};
+use swiftsail_protocol::cloud::{ListedMachineType, MachineTypes};
+use swiftsail_quota::records::{QuotaHolding, QuotaPool, TeamQuota};
+use swiftsail_quota::{Quantity, ResourceQuantities};
+use swiftsail_tiers::{TierDefinition, TierTableRecord};
 
 const RECORDED: &str = include_str!("fixtures/records.txt");
 
 /// What a job asks for, with every field different from its neighbours.
-pub fn whole_spec() -> Spec {
-    Spec {
+pub fn whole_spec() -> JobSpec {
+    JobSpec {
         class: "train".into(),
         team: "vision".into(),
-        kind: Kind::Gang,
+        kind: JobKind::Gang,
         priority: Priority::High,
         tasks: 16,
         cpus: 8.5,
@@ -32,22 +36,22 @@
         memory_gb: 64.0,
         image: "img-07".into(),
         image_gb: 6.2,
-        types: Some(vec!["g8".into(), "c4".into()]),
+        machine_types: Some(vec!["g8".into(), "c4".into()]),
         zone: Some("a".into()),
         one_zone: true,
         spread: false,
         spot: true,
-        estimate_s: 240.0,
-        checkpoint_s: 30.0,
-        save_s: 4.0,
+        runtime_estimate_s: 240.0,
+        checkpoint_interval_s: 30.0,
+        checkpoint_duration_s: 4.0,
         deadline_s: Some(900.0),
     }
 }
 
 /// Without what may be left out, and the flags the other way about.
-pub fn least_spec() -> Spec {
-    Spec {
-        types: None,
+pub fn least_spec() -> JobSpec {
+    JobSpec {
+        machine_types: None,
         zone: None,
         one_zone: false,
         spread: true,
@@ -63,16 +67,16 @@
         cancelled_wall: 0,
         accepted_wall: 1_700_000_000_001,
         chunk_tasks: 400,
-        nonce: 77,
+        write_number: 77,
         tier: None,
-        awaits: Vec::new(),
+        depends_on: Vec::new(),
         spec: whole_spec(),
     }
 }
 
 fn jobs() -> Vec<Case> {
     let of = |name: &str, record: JobRecord| Case::record(name, &record);
-    let with = |kind, priority| Spec { kind, priority, ..least_spec() };
+    let with = |kind, priority| JobSpec { kind, priority, ..least_spec() };
     vec![
         of("job live", job()),
         of("job least", JobRecord { spec: least_spec(), ..job() }),
@@ -81,88 +85,110 @@
             JobRecord { cancelled: true, cancelled_wall: 1_700_000_000_502, ..job() },
         ),
         of("job of a tier", JobRecord { tier: Some("core".into()), ..job() }),
-        of("job that awaits", JobRecord { awaits: vec!["wk-1".into(), "wk-2".into()], ..job() }),
-        of("job array low", JobRecord { spec: with(Kind::Array, Priority::Low), ..job() }),
-        of("job array normal", JobRecord { spec: with(Kind::Array, Priority::Normal), ..job() }),
-        of("job service", JobRecord { spec: with(Kind::Service, Priority::Production), ..job() }),
+        of(
+            "job that awaits",
+            JobRecord { depends_on: vec!["wk-1".into(), "wk-2".into()], ..job() },
+        ),
+        of("job array low", JobRecord { spec: with(JobKind::Array, Priority::Low), ..job() }),
+        of("job array normal", JobRecord { spec: with(JobKind::Array, Priority::Normal), ..job() }),
+        of(
+            "job service",
+            JobRecord { spec: with(JobKind::Service, Priority::Production), ..job() },
+        ),
     ]
 }
 
 fn ends() -> Vec<Case> {
-    let end = |ending, done, at_wall| FinalRecord { ending, done, at_wall };
+    let end = |ending, done, at_wall| FinalRecord { state: ending, done, at_wall };
     vec![
-        Case::record("end done", &end(Ending::Done, 16, Some(1_700_000_000_903))),
-        Case::record("end cancelled", &end(Ending::Cancelled, 3, Some(1_700_000_000_904))),
-        Case::record("end of an earlier version", &end(Ending::Done, 16, None)),
+        Case::record("end done", &end(FinalState::Done, 16, Some(1_700_000_000_903))),
+        Case::record("end cancelled", &end(FinalState::Cancelled, 3, Some(1_700_000_000_904))),
+        Case::record("end of an earlier version", &end(FinalState::Done, 16, None)),
     ]
 }
 
-fn bound(task: u32) -> Bound {
-    Bound { task, launch: 1001, machine: "m-000231".into(), watch: 2 }
+fn bound(task: u32) -> Binding {
+    Binding { task, attempt: 1001, machine: "m-000231".into(), worker_session: 2 }
 }
 
 fn bindings() -> Vec<Case> {
-    let chunk = Chunk { nonce: 5, upto: 1002, done: vec![(0, 3), (7, 9)], bound: vec![bound(4)] };
+    let chunk = BindingChunk {
+        write_number: 5,
+        covers: 1002,
+        done: vec![(0, 3), (7, 9)],
+        bindings: vec![bound(4)],
+    };
     let jobs = [("wk-1", vec![bound(4), bound(5)]), ("wk-2", vec![bound(0)])];
-    let sheet = SheetRecord { nonce: 6, bound: jobs.map(|(j, b)| (j.to_string(), b)).into() };
+    let sheet = LogSegmentRecord {
+        write_number: 6,
+        bindings: jobs.map(|(j, b)| (j.to_string(), b)).into(),
+    };
     vec![
         Case::record("binding", &bound(4)),
         Case::record("chunk", &chunk),
-        Case::record("chunk without anything", &Chunk::default()),
+        Case::record("chunk without anything", &BindingChunk::default()),
         Case::record("sheet", &sheet),
-        Case::record("sheet without anything", &SheetRecord::default()),
+        Case::record("sheet without anything", &LogSegmentRecord::default()),
     ]
 }
 
 /// A machine type with every field different from its neighbours.
-pub fn hull() -> Hull {
-    Hull {
-        sku: "g8".into(),
+pub fn hull() -> ListedMachineType {
+    ListedMachineType {
+        name: "g8".into(),
         cpus: 96.0,
-        accelerators: 8.0,
+        gpus: 8.0,
         memory_gb: 768.0,
         cache_gb: 200.0,
-        fetch_gb_per_s: 1.5,
+        image_fetch_gb_per_s: 1.5,
         price: 12.0,
-        market_price: 4.5,
+        spot_price: 4.5,
         boot_s: 45.0,
-        docks: vec!["a".into(), "b".into()],
+        zones: vec!["a".into(), "b".into()],
     }
 }
 
 fn term_and_types() -> Vec<Case> {
-    let leader = LeaderRecord { node: "berth-2".into(), process: 9_001, grant: 7 };
+    let leader = LeaderRecord { node: "berth-2".into(), incarnation: 9_001, lease: 7 };
     vec![
         Case::record("leader", &leader),
-        Case::record("types", &Types { hulls: vec![hull()] }),
-        Case::record("no types", &Types::default()),
+        Case::record("types", &MachineTypes { machine_types: vec![hull()] }),
+        Case::record("no types", &MachineTypes::default()),
     ]
 }
 
 fn amounts() -> Vec<Case> {
-    let of = |cpus, gpus| Amounts { cpus: Amount::of_parts(cpus), gpus: Amount::of_parts(gpus) };
-    let kept = Kept { limit: of(40_000_000_000, 2), target: of(30, 1), free: of(7, 5) };
+    let of = |cpus, gpus| ResourceQuantities {
+        cpus: Quantity::from_units(cpus),
+        gpus: Quantity::from_units(gpus),
+    };
+    let kept = TeamQuota { limit: of(40_000_000_000, 2), target: of(30, 1), free: of(7, 5) };
     let by = |team: &str, a| BTreeMap::from([(team.to_string(), a)]);
-    let holding = Holding { by: (41, 3), has: by("red", of(11, 12)), sees: by("blue", of(13, 14)) };
+    let holding = QuotaHolding {
+        last_transaction: (41, 3),
+        held: by("red", of(11, 12)),
+        configured_limits: by("blue", of(13, 14)),
+    };
     vec![
-        Case::record("pool", &Pool { teams: BTreeMap::from([("red".to_string(), kept)]) }),
-        Case::record("pool without teams", &Pool::default()),
+        Case::record("pool", &QuotaPool { teams: BTreeMap::from([("red".to_string(), kept)]) }),
+        Case::record("pool without teams", &QuotaPool::default()),
         Case::record("holding", &holding),
-        Case::record("holding without anything", &Holding::default()),
+        Case::record("holding without anything", &QuotaHolding::default()),
     ]
 }
 
 fn tiers() -> Vec<Case> {
-    let line = |name: &str, ordered| TierLine { name: name.into(), when: "true".into(), ordered };
+    let line =
+        |name: &str, ordered| TierDefinition { name: name.into(), when: "true".into(), ordered };
     let tiers = vec![line("core", true), line("other", false)];
     vec![
-        Case::versioned("tiers", &TableRecord { form: 0, version: 7, tiers }),
-        Case::versioned("tiers built in", &TableRecord::default()),
+        Case::versioned("tiers", &TierTableRecord { format_version: 0, version: 7, tiers }),
+        Case::versioned("tiers built in", &TierTableRecord::default()),
     ]
 }
 
-fn plan() -> Plan {
-    let entry = Entry {
+fn plan() -> DeadlinePlan {
+    let entry = ScheduleEntry {
         name: "north".into(),
         yard: "norrkoping".into(),
         haulier: "nord-frakt".into(),
@@ -173,31 +199,35 @@
         on: None,
         except: vec!["2026-12-24".into()],
     };
-    let once =
-        Entry { days: vec![], on: Some("2026-12-23".into()), except: vec![], ..entry.clone() };
-    let step = |name: &str, after: &[&str]| StepLine {
+    let once = ScheduleEntry {
+        days: vec![],
+        on: Some("2026-12-23".into()),
+        except: vec![],
+        ..entry.clone()
+    };
+    let step = |name: &str, after: &[&str]| StepDefinition {
         name: name.into(),
         when: "true".into(),
         after: after.iter().map(|a| a.to_string()).collect(),
         margin_s: 120.0,
     };
     let steps = vec![step("count", &[]), step("list", &["count"])];
-    let chains = vec![ChainLine { name: "lists".into(), steps }];
-    Plan { form: 0, version: 3, arrivals: vec![entry, once], chains }
+    let chains = vec![ChainDefinition { name: "lists".into(), steps }];
+    DeadlinePlan { format_version: 0, version: 3, arrivals: vec![entry, once], chains }
 }
 
 fn dispatch() -> Vec<Case> {
     let (at, past) = (1_700_000_600_000, 60_000);
-    let steps = |to: &[Stage]| {
-        let mut step = Step::new("count", 1_700_000_500_000, 1_700_000_400_000);
+    let steps = |to: &[StepPhase]| {
+        let mut step = OccurrenceStep::new("count", 1_700_000_500_000, 1_700_000_400_000);
         for stage in to {
-            assert!(step.advance(*stage, Some("wk-1")), "{stage:?}");
-            step.accepted = 1_700_000_300_000;
+            assert!(step.advance_phase(*stage, Some("wk-1")), "{stage:?}");
+            step.accepted_at = 1_700_000_300_000;
         }
         vec![step]
     };
-    let (new, begun) = (vec![], vec![Stage::Submitted]);
-    let done = vec![Stage::Submitted, Stage::Done];
+    let (new, begun) = (vec![], vec![StepPhase::Submitted]);
+    let done = vec![StepPhase::Submitted, StepPhase::Done];
     let cases = [
         ("arrival foreseen", new.clone(), at - 9, false),
         ("arrival under way", begun.clone(), at - 9, false),
@@ -206,40 +236,40 @@
         ("arrival missed", begun, at, false),
         ("arrival past", new, at + past, false),
     ];
-    let arrival = |(name, to, now, late): (&str, Vec<Stage>, u64, bool)| {
-        let mut arrival = Arrival::new("north", "lists", at, steps(&to));
-        arrival.advance(now, late, past);
-        arrival.warned = late.then(|| ("count".into(), "no room".into()));
+    let arrival = |(name, to, now, late): (&str, Vec<StepPhase>, u64, bool)| {
+        let mut arrival = Occurrence::new("north", "lists", at, steps(&to));
+        arrival.advance_phase(now, late, past);
+        arrival.lateness_warning = late.then(|| ("count".into(), "no room".into()));
         Case::versioned(name, &arrival)
     };
     let mut all: Vec<Case> = cases.map(arrival).into();
-    all.push(Case::versioned("took", &Took { took: vec![61_000, 62_000] }));
+    all.push(Case::versioned("took", &StepDurations { samples_ms: vec![61_000, 62_000] }));
     all.push(Case::versioned("plan", &plan()));
-    all.push(Case::versioned("plan without anything", &Plan::default()));
+    all.push(Case::versioned("plan without anything", &DeadlinePlan::default()));
     all
 }
 
 /// A loan that has gone through all that is seen of it here: whether lender and borrower are on the machine.
-fn lent(confirm: bool, history: &[(bool, bool)]) -> Lent {
+fn lent(confirm: bool, history: &[(bool, bool)]) -> LenderRecord {
     let now = 1_700_000_000_000;
-    let mut loans = Loans::default();
-    assert!(loans.ask("wk-l", "wk-b", &[("m-000231".into(), 2.0)], now));
+    let mut loans = GpuLoans::default();
+    assert!(loans.request_loan("wk-l", "wk-b", &[("m-000231".into(), 2.0)], now));
     if confirm {
-        loans.confirm("wk-l", now + 1);
+        loans.on_committed("wk-l", now + 1);
     }
-    let mut lent = loans.of("wk-l").expect("it was asked").clone();
+    let mut lent = loans.lender_record("wk-l").expect("it was asked").clone();
     for (n, (lender_there, borrower_there)) in history.iter().copied().enumerate() {
-        let seen = Seen {
-            lender_lives: true,
-            borrower_lives: true,
-            borrower_waits: true,
-            machine_there: lender_there || borrower_there || confirm,
-            lender_there,
-            borrower_there,
-            lender_waits: true,
+        let seen = LoanObservation {
+            lender_is_live: true,
+            borrower_is_live: true,
+            borrower_is_waiting: true,
+            machine_is_available: lender_there || borrower_there || confirm,
+            lender_on_machine: lender_there,
+            borrower_on_machine: borrower_there,
+            lender_is_waiting: true,
         };
-        lent.loans.iter_mut().for_each(|l: &mut Loan| {
-            assert!(l.advance(seen, now + 100 + n as u64));
+        lent.loans.iter_mut().for_each(|l: &mut GpuLoan| {
+            assert!(l.advance_phase(seen, now + 100 + n as u64));
         });
     }
     lent
@@ -255,12 +285,12 @@
         Case::versioned("loan ending", &lent(true, &all[..3])),
         Case::versioned("loan back", &lent(true, &all)),
         Case::versioned("loan dropped", &lent(false, &all[..1])),
-        Case::versioned("nothing lent", &Lent::default()),
+        Case::versioned("nothing lent", &LenderRecord::default()),
     ]
 }
 
 /// A plug-in's record.
-pub fn plugin(kind: PluginKind, state: State, reason: Option<&str>) -> PluginRecord {
+pub fn plugin(kind: PluginKind, state: PluginState, reason: Option<&str>) -> PluginRecord {
     PluginRecord {
         name: "evening".into(),
         kind,
@@ -277,14 +307,14 @@
 
 fn plugins() -> Vec<Case> {
     let decision = |state| plugin(PluginKind::Decision, state, None);
-    let suspended = plugin(PluginKind::Decision, State::Suspended, Some("slow"));
-    let report = plugin(PluginKind::Report, State::Active, None);
+    let suspended = plugin(PluginKind::Decision, PluginState::Suspended, Some("slow"));
+    let report = plugin(PluginKind::EventReceiver, PluginState::Active, None);
     vec![
-        Case::record("plug-in offered", &decision(State::Offered)),
-        Case::record("plug-in checked", &decision(State::Checked)),
-        Case::record("plug-in active", &decision(State::Active)),
+        Case::record("plug-in offered", &decision(PluginState::Offered)),
+        Case::record("plug-in checked", &decision(PluginState::Checked)),
+        Case::record("plug-in active", &decision(PluginState::Active)),
         Case::record("plug-in suspended", &suspended),
-        Case::record("plug-in removed", &decision(State::Removed)),
+        Case::record("plug-in removed", &decision(PluginState::Removed)),
         Case::record("plug-in of reports", &report),
     ]
 }
@@ -310,10 +340,10 @@
 #[test]
 fn a_jobs_key_holds_a_live_job_or_its_end() {
     for (name, bytes) in crate::entries(RECORDED) {
-        let value = swiftsail_protocol::read(&bytes).expect("it is MessagePack");
+        let value = swiftsail_protocol::decode(&bytes).expect("it is MessagePack");
         match (StoredJob::read(&value), name.split(' ').next()) {
             (Some(StoredJob::Live(_)), kind) => assert_eq!(kind, Some("job"), "{name}"),
-            (Some(StoredJob::Over(_)), kind) => assert_eq!(kind, Some("end"), "{name}"),
+            (Some(StoredJob::Finished(_)), kind) => assert_eq!(kind, Some("end"), "{name}"),
             (None, kind) => assert!(!matches!(kind, Some("job" | "end")), "{name}"),
         }
     }
--- a/tests/recorded_bytes/shown.rs
+++ b/tests/recorded_bytes/shown.rs
@@ -3,17 +3,17 @@
 use crate::records::plugin;
 use crate::{Case, compare};
 use std::collections::BTreeSet;
-use swiftsail::local::{Fault, Standing};
-use swiftsail_policy::hooks::{Answer, Hook};
-use swiftsail_policy::host::{Said, Shown, Verdict};
-use swiftsail_policy::outbox::{Counts, Event, Outbox, ReportHook};
-use swiftsail_policy::plugin::{Kind, Offer, State};
-use swiftsail_policy::policy::{Knob, knob_names};
+use swiftsail::local::{EmulatorStatus, Fault};
+use swiftsail_policy::hooks::{Hook, HookAnswer};
+use swiftsail_policy::host::{HookResponse, HookResult, PluginStatus};
+use swiftsail_policy::outbox::{DeliveryCounts, EventOutbox, EventReceiver, ReportedEvent};
+use swiftsail_policy::plugin::{PluginKind, PluginOffer, PluginState};
+use swiftsail_policy::policy::{PolicyParameter, parameter_names};
 
 const RECORDED: &str = include_str!("fixtures/shown.txt");
 
-fn event(detail: Option<&str>) -> Event {
-    Event {
+fn event(detail: Option<&str>) -> ReportedEvent {
+    ReportedEvent {
         kind: "task".into(),
         what: "runs".into(),
         of: "wk-1/0".into(),
@@ -24,11 +24,11 @@
 
 /// What a report hook is sent, after one event found no room.
 fn delivery() -> Case {
-    let hook = ReportHook::parse("to = \"127.0.0.1:9\"\npath = \"/in\"\nevents = [\"task\"]\n");
-    let mut outbox = Outbox::new(hook.expect("the hook is sound"));
-    outbox.push(&event(Some("m-000231")));
-    outbox.push(&event(None));
-    let sent = outbox.next("evening", 0).expect("it may leave");
+    let hook = EventReceiver::parse("to = \"127.0.0.1:9\"\npath = \"/in\"\nevents = [\"task\"]\n");
+    let mut outbox = EventOutbox::new(hook.expect("the hook is sound"));
+    outbox.enqueue(&event(Some("m-000231")));
+    outbox.enqueue(&event(None));
+    let sent = outbox.next_delivery("evening", 0).expect("it may leave");
     assert_eq!((sent.to.port(), sent.path.as_str()), (9, "/in"));
     let body: serde_json::Value = serde_json::from_slice(&sent.body).expect("it is JSON");
     let mut case = Case::json("delivery to a report hook", &body);
@@ -37,15 +37,15 @@
 }
 
 fn plugins() -> Vec<Case> {
-    let offer = |enable| Offer {
-        kind: Kind::Decision,
+    let offer = |enable| PluginOffer {
+        kind: PluginKind::Decision,
         source: "fn admit(job, cluster) { true }".into(),
         precedence: 10,
         enable,
     };
-    let counts = Counts { waiting: 1, delivered: 2, dropped: 3, failures: 4 };
-    let shown = |delivery| Shown {
-        record: plugin(Kind::Report, State::Suspended, Some("slow")),
+    let counts = DeliveryCounts { waiting: 1, delivered: 2, dropped: 3, failures: 4 };
+    let shown = |delivery| PluginStatus {
+        record: plugin(PluginKind::EventReceiver, PluginState::Suspended, Some("slow")),
         calls: 5,
         ops: 6,
         faults: vec!["admit fails".into()],
@@ -67,24 +67,38 @@
 fn verdict() -> Case {
     let avoided = BTreeSet::from(["g8".to_string()]);
     let answers = [
-        Some(Answer::Score(1.5)),
-        Some(Answer::Order(2)),
-        Some(Answer::Share(0.5)),
-        Some(Answer::Avoid(avoided)),
-        Some(Answer::Later(4.0)),
+        Some(HookAnswer::Score(1.5)),
+        Some(HookAnswer::ClassOrder(2)),
+        Some(HookAnswer::SpotShare(0.5)),
+        Some(HookAnswer::AvoidTypes(avoided)),
+        Some(HookAnswer::RetryAfterS(4.0)),
         None,
     ];
-    let said = answers.into_iter().map(|answer| Said {
+    let said = answers.into_iter().map(|answer| HookResponse {
         plugin: "evening".into(),
         fault: answer.is_none().then(|| "it loops".into()),
         answer,
     });
-    Case::json("verdict", &Verdict { said: said.collect(), taken: Some(Answer::Score(3.5)) })
+    Case::json(
+        "verdict",
+        &HookResult { responses: said.collect(), composed: Some(HookAnswer::Score(3.5)) },
+    )
 }
 
 fn knobs() -> Case {
-    use Knob::*;
-    Case::json_both("knobs", &vec![Threshold, SpotShare, Toggle, LineCap, RoundS, Reserve, IdleS])
+    use PolicyParameter::*;
+    Case::json_both(
+        "knobs",
+        &vec![
+            PruningThreshold,
+            SpotShare,
+            DroppingToggle,
+            QueueLimit,
+            RoundIntervalS,
+            ServiceHeadroom,
+            IdleTimeoutS,
+        ],
+    )
 }
 
 fn local() -> Vec<Case> {
@@ -100,15 +114,15 @@
         ("fault spoil", Fault::Spoil { number: 5 }),
     ];
     let mut all: Vec<Case> = faults.iter().map(|(n, f)| Case::json_both(n, f)).collect();
-    let standing = Standing {
+    let standing = EmulatorStatus {
         leader: Some("node-0".into()),
         jobs: 1,
         machines: 2,
-        up: 3,
+        machines_up: 3,
         tasks: 4,
-        done: 5,
-        killed: 6,
-        spent: 7.5,
+        tasks_done: 5,
+        tasks_killed: 6,
+        money_spent: 7.5,
     };
     all.push(Case::json("standing", &standing));
     all
@@ -127,17 +141,20 @@
     let hooks = ["priority", "class_order", "spot_share", "avoid_types", "admit"];
     assert_eq!(Hook::ALL.map(Hook::name), hooks);
     let knobs = ["threshold", "spot_share", "toggle", "line_cap", "round_s", "reserve", "idle_s"];
-    assert_eq!(knob_names().collect::<Vec<_>>(), knobs);
+    assert_eq!(parameter_names().collect::<Vec<_>>(), knobs);
 }
 
 /// A report hook's source names all that it may; nothing else is taken.
 #[test]
 fn a_report_hook_is_read_as_before() {
-    let hook = ReportHook::parse("to = \"127.0.0.1:9\"").expect("the least is sound");
+    let hook = EventReceiver::parse("to = \"127.0.0.1:9\"").expect("the least is sound");
     assert_eq!((hook.path.as_str(), hook.events.len()), ("/", 0));
-    assert!(ReportHook::parse("to = \"127.0.0.1:9\"\nother = 1").is_err());
-    assert_eq!(swiftsail_policy::outbox::KINDS, ["task", "job", "machine", "term", "rental"]);
+    assert!(EventReceiver::parse("to = \"127.0.0.1:9\"\nother = 1").is_err());
+    assert_eq!(swiftsail_policy::outbox::EVENT_KINDS, ["task", "job", "machine", "term", "rental"]);
     let least = br#"{"kind":"report","source":"x"}"#;
-    let offer: Offer = serde_json::from_slice(least).expect("the least is sound");
-    assert_eq!((offer.kind, offer.precedence, offer.enable), (Kind::Report, 100, false));
+    let offer: PluginOffer = serde_json::from_slice(least).expect("the least is sound");
+    assert_eq!(
+        (offer.kind, offer.precedence, offer.enable),
+        (PluginKind::EventReceiver, 100, false)
+    );
 }
