--- a/tests/recorded_bytes/store.rs
+++ b/tests/recorded_bytes/store.rs
@@ -4,23 +4,26 @@
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use swiftsail_quota::records::{Holding, Pool};
-use swiftsail_controller::job::{Chunk, FinalRecord, JobRecord};
-use swiftsail_controller::node::{AdminAsk, Node};
-use swiftsail_controller::tables::SheetRecord;
+use swiftsail_controller::job::{BindingChunk, FinalRecord, JobRecord};
+use swiftsail_controller::node::{AdminRequest, Controller};
+use swiftsail_controller::tables::LogSegmentRecord;
 use swiftsail_controller::term::LeaderRecord;
-use swiftsail_deadline_planning::board::Took;
-use swiftsail_deadline_planning::{Arrival, Plan};
-use swiftsail_gpu_lending::Lent;
+use swiftsail_deadline_planning::board::StepDurations;
+use swiftsail_deadline_planning::{DeadlinePlan, Occurrence};
+use swiftsail_gpu_lending::LenderRecord;
+use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_policy::plugin::{PluginKind, PluginOffer, PluginRecord};
+use swiftsail_protocol::cloud::MachineTypes;
+use swiftsail_quota::records::{QuotaHolding, QuotaPool};
 use swiftsail_replicated_records::Versioned;
-use swiftsail_policy::operator::Operator;
-use swiftsail_policy::plugin::{Kind, Offer, PluginRecord};
-use swiftsail_simulation::world::{Weather, World, accelerated, gpu_job, job};
-use swiftsail_tiers::TableRecord;
-use swiftsail_protocol::cloud::Types;
+use swiftsail_simulation::world::{
+    FaultRates, Simulation, gpu_job_body, gpu_machine_offers, job_body,
+};
+use swiftsail_tiers::TierTableRecord;
 
 const RECORDED: &str = include_str!("fixtures/store.txt");
-const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
+const CALM: FaultRates =
+    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
 const OPERATOR: &str = r#"
 [plugins]
 enabled = true
@@ -75,7 +78,7 @@
 }
 
 fn versioned<T: Versioned>(value: &Value) -> Option<Value> {
-    T::read("key", value).ok().map(|found| found.record())
+    T::from_record("key", value).ok().map(|found| found.to_record())
 }
 
 /// A value read into today's type of its kind and written again.
@@ -83,70 +86,70 @@
     match kind {
         "job" => plain::<JobRecord>(value).or_else(|| plain::<FinalRecord>(value)),
         "end" => plain::<FinalRecord>(value),
-        "chunk" => plain::<Chunk>(value),
-        "sheet" => plain::<SheetRecord>(value),
+        "chunk" => plain::<BindingChunk>(value),
+        "sheet" => plain::<LogSegmentRecord>(value),
         "plug-in" => plain::<PluginRecord>(value),
         "source" => plain::<String>(value),
         "form" => (*value == json!({"form": 1})).then(|| value.clone()),
         "leader" => plain::<LeaderRecord>(value),
-        "types" => plain::<Types>(value),
-        "pool" => plain::<Pool>(value),
-        "holding" => plain::<Holding>(value),
-        "tiers" => versioned::<TableRecord>(value),
-        "plan" => versioned::<Plan>(value),
-        "arrival" => versioned::<Arrival>(value),
-        "took" => versioned::<Took>(value),
-        "loans" => versioned::<Lent>(value),
+        "types" => plain::<MachineTypes>(value),
+        "pool" => plain::<QuotaPool>(value),
+        "holding" => plain::<QuotaHolding>(value),
+        "tiers" => versioned::<TierTableRecord>(value),
+        "plan" => versioned::<DeadlinePlan>(value),
+        "arrival" => versioned::<Occurrence>(value),
+        "took" => versioned::<StepDurations>(value),
+        "loans" => versioned::<LenderRecord>(value),
         _ => None,
     }
 }
 
-fn load(world: &mut World) {
+fn load(world: &mut Simulation) {
     for n in 0..4 {
         let id = format!("wk-b{n}");
-        world.submit(500 + n * 500, None, gpu_job(&id, "array", "lab", 8, 1.0, 400.0));
+        world.submit(500 + n * 500, None, gpu_job_body(&id, "array", "lab", 8, 1.0, 400.0));
     }
-    let mut count = job("wk-count", "array", "blue", 4, 1.0, 5.0);
+    let mut count = job_body("wk-count", "array", "blue", 4, 1.0, 5.0);
     count["jobclass"] = "count".into();
     world.submit(14_000, None, count);
-    world.submit(3_000, Some(40_000), job("wk-s1", "service", "red", 2, 1.0, 0.0));
-    let mut after = job("wk-after", "array", "red", 2, 1.0, 30.0);
+    world.submit(3_000, Some(40_000), job_body("wk-s1", "service", "red", 2, 1.0, 0.0));
+    let mut after = job_body("wk-after", "array", "red", 2, 1.0, 30.0);
     after["awaits"] = json!(["wk-count"]);
     world.submit(20_000, None, after);
 }
 
 /// Fine-tuning borrows what serving is guaranteed, and gives it back.
-fn lend(world: &mut World) {
+fn lend(world: &mut Simulation) {
     for n in 0..4 {
         let id = format!("wk-t{n}");
-        world.submit(500 + n * 900, None, gpu_job(&id, "gang", "tuning", 2, 1.0, 200.0));
+        world.submit(500 + n * 900, None, gpu_job_body(&id, "gang", "tuning", 2, 1.0, 200.0));
     }
     for n in 0..3 {
-        let mut body = gpu_job(&format!("wk-s{n}"), "service", "serving", 2, 1.0, 0.0);
+        let mut body = gpu_job_body(&format!("wk-s{n}"), "service", "serving", 2, 1.0, 0.0);
         body["scatter"] = false.into();
         world.submit(90_000 + n * 2_000, Some(172_000 + n * 4_000), body);
     }
 }
 
-fn ask(world: &mut World) {
-    let node = (0..3).find(|n| world.nodes[*n].as_ref().is_some_and(Node::leads));
+fn ask(world: &mut Simulation) {
+    let node = (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader));
     let node = node.expect("somebody leads");
     let source = "fn priority(job, cluster) { 1 }".to_string();
-    let offer = Offer { kind: Kind::Decision, source, precedence: 10, enable: true };
+    let offer = PluginOffer { kind: PluginKind::Decision, source, precedence: 10, enable: true };
     let offer = serde_json::to_vec(&offer).expect("our own type");
-    world.ask(8_100, node, AdminAsk::Offer("evening".into(), offer));
+    world.schedule_admin_request(8_100, node, AdminRequest::Offer("evening".into(), offer));
     let at_ms = 1_700_000_000_000 + world.now + 240_000;
     let arrival = json!({"name": "north", "chain": "lists", "at_ms": at_ms}).to_string();
-    world.ask(8_200, node, AdminAsk::AddArrival(arrival.into_bytes()));
+    world.schedule_admin_request(8_200, node, AdminRequest::AddArrival(arrival.into_bytes()));
 }
 
 type Seen = BTreeMap<String, Vec<Value>>;
 
 /// Plays a world on, and notes all values that each key of the state service holds on the way.
-fn watch(world: &mut World, until_ms: u64, seen: &mut Seen) {
+fn watch(world: &mut Simulation, until_ms: u64, seen: &mut Seen) {
     for at in (17..until_ms / 500).map(|n| n * 500) {
-        world.run(at);
-        for pair in world.store.list("", None, 10_000).pairs {
+        world.run_until(at);
+        for pair in world.store.list("", None, 10_000).entries {
             let held = seen.entry(pair.key).or_default();
             if held.last() != Some(&pair.value) {
                 held.push(pair.value);
@@ -158,15 +161,15 @@
 /// All values of each key that were seen in the state service of two worlds.
 fn seen() -> Seen {
     let mut seen = Seen::new();
-    let mut world = World::offering(1, CALM, 400_000, accelerated(1));
-    world.operator = Operator::parse("test", OPERATOR).expect("the file is sound");
+    let mut world = Simulation::with_offers(1, CALM, 400_000, gpu_machine_offers(1));
+    world.operator = OperatorSettings::parse("test", OPERATOR).expect("the file is sound");
     load(&mut world);
-    world.run(8_000);
+    world.run_until(8_000);
     ask(&mut world);
     watch(&mut world, 90_000, &mut seen);
-    let mut world = World::offering(1, CALM, 400_000, accelerated(1));
+    let mut world = Simulation::with_offers(1, CALM, 400_000, gpu_machine_offers(1));
     let text = "[loans]\ndurable = true\n";
-    world.operator = Operator::parse("test", text).expect("the file is sound");
+    world.operator = OperatorSettings::parse("test", text).expect("the file is sound");
     lend(&mut world);
     watch(&mut world, 200_000, &mut seen);
     seen
@@ -184,7 +187,7 @@
             let most = values.iter().max_by_key(|v| v.to_string().len()).expect("a value");
             dump.push_str(&format!(
                 "{key}\n{most}\n{}\n\n",
-                crate::to_hex(&swiftsail_protocol::write(most))
+                crate::to_hex(&swiftsail_protocol::encode(most))
             ));
             for value in values {
                 assert_eq!(again(of, value).as_ref(), Some(value), "{key}");
@@ -208,8 +211,8 @@
         assert!(held.keys().any(|key| kind(key) == Some(of)), "nothing of kind {of} is recorded");
     }
     for (key, bytes) in held {
-        let value: Value = swiftsail_protocol::read(&bytes).expect("it is MessagePack");
+        let value: Value = swiftsail_protocol::decode(&bytes).expect("it is MessagePack");
         let found = kind(&key).and_then(|of| again(of, &value));
-        assert_eq!(found.map(|v| swiftsail_protocol::write(&v)), Some(bytes), "{key}: {value}");
+        assert_eq!(found.map(|v| swiftsail_protocol::encode(&v)), Some(bytes), "{key}: {value}");
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -2,33 +2,35 @@
 
 use swiftsail_simulation::world as standin;
 
-use standin::{Weather, World, assert_over, job, mixed_load};
-use swiftsail_controller::node::{Action, Event, Node, Now};
-use swiftsail_protocol::controllers::Beat;
-use swiftsail_protocol::read;
-use swiftsail_protocol::workers::{Redirect, Report};
+use standin::{FaultRates, Simulation, assert_all_jobs_over, job_body, submit_mixed_load};
+use swiftsail_controller::node::{Action, Controller, Event, Now};
+use swiftsail_protocol::controllers::Heartbeat;
+use swiftsail_protocol::decode;
+use swiftsail_protocol::workers::{Redirect, StatusReport};
 
-const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
-const ROUGH: Weather = Weather { loss: 0.03, late: 0.01, crashes: 4, outages: 2 };
+const NO_FAULTS: FaultRates =
+    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
+const MANY_FAULTS: FaultRates =
+    FaultRates { message_loss: 0.03, message_delay: 0.01, crashes: 4, outages_and_hangs: 2 };
 
 #[test]
 fn a_calm_day_runs_everything() {
-    let mut world = World::new(1, CALM, 1_000);
-    mixed_load(&mut world, 6);
-    world.run(150_000);
-    assert_over(&world, "calm");
-    assert_eq!(world.store.count("bind/"), 3, "only services that run are bound");
+    let mut world = Simulation::new(1, NO_FAULTS, 1_000);
+    submit_mixed_load(&mut world, 6);
+    world.run_until(150_000);
+    assert_all_jobs_over(&world, "calm");
+    assert_eq!(world.store.count_keys("bind/"), 3, "only services that run are bound");
 }
 
 #[test]
 fn rough_days_break_no_rule_and_everything_ends() {
     for seed in (0..16).chain([147]) {
-        let mut world = World::new(seed, ROUGH, 90_000);
-        mixed_load(&mut world, 6);
-        world.run(300_000);
-        assert_over(&world, &format!("seed {seed}"));
+        let mut world = Simulation::new(seed, MANY_FAULTS, 90_000);
+        submit_mixed_load(&mut world, 6);
+        world.run_until(300_000);
+        assert_all_jobs_over(&world, &format!("seed {seed}"));
         assert!(world.store.largest_value <= 8 * 1024, "value of {}", world.store.largest_value);
-        assert!(world.store.largest_txn <= 64 * 1024 && world.store.most_ops <= 16);
+        assert!(world.store.largest_transaction <= 64 * 1024 && world.store.most_operations <= 16);
     }
 }
 
@@ -38,41 +40,45 @@
 fn rough_days_with_workers_shared_break_no_rule() {
     let mut passed_on = 0;
     for seed in 0..8 {
-        let mut world = World::new(seed, ROUGH, 90_000);
+        let mut world = Simulation::new(seed, MANY_FAULTS, 90_000);
         world.memory_mb = 0.2;
-        mixed_load(&mut world, 6);
+        submit_mixed_load(&mut world, 6);
         for at in 1..10 {
-            world.run(at * 10_000);
-            let leader = world.nodes.iter().flatten().find_map(Node::tables);
+            world.run_until(at * 10_000);
+            let leader = world.controllers.iter().flatten().find_map(Controller::cluster_state);
             let machines = leader.iter().flat_map(|l| l.machines.values());
-            passed_on += machines.filter(|m| m.via.is_some()).count();
+            passed_on += machines.filter(|m| m.forwarded_by.is_some()).count();
         }
-        world.run(300_000);
-        assert_over(&world, &format!("seed {seed}"));
+        world.run_until(300_000);
+        assert_all_jobs_over(&world, &format!("seed {seed}"));
     }
     assert!(passed_on > 200, "{passed_on} workers report through another controller");
 }
 
 #[test]
 fn the_checks_can_fail() {
-    let mut world = World::new(3, CALM, 1_000);
-    mixed_load(&mut world, 6);
-    world.run(40_000);
-    assert!(world.broken.is_empty());
-    assert!(world.plant_second_run(), "something runs by now");
-    world.check();
-    assert!(world.broken.iter().any(|b| b.starts_with("ran_twice")), "{:?}", world.broken);
+    let mut world = Simulation::new(3, NO_FAULTS, 1_000);
+    submit_mixed_load(&mut world, 6);
+    world.run_until(40_000);
+    assert!(world.violations.is_empty());
+    assert!(world.inject_duplicate_run(), "something runs by now");
+    world.check_invariants();
+    assert!(world.violations.iter().any(|b| b.starts_with("ran_twice")), "{:?}", world.violations);
 }
 
 #[test]
 fn a_gang_larger_than_a_transaction_starts_whole() {
-    let mut world = World::new(5, CALM, 1_000);
-    let mut gang = job("wk-g1", "gang", "blue", 700, 0.05, 4.0);
+    let mut world = Simulation::new(5, NO_FAULTS, 1_000);
+    let mut gang = job_body("wk-g1", "gang", "blue", 700, 0.05, 4.0);
     gang["memory_gb"] = 0.05.into();
     world.submit(500, None, gang);
-    world.run(90_000);
-    assert_over(&world, "large gang");
-    assert!(world.store.largest_txn <= 64 * 1024, "transaction of {}", world.store.largest_txn);
+    world.run_until(90_000);
+    assert_all_jobs_over(&world, "large gang");
+    assert!(
+        world.store.largest_transaction <= 64 * 1024,
+        "transaction of {}",
+        world.store.largest_transaction
+    );
     assert!(world.store.largest_value <= 8 * 1024);
 }
 
@@ -80,40 +86,45 @@
 /// to the unreachable leader would never try the controller that reaches both.
 #[test]
 fn a_controller_that_lost_the_leader_does_not_name_it_to_its_own_zone() {
-    let mut now = Now { steady: standin::BEGIN, wall: 1_000_000 };
-    let mut node = Node::new(standin::settings(1), 7, now);
-    let beat = Beat { node: "n0".into(), token: 9, leads: true, ..Beat::default() };
-    node.handle(Event::Beat(beat), now);
+    let mut now = Now { monotonic: standin::START_MS, wall_clock: 1_000_000 };
+    let mut node = Controller::new(standin::controller_settings(1), 7, now);
+    let beat = Heartbeat {
+        controller: "n0".into(),
+        fencing_token: 9,
+        is_leader: true,
+        ..Heartbeat::default()
+    };
+    node.handle(Event::Heartbeat(beat), now);
     node.take_actions();
-    let answer = |node: &mut Node, berth: &str, dock: &str, now: Now| {
-        let report = Report {
-            berth: berth.into(),
-            addr: String::new(),
-            hull: "s4".into(),
-            dock: dock.into(),
-            driftwood: false,
-            watch: 1,
-            tick: now.steady,
-            helm: 9,
-            recall_s: None,
-            shards: Vec::new(),
+    let answer = |node: &mut Controller, berth: &str, dock: &str, now: Now| {
+        let report = StatusReport {
+            machine: berth.into(),
+            address: String::new(),
+            machine_type: "s4".into(),
+            zone: dock.into(),
+            spot: false,
+            session: 1,
+            sequence: now.monotonic,
+            fencing_token: 9,
+            reclaim_in_s: None,
+            tasks: Vec::new(),
         };
-        node.handle(Event::Report(1, Box::new(report)), now);
+        node.handle(Event::StatusReport(1, Box::new(report)), now);
         node.take_actions().into_iter().find_map(|action| match action {
             Action::Reply(1, reply) => {
                 assert_eq!(reply.status, 421);
-                let redirect = read::<Redirect>(&reply.body).expect("our own message");
-                Some(redirect.harbor.unwrap_or("next".into()))
+                let redirect = decode::<Redirect>(&reply.body).expect("our own message");
+                Some(redirect.controller.unwrap_or("next".into()))
             }
-            Action::Relay(_, to, _) => Some(format!("relayed to {to}")),
+            Action::ForwardReports(_, to, _) => Some(format!("relayed to {to}")),
             _ => None,
         })
     };
     let to = |text: &str| Some(text.to_string());
     assert_eq!(answer(&mut node, "m-1", "a", now), to("relayed to n0"));
-    now.steady += 60_000;
+    now.monotonic += 60_000;
     assert_eq!(answer(&mut node, "m-1", "a", now), to("next"), "a worker of this zone");
     assert_eq!(answer(&mut node, "m-2", "b", now), to("n0"), "another may reach the leader");
-    now.steady += 6_000;
+    now.monotonic += 6_000;
     assert_eq!(answer(&mut node, "m-2", "b", now), to("next"), "it came back: it could not");
 }
--- a/tests/standin.rs
+++ b/tests/standin.rs
@@ -4,24 +4,24 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::json;
 use std::collections::BTreeMap;
-use swiftsail_controller::job::{Kind, Spec};
-use swiftsail_simulation::constants::CHANGES_KEPT;
-use swiftsail_simulation::plant::Plant;
-use swiftsail_simulation::store::{Committed, Store, TooOld};
-use swiftsail_simulation::worker::Stage;
-use swiftsail_simulation::world::{offered, settings, spec};
-use swiftsail_protocol::cloud::Rent;
-use swiftsail_protocol::state::{Change, Commit, When};
-use swiftsail_protocol::workers::{Cause, Command, Orders, Phase, Verb};
+use swiftsail_controller::job::{JobKind, JobSpec};
+use swiftsail_protocol::cloud::ProvisionMachinesRequest;
+use swiftsail_protocol::state::{Mutation, Precondition, Transaction};
+use swiftsail_protocol::workers::{Command, CommandKind, ExitCause, HeartbeatResponse, TaskPhase};
+use swiftsail_simulation::constants::MAX_WATCH_HISTORY;
+use swiftsail_simulation::plant::SimulatedCluster;
+use swiftsail_simulation::store::{CompactedRevision, FakeStore, TransactionResult};
+use swiftsail_simulation::worker::ExecutionPhase;
+use swiftsail_simulation::world::{controller_settings, job_spec, machine_offers};
 
-fn store() -> Store {
-    Store::new(settings(0).settings.state.clone(), 0)
+fn fake_store() -> FakeStore {
+    FakeStore::new(controller_settings(0).settings.state.clone(), 0)
 }
 
-fn write(key: &str, value: u64, stamp: u64, mooring: Option<u64>) -> Commit {
-    Commit {
-        when: vec![When { key: key.into(), stamp }],
-        apply: vec![Change::Write { write: key.into(), value: json!(value), mooring }],
+fn put_transaction(key: &str, value: u64, stamp: u64, mooring: Option<u64>) -> Transaction {
+    Transaction {
+        preconditions: vec![Precondition { key: key.into(), mod_revision: stamp }],
+        mutations: vec![Mutation::Put { key: key.into(), value: json!(value), lease: mooring }],
     }
 }
 
@@ -32,24 +32,26 @@
     let steps = prop::collection::vec((0..5u8, 0..3u8, any::<bool>()), 1..60);
     TestRunner::new_with_rng(config, rng)
         .run(&steps, |steps| {
-            let (mut store, mut model) = (store(), BTreeMap::<String, u64>::new());
+            let (mut store, mut model) = (fake_store(), BTreeMap::<String, u64>::new());
             for (n, (key, what, fresh)) in steps.into_iter().enumerate() {
                 let key = format!("k/{key}");
                 let held = model.get(&key).copied().unwrap_or(0);
                 let stamp = if fresh { held } else { held + 1 };
-                let mut commit = write(&key, n as u64, stamp, None);
+                let mut commit = put_transaction(&key, n as u64, stamp, None);
                 if what == 0 {
-                    commit.apply = vec![Change::Remove { remove: key.clone() }];
+                    commit.mutations = vec![Mutation::Delete { key: key.clone() }];
                 }
-                match store.commit(&commit) {
-                    Committed::At(epoch) => {
+                match store.apply_transaction(&commit) {
+                    TransactionResult::Committed(epoch) => {
                         prop_assert!(fresh, "a condition that does not hold");
                         match what {
                             0 => model.remove(&key),
                             _ => model.insert(key, epoch),
                         };
                     }
-                    Committed::Failed(keys) => prop_assert!(!fresh && keys == vec![key]),
+                    TransactionResult::PreconditionFailed(keys) => {
+                        prop_assert!(!fresh && keys == vec![key])
+                    }
                     other => prop_assert!(false, "{other:?}"),
                 }
             }
@@ -58,8 +60,8 @@
             let mut from: Option<String> = None;
             loop {
                 let page = store.list("k/", from.as_deref(), 2);
-                from = page.pairs.last().map(|p| p.key.clone());
-                seen.extend(page.pairs.into_iter().map(|p| (p.key, p.stamp)));
+                from = page.entries.last().map(|p| p.key.clone());
+                seen.extend(page.entries.into_iter().map(|p| (p.key, p.mod_revision)));
                 if !page.has_next {
                     break;
                 }
@@ -72,211 +74,262 @@
 
 #[test]
 fn leases_end_with_their_keys_and_never_in_an_outage() {
-    let mut store = store();
-    let lease = store.grant(5_000, 0).expect("a time to live within bounds");
-    assert!(store.grant(50, 0).is_none());
-    assert!(matches!(store.commit(&write("term/leader", 1, 0, Some(lease))), Committed::At(_)));
-    store.expire(4_900, false);
-    assert!(store.extend(lease, 4_900));
+    let mut store = fake_store();
+    let lease = store.create_lease(5_000, 0).expect("a time to live within bounds");
+    assert!(store.create_lease(50, 0).is_none());
+    assert!(matches!(
+        store.apply_transaction(&put_transaction("term/leader", 1, 0, Some(lease))),
+        TransactionResult::Committed(_)
+    ));
+    store.expire_leases(4_900, false);
+    assert!(store.renew_lease(lease, 4_900));
     // An outage gives every lease its full time again.
-    store.expire(9_000, true);
-    store.expire(13_900, false);
+    store.expire_leases(9_000, true);
+    store.expire_leases(13_900, false);
     assert!(store.get("term/leader").is_some());
-    let from = store.epoch();
-    store.expire(14_100, false);
+    let from = store.revision();
+    store.expire_leases(14_100, false);
     assert!(store.get("term/leader").is_none());
-    let news = store.news("term/", from).expect("kept").expect("a change");
-    assert_eq!(news.news[0].remove.as_deref(), Some("term/leader"));
-    assert!(!store.extend(lease, 14_100));
-    assert_eq!(store.commit(&write("x", 1, 0, Some(lease))), Committed::NoGrant);
+    let news = store.changes_since("term/", from).expect("kept").expect("a change");
+    assert_eq!(news.events[0].deleted_key.as_deref(), Some("term/leader"));
+    assert!(!store.renew_lease(lease, 14_100));
+    assert_eq!(
+        store.apply_transaction(&put_transaction("x", 1, 0, Some(lease))),
+        TransactionResult::LeaseNotFound
+    );
 }
 
 #[test]
 fn watches_tell_every_change_or_that_they_cannot() {
-    let mut store = store();
-    for n in 0..CHANGES_KEPT as u64 + 10 {
-        let stamp = store.get("a/b").map_or(0, |p| p.stamp);
-        store.commit(&write("a/b", n, stamp, None));
+    let mut store = fake_store();
+    for n in 0..MAX_WATCH_HISTORY as u64 + 10 {
+        let stamp = store.get("a/b").map_or(0, |p| p.mod_revision);
+        store.apply_transaction(&put_transaction("a/b", n, stamp, None));
     }
-    assert_eq!(store.news("a/", 5), Err(TooOld));
-    let news = store.news("a/", 11).expect("kept").expect("changes");
-    assert_eq!(news.news.len(), CHANGES_KEPT - 1);
-    assert_eq!(store.news("a/", store.epoch()), Ok(None));
-    assert_eq!(store.news("b/", 100), Ok(None));
+    assert_eq!(store.changes_since("a/", 5), Err(CompactedRevision));
+    let news = store.changes_since("a/", 11).expect("kept").expect("changes");
+    assert_eq!(news.events.len(), MAX_WATCH_HISTORY - 1);
+    assert_eq!(store.changes_since("a/", store.revision()), Ok(None));
+    assert_eq!(store.changes_since("b/", 100), Ok(None));
 }
 
 #[test]
 fn limits_are_those_of_the_settings() {
-    let limits = settings(0).settings.state.clone();
-    let mut store = store();
+    let limits = controller_settings(0).settings.state.clone();
+    let mut store = fake_store();
     let let_through = (0..1_000).filter(|_| store.admit(0, 0)).count();
     assert_eq!(let_through, limits.rps as usize, "a second's worth at once");
     let let_through = (0..1_000).filter(|_| store.admit(1, 1_000)).count();
     assert_eq!(let_through, limits.write_rps as usize);
     let large = json!("x".repeat((limits.value_kb * 1024.0) as usize));
-    let apply = vec![Change::Write { write: "k".into(), value: large, mooring: None }];
-    assert!(matches!(store.commit(&Commit { when: vec![], apply }), Committed::Malformed(_)));
-    let apply = (0..=limits.txn_ops).map(|n| Change::Remove { remove: format!("k{n}") }).collect();
-    assert!(matches!(store.commit(&Commit { when: vec![], apply }), Committed::Malformed(_)));
+    let apply = vec![Mutation::Put { key: "k".into(), value: large, lease: None }];
+    assert!(matches!(
+        store.apply_transaction(&Transaction { preconditions: vec![], mutations: apply }),
+        TransactionResult::Malformed(_)
+    ));
+    let apply = (0..=limits.txn_ops).map(|n| Mutation::Delete { key: format!("k{n}") }).collect();
+    assert!(matches!(
+        store.apply_transaction(&Transaction { preconditions: vec![], mutations: apply }),
+        TransactionResult::Malformed(_)
+    ));
 }
 
 /// A plant with machines of 8 CPUs that are up at once.
-struct Yard {
-    plant: Plant,
-    names: Vec<String>,
+struct ClusterFixture {
+    cluster: SimulatedCluster,
+    machine_names: Vec<String>,
     now: u64,
 }
 
-const TOKEN: u64 = 7;
-const RENTED: u64 = 10_000;
+const FENCING_TOKEN: u64 = 7;
+const BEGIN_MS: u64 = 10_000;
 
-impl Yard {
-    fn new(machines: u32, job: Spec) -> Yard {
-        let platform = settings(0).settings.clone();
-        let mut plant = Plant::new(offered(6), platform, 3, 1.0, 5, 0);
-        let rent = Rent {
-            charter: "r-1".into(),
-            hull: "m8".into(),
-            dock: "a".into(),
-            driftwood: false,
-            number: machines,
+impl ClusterFixture {
+    fn new(machines: u32, job: JobSpec) -> ClusterFixture {
+        let platform = controller_settings(0).settings.clone();
+        let mut cluster = SimulatedCluster::new(machine_offers(6), platform, 3, 1.0, 5, 0);
+        let rent = ProvisionMachinesRequest {
+            request_id: "r-1".into(),
+            machine_type: "m8".into(),
+            zone: "a".into(),
+            spot: false,
+            count: machines,
         };
-        let names = plant.rent(&rent, RENTED).expect("there are some");
-        assert_eq!(plant.rent(&rent, RENTED).expect("again"), names, "a name rents once");
-        plant.describe("wk-1", job, true);
+        let machine_names = cluster.provision(&rent, BEGIN_MS).expect("there are some");
+        assert_eq!(
+            cluster.provision(&rent, BEGIN_MS).expect("again"),
+            machine_names,
+            "a name rents once"
+        );
+        cluster.register_job("wk-1", job, true);
         // Those that come up late are no matter here.
-        for worker in plant.workers.values_mut() {
+        for worker in cluster.workers.values_mut() {
             worker.up_at = worker.up_at.min(20_000);
         }
-        Yard { plant, names, now: 20_000 }
+        ClusterFixture { cluster, machine_names, now: 20_000 }
     }
 
     /// Time passes; every report is answered with what is ordered for that machine, once.
-    fn run(&mut self, ms: u64, mut orders: Vec<(usize, Command)>) {
+    fn run_for(&mut self, ms: u64, mut orders: Vec<(usize, Command)>) {
         let until = self.now + ms;
         while self.now < until {
             self.now += 100;
-            for n in 0..self.names.len() {
-                let name = self.names[n].clone();
-                let Some((_, report)) = self.plant.step(&name, self.now) else { continue };
+            for n in 0..self.machine_names.len() {
+                let name = self.machine_names[n].clone();
+                let Some((_, report)) = self.cluster.step_machine(&name, self.now) else {
+                    continue;
+                };
                 let (mine, rest): (Vec<_>, Vec<_>) = orders.drain(..).partition(|(m, _)| *m == n);
                 orders = rest;
                 let mine = mine.into_iter().map(|(_, c)| c).collect();
-                let answer = Orders { helm: TOKEN, orders: mine };
-                self.plant.answered(&name, &answer, report.watch, self.now, self.now);
+                let answer = HeartbeatResponse { fencing_token: FENCING_TOKEN, commands: mine };
+                self.cluster.handle_heartbeat_response(
+                    &name,
+                    &answer,
+                    report.session,
+                    self.now,
+                    self.now,
+                );
             }
         }
         assert!(orders.is_empty(), "every machine has reported");
     }
 
-    fn stage(&self, machine: usize) -> Option<Stage> {
-        let worker = self.plant.workers.get(&self.names[machine])?;
-        worker.tasks.first().map(|t| t.stage())
+    fn execution_phase(&self, machine: usize) -> Option<ExecutionPhase> {
+        let worker = self.cluster.workers.get(&self.machine_names[machine])?;
+        worker.tasks.first().map(|t| t.phase())
     }
 }
 
-fn command(verb: Verb, task: u32, ease_s: Option<f64>) -> Command {
-    Command { verb, shard: format!("wk-1/{task}"), launch: 3, ease_s }
+fn task_command(verb: CommandKind, task: u32, ease_s: Option<f64>) -> Command {
+    Command { kind: verb, task: format!("wk-1/{task}"), attempt: 3, grace_s: ease_s }
 }
 
-fn gang() -> Spec {
-    Spec { checkpoint_s: 5.0, save_s: 1.0, estimate_s: 60.0, ..spec(Kind::Gang, 2, 2.0, "i") }
+fn gang_spec() -> JobSpec {
+    JobSpec {
+        checkpoint_interval_s: 5.0,
+        checkpoint_duration_s: 1.0,
+        runtime_estimate_s: 60.0,
+        ..job_spec(JobKind::Gang, 2, 2.0, "i")
+    }
 }
 
 #[test]
 fn a_gang_starts_together_and_saves_only_when_all_are_told() {
-    let start = |task| (task as usize, command(Verb::Start, task, None));
-    let mut yard = Yard::new(2, gang());
-    yard.run(6_000, vec![start(0)]);
-    assert!(matches!(yard.stage(0), Some(Stage::Gathering(_))), "{:?}", yard.stage(0));
-    yard.run(6_000, vec![start(1)]);
-    assert_eq!((yard.stage(0), yard.stage(1)), (Some(Stage::Running), Some(Stage::Running)));
+    let start = |task| (task as usize, task_command(CommandKind::Start, task, None));
+    let mut yard = ClusterFixture::new(2, gang_spec());
+    yard.run_for(6_000, vec![start(0)]);
+    assert!(
+        matches!(yard.execution_phase(0), Some(ExecutionPhase::WaitingForGang(_))),
+        "{:?}",
+        yard.execution_phase(0)
+    );
+    yard.run_for(6_000, vec![start(1)]);
+    assert_eq!(
+        (yard.execution_phase(0), yard.execution_phase(1)),
+        (Some(ExecutionPhase::Running), Some(ExecutionPhase::Running))
+    );
     // Both are told in time: the progress is saved.
-    let stop = |task| (task as usize, command(Verb::Stop, task, Some(3.0)));
-    yard.run(6_000, vec![stop(0), stop(1)]);
+    let stop = |task| (task as usize, task_command(CommandKind::Stop, task, Some(3.0)));
+    yard.run_for(6_000, vec![stop(0), stop(1)]);
     for n in 0..2 {
-        assert_eq!(yard.stage(n), Some(Stage::Exited(Cause::Stopped, true)));
+        assert_eq!(yard.execution_phase(n), Some(ExecutionPhase::Exited(ExitCause::Stopped, true)));
     }
     // Only one is told: the save fails, and the other notices.
-    let mut yard = Yard::new(2, gang());
-    yard.run(8_000, vec![start(0), start(1)]);
-    assert_eq!(yard.stage(0), Some(Stage::Running));
-    yard.run(9_000, vec![stop(0)]);
+    let mut yard = ClusterFixture::new(2, gang_spec());
+    yard.run_for(8_000, vec![start(0), start(1)]);
+    assert_eq!(yard.execution_phase(0), Some(ExecutionPhase::Running));
+    yard.run_for(9_000, vec![stop(0)]);
     for n in 0..2 {
-        let stage = yard.stage(n);
-        assert!(matches!(stage, Some(Stage::Exited(_, false))), "{n}: {stage:?}");
+        let stage = yard.execution_phase(n);
+        assert!(matches!(stage, Some(ExecutionPhase::Exited(_, false))), "{n}: {stage:?}");
     }
     // One machine is lost: the other exits within the time that its gang has to notice.
-    let mut yard = Yard::new(2, gang());
-    yard.run(8_000, vec![start(0), start(1)]);
-    let (lost, now) = (yard.names[1].clone(), yard.now);
-    yard.plant.gone(&[lost], false, now);
-    yard.run(5_000, vec![]);
-    assert_eq!(yard.stage(0), Some(Stage::Exited(Cause::PeersGone, false)));
+    let mut yard = ClusterFixture::new(2, gang_spec());
+    yard.run_for(8_000, vec![start(0), start(1)]);
+    let (lost, now) = (yard.machine_names[1].clone(), yard.now);
+    yard.cluster.terminate(&[lost], false, now);
+    yard.run_for(5_000, vec![]);
+    assert_eq!(
+        yard.execution_phase(0),
+        Some(ExecutionPhase::Exited(ExitCause::GangMemberLost, false))
+    );
 }
 
 #[test]
 fn a_session_ends_with_its_lease_and_old_tokens_are_dropped() {
-    let mut yard = Yard::new(1, Spec { estimate_s: 500.0, ..spec(Kind::Array, 2, 2.0, "i") });
-    yard.run(4_000, vec![(0, command(Verb::Start, 0, None))]);
-    assert_eq!(yard.stage(0), Some(Stage::Running));
-    let name = yard.names[0].clone();
+    let mut yard = ClusterFixture::new(
+        1,
+        JobSpec { runtime_estimate_s: 500.0, ..job_spec(JobKind::Array, 2, 2.0, "i") },
+    );
+    yard.run_for(4_000, vec![(0, task_command(CommandKind::Start, 0, None))]);
+    assert_eq!(yard.execution_phase(0), Some(ExecutionPhase::Running));
+    let name = yard.machine_names[0].clone();
     // Answers with a lower token do not renew the lease.
-    let (begin, session) = (yard.now, yard.plant.workers[&name].session());
+    let (begin, session) = (yard.now, yard.cluster.workers[&name].session());
     while yard.now < begin + 13_000 {
         yard.now += 100;
-        if let Some((_, report)) = yard.plant.step(&name, yard.now) {
-            let old = Orders { helm: TOKEN - 1, orders: Vec::new() };
-            yard.plant.answered(&name, &old, report.watch, yard.now, yard.now);
+        if let Some((_, report)) = yard.cluster.step_machine(&name, yard.now) {
+            let old = HeartbeatResponse { fencing_token: FENCING_TOKEN - 1, commands: Vec::new() };
+            yard.cluster.handle_heartbeat_response(&name, &old, report.session, yard.now, yard.now);
         }
     }
-    let worker = &yard.plant.workers[&name];
-    assert_eq!((worker.session(), worker.killed), (session + 1, 1));
+    let worker = &yard.cluster.workers[&name];
+    assert_eq!((worker.session(), worker.tasks_killed), (session + 1, 1));
     assert!(worker.tasks.is_empty());
 }
 
 #[test]
 fn a_worker_refuses_what_it_cannot_take_and_repeats_nothing() {
-    let mut yard = Yard::new(1, spec(Kind::Array, 9, 5.0, "i"));
-    let mut other = command(Verb::Start, 1, None);
-    other.shard = "wk-9/0".into();
-    yard.run(
+    let mut yard = ClusterFixture::new(1, job_spec(JobKind::Array, 9, 5.0, "i"));
+    let mut other = task_command(CommandKind::Start, 1, None);
+    other.task = "wk-9/0".into();
+    yard.run_for(
         2_000,
         vec![
-            (0, command(Verb::Start, 0, None)),
-            (0, command(Verb::Start, 0, None)),
-            (0, Command { launch: 4, ..command(Verb::Start, 0, None) }),
-            (0, command(Verb::Start, 1, None)),
+            (0, task_command(CommandKind::Start, 0, None)),
+            (0, task_command(CommandKind::Start, 0, None)),
+            (0, Command { attempt: 4, ..task_command(CommandKind::Start, 0, None) }),
+            (0, task_command(CommandKind::Start, 1, None)),
             (0, other),
         ],
     );
-    let name = yard.names[0].clone();
+    let name = yard.machine_names[0].clone();
     let now = yard.now;
-    let worker = yard.plant.workers.get_mut(&name).expect("it is there");
-    let causes: Vec<Option<Cause>> = worker.report(now).shards.iter().map(|s| s.cause).collect();
-    let refused = [None, Some(Cause::InUse), Some(Cause::NoRoom), Some(Cause::NoSuch)];
+    let worker = yard.cluster.workers.get_mut(&name).expect("it is there");
+    let causes: Vec<Option<ExitCause>> =
+        worker.build_report(now).tasks.iter().map(|s| s.exit_cause).collect();
+    let refused = [
+        None,
+        Some(ExitCause::ConflictingAttempt),
+        Some(ExitCause::InsufficientResources),
+        Some(ExitCause::UnknownJob),
+    ];
     assert_eq!(causes, refused);
-    yard.run(2_000, vec![(0, command(Verb::Forget, 1, None))]);
-    let worker = yard.plant.workers.get_mut(&name).expect("it is there");
-    let report = worker.report(now + 9_000);
-    assert_eq!(report.shards.len(), 3);
-    assert!(report.shards.iter().any(|s| s.status == Phase::Running));
+    yard.run_for(2_000, vec![(0, task_command(CommandKind::Forget, 1, None))]);
+    let worker = yard.cluster.workers.get_mut(&name).expect("it is there");
+    let report = worker.build_report(now + 9_000);
+    assert_eq!(report.tasks.len(), 3);
+    assert!(report.tasks.iter().any(|s| s.phase == TaskPhase::Running));
 }
 
 #[test]
 fn the_machine_list_lags_and_keeps_what_died() {
-    let mut yard = Yard::new(3, gang());
-    let cloud = &mut yard.plant.cloud;
-    assert!(cloud.list(None, 500, RENTED + 1_000).berths.is_empty(), "not listed at once");
-    assert_eq!(cloud.list(None, 500, 60_000).berths.len(), 3);
-    let page = cloud.list(None, 2, 60_000);
-    assert!(page.has_next && page.berths.len() == 2);
-    let names = yard.names.clone();
-    cloud.gone(&names[..1], true, 60_000);
-    cloud.gone(&names[1..2], false, 60_000);
-    let listed = cloud.list(None, 500, 200_000).berths;
+    let mut yard = ClusterFixture::new(3, gang_spec());
+    let cloud = &mut yard.cluster.cloud;
+    assert!(
+        cloud.list_machines(None, 500, BEGIN_MS + 1_000).machines.is_empty(),
+        "not listed at once"
+    );
+    assert_eq!(cloud.list_machines(None, 500, 60_000).machines.len(), 3);
+    let page = cloud.list_machines(None, 2, 60_000);
+    assert!(page.has_next && page.machines.len() == 2);
+    let names = yard.machine_names.clone();
+    cloud.terminate(&names[..1], true, 60_000);
+    cloud.terminate(&names[1..2], false, 60_000);
+    let listed = cloud.list_machines(None, 500, 200_000).machines;
     assert_eq!(listed.len(), 2, "what was returned is gone, what died is listed as failed");
-    assert_eq!(listed[0].status, swiftsail_protocol::cloud::ListedState::Failed);
-    cloud.gone(&names[..1], false, 200_000);
-    assert_eq!(cloud.list(None, 500, 400_000).berths.len(), 1);
+    assert_eq!(listed[0].status, swiftsail_protocol::cloud::ListedMachineStatus::Failed);
+    cloud.terminate(&names[..1], false, 200_000);
+    assert_eq!(cloud.list_machines(None, 500, 400_000).machines.len(), 1);
 }
--- a/tests/states.rs
+++ b/tests/states.rs
@@ -2,56 +2,58 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use swiftsail_controller::job::{Attempt, Bound, Chunk, Job, JobRecord, JobState, Kind, Spec, Stage};
-use swiftsail_controller::machine::{Machine, Standing};
+use swiftsail_controller::job::{
+    Attempt, AttemptPhase, Binding, BindingChunk, Job, JobKind, JobRecord, JobSpec, JobState,
+};
+use swiftsail_controller::machine::{Machine, MachineState};
 use swiftsail_controller::settings::Settings;
-use swiftsail_controller::term::{Phase, Term};
-use swiftsail_simulation::world::spec;
-use swiftsail_protocol::workers::Cause;
+use swiftsail_controller::term::{Leadership, LeadershipPhase};
+use swiftsail_protocol::workers::ExitCause;
+use swiftsail_simulation::world::job_spec;
 
-fn runner() -> TestRunner {
+fn test_runner() -> TestRunner {
     let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]))
 }
 
-fn job(tasks: u32) -> Job {
-    let spec = Spec { spread: true, ..spec(Kind::Array, tasks, 1.0, "i") };
+fn new_job(tasks: u32) -> Job {
+    let spec = JobSpec { spread: true, ..job_spec(JobKind::Array, tasks, 1.0, "i") };
     let record = JobRecord {
-        awaits: Vec::new(),
+        depends_on: Vec::new(),
         cancelled: false,
         cancelled_wall: 0,
         accepted_wall: 1_000,
         chunk_tasks: 7,
-        nonce: 0,
+        write_number: 0,
         tier: None,
         spec,
     };
     Job::new("wk-1".into(), &record, 1, 1_000_000, 1_000)
 }
 
-const STAGES: [Stage; 7] = [
-    Stage::Bound,
-    Stage::Fetching,
-    Stage::Waiting,
-    Stage::Running,
-    Stage::Saving,
-    Stage::Exited(Cause::Done),
-    Stage::Exited(Cause::Error),
+const PHASES: [AttemptPhase; 7] = [
+    AttemptPhase::Bound,
+    AttemptPhase::Fetching,
+    AttemptPhase::WaitingForGang,
+    AttemptPhase::Running,
+    AttemptPhase::Saving,
+    AttemptPhase::Exited(ExitCause::Completed),
+    AttemptPhase::Exited(ExitCause::Failed),
 ];
 
 #[test]
 fn an_exited_attempt_never_comes_back() {
-    runner()
-        .run(&prop::collection::vec(0..STAGES.len(), 1..20), |steps| {
+    test_runner()
+        .run(&prop::collection::vec(0..PHASES.len(), 1..20), |steps| {
             let mut attempt = Attempt::new(1, "m-1".into(), 1, 0);
             let mut exited = None;
             for (now, step) in steps.into_iter().enumerate() {
-                attempt.advance(STAGES[step], now as u64);
+                attempt.advance(PHASES[step], now as u64);
                 if let Some(stage) = exited {
-                    prop_assert_eq!(attempt.stage(), stage);
-                    prop_assert!(!attempt.occupies());
-                } else if let Stage::Exited(_) = attempt.stage() {
-                    exited = Some(attempt.stage());
+                    prop_assert_eq!(attempt.phase(), stage);
+                    prop_assert!(!attempt.occupies_resources());
+                } else if let AttemptPhase::Exited(_) = attempt.phase() {
+                    exited = Some(attempt.phase());
                 }
             }
             Ok(())
@@ -62,15 +64,15 @@
 #[test]
 fn a_job_never_goes_back_from_cancelled_or_closed() {
     let states = [JobState::Live, JobState::Cancelling, JobState::Closing, JobState::Closed];
-    runner()
+    test_runner()
         .run(&prop::collection::vec(0..4usize, 1..20), |steps| {
-            let mut job = job(3);
+            let mut job = new_job(3);
             let (mut cancelled, mut closed) = (false, false);
             for step in steps {
                 job.advance(states[step], 5);
-                prop_assert!(!cancelled || job.cancelled());
+                prop_assert!(!cancelled || job.is_cancelled());
                 prop_assert!(!closed || job.state() == JobState::Closed);
-                cancelled |= job.cancelled();
+                cancelled |= job.is_cancelled();
                 closed |= job.state() == JobState::Closed;
             }
             Ok(())
@@ -80,40 +82,45 @@
 
 #[test]
 fn a_task_is_waiting_bound_held_or_done_and_survives_a_new_leader() {
-    runner()
+    test_runner()
         .run(&prop::collection::vec((0..20u32, 0..4u8), 0..60), |steps| {
-            let mut job = job(20);
+            let mut job = new_job(20);
             for (n, (task, what)) in steps.into_iter().enumerate() {
                 match what {
                     0 if job.waiting.remove(&task) => {
                         let attempt = Attempt::new(n as u64 + 1, "m-1".into(), 1, 0);
                         job.attempts.insert(task, attempt);
                     }
-                    1 => drop(job.release(task, 0)),
-                    2 => job.hold(task, 0),
+                    1 => drop(job.release_attempt(task, 0)),
+                    2 => job.back_off(task, 0),
                     3 if job.attempts.remove(&task).is_some() => drop(job.done.insert(task)),
                     _ => {}
                 }
                 for t in 0..20 {
                     let places = usize::from(job.waiting.contains(&t))
-                        + usize::from(job.held.contains_key(&t))
+                        + usize::from(job.backing_off.contains_key(&t))
                         + usize::from(job.attempts.contains_key(&t))
                         + usize::from(job.done.contains(&t));
                     prop_assert_eq!(places, 1, "task {}", t);
                 }
             }
             // What the store holds is enough for the next leader.
-            let mut next = self::job(20);
+            let mut next = self::new_job(20);
             for chunk in 0..3 {
-                let text =
-                    serde_json::to_string(&job.chunk(chunk, (1, 0), usize::MAX, true, |_| false))
-                        .expect("our own record");
-                let record: Chunk = serde_json::from_str(&text).expect("our own record");
-                next.restore(chunk, &record, 9, 0);
+                let text = serde_json::to_string(&job.chunk_record(
+                    chunk,
+                    (1, 0),
+                    usize::MAX,
+                    true,
+                    |_| false,
+                ))
+                .expect("our own record");
+                let record: BindingChunk = serde_json::from_str(&text).expect("our own record");
+                next.restore_chunk(chunk, &record, 9, 0);
             }
             prop_assert_eq!(&next.done, &job.done);
             let launches = |j: &Job| -> Vec<(u32, u64)> {
-                j.attempts.iter().map(|(t, a)| (*t, a.launch)).collect()
+                j.attempts.iter().map(|(t, a)| (*t, a.number)).collect()
             };
             prop_assert_eq!(launches(&next), launches(&job));
             Ok(())
@@ -123,16 +130,16 @@
 
 #[test]
 fn a_machine_being_returned_is_never_used_again() {
-    use Standing::*;
-    let all = [Expected, Greeted, Ready, Draining, Returning];
-    runner()
+    use MachineState::*;
+    let all = [Expected, Registering, Ready, Draining, Terminating];
+    test_runner()
         .run(&prop::collection::vec(0..5usize, 1..20), |steps| {
             let mut machine = Machine::new("m-1".into(), 0);
             let mut returning = false;
             for step in steps {
                 machine.advance(all[step]);
-                prop_assert!(!returning || machine.standing() == Returning);
-                returning |= machine.standing() == Returning;
+                prop_assert!(!returning || machine.state() == Terminating);
+                returning |= machine.state() == Terminating;
             }
             Ok(())
         })
@@ -141,32 +148,32 @@
 
 #[test]
 fn nobody_leads_under_a_token_that_is_not_the_highest_seen() {
-    runner()
+    test_runner()
         .run(&prop::collection::vec((0..8u8, 1..50u64), 1..40), |steps| {
-            let mut term = Term::default();
+            let mut term = Leadership::default();
             for (what, n) in steps {
                 match what {
-                    0 => drop(term.advance(Phase::Vacant(n))),
-                    1 => drop(term.advance(Phase::Granting)),
-                    2 => drop(term.advance(Phase::Acquiring(n))),
+                    0 => drop(term.advance(LeadershipPhase::Vacant(n))),
+                    1 => drop(term.advance(LeadershipPhase::GrantingLease)),
+                    2 => drop(term.advance(LeadershipPhase::Acquiring(n))),
                     3 | 4 => {
-                        if matches!(term.phase(), Phase::Acquiring(_)) {
+                        if matches!(term.phase(), LeadershipPhase::Acquiring(_)) {
                             term.token = n;
-                            if !term.advance(Phase::Loading) {
-                                term.advance(Phase::Unknown);
+                            if !term.advance(LeadershipPhase::Loading) {
+                                term.advance(LeadershipPhase::Unknown);
                             }
                         }
                     }
-                    5 => drop(term.advance(Phase::Leading)),
-                    6 => term.held_by("other", term.highest.max(n)),
+                    5 => drop(term.advance(LeadershipPhase::Leading)),
+                    6 => term.observe_leader("other", term.highest_token.max(n)),
                     _ => {
-                        if term.saw(n) {
-                            term.advance(Phase::Unknown);
+                        if term.observe_token(n) {
+                            term.advance(LeadershipPhase::Unknown);
                         }
                     }
                 }
                 if what != 6 {
-                    prop_assert!(!term.holds() || term.token >= term.highest);
+                    prop_assert!(!term.holds_key() || term.token >= term.highest_token);
                 }
             }
             Ok(())
@@ -202,49 +209,55 @@
 #[test]
 fn chunks_and_ledger_together_hold_every_binding() {
     let steps = prop::collection::vec((0..20u32, 0..4u8, any::<bool>(), any::<bool>()), 0..80);
-    runner()
+    test_runner()
         .run(&steps, |steps| {
-            let mut job = job(20);
-            let (mut launch, mut sheet): (u64, Vec<Bound>) = (0, Vec::new());
-            let mut chunks: [Option<Chunk>; 3] = [None, None, None];
+            let mut job = new_job(20);
+            let (mut launch, mut sheet): (u64, Vec<Binding>) = (0, Vec::new());
+            let mut chunks: [Option<BindingChunk>; 3] = [None, None, None];
             for (task, what, stale, take_over) in steps {
                 match what {
                     0 if job.waiting.remove(&task) => {
                         launch += 1;
                         let mut attempt = Attempt::new(launch, "m-1".into(), 1, 0);
-                        attempt.advance(Stage::Bound, 0);
+                        attempt.advance(AttemptPhase::Bound, 0);
                         job.attempts.insert(task, attempt);
-                        sheet.push(Bound { task, launch, machine: "m-1".into(), watch: 1 });
+                        sheet.push(Binding {
+                            task,
+                            attempt: launch,
+                            machine: "m-1".into(),
+                            worker_session: 1,
+                        });
                     }
-                    1 => drop(job.release(task, 0)),
+                    1 => drop(job.release_attempt(task, 0)),
                     2 if job.attempts.remove(&task).is_some() => drop(job.done.insert(task)),
                     3 => {
                         let chunk = job.chunk_of(task);
                         // Bindings stay on the sheets, or are taken over.
                         let held = |t: u32| {
-                            let launch = job.attempts.get(&t).map(|a| a.launch);
-                            sheet.iter().any(|b| b.task == t && Some(b.launch) == launch)
+                            let launch = job.attempts.get(&t).map(|a| a.number);
+                            sheet.iter().any(|b| b.task == t && Some(b.attempt) == launch)
                         };
-                        let record = job.chunk(chunk, (1, launch), usize::MAX, take_over, held);
+                        let record =
+                            job.chunk_record(chunk, (1, launch), usize::MAX, take_over, held);
                         // A sheet lets go of what was taken over only when it is next written.
-                        sheet.retain(|b| stale || !record.bound.contains(b));
+                        sheet.retain(|b| stale || !record.bindings.contains(b));
                         chunks[chunk as usize] = Some(record);
                     }
                     _ => {}
                 }
             }
-            let mut next = self::job(20);
+            let mut next = self::new_job(20);
             for (n, chunk) in chunks.iter().enumerate() {
                 if let Some(chunk) = chunk {
-                    next.restore(n as u32, chunk, 9, 0);
+                    next.restore_chunk(n as u32, chunk, 9, 0);
                 }
             }
             for bound in &sheet {
-                next.restore_later(bound, 0);
+                next.restore_log_binding(bound, 0);
             }
             for (task, attempt) in &job.attempts {
-                let known = next.attempts.get(task).map(|a| a.launch);
-                prop_assert_eq!(known, Some(attempt.launch), "task {}", task);
+                let known = next.attempts.get(task).map(|a| a.number);
+                prop_assert_eq!(known, Some(attempt.number), "task {}", task);
             }
             for task in chunks.iter().flatten().flat_map(|c| &c.done).flat_map(|(f, t)| *f..=*t) {
                 prop_assert!(next.done.contains(&task) && !next.attempts.contains_key(&task));
--- a/tests/takeover_days.rs
+++ b/tests/takeover_days.rs
@@ -4,89 +4,105 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
-use swiftsail_controller::node::Node;
-use swiftsail_policy::operator::Operator;
-use swiftsail_simulation::world::{Cut, Deafness, Trouble, Weather, World, accelerated, gpu_job, job};
+use swiftsail_controller::node::Controller;
+use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_simulation::world::{
+    Fault, FaultRates, InboundFailure, NetworkPartition, Simulation, gpu_job_body,
+    gpu_machine_offers, job_body,
+};
 
-fn leader(world: &World) -> Option<usize> {
-    (0..3).find(|n| world.nodes[*n].as_ref().is_some_and(Node::leads))
+fn leader_index(world: &Simulation) -> Option<usize> {
+    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
 }
 
-const KINDS: usize = 20;
+const FAULT_KIND_COUNT: usize = 20;
 
 /// A trouble that begins then.
-fn trouble(world: &mut World, kind: usize, at: u64, rng: &mut StdRng) {
-    let leads = leader(world);
+fn inject_fault(world: &mut Simulation, kind: usize, at: u64, rng: &mut StdRng) {
+    let leads = leader_index(world);
     let node = leads.filter(|_| rng.random_bool(0.7)).unwrap_or(rng.random_range(0..3));
     let for_ms = rng.random_range(3_000..40_000);
     let share = rng.random_range(0.1..0.6);
     let zone = ["a", "b", "c"][rng.random_range(0..3)].to_string();
-    let cut = Cut { hold: rng.random_bool(0.4), ..Cut::of(node, at, for_ms) };
-    let third: Vec<String> = world.up().into_iter().skip(kind % 2).step_by(3).collect();
+    let cut = NetworkPartition {
+        holds_messages: rng.random_bool(0.4),
+        ..NetworkPartition::of(node, at, for_ms)
+    };
+    let third: Vec<String> =
+        world.running_machines().into_iter().skip(kind % 2).step_by(3).collect();
     match kind {
         0 => {
             // Kept from before on, so that there is something for whoever begins next.
-            world.spell(at, 60_000, Trouble::CopiesForNext(share));
-            world.crash(at + rng.random_range(2_000..20_000), node);
+            world.add_fault_window(at, 60_000, Fault::DuplicatesForNextLeader(share));
+            world.schedule_crash(at + rng.random_range(2_000..20_000), node);
         }
-        1 => world.spell(at, for_ms, Trouble::WritesLate(share)),
-        2 => world.spell(at, for_ms, Trouble::AnswersLost(share)),
-        3 => world.spell(at, for_ms, Trouble::ZoneAway { zone, node }),
-        4 => (0..4).for_each(|n| world.crash(at + n * rng.random_range(300..2_500), node)),
-        5 => (0..3).for_each(|n| world.crash(at + rng.random_range(0..1_500), n)),
+        1 => world.add_fault_window(at, for_ms, Fault::TransactionsLate(share)),
+        2 => world.add_fault_window(at, for_ms, Fault::AnswersLost(share)),
+        3 => world.add_fault_window(at, for_ms, Fault::ZonePartition { zone, controller: node }),
+        4 => (0..4).for_each(|n| world.schedule_crash(at + n * rng.random_range(300..2_500), node)),
+        5 => (0..3).for_each(|n| world.schedule_crash(at + rng.random_range(0..1_500), n)),
         6 => {
-            world.outage(at, for_ms + 10_000);
-            world.crash(at + rng.random_range(500..for_ms), node);
+            world.schedule_store_outage(at, for_ms + 10_000);
+            world.schedule_crash(at + rng.random_range(500..for_ms), node);
         }
-        7 => world.spell(at, for_ms, Trouble::Mute(third)),
-        8 => world.freeze(at, node, for_ms.min(25_000)),
-        9 => world.slow(at, for_ms),
+        7 => world.add_fault_window(at, for_ms, Fault::OutboundUnreachable(third)),
+        8 => world.schedule_pause(at, node, for_ms.min(25_000)),
+        9 => world.schedule_store_slowdown(at, for_ms),
         10 => {
-            world.plant.cloud.boot_ms = Some(2_000);
+            world.cluster.cloud.fixed_boot_ms = Some(2_000);
             for n in 0..3 {
                 let id = format!("wk-burst{at}x{n}");
                 let shape = ["array", "gang"][n % 2];
-                world.submit(at + n as u64 * 200, None, job(&id, shape, "blue", 4, 4.0, 20.0));
+                world.submit(at + n as u64 * 200, None, job_body(&id, shape, "blue", 4, 4.0, 20.0));
             }
-            world.crash(at + rng.random_range(1_500..6_000), node);
+            world.schedule_crash(at + rng.random_range(1_500..6_000), node);
         }
-        11 => world.cancel_now(at, 4, rng.random_bool(0.5).then_some(for_ms)),
-        12 => world.cuts.push(Cut { store: true, peers: true, ..cut }),
-        13 => world.cuts.push(Cut { workers: true, ..cut }),
-        14 => (0..3).for_each(|n| world.freeze(at, n, 12_000 + for_ms / 4)),
+        11 => world.schedule_running_cancellations(at, 4, rng.random_bool(0.5).then_some(for_ms)),
+        12 => world.partitions.push(NetworkPartition { store: true, peers: true, ..cut }),
+        13 => world.partitions.push(NetworkPartition { workers: true, ..cut }),
+        14 => (0..3).for_each(|n| world.schedule_pause(at, n, 12_000 + for_ms / 4)),
         15 => {
             let (zone, names) = (Some(zone), Vec::new());
             let hears_each = rng.random_range(0..3);
-            world.deafness.push(Deafness { from_ms: at, for_ms, zone, names, hears_each });
+            world.inbound_failures.push(InboundFailure {
+                from_ms: at,
+                for_ms,
+                zone,
+                machines: names,
+                delivers_every: hears_each,
+            });
+        }
+        16 => {
+            world.cluster.hang_machines(rng.random_range(1..8), for_ms.min(25_000), world.now);
         }
-        16 => drop(world.plant.hang(rng.random_range(1..8), for_ms.min(25_000), world.now)),
-        17 => world.copies = Some((0.2, 40_000)),
-        18 => world.spell(at, for_ms, Trouble::CloseLooks),
-        _ => world.cuts.push(Cut { store: true, ..cut }),
+        17 => world.duplicate_reports = Some((0.2, 40_000)),
+        18 => world.add_fault_window(at, for_ms, Fault::ConsistencyProbes),
+        _ => world.partitions.push(NetworkPartition { store: true, ..cut }),
     }
 }
 
 /// A day on which two or three of these meet, twice.
-fn day(seed: u64) -> World {
+fn run_day(seed: u64) -> Simulation {
     let mut rng = StdRng::seed_from_u64(seed);
     let late = [0.0, 0.0, 0.02][seed as usize % 3];
-    let weather = Weather { loss: late, late, crashes: 0, outages: 0 };
+    let weather =
+        FaultRates { message_loss: late, message_delay: late, crashes: 0, outages_and_hangs: 0 };
     let records = seed.is_multiple_of(4);
     let mut world = match records {
-        true => World::offering(seed, weather, 160_000, accelerated(1)),
-        false => World::sized(seed, weather, 160_000, 4),
+        true => Simulation::with_offers(seed, weather, 160_000, gpu_machine_offers(1)),
+        false => Simulation::with_capacity(seed, weather, 160_000, 4),
     };
-    world.restart_ms = [None, Some(100), Some(200), Some(1_000)][rng.random_range(0..4)];
+    world.restart_delay_ms = [None, Some(100), Some(200), Some(1_000)][rng.random_range(0..4)];
     if rng.random_bool(0.3) {
         world.memory_mb = 0.2;
     }
     if records {
         let text = "[loans]\ndurable = true\n[amounts]\ndurable = true\n";
-        world.operator = Operator::parse("records", text).expect("it is sound");
+        world.operator = OperatorSettings::parse("records", text).expect("it is sound");
         for n in 0..3 {
             let id = format!("wk-t{n}");
-            world.submit(500 + n * 900, None, gpu_job(&id, "gang", "tuning", 2, 1.0, 120.0));
-            let mut body = gpu_job(&format!("wk-s{n}"), "service", "serving", 2, 1.0, 0.0);
+            world.submit(500 + n * 900, None, gpu_job_body(&id, "gang", "tuning", 2, 1.0, 120.0));
+            let mut body = gpu_job_body(&format!("wk-s{n}"), "service", "serving", 2, 1.0, 0.0);
             body["scatter"] = false.into();
             world.submit(55_000 + n * 2_000, Some(130_000 + n * 4_000), body);
         }
@@ -97,30 +113,31 @@
         let shape = ["array", "gang", "array", "service"][n as usize % 4];
         let (crew, tasks) = [("red", 6), ("blue", 3), ("blue", 2)][rng.random_range(0..3)];
         let cancel = cancel.or((shape == "service").then_some(150_000));
-        let body = job(&format!("wk-{n}"), shape, crew, tasks, 2.0, eta);
+        let body = job_body(&format!("wk-{n}"), shape, crew, tasks, 2.0, eta);
         world.submit(500 + n * 5_000, cancel, body);
     }
     let mut led: BTreeMap<u64, (usize, u64)> = BTreeMap::new();
     for at in (0..200_000).step_by(500) {
-        world.run(at);
+        world.run_until(at);
         if at == 40_000 || at == 95_000 {
             for _ in 0..2 + usize::from(rng.random_bool(0.4)) {
-                let (kind, after) = (rng.random_range(0..KINDS), rng.random_range(0..3_000));
-                trouble(&mut world, kind, at + after, &mut rng);
+                let (kind, after) =
+                    (rng.random_range(0..FAULT_KIND_COUNT), rng.random_range(0..3_000));
+                inject_fault(&mut world, kind, at + after, &mut rng);
             }
         }
         let mut twice = None;
-        for (n, node) in world.nodes.iter().enumerate() {
-            let Some(tables) = node.as_ref().and_then(Node::tables) else { continue };
-            let own = (n, tables.era);
+        for (n, node) in world.controllers.iter().enumerate() {
+            let Some(tables) = node.as_ref().and_then(Controller::cluster_state) else { continue };
+            let own = (n, tables.generation);
             if *led.entry(tables.token).or_insert(own) != own {
                 twice = Some(tables.token);
             }
         }
-        world.broken.extend(twice.map(|token| format!("token {token} led twice")));
+        world.violations.extend(twice.map(|token| format!("token {token} led twice")));
     }
-    world.troubles_over_ms = Some(200_000);
-    world.run(520_000);
+    world.faults_end_ms = Some(200_000);
+    world.run_until(520_000);
     world
 }
 
@@ -133,11 +150,11 @@
     let mut met: BTreeMap<&'static str, u64> = BTreeMap::new();
     let mut wrong = Vec::new();
     for seed in days.unwrap_or(0..60) {
-        let world = day(seed);
-        wrong.extend(world.broken.iter().map(|b| format!("seed {seed}: {b}")));
-        let open = world.jobs.iter().filter(|j| !j.over());
-        wrong.extend(open.map(|j| format!("seed {seed}: {} ended as {:?}", j.id, j.last)));
-        for (what, n) in &world.met {
+        let world = run_day(seed);
+        wrong.extend(world.violations.iter().map(|b| format!("seed {seed}: {b}")));
+        let open = world.jobs.iter().filter(|j| !j.is_over());
+        wrong.extend(open.map(|j| format!("seed {seed}: {} ended as {:?}", j.id, j.last_status)));
+        for (what, n) in &world.fault_counts {
             *met.entry(what).or_default() += n;
         }
     }
--- a/tests/takeovers.rs
+++ b/tests/takeovers.rs
@@ -9,70 +9,72 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use swiftsail_controller::job::keys;
-use swiftsail_controller::node::Node;
-use swiftsail_policy::operator::Operator;
+use swiftsail_controller::node::Controller;
+use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_protocol::state::{Mutation, Transaction};
 use swiftsail_simulation::world::{
-    BEGIN, Cut, Deafness, Fate, Trouble, Weather, World, accelerated, assert_over, gpu_job, job,
+    Fault, FaultRates, InboundFailure, NetworkPartition, START_MS, Simulation, TransactionFate,
+    assert_all_jobs_over, gpu_job_body, gpu_machine_offers, job_body,
 };
-use swiftsail_protocol::state::{Change, Commit};
 
-const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
+const NO_FAULTS: FaultRates =
+    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
 
-fn leader(world: &World) -> Option<usize> {
-    (0..3).find(|n| world.nodes[*n].as_ref().is_some_and(Node::leads))
+fn leader_index(world: &Simulation) -> Option<usize> {
+    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
 }
 
-fn met(world: &World, what: &str) -> u64 {
-    world.met.get(what).copied().unwrap_or(0)
+fn fault_count(world: &Simulation, what: &str) -> u64 {
+    world.fault_counts.get(what).copied().unwrap_or(0)
 }
 
-fn killed(world: &World) -> u64 {
-    world.plant.workers.values().map(|w| w.killed).sum()
+fn tasks_killed(world: &Simulation) -> u64 {
+    world.cluster.workers.values().map(|w| w.tasks_killed).sum()
 }
 
 /// Arrays, gangs and services, long and short, some of them cancelled.
-fn load(world: &mut World, number: u64, until_ms: u64) {
+fn submit_load(world: &mut Simulation, number: u64, until_ms: u64) {
     for n in 0..number {
         let at = 500 + n * until_ms / number;
         let shape = ["array", "gang", "array", "service"][n as usize % 4];
         let (crew, tasks) = [("red", 6), ("blue", 3), ("blue", 2)][n as usize % 3];
         let eta = [8.0, 60.0, 25.0, 120.0][(n / 3) as usize % 4];
         let cancel = (n % 5 == 3 || shape == "service").then_some(at + 45_000 + n * 1_700);
-        world.submit(at, cancel, job(&format!("wk-{n}"), shape, crew, tasks, 2.0, eta));
+        world.submit(at, cancel, job_body(&format!("wk-{n}"), shape, crew, tasks, 2.0, eta));
     }
 }
 
 /// Under which tokens who has led: nobody twice under one, by whatever way a controller comes to lead again.
 #[derive(Default)]
-struct Leads(BTreeMap<u64, (usize, u64)>);
+struct LeadershipHistory(BTreeMap<u64, (usize, u64)>);
 
-impl Leads {
-    fn look(&mut self, world: &mut World) {
-        for (n, node) in world.nodes.iter().enumerate() {
-            let Some(tables) = node.as_ref().and_then(Node::tables) else { continue };
-            let own = (n, tables.era);
+impl LeadershipHistory {
+    fn record_leaders(&mut self, world: &mut Simulation) {
+        for (n, node) in world.controllers.iter().enumerate() {
+            let Some(tables) = node.as_ref().and_then(Controller::cluster_state) else { continue };
+            let own = (n, tables.generation);
             if *self.0.entry(tables.token).or_insert(own) != own {
-                world.broken.push(format!("token {} led twice", tables.token));
+                world.violations.push(format!("token {} led twice", tables.token));
             }
         }
     }
 
     /// Lets time pass with a look every 100 ms.
-    fn run(&mut self, world: &mut World, until_ms: u64) {
-        let mut at = world.now - BEGIN;
+    fn run_until(&mut self, world: &mut Simulation, until_ms: u64) {
+        let mut at = world.now - START_MS;
         while at < until_ms {
             at = (at + 100).min(until_ms);
-            world.run(at);
-            self.look(world);
+            world.run_until(at);
+            self.record_leaders(world);
         }
     }
 }
 
 /// Machines that hold tasks and from which the leader that has just begun has heard nothing.
-fn unheard_with_tasks(world: &World) -> usize {
-    let tables = world.nodes.iter().flatten().find_map(Node::tables);
+fn unreported_machines_with_tasks(world: &Simulation) -> usize {
+    let tables = world.controllers.iter().flatten().find_map(Controller::cluster_state);
     let machines = tables.into_iter().flat_map(|t| t.machines.values());
-    machines.filter(|m| m.latest == (0, 0) && !m.tasks.is_empty()).count()
+    machines.filter(|m| m.last_message == (0, 0) && !m.tasks.is_empty()).count()
 }
 
 /// Every second report is kept and comes again, to every controller, just as a new leader begins, before most machines
@@ -81,44 +83,50 @@
 fn copies_kept_for_the_next_leader_prove_nothing() {
     let (mut copies, mut first) = (0, 0);
     for seed in 0..10u64 {
-        let mut world = World::sized(seed, CALM, 200_000, 4);
+        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 200_000, 4);
         world.memory_mb = if seed.is_multiple_of(3) { 0.2 } else { 40.0 };
-        world.restart_ms = [Some(100), None, Some(1_000)][seed as usize % 3];
-        world.spell(5_000, 130_000, Trouble::CopiesForNext(0.5));
+        world.restart_delay_ms = [Some(100), None, Some(1_000)][seed as usize % 3];
+        world.add_fault_window(5_000, 130_000, Fault::DuplicatesForNextLeader(0.5));
         if seed.is_multiple_of(2) {
-            world.spell(20_000, 100_000, Trouble::AnswersLost(0.2));
+            world.add_fault_window(20_000, 100_000, Fault::AnswersLost(0.2));
         }
-        load(&mut world, 18, 90_000);
-        let mut leads = Leads::default();
+        submit_load(&mut world, 18, 90_000);
+        let mut leads = LeadershipHistory::default();
         for round in 0..7 {
             let at = 20_000 + round * 15_000 + seed * 300;
-            leads.run(&mut world, at);
-            let Some(node) = leader(&world) else { continue };
+            leads.run_until(&mut world, at);
+            let Some(node) = leader_index(&world) else { continue };
             // A third of the machines cannot report for a while, or hear nothing.
-            let names: Vec<String> = world.up().into_iter().step_by(3).collect();
+            let names: Vec<String> = world.running_machines().into_iter().step_by(3).collect();
             match round % 3 {
-                0 => world.spell(at, 9_000, Trouble::Mute(names)),
+                0 => world.add_fault_window(at, 9_000, Fault::OutboundUnreachable(names)),
                 1 => {
                     let (zone, hears_each) = (None, 0);
                     let (from_ms, for_ms) = (at, 9_000);
-                    world.deafness.push(Deafness { from_ms, for_ms, zone, names, hears_each });
+                    world.inbound_failures.push(InboundFailure {
+                        from_ms,
+                        for_ms,
+                        zone,
+                        machines: names,
+                        delivers_every: hears_each,
+                    });
                 }
-                _ => drop(world.plant.hang(2, 9_000, world.now)),
+                _ => drop(world.cluster.hang_machines(2, 9_000, world.now)),
             }
-            world.crash(at + 10, node);
-            let begun = met(&world, "leader");
+            world.schedule_crash(at + 10, node);
+            let begun = fault_count(&world, "leader");
             for ms in (0..6_000).step_by(20) {
-                world.run(at + ms);
-                if met(&world, "leader") > begun {
-                    first += unheard_with_tasks(&world);
+                world.run_until(at + ms);
+                if fault_count(&world, "leader") > begun {
+                    first += unreported_machines_with_tasks(&world);
                     break;
                 }
             }
         }
-        leads.run(&mut world, 150_000);
-        world.run(420_000);
-        assert_over(&world, &format!("seed {seed}"));
-        copies += met(&world, "copy for next");
+        leads.run_until(&mut world, 150_000);
+        world.run_until(420_000);
+        assert_all_jobs_over(&world, &format!("seed {seed}"));
+        copies += fault_count(&world, "copy for next");
     }
     assert!(copies > 1_500, "{copies} copies were kept");
     assert!(first > 100, "{first} machines with tasks were not heard yet as copies came");
@@ -131,16 +139,16 @@
     let (mut young, mut unlisted, mut unanswered) = (0, 0, 0);
     for seed in 0..30u64 {
         let late = [0.0, 0.03][seed as usize / 2 % 2];
-        let weather = Weather { loss: late, late, ..CALM };
-        let mut world = World::sized(seed, weather, 120_000, 8);
-        world.plant.cloud.boot_ms = Some(2_000);
-        world.restart_ms = [Some(200), None][seed as usize % 2];
-        world.spell(3_000, 100_000, Trouble::WritesLate(0.25));
+        let weather = FaultRates { message_loss: late, message_delay: late, ..NO_FAULTS };
+        let mut world = Simulation::with_capacity(seed, weather, 120_000, 8);
+        world.cluster.cloud.fixed_boot_ms = Some(2_000);
+        world.restart_delay_ms = [Some(200), None][seed as usize % 2];
+        world.add_fault_window(3_000, 100_000, Fault::TransactionsLate(0.25));
         if seed.is_multiple_of(3) {
-            world.spell(3_000, 100_000, Trouble::AnswersLost(0.2));
+            world.add_fault_window(3_000, 100_000, Fault::AnswersLost(0.2));
         }
-        load(&mut world, 10, 60_000);
-        let mut leads = Leads::default();
+        submit_load(&mut world, 10, 60_000);
+        let mut leads = LeadershipHistory::default();
         for n in 0..6u64 {
             // A burst that needs new machines, and the leader ends as soon as one of them has work.
             let at = 8_000 + n * 16_000;
@@ -148,38 +156,43 @@
             world.submit(
                 at,
                 None,
-                job(&id, ["array", "gang"][n as usize % 2], "blue", 5, 4.0, 14.0),
+                job_body(&id, ["array", "gang"][n as usize % 2], "blue", 5, 4.0, 14.0),
             );
             for ms in (0..7_000).step_by(50) {
-                world.run(at + ms);
-                leads.look(&mut world);
-                let Some(node) = leader(&world).filter(|_| ms > 500) else { continue };
+                world.run_until(at + ms);
+                leads.record_leaders(&mut world);
+                let Some(node) = leader_index(&world).filter(|_| ms > 500) else { continue };
                 let now = world.now;
-                let fresh = world.plant.workers.values().filter(|w| {
-                    !w.gone && w.up_at <= now && now < w.up_at + 3_000 && !w.tasks.is_empty()
+                let fresh = world.cluster.workers.values().filter(|w| {
+                    !w.is_terminated
+                        && w.up_at <= now
+                        && now < w.up_at + 3_000
+                        && !w.tasks.is_empty()
                 });
                 let fresh: Vec<String> = fresh.map(|w| w.name.clone()).collect();
                 // Or as soon as a rental has left that is not answered.
-                let tables = world.nodes[node].as_ref().and_then(Node::tables);
-                let asked = tables.map_or(0, |t| t.rentals.asked().count());
+                let tables = world.controllers[node].as_ref().and_then(Controller::cluster_state);
+                let asked = tables.map_or(0, |t| t.provisioning.open_requests().count());
                 if fresh.is_empty() && (n % 3 != 2 || asked == 0) {
                     continue;
                 }
                 unanswered += asked;
                 young += fresh.len();
-                let list = world.plant.cloud.list(None, 500, now);
+                let list = world.cluster.cloud.list_machines(None, 500, now);
                 let running = |name: &String| {
-                    let listed = list.berths.iter().find(|b| b.name_id == *name);
-                    listed.is_some_and(|b| b.status == swiftsail_protocol::cloud::ListedState::Running)
+                    let listed = list.machines.iter().find(|b| b.name == *name);
+                    listed.is_some_and(|b| {
+                        b.status == swiftsail_protocol::cloud::ListedMachineStatus::Running
+                    })
                 };
                 unlisted += fresh.iter().filter(|name| !running(name)).count();
-                world.crash(at + ms + 10, node);
+                world.schedule_crash(at + ms + 10, node);
                 break;
             }
         }
-        leads.run(&mut world, 120_000);
-        world.run(420_000);
-        assert_over(&world, &format!("seed {seed}"));
+        leads.run_until(&mut world, 120_000);
+        world.run_until(420_000);
+        assert_all_jobs_over(&world, &format!("seed {seed}"));
     }
     assert!(young > 40, "{young} machines had work within three seconds of coming up");
     assert!(unlisted > 30, "{unlisted} of them were in no list as running when the leader ended");
@@ -192,59 +205,59 @@
 fn reports_held_back_until_the_new_leader_has_acted() {
     let (mut held, mut acted) = (0, 0);
     for seed in 0..10u64 {
-        let mut world = World::sized(seed, CALM, 200_000, 4);
-        world.restart_ms = Some(3_500);
-        load(&mut world, 18, 60_000);
-        let mut leads = Leads::default();
-        leads.run(&mut world, 40_000);
-        let old = leader(&world).expect("somebody leads");
+        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 200_000, 4);
+        world.restart_delay_ms = Some(3_500);
+        submit_load(&mut world, 18, 60_000);
+        let mut leads = LeadershipHistory::default();
+        leads.run_until(&mut world, 40_000);
+        let old = leader_index(&world).expect("somebody leads");
         let next = (old + 1 + seed as usize % 2) % 3;
-        let cut = Cut::of(next, 40_000, 15_000);
-        world.cuts.push(Cut { workers: true, hold: true, ..cut });
-        (0..3).filter(|n| *n != next).for_each(|n| world.crash(40_500, n));
-        leads.run(&mut world, 54_900);
-        let launches = |world: &World| {
-            let tables = world.nodes[next].as_ref().and_then(Node::tables);
-            tables.map_or(0, |t| t.last_launch() - (t.token << 24))
+        let cut = NetworkPartition::of(next, 40_000, 15_000);
+        world.partitions.push(NetworkPartition { workers: true, holds_messages: true, ..cut });
+        (0..3).filter(|n| *n != next).for_each(|n| world.schedule_crash(40_500, n));
+        leads.run_until(&mut world, 54_900);
+        let launches = |world: &Simulation| {
+            let tables = world.controllers[next].as_ref().and_then(Controller::cluster_state);
+            tables.map_or(0, |t| t.last_attempt_number() - (t.token << 24))
         };
-        let (before, done) = (world.copied, launches(&world));
-        leads.run(&mut world, 56_000);
-        if leader(&world) == Some(next) && done > 0 {
-            held += world.copied - before;
+        let (before, done) = (world.duplicates_delivered, launches(&world));
+        leads.run_until(&mut world, 56_000);
+        if leader_index(&world) == Some(next) && done > 0 {
+            held += world.duplicates_delivered - before;
             acted += done;
         }
-        leads.run(&mut world, 120_000);
-        world.run(400_000);
-        assert_over(&world, &format!("seed {seed}"));
+        leads.run_until(&mut world, 120_000);
+        world.run_until(400_000);
+        assert_all_jobs_over(&world, &format!("seed {seed}"));
     }
     assert!(held > 60 && acted > 20, "{held} reports came to leaders that had bound {acted} tasks");
 }
 
-fn records() -> Operator {
+fn operator_with_records() -> OperatorSettings {
     let text = "[loans]\ndurable = true\n[amounts]\ndurable = true\n[dispatch]\nversion = 1\n\
         [tiers]\nversion = 1\n[[tiers.tier]]\nname = \"core\"\nwhen = \"job.priority == \\\"production\\\"\"\nordered = true\n";
-    Operator::parse("records", text).expect("it is sound")
+    OperatorSettings::parse("records", text).expect("it is sound")
 }
 
 /// Fine-tuning that has borrowed, batches, and services that take it back: loans open and close all the time.
-fn borrowing(world: &mut World) {
+fn submit_borrowing_load(world: &mut Simulation) {
     for n in 0..4 {
         let id = format!("wk-t{n}");
-        world.submit(500 + n * 900, None, gpu_job(&id, "gang", "tuning", 2, 1.0, 200.0));
+        world.submit(500 + n * 900, None, gpu_job_body(&id, "gang", "tuning", 2, 1.0, 200.0));
     }
     for n in 0..3 {
-        let mut body = gpu_job(&format!("wk-s{n}"), "service", "serving", 2, 1.0, 0.0);
+        let mut body = gpu_job_body(&format!("wk-s{n}"), "service", "serving", 2, 1.0, 0.0);
         body["scatter"] = false.into();
         world.submit(75_000 + n * 2_000, Some(135_000 + n * 4_000), body);
     }
 }
 
 /// Once all is calm each controller knows the records that there are, and loans are over where their jobs are.
-fn assert_records(world: &World, what: &str) {
+fn assert_records_consistent(world: &Simulation, what: &str) {
     let page = world.store.list(keys::ORDER, None, 1_000);
     let there: BTreeSet<String> =
-        page.pairs.iter().filter_map(|p| Some(p.key.strip_prefix(keys::ORDER)?.into())).collect();
-    for (n, node) in world.nodes.iter().enumerate() {
+        page.entries.iter().filter_map(|p| Some(p.key.strip_prefix(keys::ORDER)?.into())).collect();
+    for (n, node) in world.controllers.iter().enumerate() {
         let Some(node) = node else { continue };
         let known: BTreeSet<String> = node.records().into_iter().collect();
         assert_eq!(known, there, "{what}: what controller {n} knows, and what is there");
@@ -272,55 +285,59 @@
     for seed in 0..9u64 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut world = match seed % 3 {
-            0 => World::offering(seed, CALM, 300_000, accelerated(1)),
-            _ => World::sized(seed, CALM, 300_000, 4),
+            0 => Simulation::with_offers(seed, NO_FAULTS, 300_000, gpu_machine_offers(1)),
+            _ => Simulation::with_capacity(seed, NO_FAULTS, 300_000, 4),
         };
-        world.operator = records();
-        world.restart_ms = [Some(100), Some(200), None][(seed / 3) as usize];
+        world.operator = operator_with_records();
+        world.restart_delay_ms = [Some(100), Some(200), None][(seed / 3) as usize];
         match seed % 3 {
-            0 => borrowing(&mut world),
-            _ => load(&mut world, 16, 100_000),
+            0 => submit_borrowing_load(&mut world),
+            _ => submit_load(&mut world, 16, 100_000),
         }
         if seed % 2 == 1 {
-            world.outage(62_000, 24_000);
+            world.schedule_store_outage(62_000, 24_000);
         }
         if seed % 3 == 2 {
-            world.slow(30_000, 40_000);
+            world.schedule_store_slowdown(30_000, 40_000);
         }
-        let mut leads = Leads::default();
+        let mut leads = LeadershipHistory::default();
         let mut at = 40_000;
         while at < 160_000 {
-            leads.run(&mut world, at);
+            leads.run_until(&mut world, at);
             lent += world
-                .nodes
+                .controllers
                 .iter()
                 .flatten()
-                .filter_map(Node::tables)
-                .map(|t| t.loans.open())
+                .filter_map(Controller::cluster_state)
+                .map(|t| t.gpu_loans.open_loans())
                 .sum::<usize>();
-            match (leader(&world), rng.random_range(0..5)) {
-                (_, 0) => (0..3).for_each(|n| world.crash(at + n as u64 * 90, n)),
+            match (leader_index(&world), rng.random_range(0..5)) {
+                (_, 0) => (0..3).for_each(|n| world.schedule_crash(at + n as u64 * 90, n)),
                 (Some(node), 1) => {
                     // It hands over while it goes on, and comes back into the campaign.
-                    let cut = Cut::of(node, at, rng.random_range(2_600..5_000));
-                    world.cuts.push(Cut { store: true, hold: rng.random_bool(0.5), ..cut });
+                    let cut = NetworkPartition::of(node, at, rng.random_range(2_600..5_000));
+                    world.partitions.push(NetworkPartition {
+                        store: true,
+                        holds_messages: rng.random_bool(0.5),
+                        ..cut
+                    });
                 }
-                (Some(node), _) => world.crash(at, node),
+                (Some(node), _) => world.schedule_crash(at, node),
                 (None, _) => {}
             }
             in_outage += usize::from(seed % 2 == 1 && (62_000..86_000).contains(&at));
             at += rng.random_range(4_000..11_000);
         }
-        leads.run(&mut world, 180_000);
-        world.troubles_over_ms = Some(180_000);
-        world.run(600_000);
+        leads.run_until(&mut world, 180_000);
+        world.faults_end_ms = Some(180_000);
+        world.run_until(600_000);
         leaders += leads.0.len();
         assert!(leads.0.len() >= 7, "seed {seed}: {} leaders", leads.0.len());
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
         let open: Vec<&str> =
-            world.jobs.iter().filter(|j| !j.over()).map(|j| j.id.as_str()).collect();
+            world.jobs.iter().filter(|j| !j.is_over()).map(|j| j.id.as_str()).collect();
         assert!(open.is_empty(), "seed {seed}: {open:?}");
-        assert_records(&world, &format!("seed {seed}"));
+        assert_records_consistent(&world, &format!("seed {seed}"));
     }
     assert!(leaders >= 100 && lent > 0 && in_outage > 5, "{leaders}, {lent}, {in_outage}");
 }
@@ -331,36 +348,44 @@
 fn a_zone_or_everybody_away_for_longer_than_a_lease() {
     let (mut zone_cuts, mut ended, mut silent) = (0, 0, 0);
     for seed in 0..12u64 {
-        let mut world = World::sized(seed, CALM, 300_000, 5);
-        world.restart_ms = [Some(200), Some(16_000), None][seed as usize % 3];
-        load(&mut world, 18, 90_000);
-        world.run(45_000);
-        let mut leads = Leads::default();
-        let leads_now = leader(&world).expect("somebody leads");
+        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 300_000, 5);
+        world.restart_delay_ms = [Some(200), Some(16_000), None][seed as usize % 3];
+        submit_load(&mut world, 18, 90_000);
+        world.run_until(45_000);
+        let mut leads = LeadershipHistory::default();
+        let leads_now = leader_index(&world).expect("somebody leads");
         match seed % 4 {
             0 | 1 => {
                 let node = if seed.is_multiple_of(4) { leads_now } else { (leads_now + 1) % 3 };
                 let zone = ["a", "b", "c"][seed as usize / 4].to_string();
-                world.spell(45_000, 12_000 + seed * 3_000, Trouble::ZoneAway { zone, node });
-                world.crash(58_000, (node + 1) % 3);
+                world.add_fault_window(
+                    45_000,
+                    12_000 + seed * 3_000,
+                    Fault::ZonePartition { zone, controller: node },
+                );
+                world.schedule_crash(58_000, (node + 1) % 3);
             }
-            2 => (0..3).for_each(|n| world.freeze(45_000, n, 13_000 + seed * 400)),
+            2 => (0..3).for_each(|n| world.schedule_pause(45_000, n, 13_000 + seed * 400)),
             _ => {
                 for n in 0..3 {
-                    let cut = Cut::of(n, 45_000, 14_000 + seed * 400);
-                    world.cuts.push(Cut { workers: true, hold: seed > 6, ..cut });
+                    let cut = NetworkPartition::of(n, 45_000, 14_000 + seed * 400);
+                    world.partitions.push(NetworkPartition {
+                        workers: true,
+                        holds_messages: seed > 6,
+                        ..cut
+                    });
                 }
-                world.crash(59_000, leads_now);
+                world.schedule_crash(59_000, leads_now);
             }
         }
-        leads.run(&mut world, 57_000);
+        leads.run_until(&mut world, 57_000);
         silent += usize::from(seed % 4 > 1);
-        leads.run(&mut world, 130_000);
-        world.troubles_over_ms = Some(130_000);
-        world.run(500_000);
-        zone_cuts += met(&world, "zone cut");
-        ended += killed(&world);
-        assert_over(&world, &format!("seed {seed}"));
+        leads.run_until(&mut world, 130_000);
+        world.faults_end_ms = Some(130_000);
+        world.run_until(500_000);
+        zone_cuts += fault_count(&world, "zone cut");
+        ended += tasks_killed(&world);
+        assert_all_jobs_over(&world, &format!("seed {seed}"));
     }
     assert!(zone_cuts > 100 && silent == 6, "{zone_cuts}, {silent}");
     assert!(ended > 60, "{ended} tasks ended with their leases");
@@ -369,14 +394,14 @@
 // ---- transactions that come late, one kind after the other ---------------------------------------
 
 /// The kinds of transactions, as docs/meetings.md lists them.
-fn kind_of(commit: &Commit) -> &'static str {
-    let first = commit.apply.first();
+fn transaction_kind(commit: &Transaction) -> &'static str {
+    let first = commit.mutations.first();
     let (key, value) = match first {
-        Some(Change::Write { write, value, .. }) => (write.as_str(), Some(value)),
-        Some(Change::Remove { remove }) => (remove.as_str(), None),
+        Some(Mutation::Put { key: write, value, .. }) => (write.as_str(), Some(value)),
+        Some(Mutation::Delete { key: remove }) => (remove.as_str(), None),
         None => return "nothing",
     };
-    let led = commit.when.iter().any(|w| w.key == keys::LEADER);
+    let led = commit.preconditions.iter().any(|w| w.key == keys::LEADER);
     let begins = |prefix: &str| key.starts_with(prefix);
     match value {
         Some(_) if key == keys::LEADER => "leader's key",
@@ -396,27 +421,32 @@
 }
 
 /// What became late of each kind.
-type Late = Rc<RefCell<BTreeMap<&'static str, u64>>>;
+type LateTransactions = Rc<RefCell<BTreeMap<&'static str, u64>>>;
 
 /// Every second transaction of these kinds gets no answer, and comes 2 to 9 s later or at once.
-fn judge(world: &mut World, kinds: &'static [&'static str], seed: u64, until_ms: u64) -> Late {
-    let late: Late = Rc::default();
+fn delay_transactions(
+    world: &mut Simulation,
+    kinds: &'static [&'static str],
+    seed: u64,
+    until_ms: u64,
+) -> LateTransactions {
+    let late: LateTransactions = Rc::default();
     let (counted, mut rng) = (late.clone(), StdRng::seed_from_u64(seed));
-    world.judge = Some(Box::new(move |ms, _, commit| {
-        let kind = kind_of(commit);
+    world.transaction_interceptor = Some(Box::new(move |ms, _, commit| {
+        let kind = transaction_kind(commit);
         if ms > until_ms || !kinds.contains(&kind) || rng.random_bool(0.5) {
-            return Fate::Usual;
+            return TransactionFate::AsConfigured;
         }
         *counted.borrow_mut().entry(kind).or_default() += 1;
         match rng.random_range(0..3) {
-            0 => Fate::AnswerLost,
-            _ => Fate::Late(rng.random_range(2_000..9_000)),
+            0 => TransactionFate::AnswerLost,
+            _ => TransactionFate::AppliedLate(rng.random_range(2_000..9_000)),
         }
     }));
     late
 }
 
-const KINDS: [&[&str]; 6] = [
+const TRANSACTION_KINDS: [&[&str]; 6] = [
     &["acceptance", "cancellation"],
     &["binding"],
     &["chunk", "sweep"],
@@ -430,29 +460,30 @@
 fn each_kind_of_transaction_comes_late() {
     let mut late: BTreeMap<&str, u64> = BTreeMap::new();
     for seed in 0..72u64 {
-        let mut world = World::sized(seed, CALM, 300_000, 4);
-        world.restart_ms = [Some(100), None][(seed / 6) as usize % 2];
-        let judged = judge(&mut world, KINDS[seed as usize % 6], seed, 130_000);
-        load(&mut world, 14, 90_000);
+        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 300_000, 4);
+        world.restart_delay_ms = [Some(100), None][(seed / 6) as usize % 2];
+        let judged =
+            delay_transactions(&mut world, TRANSACTION_KINDS[seed as usize % 6], seed, 130_000);
+        submit_load(&mut world, 14, 90_000);
         // Many tasks in few chunks, so that chunks are written.
-        world.submit(4_000, None, job("wk-many", "array", "blue", 40, 0.5, 9.0));
-        let mut leads = Leads::default();
+        world.submit(4_000, None, job_body("wk-many", "array", "blue", 40, 0.5, 9.0));
+        let mut leads = LeadershipHistory::default();
         for n in 1..6 {
             let at = n * 22_000 + seed * 130;
-            leads.run(&mut world, at);
-            if let Some(node) = leader(&world) {
-                world.crash(at, node);
+            leads.run_until(&mut world, at);
+            if let Some(node) = leader_index(&world) {
+                world.schedule_crash(at, node);
             }
         }
-        leads.run(&mut world, 150_000);
-        world.troubles_over_ms = Some(150_000);
-        world.run(450_000);
-        assert_over(&world, &format!("seed {seed}"));
+        leads.run_until(&mut world, 150_000);
+        world.faults_end_ms = Some(150_000);
+        world.run_until(450_000);
+        assert_all_jobs_over(&world, &format!("seed {seed}"));
         for (kind, n) in judged.borrow().iter() {
             *late.entry(kind).or_default() += n;
         }
     }
-    for kind in KINDS.iter().flat_map(|k| k.iter()).filter(|k| **k != "types") {
+    for kind in TRANSACTION_KINDS.iter().flat_map(|k| k.iter()).filter(|k| **k != "types") {
         assert!(late.get(kind).is_some_and(|n| *n >= 10), "{kind}: {late:?}");
     }
 }
@@ -462,34 +493,35 @@
 fn records_written_late_stay_whole() {
     let mut late: BTreeMap<&str, u64> = BTreeMap::new();
     for seed in 0..8u64 {
-        let mut world = World::offering(seed, CALM, 300_000, accelerated(1));
-        world.operator = records();
-        world.restart_ms = [Some(100), None][seed as usize % 2];
-        const ALL: &[&str] = &["loan", "tiers and arrivals", "amounts"];
-        let judged = judge(&mut world, ALL, seed, 170_000);
-        borrowing(&mut world);
+        let mut world = Simulation::with_offers(seed, NO_FAULTS, 300_000, gpu_machine_offers(1));
+        world.operator = operator_with_records();
+        world.restart_delay_ms = [Some(100), None][seed as usize % 2];
+        const ALL_KINDS: &[&str] = &["loan", "tiers and arrivals", "amounts"];
+        let judged = delay_transactions(&mut world, ALL_KINDS, seed, 170_000);
+        submit_borrowing_load(&mut world);
         // A controller whose settings name a lower limit for a while: amounts move.
-        world.red_most[seed as usize % 3] = 24.0;
-        let mut leads = Leads::default();
+        world.team_red_limits[seed as usize % 3] = 24.0;
+        let mut leads = LeadershipHistory::default();
         for n in 1..8 {
             let at = n * 21_000 + seed * 170;
-            leads.run(&mut world, at);
-            world.red_most[seed as usize % 3] = [40.0, 24.0][n as usize % 2];
-            let node = if n.is_multiple_of(2) { leader(&world) } else { Some(seed as usize % 3) };
+            leads.run_until(&mut world, at);
+            world.team_red_limits[seed as usize % 3] = [40.0, 24.0][n as usize % 2];
+            let node =
+                if n.is_multiple_of(2) { leader_index(&world) } else { Some(seed as usize % 3) };
             if let Some(node) = node {
-                world.crash(at, node);
+                world.schedule_crash(at, node);
             }
         }
-        world.red_most = [40.0; 3];
-        (0..3).for_each(|n| world.crash(175_000 + n as u64 * 4_000, n));
-        leads.run(&mut world, 190_000);
-        world.troubles_over_ms = Some(190_000);
-        world.run(700_000);
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+        world.team_red_limits = [40.0; 3];
+        (0..3).for_each(|n| world.schedule_crash(175_000 + n as u64 * 4_000, n));
+        leads.run_until(&mut world, 190_000);
+        world.faults_end_ms = Some(190_000);
+        world.run_until(700_000);
+        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
         let open: Vec<&str> =
-            world.jobs.iter().filter(|j| !j.over()).map(|j| j.id.as_str()).collect();
+            world.jobs.iter().filter(|j| !j.is_over()).map(|j| j.id.as_str()).collect();
         assert!(open.is_empty(), "seed {seed}: {open:?}");
-        assert_records(&world, &format!("seed {seed}"));
+        assert_records_consistent(&world, &format!("seed {seed}"));
         for (kind, n) in judged.borrow().iter() {
             *late.entry(kind).or_default() += n;
         }
@@ -504,36 +536,38 @@
     let (mut apart, mut written) = (0, 0);
     for seed in 0..24u64 {
         // Six machines that hold one task each: the tasks of a job come one after another.
-        let mut world = World::sized(seed, CALM, 300_000, 1);
-        world.restart_ms = [Some(100), Some(1_000), None][seed as usize % 3];
-        let late = judge(&mut world, &["binding", "chunk", "end"], seed, 200_000);
+        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 300_000, 1);
+        world.restart_delay_ms = [Some(100), Some(1_000), None][seed as usize % 3];
+        let late = delay_transactions(&mut world, &["binding", "chunk", "end"], seed, 200_000);
         for n in 0..7u64 {
             let shape = if n % 4 == 3 { "gang" } else { "array" };
             let tasks = if shape == "gang" { 2 } else { 2 + n as u32 % 2 };
             let cancel = (n == 5).then_some(70_000);
-            let body = job(&format!("wk-{n}"), shape, "blue", tasks, 8.0, 8.0 + n as f64 * 4.0);
+            let body =
+                job_body(&format!("wk-{n}"), shape, "blue", tasks, 8.0, 8.0 + n as f64 * 4.0);
             world.submit(500 + n * 6_000, cancel, body);
         }
-        let mut leads = Leads::default();
+        let mut leads = LeadershipHistory::default();
         for n in 1..12 {
             let at = n * 13_000 + seed * 210;
-            leads.run(&mut world, at);
-            let done = |job: &swiftsail_simulation::world::UserJob| {
-                let own = |t: &u32| world.plant.done.contains(&format!("{}/{t}", job.id));
-                (0..job.tasks()).filter(own).count()
+            leads.run_until(&mut world, at);
+            let done = |job: &swiftsail_simulation::world::SimulatedJob| {
+                let own =
+                    |t: &u32| world.cluster.finished_tasks.contains(&format!("{}/{t}", job.id));
+                (0..job.task_count()).filter(own).count()
             };
-            let part = |j: &&swiftsail_simulation::world::UserJob| {
-                (1..j.tasks() as usize).contains(&done(j)) && !j.over()
+            let part = |j: &&swiftsail_simulation::world::SimulatedJob| {
+                (1..j.task_count() as usize).contains(&done(j)) && !j.is_over()
             };
             apart += world.jobs.iter().filter(part).count();
-            if let Some(node) = leader(&world) {
-                world.crash(at, node);
+            if let Some(node) = leader_index(&world) {
+                world.schedule_crash(at, node);
             }
         }
-        leads.run(&mut world, 200_000);
-        world.troubles_over_ms = Some(210_000);
-        world.run(600_000);
-        assert_over(&world, &format!("seed {seed}"));
+        leads.run_until(&mut world, 200_000);
+        world.faults_end_ms = Some(210_000);
+        world.run_until(600_000);
+        assert_all_jobs_over(&world, &format!("seed {seed}"));
         written += late.borrow().values().sum::<u64>();
     }
     assert!(
--- a/tests/tiers.rs
+++ b/tests/tiers.rs
@@ -4,31 +4,38 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, HashMap};
-use swiftsail_controller::node::{AdminAsk, Node};
+use swiftsail_controller::node::{AdminRequest, Controller};
 use swiftsail_controller::settings::Settings;
-use swiftsail_replicated_records::{Book, Limits, Outcome, Unread, Versioned};
-use swiftsail_policy::operator::Operator;
-use swiftsail_simulation::world::{Weather, World, assert_over, job, mixed_load, settings};
-use swiftsail_tiers::{Entry, Rank, Table, TableRecord, TierLine, line};
+use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_replicated_records::{
+    RecordReadError, RecordStore, StoreLimits, Versioned, WriteOutcome,
+};
+use swiftsail_simulation::world::{
+    FaultRates, Simulation, assert_all_jobs_over, controller_settings, job_body, submit_mixed_load,
+};
+use swiftsail_tiers::{
+    JobPriorityAttribute, TierDefinition, TierTable, TierTableRecord, WaitingJob, queue_order,
+};
 
-const CALM: Weather = Weather { loss: 0.0, late: 0.0, crashes: 0, outages: 0 };
+const NO_FAULTS: FaultRates =
+    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
 
-fn runner() -> TestRunner {
+fn test_runner() -> TestRunner {
     let config = Config { cases: 200, failure_persistence: None, ..Config::default() };
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[34; 32]))
 }
 
-fn leader(world: &World) -> Option<usize> {
-    (0..3).find(|n| world.nodes[*n].as_ref().is_some_and(Node::leads))
+fn leader_index(world: &Simulation) -> Option<usize> {
+    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
 }
 
-fn table(tiers: &[(&str, &str)]) -> TableRecord {
-    let tier = |(name, when): &(&str, &str)| TierLine {
+fn tier_table(tiers: &[(&str, &str)]) -> TierTableRecord {
+    let tier = |(name, when): &(&str, &str)| TierDefinition {
         name: name.to_string(),
         when: when.to_string(),
         ordered: false,
     };
-    TableRecord { form: 0, version: 1, tiers: tiers.iter().map(tier).collect() }
+    TierTableRecord { format_version: 0, version: 1, tiers: tiers.iter().map(tier).collect() }
 }
 
 /// Each flaw is refused with the tier, the place where there is one, and the remedy.
@@ -47,22 +54,23 @@
         (&[("Core", production)], "lower-case"),
     ];
     for (tiers, part) in cases {
-        let refused = Table::new(table(tiers)).expect_err(part).to_string();
+        let refused = TierTable::new(tier_table(tiers)).expect_err(part).to_string();
         assert!(refused.contains(part) && refused.contains("tier "), "{part}: {refused}");
     }
     let many: Vec<(String, &str)> = (0..40).map(|n| (format!("t{n}"), production)).collect();
     let many: Vec<(&str, &str)> = many.iter().map(|(n, w)| (n.as_str(), *w)).collect();
-    assert!(Table::new(table(&many)).is_err());
-    Table::new(TableRecord::default()).expect("the built-in table is sound");
+    assert!(TierTable::new(tier_table(&many)).is_err());
+    TierTable::new(TierTableRecord::default()).expect("the built-in table is sound");
 }
 
 /// The file under `deploy/` is sound, and a flaw in such a file is told with its line.
 #[test]
 fn the_deployed_table_is_sound() {
     let text = include_str!("../deploy/tiers.toml");
-    let operator = Operator::parse("deploy/tiers.toml", text).expect("it is sound");
-    let record = swiftsail_controller::node::tiers_of_file(operator.tiers.as_ref().expect("a table"));
-    Table::new(record).expect("its tiers are sound");
+    let operator = OperatorSettings::parse("deploy/tiers.toml", text).expect("it is sound");
+    let record =
+        swiftsail_controller::node::tiers_of_file(operator.tiers.as_ref().expect("a table"));
+    TierTable::new(record).expect("its tiers are sound");
 }
 
 /// The line of generated jobs: by priority, tier, guarantee, acceptance; the same whatever the order in which
@@ -71,27 +79,36 @@
 fn the_line_is_a_function_of_records() {
     let jobs = prop::collection::vec((0..4usize, 0..3u8, 0..5u64, 0..2usize, 1..9u32), 1..30);
     let teams = ["red", "blue"];
-    runner()
+    test_runner()
         .run(&(jobs, any::<u64>()), |(jobs, seed)| {
             let ids: Vec<String> = (0..jobs.len()).map(|n| format!("wk-{n}")).collect();
             let entry = |n: usize| {
                 let (rank, tier, accepted_wall, team, cpus) = jobs[n];
                 let whole = (f64::from(cpus), 0.0);
-                let (rank, team) = (Rank::ALL[rank], teams[team]);
-                Entry { id: &ids[n], rank, tier, accepted_wall, team, whole }
+                let (rank, team) = (JobPriorityAttribute::ALL[rank], teams[team]);
+                WaitingJob {
+                    id: &ids[n],
+                    priority: rank,
+                    tier,
+                    accepted_at_wall: accepted_wall,
+                    team,
+                    total_resources: whole,
+                }
             };
             let guarantees: HashMap<&str, (f64, f64)> = HashMap::from([("red", (12.0, 0.0))]);
-            let first = line((0..jobs.len()).map(entry), &guarantees);
+            let first = queue_order((0..jobs.len()).map(entry), &guarantees);
             let mut turned: Vec<usize> = (0..jobs.len()).collect();
             turned.rotate_left(seed as usize % jobs.len());
             turned.reverse();
-            prop_assert_eq!(&first, &line(turned.into_iter().map(entry), &guarantees));
-            let number = |p: &swiftsail_tiers::Place| ids.iter().position(|i| i == p.id());
+            prop_assert_eq!(&first, &queue_order(turned.into_iter().map(entry), &guarantees));
+            let number =
+                |p: &swiftsail_tiers::QueuePosition| ids.iter().position(|i| i == p.job_id());
             for pair in first.windows(2) {
                 let (a, b) = (jobs[number(&pair[0]).unwrap()], jobs[number(&pair[1]).unwrap()]);
                 prop_assert!(a.0 >= b.0, "priority first");
                 prop_assert!(a.0 > b.0 || a.1 <= b.1, "then tiers");
-                let same = (a.0, a.1, pair[0].beyond()) == (b.0, b.1, pair[1].beyond());
+                let same = (a.0, a.1, pair[0].is_beyond_guarantee())
+                    == (b.0, b.1, pair[1].is_beyond_guarantee());
                 prop_assert!(!same || a.2 <= b.2, "then acceptance");
             }
             Ok(())
@@ -104,11 +121,12 @@
 #[test]
 fn a_book_brings_what_is_wanted_to_stand() {
     let steps = prop::collection::vec((0..4usize, 0..6u8, 0..5u8), 1..60);
-    let limits = Limits { changes: 20.0, txn_ops: 16, value_bytes: 8_192 };
-    runner()
+    let limits =
+        StoreLimits { writes_per_second: 20.0, max_transaction_writes: 16, max_value_bytes: 8_192 };
+    test_runner()
         .run(&steps, |steps| {
             let (mut now, mut epoch) = (1_000, 1u64);
-            let mut book = Book::new("order/", limits, now);
+            let mut book = RecordStore::new("order/", limits, now);
             let mut store: BTreeMap<String, (Value, u64)> = BTreeMap::new();
             let mut news: Vec<(String, Option<Value>, u64)> = Vec::new();
             let page = |store: &BTreeMap<String, (Value, u64)>| {
@@ -128,7 +146,7 @@
                         want.insert(key.clone(), value);
                         book.put(&key, json!(value));
                     }
-                    2 => book.on_news(news.clone(), epoch),
+                    2 => book.on_watch_changes(news.clone(), epoch),
                     3 => {
                         // A late write of somebody else's.
                         epoch += 1;
@@ -136,29 +154,39 @@
                         want.entry(key).or_insert(99);
                     }
                     _ => {
-                        let Some(txn) = book.next(now) else { continue };
+                        let Some(txn) = book.next_transaction(now) else { continue };
                         let stamp = |k: &String| store.get(k).map_or(0, |s| s.1);
-                        if txn.when.iter().any(|(k, s)| stamp(k) != *s) {
-                            prop_assert!(book.on_outcome(txn.nonce, Outcome::Conflict));
+                        if txn.conditions.iter().any(|(k, s)| stamp(k) != *s) {
+                            prop_assert!(book.on_outcome(txn.id, WriteOutcome::Conflict));
                             book.on_page(page(&store), epoch, false);
                             continue;
                         }
                         epoch += 1;
-                        written += txn.apply.len() as u64;
-                        for (k, v) in &txn.apply {
+                        written += txn.writes.len() as u64;
+                        for (k, v) in &txn.writes {
                             let own = k.strip_prefix("order/").unwrap().to_string();
                             news.push((own, v.clone(), epoch));
                             store.insert(k.clone(), (v.clone().unwrap(), epoch));
                         }
-                        prop_assert!(!book.on_outcome(txn.nonce, Outcome::Committed(epoch)));
-                        prop_assert!(!book.on_outcome(txn.nonce, Outcome::Conflict), "told twice");
+                        prop_assert!(!book.on_outcome(txn.id, WriteOutcome::Committed(epoch)));
+                        prop_assert!(
+                            !book.on_outcome(txn.id, WriteOutcome::Conflict),
+                            "told twice"
+                        );
                     }
                 }
                 let allowed = 20.0 + (now - begin) as f64 / 1_000.0 * 2.0;
                 prop_assert!(written as f64 <= allowed, "{written} changes by {now}");
             }
-            prop_assert!(book.open().is_empty(), "{:?} is still wanted", book.open());
-            prop_assert!(book.next(now + 60_000).is_none(), "nothing changes, nothing is written");
+            prop_assert!(
+                book.pending_keys().is_empty(),
+                "{:?} is still wanted",
+                book.pending_keys()
+            );
+            prop_assert!(
+                book.next_transaction(now + 60_000).is_none(),
+                "nothing changes, nothing is written"
+            );
             for (key, value) in want.iter().filter(|(_, v)| **v != 99) {
                 let held = store.get(&format!("order/{key}")).map(|s| s.0.clone());
                 let late = held == Some(json!(99));
@@ -173,46 +201,61 @@
 #[test]
 fn records_of_later_programs_are_left_alone() {
     let later = json!({"v": 9, "version": 3, "tier": []});
-    assert!(matches!(TableRecord::read("tiers", &later), Err(Unread::Newer { found: 9, .. })));
+    assert!(matches!(
+        TierTableRecord::from_record("tiers", &later),
+        Err(RecordReadError::UnsupportedFormat { found: 9, .. })
+    ));
     let half = json!({"v": 1, "version": 3});
-    assert!(matches!(TableRecord::read("tiers", &half), Err(Unread::Broken { .. })));
-    let whole = table(&[("core", "true")]);
-    assert_eq!(TableRecord::read("tiers", &whole.record()).map(|t| t.tiers), Ok(whole.tiers));
+    assert!(matches!(
+        TierTableRecord::from_record("tiers", &half),
+        Err(RecordReadError::Malformed { .. })
+    ));
+    let whole = tier_table(&[("core", "true")]);
+    assert_eq!(
+        TierTableRecord::from_record("tiers", &whole.to_record()).map(|t| t.tiers),
+        Ok(whole.tiers)
+    );
 }
 
-fn line_of(node: &Node) -> Vec<String> {
-    let settings: std::sync::Arc<Settings> = settings(0);
-    let Some(tables) = node.tables() else { return Vec::new() };
-    tables.line(&settings.settings.teams).iter().map(|p| p.id().to_string()).collect()
+fn run_queue_names(node: &Controller) -> Vec<String> {
+    let settings: std::sync::Arc<Settings> = controller_settings(0);
+    let Some(tables) = node.cluster_state() else { return Vec::new() };
+    tables.queue_order(&settings.settings.teams).iter().map(|p| p.job_id().to_string()).collect()
 }
 
 /// At every crash point of generated histories the line that the next leader reads is the old one's, for all
 /// jobs that both know: whatever the old one had in memory.
 #[test]
 fn no_change_of_leader_reorders_the_line() {
-    let operator = Operator::parse("deploy/tiers.toml", include_str!("../deploy/tiers.toml"));
+    let operator =
+        OperatorSettings::parse("deploy/tiers.toml", include_str!("../deploy/tiers.toml"));
     let operator = operator.expect("it is sound");
     let mut compared = 0;
     for seed in 0..6u64 {
-        let weather = Weather { loss: 0.01, late: 0.01, crashes: 0, outages: 0 };
-        let mut world = World::sized(seed, weather, 150_000, 2);
-        world.operator = if seed % 2 == 0 { operator.clone() } else { Operator::default() };
-        world.restart_ms = (seed % 3 == 0).then_some(50);
-        mixed_load(&mut world, 6);
+        let weather = FaultRates {
+            message_loss: 0.01,
+            message_delay: 0.01,
+            crashes: 0,
+            outages_and_hangs: 0,
+        };
+        let mut world = Simulation::with_capacity(seed, weather, 150_000, 2);
+        world.operator = if seed % 2 == 0 { operator.clone() } else { OperatorSettings::default() };
+        world.restart_delay_ms = (seed % 3 == 0).then_some(50);
+        submit_mixed_load(&mut world, 6);
         for n in 0..12u64 {
             let id = format!("wk-x{n}");
-            world.submit(3_000 + n * 3_100, None, job(&id, "service", "blue", 2, 2.0, 0.0));
+            world.submit(3_000 + n * 3_100, None, job_body(&id, "service", "blue", 2, 2.0, 0.0));
         }
         for at in 0..9 {
-            world.run(8_000 + at * 7_300 + seed * 400);
-            let Some(node) = leader(&world) else { continue };
-            let before = line_of(world.nodes[node].as_ref().expect("it leads"));
-            world.crash(8_000 + at * 7_300 + seed * 400, node);
+            world.run_until(8_000 + at * 7_300 + seed * 400);
+            let Some(node) = leader_index(&world) else { continue };
+            let before = run_queue_names(world.controllers[node].as_ref().expect("it leads"));
+            world.schedule_crash(8_000 + at * 7_300 + seed * 400, node);
             let until = 8_000 + at * 7_300 + seed * 400;
             for ms in (0..7_000).step_by(100) {
-                world.run(until + ms);
-                let Some(next) = leader(&world) else { continue };
-                let after = line_of(world.nodes[next].as_ref().expect("it leads"));
+                world.run_until(until + ms);
+                let Some(next) = leader_index(&world) else { continue };
+                let after = run_queue_names(world.controllers[next].as_ref().expect("it leads"));
                 let both = |one: &[String], other: &[String]| -> Vec<String> {
                     one.iter().filter(|id| other.contains(id)).cloned().collect()
                 };
@@ -221,8 +264,8 @@
                 break;
             }
         }
-        world.run(420_000);
-        assert_over(&world, &format!("seed {seed}"));
+        world.run_until(420_000);
+        assert_all_jobs_over(&world, &format!("seed {seed}"));
     }
     assert!(compared > 300, "{compared} places were compared");
 }
@@ -230,34 +273,35 @@
 /// Controllers with different files: the highest version counts for all, whoever leads, and stays.
 #[test]
 fn the_highest_table_counts_and_stays() {
-    let mut world = World::new(3, CALM, 100_000);
+    let mut world = Simulation::new(3, NO_FAULTS, 100_000);
     let text = include_str!("../deploy/tiers.toml");
-    world.operator = Operator::parse("old", text).expect("it is sound");
-    mixed_load(&mut world, 2);
-    world.run(10_000);
-    let ask = |world: &mut World, at: u64, ask: AdminAsk| {
-        let node = leader(world).expect("somebody leads");
-        let id = world.ask(at, node, ask);
-        world.run(at + 9_000);
-        let reply = world.answers.remove(&id).expect("an answer");
+    world.operator = OperatorSettings::parse("old", text).expect("it is sound");
+    submit_mixed_load(&mut world, 2);
+    world.run_until(10_000);
+    let ask = |world: &mut Simulation, at: u64, ask: AdminRequest| {
+        let node = leader_index(world).expect("somebody leads");
+        let id = world.schedule_admin_request(at, node, ask);
+        world.run_until(at + 9_000);
+        let reply = world.admin_answers.remove(&id).expect("an answer");
         (reply.status, serde_json::from_slice::<Value>(&reply.body).unwrap_or_default())
     };
-    let newer = table(&[("core", r#"job.priority == "production""#)]);
-    let newer = TableRecord { version: 7, ..newer };
+    let newer = tier_table(&[("core", r#"job.priority == "production""#)]);
+    let newer = TierTableRecord { version: 7, ..newer };
     let body = serde_json::to_vec(&newer).expect("it is JSON");
-    assert_eq!(ask(&mut world, 10_000, AdminAsk::SetTiers(body.clone())).0, 200);
-    assert_eq!(ask(&mut world, 20_000, AdminAsk::SetTiers(body)).0, 409, "not higher");
-    let bad = serde_json::to_vec(&table(&[("batch", r#"job.kind == "array""#)])).expect("JSON");
-    assert_eq!(ask(&mut world, 30_000, AdminAsk::SetTiers(bad)).0, 422);
-    assert_eq!(ask(&mut world, 40_000, AdminAsk::SetTiers(b"{".to_vec())).0, 422);
-    (0..3).for_each(|node| world.crash(50_000, node));
-    world.run(60_000);
-    let (_, shown) = ask(&mut world, 60_000, AdminAsk::Tiers);
+    assert_eq!(ask(&mut world, 10_000, AdminRequest::SetTiers(body.clone())).0, 200);
+    assert_eq!(ask(&mut world, 20_000, AdminRequest::SetTiers(body)).0, 409, "not higher");
+    let bad =
+        serde_json::to_vec(&tier_table(&[("batch", r#"job.kind == "array""#)])).expect("JSON");
+    assert_eq!(ask(&mut world, 30_000, AdminRequest::SetTiers(bad)).0, 422);
+    assert_eq!(ask(&mut world, 40_000, AdminRequest::SetTiers(b"{".to_vec())).0, 422);
+    (0..3).for_each(|node| world.schedule_crash(50_000, node));
+    world.run_until(60_000);
+    let (_, shown) = ask(&mut world, 60_000, AdminRequest::Tiers);
     assert_eq!((&shown["version"], &shown["file"]), (&json!(7), &json!(1)), "{shown}");
-    let (status, why) = ask(&mut world, 70_000, AdminAsk::TierOf("wk-s0".into()));
+    let (status, why) = ask(&mut world, 70_000, AdminRequest::TierOf("wk-s0".into()));
     assert_eq!((status, &why["tier"]), (200, &json!("core")), "{why}");
-    world.run(300_000);
-    assert_over(&world, "tiers");
+    world.run_until(300_000);
+    assert_all_jobs_over(&world, "tiers");
 }
 
 /// On machines that arrays keep full, with leaders that crash: no array's task is bound to room that a replica which
@@ -266,32 +310,35 @@
 fn waiting_core_work_is_not_passed_over() {
     let mut passes = 0;
     for seed in 0..6u64 {
-        let mut world = World::sized(seed, CALM, 200_000, 1);
-        world.watches_order = true;
-        world.restart_ms = (seed % 2 == 0).then_some(100);
+        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 200_000, 1);
+        world.checks_priority_inversions = true;
+        world.restart_delay_ms = (seed % 2 == 0).then_some(100);
         for n in 0..30u64 {
             let id = format!("wk-a{n}");
-            world.submit(500 + n * 5_000, None, job(&id, "array", "blue", 30, 1.0, 14.0));
+            world.submit(500 + n * 5_000, None, job_body(&id, "array", "blue", 30, 1.0, 14.0));
             let id = format!("wk-s{n}");
             let cancel = Some(60_000 + n * 5_000);
-            world.submit(900 + n * 4_700, cancel, job(&id, "service", "blue", 2, 2.0, 0.0));
+            world.submit(900 + n * 4_700, cancel, job_body(&id, "service", "blue", 2, 2.0, 0.0));
         }
         for at in (1..8).map(|n| n * 20_000) {
-            world.run(at);
-            if let Some(node) = leader(&world) {
-                passes += world.nodes[node].as_ref().and_then(Node::tables).map_or(0, |t| t.passes);
+            world.run_until(at);
+            if let Some(node) = leader_index(&world) {
+                passes += world.controllers[node]
+                    .as_ref()
+                    .and_then(Controller::cluster_state)
+                    .map_or(0, |t| t.cycles);
                 if seed > 1 {
-                    world.crash(at + seed * 77, node);
+                    world.schedule_crash(at + seed * 77, node);
                 }
             }
         }
-        world.run(190_000);
+        world.run_until(190_000);
         assert!(
-            world.inversions.is_empty(),
+            world.priority_inversions.is_empty(),
             "seed {seed}: {:?}",
-            &world.inversions[..3.min(world.inversions.len())]
+            &world.priority_inversions[..3.min(world.priority_inversions.len())]
         );
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
     }
     assert!(passes > 500, "{passes} passes");
 }
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -4,13 +4,14 @@
 mod recording;
 
 use recording::Recording;
-use swiftsail_simulation::world::{Weather, World, mixed_load};
+use swiftsail_simulation::world::{FaultRates, Simulation, submit_mixed_load};
 
 fn recorded(seed: u64) -> Recording {
-    let weather = Weather { loss: 0.02, late: 0.01, crashes: 2, outages: 1 };
-    Recording::of(World::new(seed, weather, 40_000), |world| {
-        mixed_load(world, 3);
-        world.run(60_000);
+    let weather =
+        FaultRates { message_loss: 0.02, message_delay: 0.01, crashes: 2, outages_and_hangs: 1 };
+    Recording::of(Simulation::new(seed, weather, 40_000), |world| {
+        submit_mixed_load(world, 3);
+        world.run_until(60_000);
     })
 }
 
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -3,20 +3,20 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::{Value, json};
-use swiftsail_protocol::users::{read_submission, valid_id};
-use swiftsail_protocol::workers::{Command, Orders, Report, Verb};
-use swiftsail_protocol::{controllers::Beat, read, state, write};
+use swiftsail_protocol::users::{is_valid_job_id, read_submission};
+use swiftsail_protocol::workers::{Command, CommandKind, HeartbeatResponse, StatusReport};
+use swiftsail_protocol::{controllers::Heartbeat, decode, encode, state};
 
-fn runner() -> TestRunner {
+fn test_runner() -> TestRunner {
     let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]))
 }
 
-fn pack(value: &Value) -> Vec<u8> {
+fn encode_value(value: &Value) -> Vec<u8> {
     rmp_serde::to_vec_named(value).expect("JSON has a MessagePack form")
 }
 
-fn sound() -> Value {
+fn valid_submission() -> Value {
     json!({"name_id":"wk-000412","jobclass":"train","crew":"vision","shape":"gang","rank":"high",
         "shards":16,"cpus":8.0,"accelerators":1,"memory_gb":64.0,"bundle":"img-07","pull_gb":6.2,
         "hulls":["g8"],"dock":null,"one_zone":true,"scatter":false,"driftwood":true,
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_sound_submission_is_read_whatever_else_it_holds() {
-    let it = read_submission(&pack(&sound())).expect("it is sound");
+    let it = read_submission(&encode_value(&valid_submission())).expect("it is sound");
     let spec = it.spec.expect("every field is sound");
     assert_eq!((&*it.id, spec.tasks, spec.gpus), ("wk-000412", 16, 1.0));
     assert_eq!((spec.zone, spec.deadline_s), (None, Some(900.0)));
@@ -51,36 +51,36 @@
         ("crew", json!("x".repeat(500))),
     ];
     for (field, value) in bad {
-        let mut body = sound();
+        let mut body = valid_submission();
         body[field] = value.clone();
-        let it = read_submission(&pack(&body)).expect("the id can be read");
+        let it = read_submission(&encode_value(&body)).expect("the id can be read");
         assert!(it.spec.is_err(), "{field} = {value}");
     }
-    let mut nan = sound();
+    let mut nan = valid_submission();
     nan.as_object_mut().expect("a map").remove("cpus");
-    let mut bytes = pack(&nan);
+    let mut bytes = encode_value(&nan);
     bytes[1..3].copy_from_slice(&(nan.as_object().map_or(0, |o| o.len() as u16) + 1).to_be_bytes());
     bytes.extend(b"\xa4cpus\xcb\x7f\xf8\0\0\0\0\0\0");
     if let Ok(it) = read_submission(&bytes) {
         assert!(it.spec.is_err(), "NaN is no amount");
     }
     for id in ["", "wk-", "xx-1", "wk-1/2", "wk 1", "wk-é"] {
-        assert!(!valid_id(id), "{id}");
+        assert!(!is_valid_job_id(id), "{id}");
     }
     assert!(read_submission(&vec![0x80; 70_000]).is_err(), "too large");
-    assert!(read_submission(&pack(&json!([1, 2]))).is_err(), "not a map");
+    assert!(read_submission(&encode_value(&json!([1, 2]))).is_err(), "not a map");
 }
 
 #[test]
 fn hostile_bodies_are_refused_without_a_panic() {
     let bytes = prop::collection::vec(any::<u8>(), 0..400);
-    runner()
+    test_runner()
         .run(&(bytes, 0..200usize, any::<u8>()), |(noise, at, flip)| {
             let _ = read_submission(&noise);
-            let _ = read::<Report>(&noise);
-            let _ = read::<state::News>(&noise);
+            let _ = decode::<StatusReport>(&noise);
+            let _ = decode::<state::WatchResponse>(&noise);
             // A sound body with one byte changed, and one cut short.
-            let mut body = pack(&sound());
+            let mut body = encode_value(&valid_submission());
             let at = at % body.len();
             body[at] ^= flip;
             let _ = read_submission(&body);
@@ -93,32 +93,37 @@
 #[test]
 fn messages_survive_the_wire() {
     let orders = prop::collection::vec((0..3u8, "[a-z]{1,9}", any::<u64>(), 0.0..99.0f64), 0..20);
-    runner()
+    test_runner()
         .run(&(orders, any::<u64>(), 0..u64::MAX), |(orders, helm, age)| {
             let orders = orders.into_iter().map(|(verb, name, launch, ease)| Command {
-                verb: [Verb::Start, Verb::Stop, Verb::Forget][verb as usize],
-                shard: format!("wk-{name}/3"),
-                launch,
-                ease_s: (verb == 1).then_some(ease),
+                kind: [CommandKind::Start, CommandKind::Stop, CommandKind::Forget][verb as usize],
+                task: format!("wk-{name}/3"),
+                attempt: launch,
+                grace_s: (verb == 1).then_some(ease),
             });
-            let sent = Orders { helm, orders: orders.collect() };
-            let got: Orders = read(&write(&sent)).expect("our own message is sound");
-            prop_assert_eq!(got.helm, sent.helm);
-            prop_assert_eq!(got.orders, sent.orders);
-            let beat = Beat { node: "n".into(), token: helm, store_age_ms: age, ..Beat::default() };
-            prop_assert_eq!(read::<Beat>(&write(&beat)).expect("sound"), beat);
-            let commit = state::Commit {
-                when: vec![state::When { key: "a/b".into(), stamp: helm }],
-                apply: vec![
-                    state::Change::Write {
-                        write: "a".into(),
+            let sent = HeartbeatResponse { fencing_token: helm, commands: orders.collect() };
+            let got: HeartbeatResponse = decode(&encode(&sent)).expect("our own message is sound");
+            prop_assert_eq!(got.fencing_token, sent.fencing_token);
+            prop_assert_eq!(got.commands, sent.commands);
+            let beat = Heartbeat {
+                controller: "n".into(),
+                fencing_token: helm,
+                since_store_response_ms: age,
+                ..Heartbeat::default()
+            };
+            prop_assert_eq!(decode::<Heartbeat>(&encode(&beat)).expect("sound"), beat);
+            let commit = state::Transaction {
+                preconditions: vec![state::Precondition { key: "a/b".into(), mod_revision: helm }],
+                mutations: vec![
+                    state::Mutation::Put {
+                        key: "a".into(),
                         value: json!({"x": helm}),
-                        mooring: None,
+                        lease: None,
                     },
-                    state::Change::Remove { remove: "c".into() },
+                    state::Mutation::Delete { key: "c".into() },
                 ],
             };
-            prop_assert_eq!(read::<state::Commit>(&write(&commit)).expect("sound"), commit);
+            prop_assert_eq!(decode::<state::Transaction>(&encode(&commit)).expect("sound"), commit);
             Ok(())
         })
         .unwrap();
@@ -129,6 +134,7 @@
     let body = json!({"berth":"m-1","watch":1,"tick":2,"helm":3,"recall_s":null,"colour":"red",
         "shards":[{"shard":"wk-1/0","launch":7,"status":"dreaming"},
                   {"shard":"wk-1/1","launch":7,"status":"exited","cause":"bored"}]});
-    let report: Report = read(&pack(&body)).expect("unknown fields and words do no harm");
-    assert_eq!(report.shards.len(), 2);
+    let report: StatusReport =
+        decode(&encode_value(&body)).expect("unknown fields and words do no harm");
+    assert_eq!(report.tasks.len(), 2);
 }
