--- a/crates/controller/src/tables/pipelines.rs
+++ b/crates/controller/src/cluster_state/dependencies.rs
@@ -165,7 +165,7 @@
             let run = self.run_time_history.run_time(&job.id, &job.spec, kind);
             match (a.phase(), a.running_since) {
                 (AttemptPhase::Running, Some(at)) => run.remaining(now.saturating_sub(at) as f64),
-                _ => crate::chance::Pmf::clone(&run),
+                _ => crate::completion_time::Pmf::clone(&run),
             }
             .quantile(DOWNSTREAM_PROBABILITY)
         });
--- a/crates/controller/src/tables/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -2,25 +2,25 @@
 //! is one function. Tables know nobody above them: placement and fleet read them, and the node alone
 //! applies what those plan.
 
-mod happenings;
-mod line;
-mod lines;
-mod pipelines;
-mod rentals;
-mod reports;
-mod rooms;
-mod sheets;
-
-pub use happenings::{ClusterEvent, ClusterEvents};
-pub use line::{facts_of, rank_of};
-pub use lines::{RunQueue, RunQueues, SlotId};
-pub use rentals::{Market, Provisioning, ProvisioningRequest};
-pub use reports::ReportSource;
-pub use rooms::{QuotaGuard, QuotaRefusal, team_amounts, usable};
-pub use sheets::{BindingLog, InFlightLogWrite, LogSegment, LogSegmentRecord};
+mod binding_log;
+mod cluster_events;
+mod dependencies;
+mod provisioning;
+mod queue_order;
+mod quota_usage;
+mod run_queues;
+mod status_reports;
+
+pub use binding_log::{BindingLog, InFlightLogWrite, LogSegment, LogSegmentRecord};
+pub use cluster_events::{ClusterEvent, ClusterEvents};
+pub use provisioning::{Market, Provisioning, ProvisioningRequest};
+pub use queue_order::{facts_of, rank_of};
+pub use quota_usage::{QuotaGuard, QuotaRefusal, team_amounts, usable};
+pub use run_queues::{RunQueue, RunQueues, SlotId};
+pub use status_reports::ReportSource;
 
 use crate::Time;
-use crate::chance::RunTimeHistory;
+use crate::completion_time::RunTimeHistory;
 use crate::constants::*;
 use crate::job::*;
 use crate::machine::{Machine, MachineState};
--- a/crates/controller/src/chance/mod.rs
+++ b/crates/controller/src/completion_time/mod.rs
@@ -1,8 +1,8 @@
 //! Chances: run-time histograms, completion and pruning arithmetic of the thesis's PAM.
 
-mod history;
+mod run_times;
 
-pub use history::{JobRunTimes, RunTimeHistory};
+pub use run_times::{JobRunTimes, RunTimeHistory};
 
 use crate::constants::BINS;
 use swiftsail_dag::DurationDistribution;
--- a/crates/controller/src/node/ledger.rs
+++ b/crates/controller/src/controller/binding_log.rs
@@ -8,10 +8,10 @@
 
 use super::{CallContext, LeaderContext};
 use crate::Time;
+use crate::cluster_state::{ClusterState, InFlightLogWrite, LogSegment, LogSegmentRecord};
 use crate::constants::*;
 use crate::job::*;
 use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
-use crate::tables::{ClusterState, InFlightLogWrite, LogSegment, LogSegmentRecord};
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use swiftsail_protocol::state::{KeyPage, Precondition, Transaction};
--- a/crates/controller/src/node/chunks.rs
+++ b/crates/controller/src/controller/chunks.rs
@@ -4,10 +4,10 @@
 
 use super::{CallContext, LeaderContext};
 use crate::Time;
+use crate::cluster_state::{ClusterState, parse_task_name};
 use crate::constants::*;
 use crate::job::*;
 use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
-use crate::tables::{ClusterState, parse_task_name};
 use std::cmp::Reverse;
 use std::collections::HashMap;
 use swiftsail_protocol::state::{KeyPage, Mutation, Precondition, Transaction};
--- a/crates/controller/src/node/effort.rs
+++ b/crates/controller/src/controller/cpu_accounting.rs
@@ -2,18 +2,18 @@
 
 use super::{Controller, Event};
 use crate::Time;
+use crate::cluster_state::{ClusterState, ProvisioningRequest};
 use crate::constants::*;
+use crate::cycle_policy::CycleBounds;
 use crate::machine::MachineState;
 use crate::settings::Settings;
-use crate::steering::CycleBounds;
 use crate::store::StoreOutcome;
-use crate::tables::{ClusterState, ProvisioningRequest};
-use swiftsail_overload_control::budget::MemoryBudget;
 use swiftsail_overload_control::constants::{
     DELAY_INTERVAL_MS, LOAD_SMOOTHING_MS, MAX_MACHINE_LOAD,
 };
-use swiftsail_overload_control::headroom::{FleetLimit, max_machines};
-use swiftsail_overload_control::pressure::LoadLevel;
+use swiftsail_overload_control::fleet_limit::{FleetLimit, max_machines};
+use swiftsail_overload_control::load_level::LoadLevel;
+use swiftsail_overload_control::memory_budget::MemoryBudget;
 use swiftsail_protocol::controllers::ForwardedReport;
 
 impl Controller {
--- a/crates/controller/src/node/dispatch.rs
+++ b/crates/controller/src/controller/deadline_planning.rs
@@ -2,15 +2,15 @@
 
 use super::plugins::plugin_error_reply;
 use super::{CallContext, Controller, Reply, RequestId};
+use crate::cluster_state::{ClusterState, facts_of};
 use crate::constants::*;
 use crate::job::{AttemptPhase, FinalState, Job, JobId, JobState, StoredJob, keys};
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
-use crate::tables::{ClusterState, facts_of};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use swiftsail_deadline_planning::board::StepDurations;
 use swiftsail_deadline_planning::constants::DURATION_QUANTILE;
+use swiftsail_deadline_planning::tracker::StepDurations;
 use swiftsail_deadline_planning::{
     DeadlinePlan, DeadlineSchedule, DeadlineTracker, Occurrence, OccurrencePhase, StepJob,
 };
@@ -36,7 +36,7 @@
                 (AttemptPhase::Running, Some(at)) => {
                     run(kind).remaining(now.saturating_sub(at) as f64)
                 }
-                _ => crate::chance::Pmf::clone(&run(kind)).shifted(BOOT_UNKNOWN_MS / 2.0),
+                _ => crate::completion_time::Pmf::clone(&run(kind)).shifted(BOOT_UNKNOWN_MS / 2.0),
             };
             last = last.max(left.quantile(DURATION_QUANTILE));
         }
--- a/crates/controller/src/node/pipelines.rs
+++ b/crates/controller/src/controller/dependency_lookup.rs
@@ -4,10 +4,10 @@
 
 use super::requests::PendingRequest;
 use super::{CallContext, Controller, Reply, RequestId};
+use crate::cluster_state::ClusterState;
 use crate::constants::*;
 use crate::job::{FinalRecord, JobId, JobRecord, StoredJob, keys};
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
-use crate::tables::ClusterState;
 use std::collections::HashMap;
 use swiftsail_dag::{DependencyTraversal, DependencyVerdict, JobOutcome, VisitedJob};
 use swiftsail_protocol::users::{JobStatus, is_valid_job_id};
--- a/crates/controller/src/node/loans.rs
+++ b/crates/controller/src/controller/gpu_lending.rs
@@ -2,10 +2,10 @@
 
 use super::Controller;
 use crate::Time;
+use crate::cluster_state::ClusterState;
 use crate::constants::REGISTRATION_MS;
 use crate::job::{JobId, JobState, MachineId};
 use crate::machine::MachineState;
-use crate::tables::ClusterState;
 use serde_json::json;
 use swiftsail_gpu_lending::{GpuLoan, LenderRecord, LoanAction, LoanObservation};
 use swiftsail_replicated_records::Versioned;
--- a/crates/controller/src/node/lead.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -2,11 +2,11 @@
 
 use super::{Action, CallContext, Controller, store_rates};
 use crate::Time;
+use crate::cluster_state::ClusterState;
 use crate::constants::*;
 use crate::job::keys;
+use crate::leadership::{AnswerAuthority, LeaderRecord, LeadershipPhase};
 use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
-use crate::tables::ClusterState;
-use crate::term::{AnswerAuthority, LeaderRecord, LeadershipPhase};
 use rand::Rng;
 use swiftsail_protocol::state::{Mutation, Precondition, Transaction, WatchResponse};
 
--- a/crates/controller/src/node/standstill.rs
+++ b/crates/controller/src/controller/pause_detection.rs
@@ -4,8 +4,8 @@
 
 use super::{CallContext, Controller, Reply};
 use crate::constants::*;
+use crate::leadership::LeaseValidity;
 use crate::store::{CallPriority, RetryPolicy, StoreCall};
-use crate::term::LeaseValidity;
 
 impl Controller {
     /// The process has stood still for so long.
--- a/crates/controller/src/node/peers.rs
+++ b/crates/controller/src/controller/peers.rs
@@ -1,9 +1,9 @@
 //! The other controllers: heartbeats, and what they vouch for.
 
 use super::Controller;
+use crate::cluster_state::ClusterState;
 use crate::constants::*;
-use crate::tables::ClusterState;
-use crate::term::{LeaderProgress, PeerHealth};
+use crate::leadership::{LeaderProgress, PeerHealth};
 use swiftsail_protocol::controllers::Heartbeat;
 
 /// What is known of another controller.
--- a/crates/controller/src/node/owed.rs
+++ b/crates/controller/src/controller/pending_terminations.rs
@@ -9,10 +9,10 @@
 use super::Controller;
 use crate::Time;
 use crate::cloud::CloudCall;
+use crate::cluster_state::ClusterState;
 use crate::constants::*;
 use crate::fleet::cancellation_deadline_ms;
 use crate::job::{Attempt, JobId, MachineId};
-use crate::tables::ClusterState;
 use std::collections::BTreeMap;
 use swiftsail_protocol::controllers::Heartbeat;
 
--- a/crates/controller/src/node/steer.rs
+++ b/crates/controller/src/controller/policy_evaluation.rs
@@ -2,20 +2,20 @@
 //! for placement and fleet out. A set of plug-ins changes between passes, never within one.
 
 use super::{Controller, Now, Reply};
+use crate::cluster_state::{ClusterState, team_amounts};
 use crate::constants::*;
+use crate::cycle_policy::{CyclePolicy, JobPolicy};
 use crate::job::{GangState, Job, JobId, JobKind, JobSpec, JobState, Priority};
 use crate::machine::{MachineState, MachineType};
 use crate::settings::TeamSettings;
-use crate::steering::{CyclePolicy, JobPolicy};
-use crate::tables::{ClusterState, team_amounts};
 use std::collections::{BTreeMap, HashMap};
-use swiftsail_policy::facts::{
+use swiftsail_policy::attributes::{
     AttributeValue, AttributeValues, CLASS_ATTRIBUTES, CLUSTER_ATTRIBUTES, JOB_ATTRIBUTES,
     TEAM_ATTRIBUTES,
 };
 use swiftsail_policy::hooks::{Hook, HookAnswer};
-use swiftsail_policy::host::{HookContext, HookResult, PluginHost};
-use swiftsail_policy::policy::{PolicyParameter, SchedulingPolicy};
+use swiftsail_policy::plugin_host::{HookContext, HookResult, PluginHost};
+use swiftsail_policy::scheduling_policy::{PolicyParameter, SchedulingPolicy};
 use swiftsail_protocol::users::ErrorResponse;
 use swiftsail_quota::ResourceQuantities;
 
@@ -448,10 +448,10 @@
 
 /// Attributes of the cluster from numbers; what is not told is 0.
 fn cluster_facts(numbers: &[f64]) -> AttributeValues {
-    let value = |(n, attribute): (usize, &swiftsail_policy::facts::Attribute)| {
+    let value = |(n, attribute): (usize, &swiftsail_policy::attributes::Attribute)| {
         let number = numbers.get(n).copied().unwrap_or(0.0);
         match attribute.1 {
-            swiftsail_policy::facts::AttributeType::Integer => {
+            swiftsail_policy::attributes::AttributeType::Integer => {
                 AttributeValue::Integer(number as i64)
             }
             _ => AttributeValue::Number(number),
--- a/crates/controller/src/node/desk.rs
+++ b/crates/controller/src/controller/quota_accounts.rs
@@ -4,12 +4,12 @@
 
 use super::{CallContext, Controller};
 use crate::Time;
-use crate::accounts::{self, KEY_PREFIX};
+use crate::cluster_state::{ClusterState, team_amounts};
 use crate::constants::*;
 use crate::job::keys;
+use crate::quota_records::{self, KEY_PREFIX};
 use crate::settings::TeamSettings;
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
-use crate::tables::{ClusterState, team_amounts};
 use std::collections::BTreeMap;
 use swiftsail_protocol::state::KeyPage;
 use swiftsail_quota::account::{self, AccountPhase, AccountStep};
@@ -36,7 +36,8 @@
 
 impl QuotaAccounts {
     pub fn new(enabled: bool, node: &str, teams: &[TeamSettings]) -> QuotaAccounts {
-        let names = accounts::divide_into_pages(teams.iter().map(|t| t.name.clone()).collect());
+        let names =
+            quota_records::divide_into_pages(teams.iter().map(|t| t.name.clone()).collect());
         let limit = |name: &String| {
             let team = teams.iter().find(|t| t.name == *name)?;
             Some((name.clone(), QuotaAccount::limits_from_settings(team.cpus_max, team.gpus_max)))
@@ -70,7 +71,7 @@
         QuotaKey::FencingToken(decider) if decider.starts_with(OBSERVED_PREFIX) => {
             format!("{KEY_PREFIX}{page}/none")
         }
-        other => accounts::store_key(page, other),
+        other => quota_records::store_key(page, other),
     }
 }
 
@@ -110,12 +111,12 @@
             return;
         };
         for (n, account) in self.quota_accounts.observed.iter_mut().enumerate() {
-            account.on_page(&accounts::parse_page(n, listed));
+            account.on_page(&quota_records::parse_page(n, listed));
         }
         // What was asked for before this lead began may tell what its predecessor has given away since.
         let own = token == self.leadership.token;
         for (n, account) in self.quota_accounts.balances.iter_mut().enumerate().filter(|_| own) {
-            account.on_page(&accounts::parse_page(n, listed));
+            account.on_page(&quota_records::parse_page(n, listed));
         }
         self.drop_unknown_teams(listed);
         self.settle_quota_accounts();
@@ -127,7 +128,7 @@
             return;
         }
         for n in 0..self.quota_accounts.pages.len() {
-            let page = accounts::parse_page(n, listed);
+            let page = quota_records::parse_page(n, listed);
             let known = |decider: &PartitionId| {
                 let node = decider.strip_prefix(OBSERVED_PREFIX);
                 let others = self.settings.others.iter().map(|o| &o.host_name);
@@ -183,7 +184,7 @@
     }
 
     fn send_quota_transfers(&mut self, page: usize, txn: &QuotaTransaction, held: bool) {
-        let commit = accounts::to_commit(txn, name(page));
+        let commit = quota_records::to_commit(txn, name(page));
         let era = held.then_some(self.leadership.generation);
         let purpose = CallContext::TransferQuota { generation: era, page, by: txn.id };
         self.store.push(
--- a/crates/controller/src/node/order.rs
+++ b/crates/controller/src/controller/replicated_records.rs
@@ -4,15 +4,15 @@
 use super::plugins::plugin_error_reply;
 use super::{CallContext, Controller, Reply, RequestId};
 use crate::Time;
+use crate::cluster_state::{ClusterState, facts_of};
 use crate::constants::*;
 use crate::job::{Job, JobId, keys};
 use crate::settings::StoreSettings;
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
-use crate::tables::{ClusterState, facts_of};
 use serde_json::json;
 use std::rc::Rc;
 use swiftsail_deadline_planning::{DeadlinePlan, DeadlineSchedule, DeadlineTracker};
-use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_policy::operator_settings::OperatorSettings;
 use swiftsail_protocol::state::{KeyPage, Mutation, Precondition, Transaction, WatchEvent};
 use swiftsail_protocol::users::JobSpec;
 use swiftsail_replicated_records::{RecordStore, RecordTransaction, StoreLimits, Versioned};
@@ -152,13 +152,16 @@
 }
 
 /// A file's table as a record.
-pub fn tier_table_record(file: &swiftsail_policy::operator::TierTableSettings) -> TierTableRecord {
-    let tier =
-        |t: &swiftsail_policy::operator::TierEntrySettings| swiftsail_tiers::TierDefinition {
+pub fn tier_table_record(
+    file: &swiftsail_policy::operator_settings::TierTableSettings,
+) -> TierTableRecord {
+    let tier = |t: &swiftsail_policy::operator_settings::TierEntrySettings| {
+        swiftsail_tiers::TierDefinition {
             name: t.name.clone(),
             when: t.when.get_ref().clone(),
             ordered: t.ordered,
-        };
+        }
+    };
     let tiers = file.tier.iter().map(tier).collect();
     TierTableRecord { format_version: 0, version: file.version, tiers }
 }
@@ -577,7 +580,7 @@
             };
             let team = teams.iter().position(|t| t.name == job.spec.team);
             let limited = team.is_some_and(|n| {
-                let each = crate::tables::team_amounts(&job.spec);
+                let each = crate::cluster_state::team_amounts(&job.spec);
                 !self.cap(n, &teams[n]).allows(usage[n], each)
             });
             let queue = found.entry(job.tier.tier).or_default();
--- a/crates/controller/src/node/relay.rs
+++ b/crates/controller/src/controller/report_forwarding.rs
@@ -6,15 +6,15 @@
 
 use super::{Action, Controller, Reply, RequestId};
 use crate::Time;
+use crate::cluster_state::ReportSource;
 use crate::constants::*;
-use crate::tables::ReportSource;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 use swiftsail_overload_control::constants::{
     CONNECTION_KB, MAX_DELEGATION_MS, RESERVED_CONNECTIONS,
 };
-use swiftsail_overload_control::duty::{DelegatedAnswering, DelegationEvent};
+use swiftsail_overload_control::delegated_answering::{DelegatedAnswering, DelegationEvent};
 use swiftsail_protocol::controllers::{
     ForwardedAnswers, ForwardedReport, ForwardedReports, LocallyAnsweredReport,
 };
--- a/crates/controller/src/node/requests.rs
+++ b/crates/controller/src/controller/requests.rs
@@ -1,7 +1,7 @@
 //! Users' requests. Every answer about a job that is not over comes from a read of the store that
 //! began after the request came; identical reads are merged.
 
-use super::mirror::CachedJob;
+use super::job_cache::CachedJob;
 use super::{Action, CallContext, Controller, Reply, RequestId, UserRequest};
 use crate::Time;
 use crate::constants::*;
--- a/crates/controller/src/node/passes.rs
+++ b/crates/controller/src/controller/scheduling_cycle.rs
@@ -4,12 +4,12 @@
 use super::{Action, Controller, LeaderContext};
 use crate::Time;
 use crate::cloud::{self, CloudCall, CloudClient};
+use crate::cluster_state::{ClusterState, ProvisioningRequest, QuotaGuard, RunQueue, usable};
 use crate::constants::*;
 use crate::fleet::{self, FleetPlan};
 use crate::job::{GangState, Job, JobId, JobSpec, MachineId};
 use crate::machine::{Machine, Resources};
 use crate::placement::{self, CyclePlan, PlanStep, PlanningContext};
-use crate::tables::{ClusterState, ProvisioningRequest, QuotaGuard, RunQueue, usable};
 use std::cmp::Reverse;
 use std::sync::Arc;
 use swiftsail_failure_detector::ProbeOutcome;
--- a/crates/controller/src/node/status.rs
+++ b/crates/controller/src/controller/status.rs
@@ -1,10 +1,10 @@
 //! What the log says now and then of how much waits, runs and is free.
 
 use super::Controller;
+use crate::cluster_state::team_amounts;
 use crate::constants::*;
 use crate::job::AttemptPhase;
 use crate::machine::MachineState;
-use crate::tables::team_amounts;
 use std::collections::BTreeMap;
 
 impl Controller {
--- a/crates/controller/src/node/calls.rs
+++ b/crates/controller/src/controller/store_calls.rs
@@ -2,11 +2,11 @@
 
 use super::{Controller, LeaderContext, RequestId};
 use crate::Time;
+use crate::cluster_state::ClusterState;
 use crate::constants::*;
 use crate::job::{JobId, keys};
 use crate::machine::MachineType;
 use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
-use crate::tables::ClusterState;
 use std::sync::Arc;
 use swiftsail_protocol::cloud::MachineTypes;
 use swiftsail_protocol::state::{Mutation, Precondition, Transaction};
--- a/crates/controller/src/node/workers.rs
+++ b/crates/controller/src/controller/worker_reports.rs
@@ -2,9 +2,9 @@
 
 use super::{Action, Controller, Reply, RequestId};
 use crate::Time;
+use crate::cluster_state::ReportSource;
 use crate::constants::*;
-use crate::tables::ReportSource;
-use crate::term::AnswerAuthority;
+use crate::leadership::AnswerAuthority;
 use swiftsail_protocol::workers::{Redirect, StatusReport};
 
 /// What this node, not leading, has done with a worker's reports.
--- a/crates/controller/src/fleet/moves.rs
+++ b/crates/controller/src/fleet/consolidation.rs
@@ -4,11 +4,11 @@
 
 use super::FleetPlan;
 use crate::Time;
+use crate::cluster_state::ClusterState;
 use crate::constants::*;
 use crate::job::*;
 use crate::machine::{MachineState, MachineType, Resources};
 use crate::placement::PlanningContext;
-use crate::tables::ClusterState;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/controller/src/fleet/reserve.rs
+++ b/crates/controller/src/fleet/headroom.rs
@@ -1,8 +1,8 @@
 //! The reserve: room for services that are still to come.
 
+use crate::cluster_state::ClusterState;
 use crate::job::{JobKind, JobSpec};
 use crate::machine::{Machine, MachineState, MachineType, Resources};
-use crate::tables::ClusterState;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -1,18 +1,18 @@
 //! Renting and returning machines: what the fleet needs, read from the tables and given back as a
 //! plan that the node applies.
 
-mod demand;
-mod moves;
-mod reserve;
+mod consolidation;
+mod headroom;
+mod pending_demand;
 
 use crate::Time;
+use crate::cluster_state::ClusterState;
 use crate::constants::*;
 use crate::job::{JobId, JobKind, MachineId};
 use crate::machine::{Machine, MachineState};
 use crate::placement::PlanningContext;
-use crate::tables::ClusterState;
-use demand::PendingDemand;
-use reserve::ServiceHeadroom;
+use headroom::ServiceHeadroom;
+use pending_demand::PendingDemand;
 use std::collections::BTreeSet;
 use swiftsail_failure_detector::InboundReachability;
 use swiftsail_failure_detector::constants::{
@@ -60,7 +60,7 @@
         }
         out.checked_consolidation = now >= rentals.moves_checked_at + MOVES_MS;
         if out.checked_consolidation {
-            moves::plan_consolidation(tables, view, &mut out);
+            consolidation::plan_consolidation(tables, view, &mut out);
         }
     }
     drain_reclaimed_machines(tables, view, &mut out);
--- a/crates/controller/src/fleet/demand.rs
+++ b/crates/controller/src/fleet/pending_demand.rs
@@ -1,10 +1,10 @@
 //! Which idle machines work that waits may use. Work that its team's limit holds back keeps none: such
 //! machines were paid for, and nobody could be placed on them.
 
+use crate::cluster_state::ClusterState;
 use crate::job::{JobKind, JobSpec};
 use crate::machine::{Machine, MachineType, Resources};
 use crate::placement::{PlanningContext, TeamAllowances};
-use crate::tables::ClusterState;
 use std::collections::HashMap;
 use std::sync::Arc;
 
--- a/crates/controller/src/job/mod.rs
+++ b/crates/controller/src/job/mod.rs
@@ -1,7 +1,7 @@
 //! Jobs and their tasks: what was asked for, which attempt is where, and what the store holds.
 
+mod failure_attribution;
 mod record;
-mod trust;
 
 pub use record::{
     Binding, BindingChunk, FinalRecord, FinalState, JobRecord, StoredJob, chunk_key, chunk_size,
@@ -12,11 +12,11 @@
 pub use swiftsail_protocol::users::{JobKind, JobSpec, Priority};
 
 use crate::Time;
+pub use failure_attribution::FailureAttribution;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use swiftsail_protocol::workers::ExitCause;
 use swiftsail_tiers::TierAssignment;
-pub use trust::FailureAttribution;
 
 /// A job's id.
 pub type JobId = Arc<str>;
--- a/crates/controller/src/term/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -1,13 +1,13 @@
 //! Leadership: one key attached to a lease; its stamp is the token.
 
-mod held;
-mod voice;
+mod answer_authority;
+mod cancellation_quorum;
 
-pub use held::{
+pub use answer_authority::AnswerAuthority;
+pub use cancellation_quorum::{
     CancellationQuorum, HeartbeatOutcome, LeaderProgress, PendingCancellation, endorsements_needed,
     replicas_needed,
 };
-pub use voice::AnswerAuthority;
 
 use crate::Time;
 use crate::constants::*;
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -12,20 +12,20 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod accounts;
-pub mod chance;
 pub mod cloud;
+pub mod cluster_state;
+pub mod completion_time;
 pub mod constants;
+pub mod controller;
+pub mod cycle_policy;
 pub mod fleet;
 pub mod job;
+pub mod leadership;
 pub mod machine;
-pub mod node;
 pub mod placement;
+pub mod quota_records;
 pub mod settings;
-pub mod steering;
 pub mod store;
-pub mod tables;
-pub mod term;
 
 /// Steady time in ms.
 pub type Time = u64;
--- a/crates/controller/src/placement/chooser.rs
+++ b/crates/controller/src/placement/candidate.rs
@@ -1,6 +1,6 @@
 //! Choosers: jobs with tasks to place.
 
-use super::place::PlacementTarget;
+use super::target::PlacementTarget;
 use crate::Time;
 use crate::job::*;
 use crate::machine::Resources;
--- a/crates/controller/src/placement/ends.rs
+++ b/crates/controller/src/placement/completion_times.rs
@@ -1,6 +1,6 @@
 //! When what is before a place ends. Places that are alike share one mass function.
 
-use crate::chance::Pmf;
+use crate::completion_time::Pmf;
 use crate::job::JobId;
 use rustc_hash::FxHashMap;
 
--- a/crates/controller/src/placement/round.rs
+++ b/crates/controller/src/placement/cycle.rs
@@ -1,13 +1,13 @@
 //! One mapping event: prune lines, let tasks choose, fill machines.
 
-use super::chooser::PlacementCandidate;
-use super::field::{MappingRound, is_placeable};
-use super::place::{PlacementTarget, TargetKind};
+use super::candidate::PlacementCandidate;
+use super::mapping_round::{MappingRound, is_placeable};
 use super::plan::{CyclePlan, PlanningContext};
+use super::target::{PlacementTarget, TargetKind};
 use crate::Time;
+use crate::cluster_state::{ClusterState, ProvisioningRequest};
 use crate::constants::*;
 use crate::job::*;
-use crate::tables::{ClusterState, ProvisioningRequest};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
 use swiftsail_tiers::TierAssignment;
--- a/crates/controller/src/placement/gangs.rs
+++ b/crates/controller/src/placement/gangs.rs
@@ -1,9 +1,9 @@
 //! Gangs: placed whole or not at all.
 
-use super::chooser::PlacementCandidate;
-use super::field::MappingRound;
-use super::place::TargetKind;
+use super::candidate::PlacementCandidate;
+use super::mapping_round::MappingRound;
 use super::plan::PlanStep;
+use super::target::TargetKind;
 use crate::constants::*;
 use crate::job::{JobKind, MachineId};
 use crate::machine::Resources;
--- a/crates/controller/src/placement/mapping.rs
+++ b/crates/controller/src/placement/mapping.rs
@@ -1,8 +1,8 @@
 //! The mapping of choosers' tasks to places.
 
-use super::chooser::{NO_SCORE, PlacementCandidate, PlacementScore, TargetRank};
-use super::field::MappingRound;
-use super::place::{PlacementTarget, TargetKind};
+use super::candidate::{NO_SCORE, PlacementCandidate, PlacementScore, TargetRank};
+use super::mapping_round::MappingRound;
+use super::target::{PlacementTarget, TargetKind};
 use crate::constants::*;
 use crate::job::*;
 use crate::machine::Resources;
--- a/crates/controller/src/placement/field.rs
+++ b/crates/controller/src/placement/mapping_round.rs
@@ -1,17 +1,17 @@
 //! What a round works on: the tables and the view that it reads, and what it has planned so far. Whoever plays a
 //! part of a round knows this and not the others.
 
-use super::chooser::PlacementCandidate;
-use super::ends::CompletionTimes;
-use super::market::CloudAvailability;
-use super::place::{NameIndex, PlacementTarget};
+use super::candidate::PlacementCandidate;
+use super::cloud_availability::CloudAvailability;
+use super::completion_times::CompletionTimes;
 use super::plan::{CyclePlan, PlanStep, PlanningContext};
-use super::teams::TeamUsage;
+use super::target::{NameIndex, PlacementTarget};
+use super::team_usage::TeamUsage;
 use super::victims::PreemptionCandidate;
+use crate::cluster_state::{ClusterState, team_amounts};
 use crate::constants::*;
 use crate::job::*;
 use crate::machine::MachineType;
-use crate::tables::{ClusterState, team_amounts};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
--- a/crates/controller/src/placement/mod.rs
+++ b/crates/controller/src/placement/mod.rs
@@ -9,22 +9,22 @@
 //! Values first (`plan`, `place`, `chooser`, `teams`, `victims`, `market`), on them the round's `field`, on that
 //! the parts of a round, each of which knows the field and no other part, and last the `round` that plays them.
 
-mod chooser;
-mod ends;
-mod field;
+mod candidate;
+mod cloud_availability;
+mod completion_times;
+mod cycle;
 mod gangs;
-mod limits;
 mod mapping;
-mod market;
-mod place;
-mod places;
+mod mapping_round;
 mod plan;
-mod preempt;
-mod rental;
-mod round;
-mod teams;
+mod preemption;
+mod quota_limits;
+mod scale_out;
+mod target;
+mod target_collection;
+mod team_usage;
 mod victims;
 
+pub use cycle::{due_cycle, plan_cycle};
 pub use plan::{CyclePlan, PlanStep, PlanningContext};
-pub use round::{due_cycle, plan_cycle};
-pub use teams::TeamAllowances;
+pub use team_usage::TeamAllowances;
--- a/crates/controller/src/placement/plan.rs
+++ b/crates/controller/src/placement/plan.rs
@@ -1,12 +1,12 @@
 //! What a pass is made from beside the tables, and what it gives back.
 
 use crate::Time;
+use crate::cluster_state::{ProvisioningRequest, RunQueues};
 use crate::constants::*;
+use crate::cycle_policy::CyclePolicy;
 use crate::job::*;
 use crate::machine::MachineType;
 use crate::settings::Settings;
-use crate::steering::CyclePolicy;
-use crate::tables::{ProvisioningRequest, RunQueues};
 
 /// What a plan is made from beside the tables.
 #[derive(Clone, Copy)]
--- a/crates/controller/src/placement/preempt.rs
+++ b/crates/controller/src/placement/preemption.rs
@@ -1,16 +1,16 @@
 //! Preemption: services take the room of tasks of lower priority, and teams within their guarantee that of tasks
 //! which others run beyond theirs. Of gangs accelerators alone are taken, the gang whole.
 
-use super::chooser::PlacementCandidate;
-use super::field::MappingRound;
-use super::place::TargetKind;
+use super::candidate::PlacementCandidate;
+use super::mapping_round::MappingRound;
 use super::plan::PlanStep;
-use super::teams::TeamUsage;
+use super::target::TargetKind;
+use super::team_usage::TeamUsage;
 use super::victims::{PreemptionCandidate, PreemptionVictim};
+use crate::cluster_state::{team_amounts, usable};
 use crate::constants::*;
 use crate::job::*;
 use crate::machine::Resources;
-use crate::tables::{team_amounts, usable};
 use swiftsail_quota::ResourceQuantities;
 
 /// Tasks of several jobs.
--- a/crates/controller/src/placement/limits.rs
+++ b/crates/controller/src/placement/quota_limits.rs
@@ -1,17 +1,17 @@
 //! Teams at their limit: who gets what it leaves, and what is stopped so that replicas need not wait for it.
 
-use super::chooser::PlacementCandidate;
-use super::field::MappingRound;
-use super::place::{PlacementTarget, TargetKind};
+use super::candidate::PlacementCandidate;
+use super::mapping_round::MappingRound;
 use super::plan::{PlanStep, PlanningContext};
+use super::target::{PlacementTarget, TargetKind};
 use crate::Time;
+use crate::cluster_state::{ClusterState, team_amounts};
 use crate::constants::*;
 use crate::job::*;
 use crate::machine::Machine;
-use crate::tables::{ClusterState, team_amounts};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use swiftsail_quota::order::{QuotaClaim, allocate_quota};
+use swiftsail_quota::allocation::{QuotaClaim, allocate_quota};
 use swiftsail_quota::{Quantity, ResourceQuantities};
 
 /// The time by which users want a job without a deadline to be done: as the aims of its class ask of its
--- a/crates/controller/src/placement/rental.rs
+++ b/crates/controller/src/placement/scale_out.rs
@@ -1,11 +1,11 @@
 //! Machines to rent: lines behind boot and fetch time.
 
-use super::chooser::PlacementCandidate;
-use super::field::MappingRound;
-use super::market::ZoneMachines;
-use super::place::{PlacementTarget, TargetKind};
+use super::candidate::PlacementCandidate;
+use super::cloud_availability::ZoneMachines;
+use super::mapping_round::MappingRound;
+use super::target::{PlacementTarget, TargetKind};
 use crate::Time;
-use crate::chance::Pmf;
+use crate::completion_time::Pmf;
 use crate::constants::*;
 use crate::machine::{MachineState, Resources};
 use std::collections::HashMap;
--- a/crates/controller/src/placement/place.rs
+++ b/crates/controller/src/placement/target.rs
@@ -1,9 +1,9 @@
 //! Places: where a task could go.
 
-use super::ends::CompletionId;
+use super::completion_times::CompletionId;
+use crate::cluster_state::SlotId;
 use crate::job::*;
 use crate::machine::Resources;
-use crate::tables::SlotId;
 use std::collections::HashMap;
 
 /// What a place is.
--- a/crates/controller/src/placement/places.rs
+++ b/crates/controller/src/placement/target_collection.rs
@@ -1,14 +1,14 @@
 //! The places of a round: free room, lines, machines that boot.
 
-use super::ends::{CompletionId, CompletionKey};
-use super::field::MappingRound;
-use super::place::{PlacementTarget, TargetKind};
+use super::completion_times::{CompletionId, CompletionKey};
+use super::mapping_round::MappingRound;
+use super::target::{PlacementTarget, TargetKind};
 use crate::Time;
-use crate::chance::Pmf;
+use crate::cluster_state::{ClusterState, SlotId, usable};
+use crate::completion_time::Pmf;
 use crate::constants::*;
 use crate::job::*;
 use crate::machine::{MachineState, Resources};
-use crate::tables::{ClusterState, SlotId, usable};
 use std::collections::HashMap;
 use std::sync::Arc;
 
--- a/crates/controller/src/placement/teams.rs
+++ b/crates/controller/src/placement/team_usage.rs
@@ -1,8 +1,8 @@
 //! Teams as a round sees them, and what their limits leave.
 
+use crate::cluster_state::{ClusterState, team_amounts};
 use crate::job::*;
 use crate::settings::TeamSettings;
-use crate::tables::{ClusterState, team_amounts};
 use swiftsail_quota::{Quantity, QuotaLimit, ResourceQuantities};
 
 /// A team as a round sees it.
--- a/crates/controller/src/store/mod.rs
+++ b/crates/controller/src/store/mod.rs
@@ -5,7 +5,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use std::collections::{HashMap, VecDeque};
-use swiftsail_overload_control::retry::{RetryBudget, backoff_ms};
+use swiftsail_overload_control::retry_budget::{RetryBudget, backoff_ms};
 use swiftsail_protocol::state::{KeyPage, KeyValue, Transaction, WatchResponse};
 
 /// A call to the state service.
--- a/crates/dag/src/lib.rs
+++ b/crates/dag/src/lib.rs
@@ -13,14 +13,14 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod backward;
 pub mod constants;
-pub mod graph;
-pub mod walk;
+pub mod dependency_graph;
+pub mod dependency_traversal;
+pub mod effective_deadlines;
 
-pub use backward::{DurationDistribution, JobRequirements, effective_requirements};
-pub use graph::{DependencyGraph, DependencyState};
-pub use walk::{DependencyTraversal, DependencyVerdict, VisitedJob};
+pub use dependency_graph::{DependencyGraph, DependencyState};
+pub use dependency_traversal::{DependencyTraversal, DependencyVerdict, VisitedJob};
+pub use effective_deadlines::{DurationDistribution, JobRequirements, effective_requirements};
 
 /// A job's id.
 pub type JobId = std::sync::Arc<str>;
--- a/crates/deadline-planning/src/backward.rs
+++ b/crates/deadline-planning/src/backward_planning.rs
@@ -1,7 +1,7 @@
 //! From the arrival backward through the chain: by when each step must be done, and when it must begin at the latest.
 
-use crate::calendar::ChainDefinition;
 use crate::constants::*;
+use crate::schedule::ChainDefinition;
 
 /// A step's times of day, ms.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/deadline-planning/src/lib.rs
+++ b/crates/deadline-planning/src/lib.rs
@@ -10,14 +10,14 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod arrival;
-pub mod backward;
-pub mod board;
-pub mod calendar;
+pub mod backward_planning;
 pub mod constants;
+pub mod occurrence;
+pub mod schedule;
+pub mod tracker;
 
-pub use arrival::{Occurrence, OccurrencePhase, OccurrenceStep, StepPhase};
-pub use board::{DeadlineTracker, OccurrenceEvent, StepJob};
-pub use calendar::{
+pub use occurrence::{Occurrence, OccurrencePhase, OccurrenceStep, StepPhase};
+pub use schedule::{
     ChainDefinition, DeadlinePlan, DeadlineSchedule, PlanError, ScheduleEntry, StepDefinition,
 };
+pub use tracker::{DeadlineTracker, OccurrenceEvent, StepJob};
--- a/crates/deadline-planning/src/calendar.rs
+++ b/crates/deadline-planning/src/schedule.rs
@@ -9,7 +9,7 @@
 use rhai::AST;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
-use swiftsail_policy::lang::{Diagnostic, ExpressionEngine, unknown_name_message};
+use swiftsail_policy::expression_engine::{Diagnostic, ExpressionEngine, unknown_name_message};
 use swiftsail_replicated_records::Versioned;
 use swiftsail_tiers::JobAttributes;
 
@@ -173,7 +173,7 @@
             for (s, step) in chain.steps.iter().enumerate() {
                 let of = |flaw: Diagnostic| plan_error("step", &step.name, flaw.to_string());
                 let ast = lang.compile_expression(&step.when, &["job"]).map_err(of)?;
-                swiftsail_tiers::check::validate_attribute_names(&ast).map_err(of)?;
+                swiftsail_tiers::validation::validate_attribute_names(&ast).map_err(of)?;
                 steps.insert((c, s), ast);
             }
         }
--- a/crates/deadline-planning/src/board.rs
+++ b/crates/deadline-planning/src/tracker.rs
@@ -1,9 +1,9 @@
 //! All arrivals that are open: which job serves which step, and what will be late.
 
-use crate::arrival::{Occurrence, OccurrencePhase, OccurrenceStep, StepPhase};
-use crate::backward::{plan_backward, quantile};
-use crate::calendar::DeadlineSchedule;
+use crate::backward_planning::{plan_backward, quantile};
 use crate::constants::*;
+use crate::occurrence::{Occurrence, OccurrencePhase, OccurrenceStep, StepPhase};
+use crate::schedule::DeadlineSchedule;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use swiftsail_replicated_records::Versioned;
@@ -132,9 +132,10 @@
         let takes: Vec<u64> =
             line.steps.iter().map(|s| self.expected_duration(chain, &s.name)).collect();
         let times = plan_backward(line, calendar.topological_order(chain), at, &takes);
-        let step = |(s, t): (&crate::calendar::StepDefinition, &crate::backward::StepTimes)| {
-            OccurrenceStep::new(&s.name, t.deadline, t.latest_start)
-        };
+        let step =
+            |(s, t): (&crate::schedule::StepDefinition, &crate::backward_planning::StepTimes)| {
+                OccurrenceStep::new(&s.name, t.deadline, t.latest_start)
+            };
         let steps = line.steps.iter().zip(&times).map(step).collect();
         Some(Occurrence::new(name, chain, at, steps))
     }
--- a/crates/failure-detector/src/lib.rs
+++ b/crates/failure-detector/src/lib.rs
@@ -9,11 +9,13 @@
 #![warn(missing_docs)]
 
 pub mod constants;
-mod detector;
-mod hearing;
+mod failure_detector;
+mod inbound_reachability;
 
-pub use detector::{FailureDetector, Liveness, MachineObservation, MonitoredMachine, ProbeOutcome};
-pub use hearing::{InboundReachability, ReachabilityEvidence, ReachabilityTracker};
+pub use failure_detector::{
+    FailureDetector, Liveness, MachineObservation, MonitoredMachine, ProbeOutcome,
+};
+pub use inbound_reachability::{InboundReachability, ReachabilityEvidence, ReachabilityTracker};
 
 /// Steady time in ms.
 pub type Time = u64;
--- a/crates/gpu-lending/src/lib.rs
+++ b/crates/gpu-lending/src/lib.rs
@@ -6,6 +6,6 @@
 #![warn(missing_docs)]
 
 pub mod constants;
-mod lent;
+mod gpu_loans;
 
-pub use lent::{GpuLoan, GpuLoans, LenderRecord, LoanAction, LoanObservation, LoanPhase};
+pub use gpu_loans::{GpuLoan, GpuLoans, LenderRecord, LoanAction, LoanObservation, LoanPhase};
--- a/crates/overload-control/src/gate.rs
+++ b/crates/overload-control/src/admission.rs
@@ -2,7 +2,7 @@
 //! memory, so that what is least urgent is refused first, and a lease is never lost for a poll.
 
 use crate::constants::*;
-use crate::pressure::LoadLevel;
+use crate::load_level::LoadLevel;
 
 /// How urgent a request is, the most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -12,14 +12,14 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod budget;
+pub mod admission;
 pub mod constants;
-pub mod duty;
-pub mod gate;
-pub mod headroom;
-pub mod pressure;
-pub mod retry;
-pub mod turned;
+pub mod delegated_answering;
+pub mod fleet_limit;
+pub mod load_level;
+pub mod memory_budget;
+pub mod rejected_polls;
+pub mod retry_budget;
 
 /// Steady time in ms.
 pub type Time = u64;
--- a/crates/policy/src/lang.rs
+++ b/crates/policy/src/expression_engine.rs
@@ -1,8 +1,8 @@
 //! The embedded language, bounded: what every expression and plug-in runs in. There is no I/O, no
 //! clock, no randomness, no module and no `eval` in it.
 
+use crate::attributes::{Attribute, SUBJECTS};
 use crate::constants::*;
-use crate::facts::{Attribute, SUBJECTS};
 use rhai::packages::{
     BasicArrayPackage, BasicMapPackage, BasicMathPackage, CorePackage, LogicPackage,
     MoreStringPackage, Package,
--- a/crates/policy/src/hooks.rs
+++ b/crates/policy/src/hooks.rs
@@ -12,7 +12,7 @@
 //! `()` is no answer. None reaches limits, zones, proofs, or the order of priorities.
 
 use crate::constants::*;
-use crate::lang::Diagnostic;
+use crate::expression_engine::Diagnostic;
 use rhai::{Array, Dynamic, Position};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -4,12 +4,12 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod attributes;
 pub mod constants;
-pub mod facts;
+pub mod expression_engine;
 pub mod hooks;
-pub mod host;
-pub mod lang;
-pub mod operator;
+pub mod operator_settings;
 pub mod outbox;
 pub mod plugin;
-pub mod policy;
+pub mod plugin_host;
+pub mod scheduling_policy;
--- a/crates/policy/src/operator.rs
+++ b/crates/policy/src/operator_settings.rs
@@ -1,8 +1,8 @@
 //! The operators' file: what those who run the service set, beyond the platform's file. TOML, checked
 //! like the platform's; everything in it is off unless switched on.
 
-use crate::lang::Diagnostic;
-use crate::policy::{SchedulingPolicy, parameter_names};
+use crate::expression_engine::Diagnostic;
+use crate::scheduling_policy::{SchedulingPolicy, parameter_names};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/policy/src/outbox.rs
+++ b/crates/policy/src/outbox.rs
@@ -2,8 +2,8 @@
 //! events that find no room.
 
 use crate::constants::*;
-use crate::host::Time;
-use crate::lang::{Diagnostic, unknown_name_message};
+use crate::expression_engine::{Diagnostic, unknown_name_message};
+use crate::plugin_host::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
--- a/crates/policy/src/host.rs
+++ b/crates/policy/src/plugin_host.rs
@@ -1,10 +1,12 @@
 //! The plug-in host: the set in force, calls within bounds, faults and suspension. It has values in
 //! and values out, and no clock of its own.
 
+use crate::attributes::{AttributeValues, CLASS_ATTRIBUTES, CLUSTER_ATTRIBUTES, JOB_ATTRIBUTES};
 use crate::constants::*;
-use crate::facts::{AttributeValues, CLASS_ATTRIBUTES, CLUSTER_ATTRIBUTES, JOB_ATTRIBUTES};
+use crate::expression_engine::{
+    Diagnostic, ExpressionEngine, defined_functions, unknown_name_message,
+};
 use crate::hooks::{Hook, HookAnswer, compose_answers, parse_answer};
-use crate::lang::{Diagnostic, ExpressionEngine, defined_functions, unknown_name_message};
 use crate::outbox::{self, EventOutbox, EventReceiver};
 use crate::plugin::{PluginKind, PluginRecord, PluginState, source_hash};
 use rhai::{AST, Dynamic};
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/scheduling_policy.rs
@@ -1,9 +1,9 @@
 //! The policy: expressions that set what placement and fleet may be steered by. The built-in default
 //! is itself one.
 
+use crate::attributes::{AttributeValues, CLUSTER_ATTRIBUTES, JOB_ATTRIBUTES, TEAM_ATTRIBUTES};
 use crate::constants::*;
-use crate::facts::{AttributeValues, CLUSTER_ATTRIBUTES, JOB_ATTRIBUTES, TEAM_ATTRIBUTES};
-use crate::lang::{Diagnostic, ExpressionEngine};
+use crate::expression_engine::{Diagnostic, ExpressionEngine};
 use rhai::{AST, Dynamic};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -88,7 +88,7 @@
     ) -> Result<SchedulingPolicy, (String, Diagnostic)> {
         let lang = ExpressionEngine::new(MAX_POLICY_OPS);
         if let Some(name) = sources.keys().find(|n| !parameter_names().any(|k| k == n.as_str())) {
-            let cause = crate::lang::unknown_name_message(
+            let cause = crate::expression_engine::unknown_name_message(
                 "setting of the policy:",
                 name,
                 parameter_names(),
--- a/crates/quota/src/account.rs
+++ b/crates/quota/src/account.rs
@@ -6,7 +6,7 @@
 //! it has ceased to use it, and what is raised was lowered in the same transaction. So no message, clock or
 //! second opinion is needed to be within a limit.
 
-use crate::fixed::{Quantity, ResourceQuantities};
+use crate::quantities::{Quantity, ResourceQuantities};
 use crate::records::*;
 use std::collections::BTreeMap;
 
--- a/crates/quota/src/order.rs
+++ b/crates/quota/src/allocation.rs
@@ -15,7 +15,7 @@
 //! 2011): a class of accelerator work and one of CPU work then each have what they lack most of.
 
 use crate::constants::*;
-use crate::fixed::{Quantity, ResourceQuantities};
+use crate::quantities::{Quantity, ResourceQuantities};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -12,15 +12,15 @@
 #![warn(missing_docs)]
 
 pub mod account;
+pub mod allocation;
 pub mod constants;
-pub mod fixed;
-pub mod order;
 pub mod planner;
-pub mod rates;
+pub mod quantities;
+pub mod rate_loans;
 pub mod records;
 
 pub use account::QuotaAccount;
-pub use fixed::{Quantity, QuotaLimit, ResourceQuantities};
+pub use quantities::{Quantity, QuotaLimit, ResourceQuantities};
 
 /// Steady time in ms.
 pub type Time = u64;
--- a/crates/quota/src/planner/mod.rs
+++ b/crates/quota/src/planner/mod.rs
@@ -8,16 +8,16 @@
 //!   its own tasks leave as they end is given until both have as much of what they want.
 //! - What is not used for a while goes back before it is asked for.
 
-mod recall;
+mod revocation;
 
-pub use recall::RevocationPhase;
+pub use revocation::RevocationPhase;
 
 use crate::Time;
 use crate::account::{AccountPhase, QuotaAccount};
 use crate::constants::*;
-use crate::fixed::{Quantity, ResourceQuantities};
+use crate::quantities::{Quantity, ResourceQuantities};
 use crate::records::{PartitionId, QuotaTransaction, TeamName};
-use recall::QuotaRevocation;
+use revocation::QuotaRevocation;
 use std::collections::BTreeMap;
 
 /// How urgent work is: production first, then what can be in time, then the rest.
--- a/crates/quota/src/planner/recall.rs
+++ b/crates/quota/src/planner/revocation.rs
@@ -4,7 +4,7 @@
 use super::{QuotaAction, QuotaMessage, QuotaPlanner};
 use crate::Time;
 use crate::constants::*;
-use crate::fixed::{Quantity, ResourceQuantities};
+use crate::quantities::{Quantity, ResourceQuantities};
 use crate::records::{PartitionId, TeamName};
 use std::collections::BTreeMap;
 
--- a/crates/quota/src/records.rs
+++ b/crates/quota/src/records.rs
@@ -3,7 +3,7 @@
 //! Teams are divided into pages, since a value is bounded; each page has a pool and, for each decider, a
 //! holding. For every team of a page, what is in the pool and in all holdings is exactly the limit in force.
 
-use crate::fixed::ResourceQuantities;
+use crate::quantities::ResourceQuantities;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/replicated-records/src/lib.rs
+++ b/crates/replicated-records/src/lib.rs
@@ -7,11 +7,11 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod book;
 pub mod constants;
+mod record_store;
 mod versioned;
 
-pub use book::{LoadPhase, RecordStore, RecordTransaction, StoreLimits, WriteOutcome};
+pub use record_store::{LoadPhase, RecordStore, RecordTransaction, StoreLimits, WriteOutcome};
 pub use versioned::{RecordReadError, Versioned};
 
 /// Steady time in ms.
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -4,11 +4,11 @@
 
 #![forbid(unsafe_code)]
 
-pub mod amounts;
 pub mod cloud;
+pub mod cluster;
 pub mod constants;
-pub mod explorer;
-pub mod plant;
+pub mod model_checker;
+pub mod quota_model;
+pub mod simulation;
 pub mod store;
 pub mod worker;
-pub mod world;
--- a/crates/simulation/src/amounts.rs
+++ b/crates/simulation/src/quota_model.rs
@@ -1,7 +1,7 @@
 //! Small worlds in which deciders move amounts, for the explorer: every order of what they do and of what
 //! becomes of their messages, with crashes, holders that stand still and wake, and settings that differ.
 
-use crate::explorer::Model;
+use crate::model_checker::Model;
 use std::collections::BTreeMap;
 use swiftsail_quota::account::{AccountPhase, AccountStep, QuotaAccount, TransactionOutcome};
 use swiftsail_quota::records::{
--- a/crates/simulation/src/world/actions.rs
+++ b/crates/simulation/src/simulation/actions.rs
@@ -1,8 +1,8 @@
 //! What controllers ask of the world outside.
 
 use super::{CONTROLLER_COUNT, Requester, Simulation, SimulationEvent};
+use swiftsail_controller::controller::{Action, Controller, Event, Reply};
 use swiftsail_controller::job::keys;
-use swiftsail_controller::node::{Action, Controller, Event, Reply};
 use swiftsail_failure_detector::ProbeOutcome;
 use swiftsail_protocol as wire;
 use swiftsail_protocol::controllers::ForwardedAnswers;
--- a/crates/simulation/src/world/looks.rs
+++ b/crates/simulation/src/simulation/consistency_probes.rs
@@ -4,7 +4,7 @@
 use super::{CONTROLLER_COUNT, Fault, Requester, Simulation, SimulationEvent, job_body};
 use rand::Rng;
 use serde_json::Value;
-use swiftsail_controller::node::{Event, Reply, UserRequest};
+use swiftsail_controller::controller::{Event, Reply, UserRequest};
 
 /// Time within which users look, ms.
 const PROBE_WITHIN_MS: u64 = 8;
--- a/crates/simulation/src/world/steps.rs
+++ b/crates/simulation/src/simulation/event_handlers.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use std::sync::Arc;
 use swiftsail_controller::cloud;
-use swiftsail_controller::node::{Controller, Event, Now};
+use swiftsail_controller::controller::{Controller, Event, Now};
 use swiftsail_controller::settings::Settings;
 use swiftsail_protocol as wire;
 use swiftsail_protocol::workers::HeartbeatResponse;
--- a/crates/simulation/src/world/spells.rs
+++ b/crates/simulation/src/simulation/fault_windows.rs
@@ -3,7 +3,7 @@
 use super::{CONTROLLER_COUNT, START_MS, Simulation, SimulationEvent};
 use rand::Rng;
 use swiftsail_controller::cloud;
-use swiftsail_controller::node::{Controller, Event};
+use swiftsail_controller::controller::{Controller, Event};
 use swiftsail_controller::store::{StoreCall, StoreOutcome};
 use swiftsail_protocol::state::Transaction;
 use swiftsail_protocol::workers::StatusReport;
--- a/crates/simulation/src/world/rules.rs
+++ b/crates/simulation/src/simulation/invariants.rs
@@ -4,7 +4,7 @@
 use crate::worker::FakeWorker;
 use serde_json::json;
 use std::collections::{BTreeMap, HashMap};
-use swiftsail_controller::node::Controller;
+use swiftsail_controller::controller::Controller;
 
 impl Simulation {
     /// Checks every rule on what is on the machines now.
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/simulation/mod.rs
@@ -3,34 +3,34 @@
 //! step. Every choice comes from one seed.
 
 mod actions;
-mod beside_room;
-mod inversions;
-mod looks;
-mod pipelines;
-mod processor;
+mod consistency_probes;
+mod dependencies;
+mod event_handlers;
+mod fault_windows;
+mod invariants;
+mod priority_inversions;
+mod reachability_faults;
 mod record;
-mod rules;
-mod scene;
-mod served;
+mod scenario;
+mod service_levels;
 mod services;
-mod spells;
-mod steps;
-mod troubles;
+mod simulated_cpu;
 mod users;
+mod work_conservation;
 
-use processor::SimulatedCpu;
+pub use fault_windows::{Fault, FaultWindow, TransactionFate, TransactionInterceptor};
+pub use reachability_faults::InboundFailure;
 pub use record::Recorder;
-use scene::{CONTROLLER_COUNT, unlimited_store_rates};
-pub use scene::{
+use scenario::{CONTROLLER_COUNT, unlimited_store_rates};
+pub use scenario::{
     controller_settings, gpu_job_body, gpu_machine_offers, job_body, job_spec, machine_offers,
     submit_mixed_load,
 };
-pub use spells::{Fault, FaultWindow, TransactionFate, TransactionInterceptor};
-pub use troubles::InboundFailure;
+use simulated_cpu::SimulatedCpu;
 pub use users::{SimulatedJob, assert_all_jobs_over};
 
 use crate::cloud::MachineOffer;
-use crate::plant::SimulatedCluster;
+use crate::cluster::SimulatedCluster;
 use crate::store::FakeStore;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -38,11 +38,11 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use swiftsail_controller::cloud;
+use swiftsail_controller::controller::{AdminRequest, Controller, Event, Now, Reply};
 use swiftsail_controller::job::JobId;
-use swiftsail_controller::node::{AdminRequest, Controller, Event, Now, Reply};
 use swiftsail_controller::store::StoreCall;
-use swiftsail_overload_control::turned::RejectedPolls;
-use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_overload_control::rejected_polls::RejectedPolls;
+use swiftsail_policy::operator_settings::OperatorSettings;
 use swiftsail_policy::outbox::EventDelivery;
 use swiftsail_protocol as wire;
 use swiftsail_protocol::controllers::{ForwardedReports, Heartbeat};
--- a/crates/simulation/src/world/inversions.rs
+++ b/crates/simulation/src/simulation/priority_inversions.rs
@@ -4,10 +4,10 @@
 
 use super::Simulation;
 use std::collections::BTreeSet;
+use swiftsail_controller::cluster_state::{ClusterState, rank_of, team_amounts};
+use swiftsail_controller::controller::Controller;
 use swiftsail_controller::job::{AttemptPhase, Job, JobId, JobKind, JobState};
 use swiftsail_controller::machine::{Machine, Resources};
-use swiftsail_controller::node::Controller;
-use swiftsail_controller::tables::{ClusterState, rank_of, team_amounts};
 
 /// Whether a replica of a job could have had a machine that has so much room.
 fn could_place(
--- a/crates/simulation/src/world/troubles.rs
+++ b/crates/simulation/src/simulation/reachability_faults.rs
@@ -3,7 +3,7 @@
 
 use super::{Simulation, SimulationEvent};
 use rand::Rng;
-use swiftsail_controller::node::Event;
+use swiftsail_controller::controller::Event;
 use swiftsail_protocol::workers::StatusReport;
 
 /// Machines that do not hear for a time.
--- a/crates/simulation/src/world/record.rs
+++ b/crates/simulation/src/simulation/record.rs
@@ -3,7 +3,7 @@
 use super::Simulation;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use swiftsail_controller::node::Action;
+use swiftsail_controller::controller::Action;
 use swiftsail_controller::{cloud, store};
 use swiftsail_protocol as wire;
 use swiftsail_protocol::controllers::{ForwardedAnswers, Heartbeat};
--- a/crates/simulation/src/world/services.rs
+++ b/crates/simulation/src/simulation/services.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 use swiftsail_controller::cloud;
-use swiftsail_controller::node::Event;
+use swiftsail_controller::controller::Event;
 use swiftsail_controller::store::{StoreCall, StoreOutcome};
 use swiftsail_protocol::cloud::MachineNames;
 
--- a/crates/simulation/src/world/processor.rs
+++ b/crates/simulation/src/simulation/simulated_cpu.rs
@@ -4,9 +4,9 @@
 
 use super::{Simulation, SimulationEvent};
 use std::collections::VecDeque;
-use swiftsail_controller::node::{Action, Controller, Event, Reply, UserRequest};
-use swiftsail_overload_control::budget::MemoryBudget;
-use swiftsail_overload_control::gate::{AdmissionGate, RequestPriority};
+use swiftsail_controller::controller::{Action, Controller, Event, Reply, UserRequest};
+use swiftsail_overload_control::admission::{AdmissionGate, RequestPriority};
+use swiftsail_overload_control::memory_budget::MemoryBudget;
 
 /// A node's processor.
 #[derive(Debug, Default)]
--- a/crates/simulation/src/world/users.rs
+++ b/crates/simulation/src/simulation/users.rs
@@ -3,7 +3,7 @@
 use super::{CONTROLLER_COUNT, Requester, Simulation, SimulationEvent};
 use rand::Rng;
 use serde_json::Value;
-use swiftsail_controller::node::{Controller, Event, Reply, UserRequest};
+use swiftsail_controller::controller::{Controller, Event, Reply, UserRequest};
 
 /// Time between two looks of a user whether the jobs that a next one needs are accepted, ms.
 const DEPENDENCY_RETRY_MS: u64 = 100;
--- a/crates/tiers/src/lib.rs
+++ b/crates/tiers/src/lib.rs
@@ -9,14 +9,14 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod check;
 pub mod constants;
-pub mod line;
-pub mod table;
+pub mod queue_order;
+pub mod tier_table;
+pub mod validation;
 
-pub use check::TierTableError;
-pub use line::{QueuePosition, WaitingJob, queue_order};
-pub use table::{
+pub use queue_order::{QueuePosition, WaitingJob, queue_order};
+pub use tier_table::{
     JobAttributes, JobKindAttribute, JobPriorityAttribute, TierAssignment, TierDefinition,
     TierTable, TierTableRecord,
 };
+pub use validation::TierTableError;
--- a/crates/tiers/src/line.rs
+++ b/crates/tiers/src/queue_order.rs
@@ -1,6 +1,6 @@
 //! The line of waiting work: who comes before whom, from records alone.
 
-use crate::table::JobPriorityAttribute;
+use crate::tier_table::JobPriorityAttribute;
 use std::collections::HashMap;
 
 /// What the line knows of a job, all of it from its record.
--- a/crates/tiers/src/table.rs
+++ b/crates/tiers/src/tier_table.rs
@@ -1,12 +1,12 @@
 //! The table of tiers: named, ordered, each with an expression over what a job asks for. What changes while a
 //! job waits is out of its reach, or the line would change with it.
 
-use crate::check::{self, TierTableError};
 use crate::constants::*;
+use crate::validation::{self, TierTableError};
 use rhai::{AST, Dynamic, Map};
 use serde::{Deserialize, Serialize};
 use std::fmt;
-use swiftsail_policy::lang::{Diagnostic, ExpressionEngine};
+use swiftsail_policy::expression_engine::{Diagnostic, ExpressionEngine};
 use swiftsail_replicated_records::Versioned;
 
 /// A job's priority, the highest last.
@@ -189,7 +189,7 @@
     /// remedy.
     pub fn new(record: TierTableRecord) -> Result<TierTable, TierTableError> {
         let table = TierTable::compile(record)?;
-        check::run_trials(&table)?;
+        validation::run_trials(&table)?;
         Ok(table)
     }
 
@@ -197,11 +197,11 @@
     pub fn compile(record: TierTableRecord) -> Result<TierTable, TierTableError> {
         let lang = ExpressionEngine::new(MAX_EXPRESSION_OPS);
         let mut compiled = Vec::with_capacity(record.tiers.len());
-        check::validate_structure(&record)?;
+        validation::validate_structure(&record)?;
         for (number, tier) in record.tiers.iter().enumerate() {
             let flawed = |flaw: Diagnostic| TierTableError::from_diagnostic(&record, number, flaw);
             let ast = lang.compile_expression(&tier.when, &["job"]).map_err(flawed)?;
-            check::validate_attribute_names(&ast).map_err(flawed)?;
+            validation::validate_attribute_names(&ast).map_err(flawed)?;
             compiled.push(ast);
         }
         Ok(TierTable { record, engine: lang, expressions: compiled })
--- a/crates/tiers/src/check.rs
+++ b/crates/tiers/src/validation.rs
@@ -2,13 +2,13 @@
 //! reach, and a lower priority above a higher one, on which the protocol's preemption forbids acting.
 
 use crate::constants::*;
-use crate::table::{
+use crate::tier_table::{
     ATTRIBUTE_NAMES, JobAttributes, JobKindAttribute, JobPriorityAttribute, TierTable,
     TierTableRecord, UNTIERED_NAME,
 };
 use rhai::{AST, ASTNode, Expr};
 use std::collections::BTreeSet;
-use swiftsail_policy::lang::{Diagnostic, unknown_name_message};
+use swiftsail_policy::expression_engine::{Diagnostic, unknown_name_message};
 
 /// A table that is not sound: which tier, where, and why.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
--- a/examples/explore.rs
+++ b/examples/explore.rs
@@ -3,8 +3,8 @@
 
 use clap::Parser;
 use std::time::Instant;
-use swiftsail_simulation::amounts::{FaultBudget, QuotaModel, RemovedGuard};
-use swiftsail_simulation::explorer::check_model;
+use swiftsail_simulation::model_checker::check_model;
+use swiftsail_simulation::quota_model::{FaultBudget, QuotaModel, RemovedGuard};
 
 #[derive(Parser)]
 struct Args {
--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -2,17 +2,17 @@
 //! `cargo run --release --example pass_cost`. Figures go into docs/plugins.md.
 
 use std::time::Instant;
+use swiftsail_controller::cluster_state::{ClusterState, ReportSource};
+use swiftsail_controller::controller::{self, Now, PolicyContext};
+use swiftsail_controller::cycle_policy::CyclePolicy;
 use swiftsail_controller::job::{JobKind, JobRecord, keys};
 use swiftsail_controller::machine::MachineType;
-use swiftsail_controller::node::{self, Now, PolicyContext};
 use swiftsail_controller::placement::PlanningContext;
-use swiftsail_controller::steering::CyclePolicy;
-use swiftsail_controller::tables::{ClusterState, ReportSource};
-use swiftsail_policy::host::PluginHost;
 use swiftsail_policy::plugin::{PluginKind, PluginRecord, PluginState, source_hash};
-use swiftsail_policy::policy::SchedulingPolicy;
+use swiftsail_policy::plugin_host::PluginHost;
+use swiftsail_policy::scheduling_policy::SchedulingPolicy;
 use swiftsail_protocol::workers::{StatusReport, TaskPhase, TaskStatus};
-use swiftsail_simulation::world::{START_MS, controller_settings, job_spec, machine_offers};
+use swiftsail_simulation::simulation::{START_MS, controller_settings, job_spec, machine_offers};
 
 const MACHINES: usize = 800;
 const JOBS: usize = 190;
@@ -132,7 +132,7 @@
                 types: &types,
                 now: at,
             };
-            node::steer(&tables, asking, &mut steering, true);
+            controller::steer(&tables, asking, &mut steering, true);
             asking_s += begin.elapsed().as_secs_f64();
             let begin = Instant::now();
             let view = PlanningContext {
@@ -142,7 +142,7 @@
                 machine_types: &types,
                 policy: &steering,
             };
-            let passed = node::run_scheduling_cycle(&mut tables, view, true);
+            let passed = controller::run_scheduling_cycle(&mut tables, view, true);
             pass_s += begin.elapsed().as_secs_f64();
             host.end_cycle(passed.scored);
             looked += passed.looked;
--- a/examples/trace/recording.rs
+++ b/examples/trace/recording.rs
@@ -4,7 +4,7 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use swiftsail_simulation::world::Simulation;
+use swiftsail_simulation::simulation::Simulation;
 
 /// Digest and size of what was recorded.
 #[derive(Debug, PartialEq)]
--- a/examples/trace/scenarios.rs
+++ b/examples/trace/scenarios.rs
@@ -1,10 +1,10 @@
 //! The fixed worlds: what each is, and what happens in it.
 
 use serde_json::{Value, json};
-use swiftsail_controller::node::{AdminRequest, Controller};
-use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_controller::controller::{AdminRequest, Controller};
+use swiftsail_policy::operator_settings::OperatorSettings;
 use swiftsail_policy::plugin::{PluginKind, PluginOffer};
-use swiftsail_simulation::world::{
+use swiftsail_simulation::simulation::{
     Fault, FaultRates, InboundFailure, NetworkPartition, Simulation, gpu_job_body,
     gpu_machine_offers, job_body, submit_mixed_load,
 };
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -1,14 +1,14 @@
 //! The operators' listener: JSON over HTTP, apart from the protocol's own listeners.
 
 use crate::constants::*;
-use crate::controller::{ControllerActor, IncomingRequest, TypedRequest};
-use crate::front::respond;
+use crate::http::respond;
+use crate::runtime::{ControllerActor, IncomingRequest, TypedRequest};
 use actix::Addr;
 use actix_web::{App, HttpResponse, HttpServer, web};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
-use swiftsail_controller::node::{AdminRequest, Reply};
+use swiftsail_controller::controller::{AdminRequest, Reply};
 use swiftsail_policy::plugin::PluginTransition;
 
 /// Paths of this listener.
--- a/src/entry.rs
+++ b/src/admission.rs
@@ -2,16 +2,16 @@
 //! body is read; what trickles is cut off.
 
 use crate::constants::*;
-use crate::front::{MESSAGE_PACK, respond};
+use crate::http::{MESSAGE_PACK, respond};
 use actix_web::rt::time::timeout;
 use actix_web::{HttpRequest, HttpResponse, web};
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
-use swiftsail_controller::node::Reply;
-use swiftsail_overload_control::gate::{AdmissionGate, RequestPriority};
-use swiftsail_overload_control::pressure::LoadLevel;
-use swiftsail_overload_control::turned::RejectedPolls;
+use swiftsail_controller::controller::Reply;
+use swiftsail_overload_control::admission::{AdmissionGate, RequestPriority};
+use swiftsail_overload_control::load_level::LoadLevel;
+use swiftsail_overload_control::rejected_polls::RejectedPolls;
 use swiftsail_protocol::constants::MAX_BODY_BYTES;
 use swiftsail_protocol::users::ErrorResponse;
 
--- a/src/commands/dispatch.rs
+++ b/src/commands/dispatch.rs
@@ -1,13 +1,13 @@
 //! Dispatch: list, show, add, why, set.
 
-use super::{AdminTarget, admin_request, show};
+use super::{AdminTarget, admin_request, output};
 use crate::admin::path;
 use clap::Subcommand;
 use serde_json::{Value, json};
 use std::error::Error;
 use std::path::{Path, PathBuf};
-use swiftsail_controller::node::plan_of_file;
-use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_controller::controller::plan_of_file;
+use swiftsail_policy::operator_settings::OperatorSettings;
 
 /// What may be done with arrivals.
 #[derive(Debug, Subcommand)]
@@ -94,26 +94,26 @@
             DispatchCommand::List { admin } => {
                 let all = admin_request(&admin, "GET", path::DISPATCH, Vec::new())?;
                 if admin.json {
-                    show::print_json(&all);
+                    output::print_json(&all);
                     return Ok(());
                 }
                 let fields = ["arrival", "chain", "phase", "in_s", "stuck_at", "why"];
                 let rows = all["arrivals"].as_array().into_iter().flatten();
-                show::print_table(&fields, rows.map(|a| show::row_cells(a, &fields)).collect());
+                output::print_table(&fields, rows.map(|a| output::row_cells(a, &fields)).collect());
             }
             DispatchCommand::Show { arrival, admin } => {
                 let found = fetch_arrival(&admin, &arrival)?;
                 if admin.json {
-                    show::print_json(&found);
+                    output::print_json(&found);
                     return Ok(());
                 }
                 let fields = ["step", "stage", "job", "left_s", "deadline_ms", "latest_start_ms"];
                 let rows = found["steps"].as_array().into_iter().flatten();
-                show::print_table(&fields, rows.map(|s| show::row_cells(s, &fields)).collect());
+                output::print_table(&fields, rows.map(|s| output::row_cells(s, &fields)).collect());
             }
             DispatchCommand::Why { arrival, admin } => {
                 let found = fetch_arrival(&admin, &arrival)?;
-                let cell = |name: &str| show::cell_text(&found[name]);
+                let cell = |name: &str| output::cell_text(&found[name]);
                 let said = match found["stuck_at"].is_null() {
                     true => format!("{}: {}, nothing is stuck", cell("arrival"), cell("phase")),
                     false => format!(
@@ -125,19 +125,19 @@
                         cell("in_s")
                     ),
                 };
-                show::print_line(&said);
+                output::print_line(&said);
             }
             DispatchCommand::Add { name, chain, at, admin } => {
                 let body = json!({ "name": name, "chain": chain, "at_ms": parse_time(&at)? });
                 let done =
                     admin_request(&admin, "POST", path::DISPATCH, serde_json::to_vec(&body)?)?;
                 if admin.json {
-                    show::print_json(&done);
+                    output::print_json(&done);
                 } else {
-                    show::print_line(&format!(
+                    output::print_line(&format!(
                         "{}: {}",
-                        show::cell_text(&done["record"]),
-                        show::cell_text(&done["status"])
+                        output::cell_text(&done["record"]),
+                        output::cell_text(&done["status"])
                     ));
                 }
             }
@@ -148,7 +148,10 @@
                     format!("operators' file {name}: it has no [dispatch] table; add one")
                 })?;
                 admin_request(&admin, "PUT", path::DISPATCH, serde_json::to_vec(&plan)?)?;
-                show::print_line(&format!("dispatch plan, version {}: committed", plan["version"]));
+                output::print_line(&format!(
+                    "dispatch plan, version {}: committed",
+                    plan["version"]
+                ));
             }
         }
         Ok(())
--- a/src/commands/jobs.rs
+++ b/src/commands/jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs: submit, poll, cancel, list.
 
-use super::{AdminTarget, ServiceTarget, block_on, show};
+use super::{AdminTarget, ServiceTarget, block_on, output};
 use crate::admin::path;
 use crate::client::Client;
 use clap::Subcommand;
@@ -167,10 +167,10 @@
         "done": answer.tasks_done, "running": answer.tasks_running,
     });
     if as_json {
-        show::print_json(&shown);
+        output::print_json(&shown);
     } else {
         let fields = ["job", "status", "running", "done"];
-        show::print_table(&fields, vec![show::row_cells(&shown, &fields)]);
+        output::print_table(&fields, vec![output::row_cells(&shown, &fields)]);
     }
 }
 
@@ -191,7 +191,7 @@
         }
     })?;
     if admin.json {
-        show::print_json(&Value::Array(jobs));
+        output::print_json(&Value::Array(jobs));
         return Ok(());
     }
     let fields = [
@@ -207,6 +207,6 @@
         "age_s",
         "deadline_s",
     ];
-    show::print_table(&fields, jobs.iter().map(|j| show::row_cells(j, &fields)).collect());
+    output::print_table(&fields, jobs.iter().map(|j| output::row_cells(j, &fields)).collect());
     Ok(())
 }
--- a/src/commands/loans.rs
+++ b/src/commands/loans.rs
@@ -1,6 +1,6 @@
 //! Loans: list, show.
 
-use super::{AdminTarget, admin_request, show};
+use super::{AdminTarget, admin_request, output};
 use crate::admin::path;
 use clap::Subcommand;
 use std::error::Error;
@@ -33,12 +33,12 @@
         };
         let all = admin_request(&admin, "GET", &path, Vec::new())?;
         if admin.json {
-            show::print_json(&all);
+            output::print_json(&all);
             return Ok(());
         }
         let fields = ["lender", "borrower", "machine", "gpus", "stage", "for_s"];
         let rows = all["loans"].as_array().into_iter().flatten();
-        show::print_table(&fields, rows.map(|l| show::row_cells(l, &fields)).collect());
+        output::print_table(&fields, rows.map(|l| output::row_cells(l, &fields)).collect());
         Ok(())
     }
 }
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -3,9 +3,9 @@
 mod dispatch;
 mod jobs;
 mod loans;
+mod output;
 mod pipelines;
 mod plugins;
-mod show;
 mod tiers;
 
 pub use dispatch::{DispatchCommand, load_dispatch_plan};
@@ -76,6 +76,6 @@
     let body = serde_json::to_vec(fault)?;
     let client = || Client::new(vec![at]);
     let answer = block_on(async { client().admin_request("POST", path::FAULT, body).await })?;
-    show::print_line(answer["done"].as_str().unwrap_or("done"));
+    output::print_line(answer["done"].as_str().unwrap_or("done"));
     Ok(())
 }
--- a/src/commands/pipelines.rs
+++ b/src/commands/pipelines.rs
@@ -1,6 +1,6 @@
 //! Pipelines: what a job waits for, what waits for it, and by when each has to be done.
 
-use super::{AdminTarget, admin_request, show};
+use super::{AdminTarget, admin_request, output};
 use crate::admin::path;
 use clap::Subcommand;
 use std::error::Error;
@@ -24,13 +24,13 @@
         let PipelineCommand::Show { job, admin } = self;
         let all = admin_request(&admin, "GET", &path::PIPELINE.replace("{id}", &job), Vec::new())?;
         if admin.json {
-            show::print_json(&all);
+            output::print_json(&all);
             return Ok(());
         }
         let fields =
             ["job", "class", "state", "priority", "tasks", "done", "left_s", "awaits", "waits_for"];
         let rows = all["jobs"].as_array().into_iter().flatten();
-        show::print_table(&fields, rows.map(|j| show::row_cells(j, &fields)).collect());
+        output::print_table(&fields, rows.map(|j| output::row_cells(j, &fields)).collect());
         Ok(())
     }
 }
--- a/src/commands/plugins.rs
+++ b/src/commands/plugins.rs
@@ -1,14 +1,14 @@
 //! Plug-ins: add, list, show, switch on and off, remove, explain.
 
-use super::{AdminTarget, admin_request, show};
+use super::{AdminTarget, admin_request, output};
 use crate::admin::path;
 use clap::Subcommand;
 use serde_json::Value;
 use std::error::Error;
 use std::path::{Path, PathBuf};
 use swiftsail_policy::constants::DEFAULT_PRECEDENCE;
-use swiftsail_policy::host::{PluginHost, try_hook};
 use swiftsail_policy::plugin::{PluginKind, PluginOffer, is_valid_name};
+use swiftsail_policy::plugin_host::{PluginHost, try_hook};
 
 /// What may be done with plug-ins.
 #[derive(Debug, Subcommand)]
@@ -112,7 +112,7 @@
         match self {
             PluginCommand::Check { file } => {
                 check_plugin_file(&file)?;
-                show::print_line(&format!("{}: the plug-in is sound", file.display()));
+                output::print_line(&format!("{}: the plug-in is sound", file.display()));
             }
             PluginCommand::Add { name, file, precedence, disabled, admin } => {
                 if !is_valid_name(&name) {
@@ -140,7 +140,7 @@
                 let mut found = all["plugins"].as_array().into_iter().flatten();
                 let found = found.find(|p| p["name"] == name.as_str());
                 let found = found.ok_or_else(|| format!("no plug-in `{name}`; see plugin list"))?;
-                show::print_fields(found, admin.json);
+                output::print_fields(found, admin.json);
             }
             PluginCommand::Explain { job, admin } => {
                 let path = path::EXPLAIN.replace("{id}", &job);
@@ -160,11 +160,14 @@
 ) -> Result<(), Box<dyn Error>> {
     let done = admin_request(admin, method, path, body)?;
     if admin.json {
-        show::print_json(&done);
+        output::print_json(&done);
     } else {
-        let said =
-            format!("{}: {}", show::cell_text(&done["plugin"]), show::cell_text(&done["status"]));
-        show::print_line(&said);
+        let said = format!(
+            "{}: {}",
+            output::cell_text(&done["plugin"]),
+            output::cell_text(&done["status"])
+        );
+        output::print_line(&said);
     }
     Ok(())
 }
@@ -172,33 +175,33 @@
 fn list_plugins(admin: &AdminTarget) -> Result<(), Box<dyn Error>> {
     let all = admin_request(admin, "GET", path::PLUGINS, Vec::new())?;
     if admin.json {
-        show::print_json(&all);
+        output::print_json(&all);
         return Ok(());
     }
     let fields =
         ["name", "kind", "state", "version", "precedence", "hooks", "calls", "ops", "reason"];
     let rows = all["plugins"].as_array().into_iter().flatten();
-    show::print_table(&fields, rows.map(|p| show::row_cells(p, &fields)).collect());
+    output::print_table(&fields, rows.map(|p| output::row_cells(p, &fields)).collect());
     Ok(())
 }
 
 fn print_explanation(found: &Value, as_json: bool) {
     if as_json {
-        return show::print_json(found);
+        return output::print_json(found);
     }
     let mut rows = Vec::new();
     for part in ["waits", "limit"] {
         let said = if part == "limit" { &found["waits"]["limit"] } else { &found["waits"] };
         for (name, value) in said.as_object().into_iter().flatten().filter(|(_, v)| !v.is_object())
         {
-            rows.push(vec![name.clone(), part.into(), show::cell_text(value)]);
+            rows.push(vec![name.clone(), part.into(), output::cell_text(value)]);
         }
     }
     for lent in found["lent"].as_array().into_iter().flatten() {
-        rows.push(vec!["lent".into(), "loans".into(), show::cell_text(lent)]);
+        rows.push(vec!["lent".into(), "loans".into(), output::cell_text(lent)]);
     }
     for (name, value) in found["policy"].as_object().into_iter().flatten() {
-        rows.push(vec![name.clone(), "policy".into(), show::cell_text(value)]);
+        rows.push(vec![name.clone(), "policy".into(), output::cell_text(value)]);
     }
     for (hook, verdict) in found["hooks"].as_object().into_iter().flatten() {
         for said in verdict["said"].as_array().into_iter().flatten() {
@@ -206,13 +209,13 @@
             let answer = answer.as_object().and_then(|o| o.values().next()).unwrap_or(answer);
             rows.push(vec![
                 hook.clone(),
-                show::cell_text(&said["plugin"]),
-                show::cell_text(answer),
+                output::cell_text(&said["plugin"]),
+                output::cell_text(answer),
             ]);
         }
     }
     for (name, value) in found["taken"].as_object().into_iter().flatten() {
-        rows.push(vec![name.clone(), "taken".into(), show::cell_text(value)]);
+        rows.push(vec![name.clone(), "taken".into(), output::cell_text(value)]);
     }
-    show::print_table(&["what", "who", "said"], rows);
+    output::print_table(&["what", "who", "said"], rows);
 }
--- a/src/commands/tiers.rs
+++ b/src/commands/tiers.rs
@@ -1,12 +1,12 @@
 //! Tiers: list, show, set, explain.
 
-use super::{AdminTarget, admin_request, show};
+use super::{AdminTarget, admin_request, output};
 use crate::admin::path;
 use clap::Subcommand;
 use std::error::Error;
 use std::path::PathBuf;
-use swiftsail_controller::node::tiers_of_file;
-use swiftsail_policy::operator::{OperatorSettings, line_and_column};
+use swiftsail_controller::controller::tiers_of_file;
+use swiftsail_policy::operator_settings::{OperatorSettings, line_and_column};
 use swiftsail_tiers::{TierTable, TierTableError, TierTableRecord};
 
 /// What may be done with tiers.
@@ -82,13 +82,13 @@
             TierCommand::List { admin } => {
                 let all = admin_request(&admin, "GET", path::TIERS, Vec::new())?;
                 if admin.json {
-                    show::print_json(&all);
+                    output::print_json(&all);
                     return Ok(());
                 }
                 let fields =
                     ["tier", "when", "ordered", "jobs", "tasks_waiting", "first", "held_by_limit"];
                 let rows = all["tiers"].as_array().into_iter().flatten();
-                show::print_table(&fields, rows.map(|t| show::row_cells(t, &fields)).collect());
+                output::print_table(&fields, rows.map(|t| output::row_cells(t, &fields)).collect());
             }
             TierCommand::Show { admin } => {
                 let mut all = admin_request(&admin, "GET", path::TIERS, Vec::new())?;
@@ -96,7 +96,7 @@
                     let names = tiers.iter().map(|t| t["tier"].clone()).collect();
                     all["tiers"] = serde_json::Value::Array(names);
                 }
-                show::print_fields(&all, admin.json);
+                output::print_fields(&all, admin.json);
             }
             TierCommand::Set { file, admin } => {
                 let operator = OperatorSettings::load(&file)?;
@@ -106,15 +106,15 @@
                 })?;
                 let done = admin_request(&admin, "PUT", path::TIERS, serde_json::to_vec(&table)?)?;
                 if admin.json {
-                    show::print_json(&done);
+                    output::print_json(&done);
                 } else {
-                    show::print_line(&format!("tiers, version {}: committed", table.version));
+                    output::print_line(&format!("tiers, version {}: committed", table.version));
                 }
             }
             TierCommand::Explain { job, admin } => {
                 let path = path::JOB_TIER.replace("{id}", &job);
                 let found = admin_request(&admin, "GET", &path, Vec::new())?;
-                show::print_fields(&found, admin.json);
+                output::print_fields(&found, admin.json);
             }
         }
         Ok(())
--- a/src/front.rs
+++ b/src/http.rs
@@ -1,9 +1,9 @@
 //! The HTTP front: users, workers, health checks; and the controllers' own listener. Every request
 //! passes the gate before its body is read.
 
+use crate::admission::{AdmissionController, AdmittedRequest};
 use crate::constants::*;
-use crate::controller::{ControllerActor, IncomingHeartbeat, IncomingRequest, TypedRequest};
-use crate::entry::{AdmissionController, AdmittedRequest};
+use crate::runtime::{ControllerActor, IncomingHeartbeat, IncomingRequest, TypedRequest};
 use actix::Addr;
 use actix_web::dev::Payload;
 use actix_web::error::InternalError;
@@ -12,10 +12,10 @@
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::time::Duration;
-use swiftsail_controller::node::{Reply, UserRequest};
+use swiftsail_controller::controller::{Reply, UserRequest};
 use swiftsail_controller::settings::Settings;
-use swiftsail_overload_control::budget::MemoryBudget;
-use swiftsail_overload_control::gate::RequestPriority;
+use swiftsail_overload_control::admission::RequestPriority;
+use swiftsail_overload_control::memory_budget::MemoryBudget;
 use swiftsail_protocol::users::ErrorResponse;
 use swiftsail_protocol::{controllers, decode, encode, users, workers};
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,12 +8,12 @@
 #![warn(missing_docs)]
 
 pub mod admin;
+pub mod admission;
 pub mod client;
 pub mod commands;
 pub mod constants;
-pub mod controller;
-pub mod entry;
-pub mod front;
+pub mod http;
 pub mod local;
 pub mod logging;
 pub mod program;
+pub mod runtime;
--- a/src/local/outside.rs
+++ b/src/local/emulator.rs
@@ -1,9 +1,9 @@
 //! The actor that owns the pure machines of `swiftsail local`: state service, cloud and plant. It
 //! reads the clock, applies faults, and carries workers' reports to the controllers.
 
+use super::config::{LocalConfig, PortPlan, controller_number, zone_of_controller};
 use super::faults::Fault;
-use super::keep::Persistence;
-use super::model::{LocalConfig, PortPlan, controller_number, zone_of_controller};
+use super::persistence::Persistence;
 use crate::constants::*;
 use actix::prelude::*;
 use awc::Client;
@@ -12,15 +12,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 use swiftsail_controller::job::{JobRecord, keys};
-use swiftsail_controller::term::LeaderRecord;
+use swiftsail_controller::leadership::LeaderRecord;
 use swiftsail_protocol::cloud::{MachineNames, NO_CAPACITY, ProvisionMachinesRequest};
 use swiftsail_protocol::state::{self, LeaseResponse, Transaction};
 use swiftsail_protocol::workers::{
     CommandKind, DirectCommands, HeartbeatResponse, Redirect, StatusReport, path,
 };
 use swiftsail_protocol::{decode, encode};
+use swiftsail_simulation::cluster::SimulatedCluster;
 use swiftsail_simulation::constants::MAX_WATCH_WAIT_MS;
-use swiftsail_simulation::plant::SimulatedCluster;
 use swiftsail_simulation::store::{CompactedRevision, FakeStore, TransactionResult};
 use tokio::sync::{mpsc, oneshot, watch};
 
--- a/src/local/serve.rs
+++ b/src/local/http.rs
@@ -1,11 +1,11 @@
 //! The listeners of `swiftsail local`: state service, cloud and workers over HTTP, as the protocol has
 //! them. Each controller has ways of its own to the first two, so that faults can tell them apart.
 
-use super::faults::Fault;
-use super::model::PortPlan;
-use super::outside::{
+use super::config::PortPlan;
+use super::emulator::{
     Emulator, EmulatorCall, EmulatorRequest, GetEmulatorStatus, InjectFault, RawResponse,
 };
+use super::faults::Fault;
 use crate::constants::*;
 use actix::Addr;
 use actix_web::http::StatusCode;
--- a/src/local/mod.rs
+++ b/src/local/mod.rs
@@ -1,26 +1,26 @@
 //! `swiftsail local`: one machine in one command. A state service, a cloud with its machines and real
 //! controller processes on loopback, speaking the protocol over real HTTP.
 
+mod config;
+mod emulator;
+mod fault_proxy;
 mod faults;
-pub mod keep;
-mod link;
-mod model;
-mod outside;
+mod http;
+pub mod persistence;
 mod processes;
-mod serve;
 
+pub use config::{LocalConfig, PortPlan, write_controller_config};
+pub use emulator::EmulatorStatus;
 pub use faults::Fault;
-pub use model::{LocalConfig, PortPlan, write_controller_config};
-pub use outside::EmulatorStatus;
-pub use serve::path;
+pub use http::path;
 
 use crate::constants::*;
 use crate::logging::LogFormat;
 use actix::Actor;
 use clap::Args;
+use emulator::{Emulator, GetEmulatorStatus};
 use indicatif::{ProgressBar, ProgressStyle};
-use keep::Persistence;
-use outside::{Emulator, GetEmulatorStatus};
+use persistence::Persistence;
 use processes::ControllerProcesses;
 use std::collections::BTreeSet;
 use std::error::Error;
@@ -110,8 +110,8 @@
     };
     let files = (0..nodes).map(|node| {
         let (config, operator) =
-            model::write_controller_config(&model, ports, node, nodes, &folder)?;
-        Ok((model::controller_name(node), config, operator))
+            config::write_controller_config(&model, ports, node, nodes, &folder)?;
+        Ok((config::controller_name(node), config, operator))
     });
     let files = files.collect::<std::io::Result<Vec<_>>>()?;
     let seed = args.seed.unwrap_or_else(rand::random);
@@ -124,7 +124,7 @@
         let (crash, mut crashes) = mpsc::unbounded_channel();
         let outside = Emulator::new(&model, ports, nodes, (args.speed, seed), keep, links, crash)?;
         let outside = outside.start();
-        actix::spawn(serve::serve(outside.clone(), ports, nodes, machines)?);
+        actix::spawn(http::serve(outside.clone(), ports, nodes, machines)?);
         for from in 0..nodes {
             for to in (0..nodes).filter(|to| *to != from) {
                 start_fault_proxies(&model, ports, from, to, cut.clone());
@@ -167,8 +167,8 @@
     mut cut: watch::Receiver<BTreeSet<String>>,
 ) {
     let zones = [
-        model::zone_of_controller(&model.zones, from),
-        model::zone_of_controller(&model.zones, to),
+        config::zone_of_controller(&model.zones, from),
+        config::zone_of_controller(&model.zones, to),
     ];
     let (open, opens) = watch::channel(true);
     actix::spawn(async move {
@@ -180,7 +180,7 @@
     });
     let (here, there) = (ports.link(from, to), ports.cluster(to));
     actix::spawn(async move {
-        if let Err(e) = link::run_fault_proxy(here, there, opens).await {
+        if let Err(e) = fault_proxy::run_fault_proxy(here, there, opens).await {
             tracing::error!(at = %here, cause = %e, "controllers cannot reach each other: free the address");
         }
     });
@@ -195,7 +195,7 @@
     for node in 0..nodes {
         print_line(&format!(
             "{}: users and workers {}, operators {}",
-            model::controller_name(node),
+            config::controller_name(node),
             ports.http(node),
             ports.admin(node)
         ));
--- a/src/program.rs
+++ b/src/program.rs
@@ -1,15 +1,15 @@
 //! The command line.
 
+use crate::admission::AdmissionController;
 use crate::client::ClientError;
 use crate::commands::{
     DispatchCommand, JobCommand, LoanCommand, PipelineCommand, PluginCommand, TierCommand,
 };
 use crate::constants::*;
-use crate::controller::ControllerActor;
-use crate::entry::AdmissionController;
 use crate::local::{LocalArgs, LocalCommand};
 use crate::logging::{self, LogFormat};
-use crate::{admin, commands, front, local};
+use crate::runtime::ControllerActor;
+use crate::{admin, commands, http, local};
 use actix::Actor;
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
@@ -19,8 +19,8 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use swiftsail_controller::settings::Settings;
-use swiftsail_overload_control::budget::MemoryBudget;
-use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_overload_control::memory_budget::MemoryBudget;
+use swiftsail_policy::operator_settings::OperatorSettings;
 
 /// A cluster scheduler that places work by its chance of meeting its deadline.
 #[derive(Debug, Parser)]
@@ -167,7 +167,7 @@
                 }
             });
         }
-        front::serve(&settings, controller, &budget, entry).await
+        http::serve(&settings, controller, &budget, entry).await
     });
     served.map_err(|e| {
         format!("cannot listen: {e}; check that `front` and `cluster_listen` are free").into()
--- a/src/controller.rs
+++ b/src/runtime.rs
@@ -1,7 +1,7 @@
 //! The actors: they bring events to the core and carry its actions out.
 
+use crate::admission::AdmissionController;
 use crate::constants::*;
-use crate::entry::AdmissionController;
 use actix::prelude::*;
 use awc::error::{ConnectError, SendRequestError};
 use awc::{Client, Connector};
@@ -11,14 +11,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use swiftsail_controller::constants::*;
-use swiftsail_controller::node::{
+use swiftsail_controller::controller::{
     Action, AdminRequest, Controller, Event, Now, Reply, RequestId, UserRequest,
 };
 use swiftsail_controller::settings::Settings;
 use swiftsail_controller::{cloud, store};
 use swiftsail_failure_detector::ProbeOutcome;
 use swiftsail_policy::constants::DELIVERY_TIMEOUT_MS;
-use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_policy::operator_settings::OperatorSettings;
 use swiftsail_policy::outbox::EventDelivery;
 use swiftsail_protocol::cloud as cloud_wire;
 use swiftsail_protocol::controllers::{
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -6,10 +6,10 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
+use swiftsail_controller::controller::Controller;
 use swiftsail_controller::job::keys;
-use swiftsail_controller::node::Controller;
 use swiftsail_protocol::state::{Mutation, Transaction};
-use swiftsail_simulation::world::{
+use swiftsail_simulation::simulation::{
     Fault, FaultRates, NetworkPartition, Simulation, TransactionFate, assert_all_jobs_over,
     job_body,
 };
--- a/tests/answers_small/cases.rs
+++ b/tests/answers_small/cases.rs
@@ -403,7 +403,7 @@
 
     /// A job's record appears in the state service, as others wrote it.
     fn put_record(&mut self, id: &str, unreadable: bool) {
-        let spec = swiftsail_simulation::world::job_spec(
+        let spec = swiftsail_simulation::simulation::job_spec(
             swiftsail_controller::job::JobKind::Array,
             1,
             1.0,
--- a/tests/answers_small/main.rs
+++ b/tests/answers_small/main.rs
@@ -11,15 +11,15 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
 use std::sync::Arc;
 use swiftsail_controller::cloud;
+use swiftsail_controller::controller::{Action, Controller, Event, Now, Reply, UserRequest};
 use swiftsail_controller::job::{FinalRecord, FinalState, JobRecord, StoredJob, keys};
-use swiftsail_controller::node::{Action, Controller, Event, Now, Reply, UserRequest};
 use swiftsail_controller::settings::Settings;
 use swiftsail_controller::store::{StoreCall, StoreOutcome};
 use swiftsail_protocol::cloud::{MachinePage, MachineTypes};
 use swiftsail_protocol::controllers::Heartbeat;
 use swiftsail_protocol::state::{Mutation, Precondition, Transaction};
+use swiftsail_simulation::simulation::{START_MS, controller_settings, job_body, machine_offers};
 use swiftsail_simulation::store::{CompactedRevision, FakeStore, TransactionResult};
-use swiftsail_simulation::world::{START_MS, controller_settings, job_body, machine_offers};
 
 const CONTROLLER_COUNT: usize = 3;
 /// Time that a user waits for an answer to a submission, a poll and a cancellation, ms (protocol).
--- a/tests/beside_room.rs
+++ b/tests/beside_room.rs
@@ -4,8 +4,8 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
-use swiftsail_controller::node::Controller;
-use swiftsail_simulation::world::{Fault, FaultRates, Simulation, job_body};
+use swiftsail_controller::controller::Controller;
+use swiftsail_simulation::simulation::{Fault, FaultRates, Simulation, job_body};
 
 const NO_FAULTS: FaultRates =
     FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
--- a/tests/chance.rs
+++ b/tests/chance.rs
@@ -2,9 +2,9 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use swiftsail_controller::chance::{Pmf, RunTimeHistory};
+use swiftsail_controller::completion_time::{Pmf, RunTimeHistory};
 use swiftsail_controller::job::{JobKind, JobSpec};
-use swiftsail_simulation::world::job_spec;
+use swiftsail_simulation::simulation::job_spec;
 
 /// A job of class `c`, its tasks estimated at 10 s.
 fn test_spec() -> JobSpec {
--- a/tests/days_end.rs
+++ b/tests/days_end.rs
@@ -7,10 +7,10 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
-use swiftsail_controller::node::Controller;
+use swiftsail_controller::controller::Controller;
 use swiftsail_failure_detector::{InboundReachability, ReachabilityEvidence, ReachabilityTracker};
-use swiftsail_overload_control::turned::RejectedPolls;
-use swiftsail_simulation::world::{
+use swiftsail_overload_control::rejected_polls::RejectedPolls;
+use swiftsail_simulation::simulation::{
     FaultRates, InboundFailure, NetworkPartition, START_MS, Simulation, assert_all_jobs_over,
     job_body, submit_mixed_load,
 };
--- a/tests/deciders.rs
+++ b/tests/deciders.rs
@@ -3,15 +3,15 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
-use swiftsail_controller::accounts;
+use swiftsail_controller::quota_records;
 use swiftsail_controller::settings::StoreSettings;
 use swiftsail_protocol::state::{Mutation, Transaction};
 use swiftsail_quota::account::{AccountStep, TransactionOutcome};
 use swiftsail_quota::planner::{QuotaAction, QuotaMessage, QuotaPlanner, TeamDemand};
 use swiftsail_quota::records::{QuotaKey, QuotaTransaction};
 use swiftsail_quota::{QuotaAccount, ResourceQuantities};
-use swiftsail_simulation::amounts::{FaultBudget, QuotaModel, QuotaStep, RemovedGuard};
-use swiftsail_simulation::explorer::{CheckResult, check_model};
+use swiftsail_simulation::model_checker::{CheckResult, check_model};
+use swiftsail_simulation::quota_model::{FaultBudget, QuotaModel, QuotaStep, RemovedGuard};
 use swiftsail_simulation::store::{FakeStore, TransactionResult};
 
 fn check_quota_model(
@@ -118,7 +118,7 @@
 fn key_text(key: &QuotaKey) -> String {
     match key {
         QuotaKey::FencingToken(d) => format!("token/{d}"),
-        other => accounts::store_key(0, other),
+        other => quota_records::store_key(0, other),
     }
 }
 
@@ -229,9 +229,9 @@
                     self.post_message(10, QuotaMail::Transaction(n, token, txn, true));
                 }
                 QuotaAction::ReadPage if !self.store_outage.contains(&self.now) => {
-                    let page = accounts::parse_page(
+                    let page = quota_records::parse_page(
                         0,
-                        &self.store.list(accounts::KEY_PREFIX, None, 1_000),
+                        &self.store.list(quota_records::KEY_PREFIX, None, 1_000),
                     );
                     let now = self.now;
                     if let Some(holder) = &mut self.deciders[n].planner {
@@ -271,7 +271,7 @@
                     return;
                 }
                 self.transaction_count += txn.writes.len() as u64;
-                let commit = accounts::to_commit(&txn, key_text);
+                let commit = quota_records::to_commit(&txn, key_text);
                 let keys = txn.conditions.iter().map(|(k, _)| k.clone());
                 let outcome = match self.store.apply_transaction(&commit) {
                     TransactionResult::Committed(stamp) => TransactionOutcome::Committed(stamp),
@@ -364,7 +364,8 @@
                 ));
             }
         }
-        let page = accounts::parse_page(0, &self.store.list(accounts::KEY_PREFIX, None, 1_000));
+        let page =
+            quota_records::parse_page(0, &self.store.list(quota_records::KEY_PREFIX, None, 1_000));
         if !page.is_conserved() {
             self.violations.push(format!("not conserved at {}: {page:?}", self.now));
         }
@@ -561,7 +562,8 @@
         day.deciders[n].planner.as_mut().expect("a holder").set_limits(without);
     }
     day.run(14_000, |_| ());
-    let page = accounts::parse_page(0, &day.store.list(accounts::KEY_PREFIX, None, 1_000));
+    let page =
+        quota_records::parse_page(0, &day.store.list(quota_records::KEY_PREFIX, None, 1_000));
     assert!(!page.pool.0.teams.contains_key(&team_name(0)), "{page:?}");
 }
 
@@ -577,11 +579,12 @@
     day.deciders[2].restarts_at = u64::MAX;
     let txn = holder.account.remove_holding().expect("it holds nothing");
     assert!(matches!(
-        day.store.apply_transaction(&accounts::to_commit(&txn, key_text)),
+        day.store.apply_transaction(&quota_records::to_commit(&txn, key_text)),
         TransactionResult::Committed(_)
     ));
     assert!(day.run(8_000, |d| (0..2).for_each(|n| keep_running(d, n, 0, 1, 60.0)))[0] >= 0.95);
-    let page = accounts::parse_page(0, &day.store.list(accounts::KEY_PREFIX, None, 1_000));
+    let page =
+        quota_records::parse_page(0, &day.store.list(quota_records::KEY_PREFIX, None, 1_000));
     assert_eq!(page.holdings.len(), 2);
 }
 
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -7,16 +7,16 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use swiftsail_controller::node::{AdminRequest, Controller};
-use swiftsail_deadline_planning::backward::{plan_backward, quantile};
-use swiftsail_deadline_planning::board::StepDurations;
+use swiftsail_controller::controller::{AdminRequest, Controller};
+use swiftsail_deadline_planning::backward_planning::{plan_backward, quantile};
+use swiftsail_deadline_planning::tracker::StepDurations;
 use swiftsail_deadline_planning::{
     ChainDefinition, DeadlinePlan, DeadlineSchedule, DeadlineTracker, Occurrence, OccurrencePhase,
     StepDefinition, StepJob, StepPhase,
 };
-use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_policy::operator_settings::OperatorSettings;
 use swiftsail_replicated_records::Versioned;
-use swiftsail_simulation::world::{FaultRates, Simulation, job_body};
+use swiftsail_simulation::simulation::{FaultRates, Simulation, job_body};
 use swiftsail_tiers::{JobAttributes, JobKindAttribute, JobPriorityAttribute};
 
 const HOUR_MS: u64 = 3_600_000;
@@ -28,7 +28,7 @@
 
 fn parse_plan(text: &str) -> Result<DeadlineSchedule, String> {
     let table: toml::Table = toml::from_str(text).expect("it is TOML");
-    swiftsail_controller::node::plan_of_file(table)
+    swiftsail_controller::controller::plan_of_file(table)
 }
 
 const CHAIN: &str = r#"
@@ -111,7 +111,7 @@
     assert!(parse_plan(&many).expect_err("too many").contains("200 at most"));
     let text = include_str!("../deploy/dispatch.toml");
     let operator = OperatorSettings::parse("deploy/dispatch.toml", text).expect("it is sound");
-    swiftsail_controller::node::plan_of_file(operator.dispatch.expect("a plan"))
+    swiftsail_controller::controller::plan_of_file(operator.dispatch.expect("a plan"))
         .expect("it is sound");
     assert!(matches!(
         DeadlinePlan::from_record("dispatch", &json!({"v": 7})),
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -1,6 +1,6 @@
 //! Gangs that lose a task, on the pure cores against the stand-in.
 
-use swiftsail_simulation::world::{FaultRates, Simulation, job_body};
+use swiftsail_simulation::simulation::{FaultRates, Simulation, job_body};
 
 const NO_FAULTS: FaultRates =
     FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
--- a/tests/guests.rs
+++ b/tests/guests.rs
@@ -2,8 +2,8 @@
 //! by the stand-in's controllers as they are.
 
 use swiftsail_controller::constants::BINDING_LOG_MAX;
-use swiftsail_controller::node::Controller;
-use swiftsail_simulation::world::{FaultRates, Simulation, job_body};
+use swiftsail_controller::controller::Controller;
+use swiftsail_simulation::simulation::{FaultRates, Simulation, job_body};
 
 const NO_FAULTS: FaultRates =
     FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
--- a/tests/hung.rs
+++ b/tests/hung.rs
@@ -4,10 +4,10 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
+use swiftsail_controller::cluster_state::ClusterState;
+use swiftsail_controller::controller::Controller;
 use swiftsail_controller::job::MachineId;
-use swiftsail_controller::node::Controller;
-use swiftsail_controller::tables::ClusterState;
-use swiftsail_simulation::world::{
+use swiftsail_simulation::simulation::{
     Fault, FaultRates, InboundFailure, NetworkPartition, Simulation, gpu_job_body,
     gpu_machine_offers, job_body,
 };
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -2,13 +2,13 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use swiftsail_controller::accounts;
+use swiftsail_controller::controller::{AdminRequest, Controller};
 use swiftsail_controller::job::AttemptPhase;
-use swiftsail_controller::node::{AdminRequest, Controller};
-use swiftsail_policy::operator::OperatorSettings;
-use swiftsail_quota::order::{QuotaClaim, allocate_quota};
+use swiftsail_controller::quota_records;
+use swiftsail_policy::operator_settings::OperatorSettings;
+use swiftsail_quota::allocation::{QuotaClaim, allocate_quota};
 use swiftsail_quota::{Quantity, QuotaLimit, ResourceQuantities};
-use swiftsail_simulation::world::{FaultRates, Simulation, job_body, submit_mixed_load};
+use swiftsail_simulation::simulation::{FaultRates, Simulation, job_body, submit_mixed_load};
 
 fn test_runner() -> TestRunner {
     let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
@@ -313,7 +313,7 @@
 /// A page of teams fits the smallest value that a platform allows, with long names and any amounts.
 #[test]
 fn a_page_of_teams_fits_a_value() {
-    use swiftsail_controller::accounts::{MAX_TEAMS_PER_PAGE, divide_into_pages};
+    use swiftsail_controller::quota_records::{MAX_TEAMS_PER_PAGE, divide_into_pages};
     use swiftsail_quota::records::{QuotaHolding, QuotaPool, TeamQuota};
     let name = |n: usize| format!("{n:03}-{}", "x".repeat(40));
     let names: Vec<String> = (0..100).map(name).collect();
@@ -356,8 +356,8 @@
         for job in world.jobs.iter().filter(|j| j.text_field("shape") != "service") {
             assert!(job.is_over(), "seed {seed}: {}", world.describe_job(&job.id));
         }
-        let listed = world.store.list(accounts::KEY_PREFIX, None, 1_000);
-        let page = accounts::parse_page(0, &listed);
+        let listed = world.store.list(quota_records::KEY_PREFIX, None, 1_000);
+        let page = quota_records::parse_page(0, &listed);
         assert!(page.is_conserved() && page.holdings.len() == 4, "{page:?}");
     }
 }
--- a/tests/loans.rs
+++ b/tests/loans.rs
@@ -6,13 +6,13 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::Value;
-use swiftsail_controller::node::{AdminRequest, Controller};
+use swiftsail_controller::controller::{AdminRequest, Controller};
 use swiftsail_gpu_lending::constants::*;
 use swiftsail_gpu_lending::{GpuLoans, LenderRecord, LoanAction, LoanObservation, LoanPhase};
-use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_policy::operator_settings::OperatorSettings;
 use swiftsail_replicated_records::Versioned;
-use swiftsail_simulation::explorer::{Model, check_model};
-use swiftsail_simulation::world::{
+use swiftsail_simulation::model_checker::{Model, check_model};
+use swiftsail_simulation::simulation::{
     FaultRates, START_MS, Simulation, gpu_job_body, gpu_machine_offers,
 };
 
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -5,19 +5,19 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeSet;
 use std::hash::Hash;
+use swiftsail_controller::cluster_state::{ClusterState, ReportSource};
 use swiftsail_controller::constants::PENDING_CANCELLATIONS_MAX;
+use swiftsail_controller::controller::{Action, Controller, Event, Now};
 use swiftsail_controller::job::{JobId, MachineId};
-use swiftsail_controller::node::{Action, Controller, Event, Now};
-use swiftsail_controller::store::StoreOutcome;
-use swiftsail_controller::tables::{ClusterState, ReportSource};
-use swiftsail_controller::term::{
+use swiftsail_controller::leadership::{
     AnswerAuthority, CancellationQuorum, LeaderProgress, endorsements_needed, replicas_needed,
 };
+use swiftsail_controller::store::StoreOutcome;
 use swiftsail_failure_detector::ProbeOutcome;
 use swiftsail_protocol::controllers::Heartbeat;
 use swiftsail_protocol::workers::StatusReport;
-use swiftsail_simulation::explorer::{CheckResult, Model, check_model};
-use swiftsail_simulation::world::{
+use swiftsail_simulation::model_checker::{CheckResult, Model, check_model};
+use swiftsail_simulation::simulation::{
     FaultRates, InboundFailure, NetworkPartition, START_MS, Simulation, controller_settings,
     job_body,
 };
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use swiftsail_failure_detector::constants::*;
 use swiftsail_failure_detector::{FailureDetector, Liveness, MachineObservation, ProbeOutcome};
-use swiftsail_simulation::world::{FaultRates, Simulation, job_body, submit_mixed_load};
+use swiftsail_simulation::simulation::{FaultRates, Simulation, job_body, submit_mixed_load};
 
 const REPORT_S: f64 = 5.0;
 const LEASE_S: f64 = 26.5;
--- a/tests/nights.rs
+++ b/tests/nights.rs
@@ -4,10 +4,10 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use swiftsail_controller::constants::FORWARD_TIMEOUT_MS;
-use swiftsail_controller::node::{Action, Controller, Event, Now};
+use swiftsail_controller::controller::{Action, Controller, Event, Now};
 use swiftsail_protocol::controllers::Heartbeat;
 use swiftsail_protocol::workers::StatusReport;
-use swiftsail_simulation::world::{
+use swiftsail_simulation::simulation::{
     FaultRates, NetworkPartition, START_MS, Simulation, assert_all_jobs_over, controller_settings,
     job_body, submit_mixed_load,
 };
@@ -229,7 +229,7 @@
             _ => {
                 world
                     .cluster
-                    .make_machines_faulty(2, 40_000 + swiftsail_simulation::world::START_MS);
+                    .make_machines_faulty(2, 40_000 + swiftsail_simulation::simulation::START_MS);
                 let workers = world.cluster.workers.iter();
                 workers.filter(|(_, w)| w.is_faulty).map(|(name, _)| name.clone()).collect()
             }
--- a/tests/old_reports.rs
+++ b/tests/old_reports.rs
@@ -6,18 +6,18 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
+use swiftsail_controller::cluster_state::{ClusterState, ReportSource};
 use swiftsail_controller::job::{
     AttemptPhase, BindingChunk, JobId, JobKind, JobRecord, MachineId, keys,
 };
 use swiftsail_controller::machine::MachineState;
-use swiftsail_controller::tables::{ClusterState, ReportSource};
 use swiftsail_failure_detector::ProbeOutcome;
 use swiftsail_protocol::state::{KeyPage, KeyValue};
 use swiftsail_protocol::workers::{
     Command, CommandKind, DirectCommands, ExitCause, HeartbeatResponse, StatusReport, TaskPhase,
     TaskStatus,
 };
-use swiftsail_simulation::world::job_spec;
+use swiftsail_simulation::simulation::job_spec;
 
 const JOB: &str = "wk-1";
 const TASKS: u32 = 4;
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -4,15 +4,15 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use swiftsail_controller::node::Controller;
-use swiftsail_overload_control::budget::MemoryBudget;
+use swiftsail_controller::controller::Controller;
+use swiftsail_overload_control::admission::{AdmissionGate, RequestPriority};
 use swiftsail_overload_control::constants::*;
-use swiftsail_overload_control::duty::{DelegatedAnswering, DelegationEvent};
-use swiftsail_overload_control::gate::{AdmissionGate, RequestPriority};
-use swiftsail_overload_control::headroom::{CpuLoad, FleetLimit, max_machines};
-use swiftsail_overload_control::pressure::{LoadLevel, LoadMonitor};
-use swiftsail_overload_control::retry::{RetryBudget, backoff_ms};
-use swiftsail_simulation::world::{FaultRates, Simulation, job_body, submit_mixed_load};
+use swiftsail_overload_control::delegated_answering::{DelegatedAnswering, DelegationEvent};
+use swiftsail_overload_control::fleet_limit::{CpuLoad, FleetLimit, max_machines};
+use swiftsail_overload_control::load_level::{LoadLevel, LoadMonitor};
+use swiftsail_overload_control::memory_budget::MemoryBudget;
+use swiftsail_overload_control::retry_budget::{RetryBudget, backoff_ms};
+use swiftsail_simulation::simulation::{FaultRates, Simulation, job_body, submit_mixed_load};
 
 fn test_runner() -> TestRunner {
     let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
--- a/tests/overtaken.rs
+++ b/tests/overtaken.rs
@@ -3,20 +3,20 @@
 
 use serde_json::json;
 use std::collections::VecDeque;
-use swiftsail_controller::accounts;
+use swiftsail_controller::cluster_state::ClusterState;
+use swiftsail_controller::controller::{Action, Controller, Event, Now};
 use swiftsail_controller::job::{JobKind, MachineId, keys};
-use swiftsail_controller::node::{Action, Controller, Event, Now};
+use swiftsail_controller::quota_records;
 use swiftsail_controller::store::{StoreCall, StoreOutcome};
-use swiftsail_controller::tables::ClusterState;
 use swiftsail_failure_detector::ProbeOutcome;
 use swiftsail_gpu_lending::{LenderRecord, LoanPhase};
-use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_policy::operator_settings::OperatorSettings;
 use swiftsail_protocol::state::{KeyPage, KeyValue};
 use swiftsail_protocol::workers::StatusReport;
 use swiftsail_replicated_records::Versioned;
 use swiftsail_replicated_records::{RecordStore, StoreLimits, WriteOutcome as Written};
+use swiftsail_simulation::simulation::{START_MS, controller_settings, job_spec};
 use swiftsail_simulation::store::{FakeStore, TransactionResult};
-use swiftsail_simulation::world::{START_MS, controller_settings, job_spec};
 
 // ---- answers that are overtaken ----------------------------------------------------------------
 
@@ -603,7 +603,7 @@
     assert!(before.cpus > swiftsail_quota::Quantity::ZERO);
     let mut next = SingleController::with_seed(&operator, 2);
     std::mem::swap(&mut next.store, &mut first.store);
-    let amounts = |call: &StoreCall| matches!(call, StoreCall::List { prefix, .. } if prefix == accounts::KEY_PREFIX);
+    let amounts = |call: &StoreCall| matches!(call, StoreCall::List { prefix, .. } if prefix == quota_records::KEY_PREFIX);
     next.call_fate = Box::new(move |call| match call {
         call if amounts(call) => CallFate::AnswerDelayed,
         StoreCall::GrantLease { .. } => CallFate::AnswerDelayed,
@@ -613,7 +613,7 @@
     // The predecessor's key lives for a while; its last transaction is done after the successor's reading.
     next.run_for(1_000);
     assert!(next.delayed_answers.iter().any(|s| amounts(&s.1)));
-    let key = format!("{}0/of/all", accounts::KEY_PREFIX);
+    let key = format!("{}0/of/all", quota_records::KEY_PREFIX);
     let mut record = next.store.get(&key).expect("what it holds").value.clone();
     record["has"] = json!({});
     let change = swiftsail_protocol::state::Mutation::Put { key, value: record, lease: None };
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use swiftsail_controller::constants::FORMAT_VERSION;
+use swiftsail_controller::controller::{Action, Controller, Event, Now, UserRequest};
 use swiftsail_controller::job::{FinalRecord, FinalState, JobKind, JobRecord, StoredJob};
-use swiftsail_controller::node::{Action, Controller, Event, Now, UserRequest};
 use swiftsail_controller::settings::Settings;
 use swiftsail_controller::store::{StoreCall, StoreOutcome};
 use swiftsail_dag::constants::DOWNSTREAM_PROBABILITY;
@@ -19,7 +19,7 @@
 use swiftsail_protocol::controllers::Heartbeat;
 use swiftsail_protocol::state::KeyPage;
 use swiftsail_protocol::users::read_submission;
-use swiftsail_simulation::world::{
+use swiftsail_simulation::simulation::{
     Fault, FaultRates, START_MS, Simulation, assert_all_jobs_over, controller_settings, job_body,
     job_spec,
 };
@@ -352,7 +352,7 @@
     };
     let ready = || {
         let mut node = Controller::new(controller_settings(0), 3, now);
-        let types = swiftsail_simulation::world::machine_offers(1)
+        let types = swiftsail_simulation::simulation::machine_offers(1)
             .into_iter()
             .map(|o| o.machine_type)
             .collect();
--- a/tests/pipelines_small.rs
+++ b/tests/pipelines_small.rs
@@ -5,7 +5,7 @@
     DependencyGraph, DependencyState, DependencyTraversal, DependencyVerdict, JobId, JobOutcome,
     VisitedJob,
 };
-use swiftsail_simulation::explorer::{CheckResult, Model, check_model};
+use swiftsail_simulation::model_checker::{CheckResult, Model, check_model};
 
 /// What is left out to see that the explorer finds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -4,18 +4,18 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
-use swiftsail_controller::node::AdminRequest;
+use swiftsail_controller::controller::AdminRequest;
+use swiftsail_policy::attributes::{AttributeValues, CLUSTER_ATTRIBUTES, JOB_ATTRIBUTES};
 use swiftsail_policy::constants::*;
-use swiftsail_policy::facts::{AttributeValues, CLUSTER_ATTRIBUTES, JOB_ATTRIBUTES};
 use swiftsail_policy::hooks::{Hook, HookAnswer, compose_answers};
-use swiftsail_policy::host::{HookContext, PluginHost};
-use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_policy::operator_settings::OperatorSettings;
 use swiftsail_policy::outbox::{EventOutbox, EventReceiver, ReportedEvent};
 use swiftsail_policy::plugin::{
     PluginKind, PluginOffer, PluginRecord, PluginState, PluginTransition, source_hash,
     split_into_chunks,
 };
-use swiftsail_simulation::world::{FaultRates, Simulation, job_body, submit_mixed_load};
+use swiftsail_policy::plugin_host::{HookContext, PluginHost};
+use swiftsail_simulation::simulation::{FaultRates, Simulation, job_body, submit_mixed_load};
 
 const NO_FAULTS: FaultRates =
     FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
@@ -322,7 +322,7 @@
             _ => HookContext::Cluster(AttributeValues::sample(CLUSTER_ATTRIBUTES, 0)),
         };
         let first = if hook == Hook::ClassOrder {
-            AttributeValues::sample(swiftsail_policy::facts::CLASS_ATTRIBUTES, 0)
+            AttributeValues::sample(swiftsail_policy::attributes::CLASS_ATTRIBUTES, 0)
         } else {
             job
         };
@@ -422,7 +422,7 @@
             let _ = PluginHost::default().validate_source(PluginKind::Decision, &text);
             let _ = PluginHost::default().validate_source(PluginKind::EventReceiver, &text);
             let source = format!("fn priority(job, cluster) {{ {text} }}");
-            let _ = swiftsail_policy::host::try_hook(&source, Hook::Priority);
+            let _ = swiftsail_policy::plugin_host::try_hook(&source, Hook::Priority);
             let parts = split_into_chunks(&text, 7);
             prop_assert!(parts.iter().all(|p| p.len() <= 7));
             prop_assert_eq!(parts.concat(), text);
@@ -443,7 +443,7 @@
         let kind = if toml { PluginKind::EventReceiver } else { PluginKind::Decision };
         let hooks = PluginHost::default().validate_source(kind, &source).expect("sound");
         for hook in hooks {
-            swiftsail_policy::host::try_hook(&source, hook).expect("it answers on samples");
+            swiftsail_policy::plugin_host::try_hook(&source, hook).expect("it answers on samples");
         }
         seen += 1;
     }
@@ -452,7 +452,7 @@
 
 #[test]
 fn the_deployed_policy_is_the_built_in_one() {
-    use swiftsail_policy::policy::{PolicyParameter, default_value};
+    use swiftsail_policy::scheduling_policy::{PolicyParameter, default_value};
     let text = include_str!("../deploy/operator.toml");
     let mut deployed = OperatorSettings::parse("file", text).expect("sound").compiled_policy();
     let none = AttributeValues::sample(CLUSTER_ATTRIBUTES, 0);
@@ -468,7 +468,7 @@
     for knob in [PolicyParameter::PruningThreshold, PolicyParameter::SpotShare] {
         assert_eq!(deployed.job_value(knob, &none, &none, &none), default_value(knob), "{knob:?}");
     }
-    use swiftsail_controller::steering::CyclePolicy;
+    use swiftsail_controller::cycle_policy::CyclePolicy;
     let built_in = CyclePolicy::default();
     assert_eq!(
         default_value(PolicyParameter::PruningThreshold),
@@ -493,28 +493,28 @@
         "if job.cpus == 12345.0 { job.cpus } else { 0.5 }".to_string(),
     )]);
     // On samples it is sound; a job of so many CPUs is none of them.
-    let mut policy =
-        swiftsail_policy::policy::SchedulingPolicy::new(&policy).expect("sound on samples");
+    let mut policy = swiftsail_policy::scheduling_policy::SchedulingPolicy::new(&policy)
+        .expect("sound on samples");
     let mut values = JOB_ATTRIBUTES.iter().map(|(_, kind, _)| match kind {
-        swiftsail_policy::facts::AttributeType::Text => {
-            swiftsail_policy::facts::AttributeValue::Text("x".into())
+        swiftsail_policy::attributes::AttributeType::Text => {
+            swiftsail_policy::attributes::AttributeValue::Text("x".into())
         }
-        swiftsail_policy::facts::AttributeType::Boolean => {
-            swiftsail_policy::facts::AttributeValue::Boolean(true)
+        swiftsail_policy::attributes::AttributeType::Boolean => {
+            swiftsail_policy::attributes::AttributeValue::Boolean(true)
         }
-        swiftsail_policy::facts::AttributeType::Integer => {
-            swiftsail_policy::facts::AttributeValue::Integer(1)
+        swiftsail_policy::attributes::AttributeType::Integer => {
+            swiftsail_policy::attributes::AttributeValue::Integer(1)
         }
-        swiftsail_policy::facts::AttributeType::Number => {
-            swiftsail_policy::facts::AttributeValue::Number(12_345.0)
+        swiftsail_policy::attributes::AttributeType::Number => {
+            swiftsail_policy::attributes::AttributeValue::Number(12_345.0)
         }
     });
     let job = AttributeValues::new(JOB_ATTRIBUTES, values.by_ref().collect());
     let none = AttributeValues::sample(CLUSTER_ATTRIBUTES, 0);
-    let team = AttributeValues::sample(swiftsail_policy::facts::TEAM_ATTRIBUTES, 0);
+    let team = AttributeValues::sample(swiftsail_policy::attributes::TEAM_ATTRIBUTES, 0);
     for _ in 0..3 {
         let value = policy.job_value(
-            swiftsail_policy::policy::PolicyParameter::PruningThreshold,
+            swiftsail_policy::scheduling_policy::PolicyParameter::PruningThreshold,
             &job,
             &team,
             &none,
--- a/tests/rates.rs
+++ b/tests/rates.rs
@@ -2,7 +2,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use swiftsail_quota::rates::{RateLoanGrant, RateLoanRequest, RateShare};
+use swiftsail_quota::rate_loans::{RateLoanGrant, RateLoanRequest, RateShare};
 
 /// Controllers that share a rate, with needs that come all at once and go, and messages that come late or
 /// never: together they never use more than there is, and one that is alone has most of it.
--- a/tests/recorded_bytes/files.rs
+++ b/tests/recorded_bytes/files.rs
@@ -3,7 +3,7 @@
 use crate::{entries, same, to_hex};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde_json::json;
-use swiftsail::local::keep::Persistence;
+use swiftsail::local::persistence::Persistence;
 use swiftsail::local::{LocalConfig, PortPlan, write_controller_config};
 use swiftsail_controller::settings::Settings;
 use swiftsail_protocol::state::{KeyValue, Mutation, Transaction};
--- a/tests/recorded_bytes/keys.rs
+++ b/tests/recorded_bytes/keys.rs
@@ -1,7 +1,7 @@
 //! The keys of the state service and the paths of every interface.
 
-use swiftsail_controller::accounts;
 use swiftsail_controller::job::{chunk_key, keys};
+use swiftsail_controller::quota_records;
 use swiftsail_deadline_planning::Occurrence;
 use swiftsail_protocol::{cloud, controllers, state, users, workers};
 use swiftsail_quota::records::QuotaKey;
@@ -19,7 +19,7 @@
         (keys::LEADER, "term/leader"),
         (keys::TERM, "term/"),
         (keys::TYPES, "types/all"),
-        (accounts::KEY_PREFIX, "amount/"),
+        (quota_records::KEY_PREFIX, "amount/"),
     ];
     fixed.iter().for_each(|(now, before)| assert_eq!(now, before));
     let built = [
@@ -29,9 +29,9 @@
         (keys::place("wk-1", true), "end/wk-1"),
         (keys::place("wk-1", false), "job/wk-1"),
         (chunk_key(&"wk-1".into(), 12), "bind/wk-1/00012"),
-        (accounts::store_key(2, &QuotaKey::FencingToken("d".into())), "term/leader"),
-        (accounts::store_key(2, &QuotaKey::Pool), "amount/2/pool"),
-        (accounts::store_key(2, &QuotaKey::Holding("north".into())), "amount/2/of/north"),
+        (quota_records::store_key(2, &QuotaKey::FencingToken("d".into())), "term/leader"),
+        (quota_records::store_key(2, &QuotaKey::Pool), "amount/2/pool"),
+        (quota_records::store_key(2, &QuotaKey::Holding("north".into())), "amount/2/of/north"),
         (Occurrence::key("north", 1_700_000_600_000), "01700000600000-north"),
     ];
     built.iter().for_each(|(now, before)| assert_eq!(now, before));
@@ -79,7 +79,7 @@
         (path::DISABLE, "/admin/plugins/{name}/disable"),
         (swiftsail::local::path::FAULT, "/fault"),
         (swiftsail::local::path::STATUS, "/standing"),
-        (swiftsail::front::MESSAGE_PACK, "application/msgpack"),
+        (swiftsail::http::MESSAGE_PACK, "application/msgpack"),
     ];
     paths.iter().for_each(|(now, before)| assert_eq!(now, before));
 }
--- a/tests/recorded_bytes/operators.rs
+++ b/tests/recorded_bytes/operators.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 use swiftsail::local::LocalConfig;
-use swiftsail_controller::node::{plan_of_file, tiers_of_file};
+use swiftsail_controller::controller::{plan_of_file, tiers_of_file};
 use swiftsail_deadline_planning::{ChainDefinition, DeadlinePlan, ScheduleEntry, StepDefinition};
-use swiftsail_policy::operator::{OperatorSettings, PolicySetting};
+use swiftsail_policy::operator_settings::{OperatorSettings, PolicySetting};
 use swiftsail_protocol::cloud::ListedMachineType;
 use swiftsail_tiers::{TierDefinition, TierTableRecord};
 
--- a/tests/recorded_bytes/records.rs
+++ b/tests/recorded_bytes/records.rs
@@ -2,13 +2,13 @@
 
 use crate::{Case, compare};
 use std::collections::BTreeMap;
+use swiftsail_controller::cluster_state::LogSegmentRecord;
 use swiftsail_controller::job::{
     Binding, BindingChunk, FinalRecord, FinalState, JobKind, JobRecord, JobSpec, Priority,
     StoredJob,
 };
-use swiftsail_controller::tables::LogSegmentRecord;
-use swiftsail_controller::term::LeaderRecord;
-use swiftsail_deadline_planning::board::StepDurations;
+use swiftsail_controller::leadership::LeaderRecord;
+use swiftsail_deadline_planning::tracker::StepDurations;
 use swiftsail_deadline_planning::{
     ChainDefinition, DeadlinePlan, Occurrence, OccurrenceStep, ScheduleEntry, StepDefinition,
     StepPhase,
--- a/tests/recorded_bytes/shown.rs
+++ b/tests/recorded_bytes/shown.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeSet;
 use swiftsail::local::{EmulatorStatus, Fault};
 use swiftsail_policy::hooks::{Hook, HookAnswer};
-use swiftsail_policy::host::{HookResponse, HookResult, PluginStatus};
 use swiftsail_policy::outbox::{DeliveryCounts, EventOutbox, EventReceiver, ReportedEvent};
 use swiftsail_policy::plugin::{PluginKind, PluginOffer, PluginState};
-use swiftsail_policy::policy::{PolicyParameter, parameter_names};
+use swiftsail_policy::plugin_host::{HookResponse, HookResult, PluginStatus};
+use swiftsail_policy::scheduling_policy::{PolicyParameter, parameter_names};
 
 const RECORDED: &str = include_str!("fixtures/shown.txt");
 
--- a/tests/recorded_bytes/store.rs
+++ b/tests/recorded_bytes/store.rs
@@ -4,19 +4,19 @@
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
+use swiftsail_controller::cluster_state::LogSegmentRecord;
+use swiftsail_controller::controller::{AdminRequest, Controller};
 use swiftsail_controller::job::{BindingChunk, FinalRecord, JobRecord};
-use swiftsail_controller::node::{AdminRequest, Controller};
-use swiftsail_controller::tables::LogSegmentRecord;
-use swiftsail_controller::term::LeaderRecord;
-use swiftsail_deadline_planning::board::StepDurations;
+use swiftsail_controller::leadership::LeaderRecord;
+use swiftsail_deadline_planning::tracker::StepDurations;
 use swiftsail_deadline_planning::{DeadlinePlan, Occurrence};
 use swiftsail_gpu_lending::LenderRecord;
-use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_policy::operator_settings::OperatorSettings;
 use swiftsail_policy::plugin::{PluginKind, PluginOffer, PluginRecord};
 use swiftsail_protocol::cloud::MachineTypes;
 use swiftsail_quota::records::{QuotaHolding, QuotaPool};
 use swiftsail_replicated_records::Versioned;
-use swiftsail_simulation::world::{
+use swiftsail_simulation::simulation::{
     FaultRates, Simulation, gpu_job_body, gpu_machine_offers, job_body,
 };
 use swiftsail_tiers::TierTableRecord;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,9 +1,9 @@
 //! The rules of the protocol, on the pure cores of three controllers against the stand-in.
 
-use swiftsail_simulation::world as standin;
+use swiftsail_simulation::simulation as standin;
 
 use standin::{FaultRates, Simulation, assert_all_jobs_over, job_body, submit_mixed_load};
-use swiftsail_controller::node::{Action, Controller, Event, Now};
+use swiftsail_controller::controller::{Action, Controller, Event, Now};
 use swiftsail_protocol::controllers::Heartbeat;
 use swiftsail_protocol::decode;
 use swiftsail_protocol::workers::{Redirect, StatusReport};
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,20 +1,20 @@
 //! What a leader with a thousand machines and a hundred thousand tasks does, counted in work items
 //! and bytes: never in time.
 
-use swiftsail_simulation::world::{self as standin, job_spec};
+use swiftsail_simulation::simulation::{self as standin, job_spec};
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use swiftsail_controller::cloud::{self, CloudClient};
+use swiftsail_controller::cluster_state::{ClusterState, ReportSource};
 use swiftsail_controller::constants::*;
+use swiftsail_controller::controller::{self, CallContext, LeaderContext};
+use swiftsail_controller::cycle_policy::CyclePolicy;
 use swiftsail_controller::job::{AttemptPhase, JobKind, JobRecord, JobSpec, keys};
 use swiftsail_controller::machine::MachineType;
-use swiftsail_controller::node::{self, CallContext, LeaderContext};
 use swiftsail_controller::placement::PlanningContext;
 use swiftsail_controller::settings::{Settings, TeamSettings};
-use swiftsail_controller::steering::CyclePolicy;
 use swiftsail_controller::store::{StoreCall, StoreClient, StoreOutcome};
-use swiftsail_controller::tables::{ClusterState, ReportSource};
 use swiftsail_protocol::cloud::{ListedMachine, ListedMachineStatus, MachinePage};
 use swiftsail_protocol::state::{Mutation, Transaction};
 use swiftsail_protocol::workers::{StatusReport, TaskPhase, TaskStatus};
@@ -128,9 +128,9 @@
             machine_types: types,
             policy: &steering,
         };
-        let passed = node::run_scheduling_cycle(&mut self.cluster_state, view, true);
+        let passed = controller::run_scheduling_cycle(&mut self.cluster_state, view, true);
         let wishes = passed.wishes.unwrap_or_default();
-        node::plan_provisioning(&mut self.cluster_state, &mut self.cloud, wishes, self.now);
+        controller::plan_provisioning(&mut self.cluster_state, &mut self.cloud, wishes, self.now);
         passed.scored
     }
 
@@ -144,7 +144,7 @@
             machine_types: types,
             policy: &steering,
         };
-        node::plan_fleet(&mut self.cluster_state, &mut self.cloud, view, true);
+        controller::plan_fleet(&mut self.cluster_state, &mut self.cloud, view, true);
         self.cluster_state.stop_commands(self.now);
     }
 
@@ -515,7 +515,7 @@
             machine_types: &types,
             policy: &steering,
         };
-        let passed = node::run_scheduling_cycle(&mut bench.cluster_state, view, true);
+        let passed = controller::run_scheduling_cycle(&mut bench.cluster_state, view, true);
         (passed.bound, passed.looked)
     };
     let (free, few, many) = (cost(100, 0.0), cost(12, 1_200.0), cost(100, 1_200.0));
--- a/tests/standin.rs
+++ b/tests/standin.rs
@@ -8,11 +8,11 @@
 use swiftsail_protocol::cloud::ProvisionMachinesRequest;
 use swiftsail_protocol::state::{Mutation, Precondition, Transaction};
 use swiftsail_protocol::workers::{Command, CommandKind, ExitCause, HeartbeatResponse, TaskPhase};
+use swiftsail_simulation::cluster::SimulatedCluster;
 use swiftsail_simulation::constants::MAX_WATCH_HISTORY;
-use swiftsail_simulation::plant::SimulatedCluster;
+use swiftsail_simulation::simulation::{controller_settings, job_spec, machine_offers};
 use swiftsail_simulation::store::{CompactedRevision, FakeStore, TransactionResult};
 use swiftsail_simulation::worker::ExecutionPhase;
-use swiftsail_simulation::world::{controller_settings, job_spec, machine_offers};
 
 fn fake_store() -> FakeStore {
     FakeStore::new(controller_settings(0).settings.state.clone(), 0)
--- a/tests/states.rs
+++ b/tests/states.rs
@@ -5,11 +5,11 @@
 use swiftsail_controller::job::{
     Attempt, AttemptPhase, Binding, BindingChunk, Job, JobKind, JobRecord, JobSpec, JobState,
 };
+use swiftsail_controller::leadership::{Leadership, LeadershipPhase};
 use swiftsail_controller::machine::{Machine, MachineState};
 use swiftsail_controller::settings::Settings;
-use swiftsail_controller::term::{Leadership, LeadershipPhase};
 use swiftsail_protocol::workers::ExitCause;
-use swiftsail_simulation::world::job_spec;
+use swiftsail_simulation::simulation::job_spec;
 
 fn test_runner() -> TestRunner {
     let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
--- a/tests/takeover_days.rs
+++ b/tests/takeover_days.rs
@@ -4,9 +4,9 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
-use swiftsail_controller::node::Controller;
-use swiftsail_policy::operator::OperatorSettings;
-use swiftsail_simulation::world::{
+use swiftsail_controller::controller::Controller;
+use swiftsail_policy::operator_settings::OperatorSettings;
+use swiftsail_simulation::simulation::{
     Fault, FaultRates, InboundFailure, NetworkPartition, Simulation, gpu_job_body,
     gpu_machine_offers, job_body,
 };
--- a/tests/takeovers.rs
+++ b/tests/takeovers.rs
@@ -8,11 +8,11 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
+use swiftsail_controller::controller::Controller;
 use swiftsail_controller::job::keys;
-use swiftsail_controller::node::Controller;
-use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_policy::operator_settings::OperatorSettings;
 use swiftsail_protocol::state::{Mutation, Transaction};
-use swiftsail_simulation::world::{
+use swiftsail_simulation::simulation::{
     Fault, FaultRates, InboundFailure, NetworkPartition, START_MS, Simulation, TransactionFate,
     assert_all_jobs_over, gpu_job_body, gpu_machine_offers, job_body,
 };
@@ -551,12 +551,12 @@
         for n in 1..12 {
             let at = n * 13_000 + seed * 210;
             leads.run_until(&mut world, at);
-            let done = |job: &swiftsail_simulation::world::SimulatedJob| {
+            let done = |job: &swiftsail_simulation::simulation::SimulatedJob| {
                 let own =
                     |t: &u32| world.cluster.finished_tasks.contains(&format!("{}/{t}", job.id));
                 (0..job.task_count()).filter(own).count()
             };
-            let part = |j: &&swiftsail_simulation::world::SimulatedJob| {
+            let part = |j: &&swiftsail_simulation::simulation::SimulatedJob| {
                 (1..j.task_count() as usize).contains(&done(j)) && !j.is_over()
             };
             apart += world.jobs.iter().filter(part).count();
--- a/tests/tiers.rs
+++ b/tests/tiers.rs
@@ -4,13 +4,13 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, HashMap};
-use swiftsail_controller::node::{AdminRequest, Controller};
+use swiftsail_controller::controller::{AdminRequest, Controller};
 use swiftsail_controller::settings::Settings;
-use swiftsail_policy::operator::OperatorSettings;
+use swiftsail_policy::operator_settings::OperatorSettings;
 use swiftsail_replicated_records::{
     RecordReadError, RecordStore, StoreLimits, Versioned, WriteOutcome,
 };
-use swiftsail_simulation::world::{
+use swiftsail_simulation::simulation::{
     FaultRates, Simulation, assert_all_jobs_over, controller_settings, job_body, submit_mixed_load,
 };
 use swiftsail_tiers::{
@@ -69,7 +69,7 @@
     let text = include_str!("../deploy/tiers.toml");
     let operator = OperatorSettings::parse("deploy/tiers.toml", text).expect("it is sound");
     let record =
-        swiftsail_controller::node::tiers_of_file(operator.tiers.as_ref().expect("a table"));
+        swiftsail_controller::controller::tiers_of_file(operator.tiers.as_ref().expect("a table"));
     TierTable::new(record).expect("its tiers are sound");
 }
 
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -4,7 +4,7 @@
 mod recording;
 
 use recording::Recording;
-use swiftsail_simulation::world::{FaultRates, Simulation, submit_mixed_load};
+use swiftsail_simulation::simulation::{FaultRates, Simulation, submit_mixed_load};
 
 fn recorded(seed: u64) -> Recording {
     let weather =
--- a/tests/unreachable.rs
+++ b/tests/unreachable.rs
@@ -4,13 +4,13 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeSet;
+use swiftsail_controller::cluster_state::{ClusterState, ReportSource};
+use swiftsail_controller::controller::Controller;
 use swiftsail_controller::job::{
     Attempt, AttemptPhase, JobId, JobKind, JobRecord, MachineId, keys,
 };
-use swiftsail_controller::node::Controller;
-use swiftsail_controller::tables::{ClusterState, ReportSource};
 use swiftsail_protocol::workers::StatusReport;
-use swiftsail_simulation::world::{
+use swiftsail_simulation::simulation::{
     Fault, FaultRates, InboundFailure, NetworkPartition, Simulation, controller_settings,
     gpu_job_body, gpu_machine_offers, job_body, job_spec,
 };
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -3,17 +3,17 @@
 
 use serde_json::json;
 use std::collections::BTreeMap;
+use swiftsail_controller::cluster_state::ClusterState;
+use swiftsail_controller::controller::{CallContext, LeaderContext};
 use swiftsail_controller::job::{
     AttemptPhase, Binding, BindingChunk, JobId, JobKind, JobRecord, keys,
 };
-use swiftsail_controller::node::{CallContext, LeaderContext};
 use swiftsail_controller::settings::Settings;
 use swiftsail_controller::store::{StoreCall, StoreClient as Client, StoreOutcome};
-use swiftsail_controller::tables::ClusterState;
 use swiftsail_protocol::state::{Mutation, Transaction};
 use swiftsail_protocol::workers::ExitCause;
+use swiftsail_simulation::simulation::{controller_settings, job_spec};
 use swiftsail_simulation::store::{FakeStore, TransactionResult};
-use swiftsail_simulation::world::{controller_settings, job_spec};
 
 const JOB: &str = "wk-1";
 const TASKS: u32 = 256;
--- a/tests/world_rules.rs
+++ b/tests/world_rules.rs
@@ -1,7 +1,7 @@
 //! The world's own checks: each can fail, and each trouble really comes about.
 
 use serde_json::json;
-use swiftsail_simulation::world::{
+use swiftsail_simulation::simulation::{
     Fault, FaultRates, START_MS, Simulation, TransactionFate, assert_all_jobs_over, job_body,
     machine_offers, submit_mixed_load,
 };
