--- a/crates/controller/src/cloud/mod.rs
+++ b/crates/controller/src/cloud/mod.rs
@@ -1,7 +1,7 @@
 //! The cloud's client as a pure machine: order of calls and their rate.
 
 use crate::Time;
-use crate::constants::*;
+use crate::constants::{CLOUD_BACKOFF_MS, CLOUD_IN_FLIGHT_MAX, CLOUD_SHARE};
 use crate::store::TokenBucket;
 use std::collections::VecDeque;
 use swiftsail_protocol::cloud::{
--- a/crates/controller/src/cluster_state/binding_log.rs
+++ b/crates/controller/src/cluster_state/binding_log.rs
@@ -2,8 +2,8 @@
 //! them over.
 
 use crate::Time;
-use crate::constants::*;
-use crate::job::*;
+use crate::constants::{BINDING_LOG_MAX, SEGMENT_BYTES, SEGMENT_HEADER_BYTES, SEGMENT_JOB_BYTES};
+use crate::job::{Binding, JobId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
--- a/crates/controller/src/cluster_state/dependencies.rs
+++ b/crates/controller/src/cluster_state/dependencies.rs
@@ -4,8 +4,11 @@
 
 use super::ClusterState;
 use crate::Time;
-use crate::constants::*;
-use crate::job::*;
+use crate::constants::{
+    DEPENDENCY_DEADLINES_MS, HAND_OVER_MS, MS_PER_S, UNKNOWN_DEPENDENCIES_MAX,
+    UNKNOWN_DEPENDENCY_RETRY_MS, UPCOMING_TASKS_MS,
+};
+use crate::job::{AttemptPhase, Job, JobId, JobState};
 use crate::machine::MachineType;
 use serde_json::{Value, json};
 use swiftsail_dag::constants::DOWNSTREAM_PROBABILITY;
@@ -37,7 +40,7 @@
             // Nothing of it has ever had a place, so nothing has to be stopped: only its end is to be written.
             DependencyState::CancelledByDependency => {
                 if job.advance(JobState::Cancelling, now) {
-                    tracing::info!(job = %id, "called off with a job that it awaits");
+                    tracing::info!(job = %id, "job cancelled by dependency");
                     self.maybe_finished.insert(id.clone());
                 }
             }
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -21,8 +21,13 @@
 
 use crate::Time;
 use crate::completion_time::RunTimeHistory;
-use crate::constants::*;
-use crate::job::*;
+use crate::constants::{
+    ATTEMPT_COUNTER_BITS, IDLE_GRANT_MS, MACHINES_WITH_COMMANDS_MAX, PROBES_PART, TASK_COUNTS_MAX,
+};
+use crate::job::{
+    Attempt, AttemptPhase, Binding, FinalRecord, GangState, Job, JobId, JobKind, JobState,
+    MachineId, Priority, StoredJob, keys,
+};
 use crate::machine::{Machine, MachineState};
 use crate::settings::{PlatformSettings, WorkerSettings};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -246,13 +251,13 @@
                 return;
             }
             None => {
-                tracing::error!(key, "a job's record cannot be read");
+                tracing::error!(key, "unreadable job record");
                 return;
             }
         };
         self.dependencies.add_job(&id, &record.depends_on);
         let job = self.jobs.entry(id.clone()).or_insert_with(|| {
-            tracing::debug!(job = %id, tasks = record.spec.tasks, "job known");
+            tracing::debug!(job = %id, tasks = record.spec.tasks, "job loaded");
             self.events.note("job", "accepted", &id, Some(&record.spec.class));
             let mut job = Job::new(id.clone(), &record, stamp, now, wall);
             job.tier = self.tiers.assign_tier(record.tier.as_deref(), &facts_of(&id, &record.spec));
@@ -292,7 +297,7 @@
         let Some(job) = self.jobs.get_mut(id).filter(|j| !j.is_cancelled()) else { return };
         let passed = wall.saturating_sub(at_wall);
         if job.advance(JobState::Cancelling, now.saturating_sub(passed)) {
-            tracing::info!(job = %id, "cancelled, by a controller's word");
+            tracing::info!(job = %id, "job cancelled, reported by another controller");
             self.needs_scheduling = true;
             self.on_dependency_finished(id, JobOutcome::Cancelled, now, wall);
         }
@@ -330,7 +335,7 @@
         self.failure_detector = Some(members);
         ask.iter().for_each(|id| self.begin_probe(id));
         for (id, state) in verdicts {
-            tracing::debug!(machine = %id, ?state, "verdict");
+            tracing::debug!(machine = %id, ?state, "machine liveness changed");
             if state == Liveness::PresumedDead {
                 self.events.note("machine", "presumed dead", &id, None);
             }
@@ -416,7 +421,7 @@
         self.machines.remove(id);
         self.needs_scheduling = true;
         self.events.note("machine", "gone", id, None);
-        tracing::debug!(machine = %id, "machine gone");
+        tracing::debug!(machine = %id, "machine removed");
     }
 
     /// Takes over a page of the machine list. Names the machines that have failed.
--- a/crates/controller/src/cluster_state/provisioning.rs
+++ b/crates/controller/src/cluster_state/provisioning.rs
@@ -2,7 +2,10 @@
 
 use super::ClusterState;
 use crate::Time;
-use crate::constants::*;
+use crate::constants::{
+    NO_CAPACITY_MAX_MS, NO_CAPACITY_MS, OPEN_REQUESTS_MAX, RETURN_AGAIN_MS, RETURN_BATCH_MAX,
+    RETURNED_REMEMBERED,
+};
 use crate::job::MachineId;
 use crate::machine::MachineState;
 use rustc_hash::FxHashSet;
@@ -228,7 +231,7 @@
         let marked = self.machine_entry(id, now).advance(MachineState::Terminating);
         if marked {
             self.events.note("machine", "returning", id, Some(why));
-            tracing::debug!(machine = %id, why, "returning machine");
+            tracing::debug!(machine = %id, why, "terminating machine");
             self.provisioning.return_queue.insert(id.clone());
         }
         marked
--- a/crates/controller/src/cluster_state/queue_order.rs
+++ b/crates/controller/src/cluster_state/queue_order.rs
@@ -1,7 +1,7 @@
 //! The line of waiting work in the tables: what of a job's record the tiers and the line are made from.
 
 use super::ClusterState;
-use crate::job::*;
+use crate::job::{Job, JobKind, JobSpec, JobState, Priority};
 use crate::settings::TeamSettings;
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/crates/controller/src/cluster_state/quota_usage.rs
+++ b/crates/controller/src/cluster_state/quota_usage.rs
@@ -2,8 +2,8 @@
 
 use super::ClusterState;
 use crate::Time;
-use crate::constants::*;
-use crate::job::*;
+use crate::constants::QUIET_SHARE;
+use crate::job::{Attempt, GangState, Job, JobId, JobKind, JobSpec, JobState, MachineId};
 use crate::machine::{Machine, MachineState, MachineType, Resources};
 use crate::settings::TeamSettings;
 use std::collections::BTreeMap;
--- a/crates/controller/src/cluster_state/status_reports.rs
+++ b/crates/controller/src/cluster_state/status_reports.rs
@@ -2,8 +2,10 @@
 
 use super::{ClusterState, parse_task_name};
 use crate::Time;
-use crate::constants::*;
-use crate::job::*;
+use crate::constants::{STOP_AGAIN_MS, STOP_GRACE_EXTRA_S, SUSPECT_JOBS, SUSPECT_NEW_JOBS};
+use crate::job::{
+    Attempt, AttemptPhase, Binding, FailureAttribution, GangState, Job, JobId, JobKind, MachineId,
+};
 use crate::machine::{Machine, MachineState, MachineType, Resources};
 use std::collections::{BTreeMap, HashMap};
 use swiftsail_failure_detector::{InboundReachability, ProbeOutcome, ReachabilityEvidence};
@@ -59,7 +61,7 @@
             {
                 return orders;
             }
-            tracing::debug!(machine = %id, "machine unknown so far reports");
+            tracing::debug!(machine = %id, "unknown machine reported");
         }
         let machine =
             self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id.clone(), now));
@@ -126,13 +128,13 @@
             return;
         }
         let hearing = machine.inbound.reachability();
-        tracing::debug!(machine = %id, ?hearing, ?sign, "hearing");
+        tracing::debug!(machine = %id, ?hearing, ?sign, "inbound reachability changed");
         self.needs_scheduling = true;
         match hearing {
             InboundReachability::Reachable => return,
             InboundReachability::Suspected => {}
             InboundReachability::Unreachable => {
-                tracing::info!(machine = %id, ?sign, "a machine reports and does not hear");
+                tracing::info!(machine = %id, ?sign, "machine unreachable inbound");
                 self.events.note("machine", "deaf", id, None);
             }
         }
@@ -151,7 +153,7 @@
     /// would wait for them: nothing of it is left anywhere.
     pub fn on_reports_missing_changed(&mut self, id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get(id) else { return };
-        tracing::info!(machine = %id, mute = machine.reports_missing(), "a machine answers; whether its reports arrive has changed");
+        tracing::info!(machine = %id, mute = machine.reports_missing(), "arrival of a machine's status reports changed");
         self.needs_scheduling = true;
         if !machine.reports_missing() {
             return;
@@ -198,7 +200,7 @@
         if let Some(report) = report
             && asked.is_some_and(|before| (report.session, report.sequence) <= before)
         {
-            tracing::warn!(machine = %id, watch = report.session, "its worker has begun anew");
+            tracing::warn!(machine = %id, watch = report.session, "worker restarted");
             machine.on_worker_restart(now);
             self.release_unreported_tasks(id, report, now);
         }
@@ -322,7 +324,7 @@
                         self.events.note("task", "runs", name, Some(id));
                         let waited_ms = now.saturating_sub(job.eligible_at);
                         let bound_ms = now.saturating_sub(attempt.bound_at);
-                        tracing::debug!(job = %job_id, task, machine = %id, class = %job.spec.class, waited_ms, bound_ms, "task runs");
+                        tracing::debug!(job = %job_id, task, machine = %id, class = %job.spec.class, waited_ms, bound_ms, "task started");
                     }
                     if matches!(stage, AttemptPhase::Running | AttemptPhase::WaitingForGang)
                         && let Some(m) = self.machines.get_mut(id)
@@ -364,7 +366,7 @@
             };
             if gone {
                 self.events.note("task", "gone", task_name(&job_id, task), Some(id));
-                tracing::debug!(job = %job_id, task, launch, machine = %id, "attempt proved gone");
+                tracing::debug!(job = %job_id, task, launch, machine = %id, "attempt confirmed gone");
                 self.release(&job_id, task, now);
                 self.stop_gang_after_loss(&job_id);
             }
@@ -402,7 +404,7 @@
             if let Some(job) = job
                 && (job.waiting.remove(task) || job.backing_off.remove(task).is_some())
             {
-                tracing::warn!(job = %job_id, task, launch, machine = %id, "unrecorded task taken over");
+                tracing::warn!(job = %job_id, task, launch, machine = %id, "adopted task without a binding record");
                 let bound = Binding {
                     task: *task,
                     attempt: *launch,
@@ -487,7 +489,7 @@
         if job.failed(now) {
             // No healthy machine is shunned for it, and it shuns none.
             let blamed = std::mem::take(&mut job.bad_machines);
-            tracing::warn!(job = %id, machines = blamed.len(), "a job fails on every machine: it is tried now and then");
+            tracing::warn!(job = %id, machines = blamed.len(), "job fails on every machine, limiting retries");
             self.events.note("job", "mistaken", id, None);
             self.run_queues.remove_job(id);
             for name in &blamed {
@@ -512,7 +514,7 @@
         if machine.failed_jobs.len() >= enough && !machine.is_suspect {
             machine.is_suspect = true;
             self.events.note("machine", "suspected", machine_id, None);
-            tracing::warn!(machine = %machine_id, "machine suspected: tasks of several jobs fail on it");
+            tracing::warn!(machine = %machine_id, "machine cordoned: tasks of several jobs failed on it");
         }
     }
 
@@ -540,7 +542,7 @@
             self.maybe_finished.insert(id.clone());
             return;
         }
-        tracing::debug!(job = %id, task, machine = %machine_id, ?cause, "attempt exited");
+        tracing::debug!(job = %id, task, machine = %machine_id, ?cause, "task exited");
         let failed = matches!(
             cause,
             ExitCause::Failed
--- a/crates/controller/src/completion_time/run_times.rs
+++ b/crates/controller/src/completion_time/run_times.rs
@@ -1,7 +1,10 @@
 //! Run times seen, per job and machine type; and how far classes of jobs miss their estimates.
 
 use super::Pmf;
-use crate::constants::*;
+use crate::constants::{
+    CLASSES_MOST, MS_PER_S, PRIOR_HIGH, PRIOR_LOW, PRIOR_WEIGHT, RATIO_MOST, RATIO_PRIOR_WEIGHT,
+    RATIO_UNITS, RATIOS_LEAST, RATIOS_PER_JOB, RUN_MOST, RUN_UNIT_MS,
+};
 use crate::job::{JobId, JobSpec};
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -3,7 +3,7 @@
 
 use super::plugins::plugin_error_reply;
 use super::{Action, CallContext, Controller, Reply, RequestId};
-use crate::constants::*;
+use crate::constants::{MS_PER_S, USER_STORE_TIMEOUT_MS};
 use crate::job::{JobId, StoredJob, keys};
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
 use serde_json::json;
--- a/crates/controller/src/controller/binding_log.rs
+++ b/crates/controller/src/controller/binding_log.rs
@@ -9,8 +9,11 @@
 use super::{CallContext, LeaderContext};
 use crate::Time;
 use crate::cluster_state::{ClusterState, InFlightLogWrite, LogSegment, LogSegmentRecord};
-use crate::constants::*;
-use crate::job::*;
+use crate::constants::{
+    BINDING_LOG_MS, BINDING_LOG_PART, BINDING_LOG_PART_BUSY, ENDS_QUEUED, MS_PER_S, SEGMENT_BYTES,
+    SEGMENTS_MAX, TXN_BYTES,
+};
+use crate::job::{AttemptPhase, Binding, JobId, keys};
 use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,7 +26,7 @@
             let number = pair.key.strip_prefix(keys::SHEETS).and_then(|n| n.parse::<usize>().ok());
             let Some(number) = number.filter(|n| *n < SEGMENTS_MAX) else { continue };
             let Ok(record) = serde_json::from_value::<LogSegmentRecord>(pair.value.clone()) else {
-                tracing::error!(key = %pair.key, "a sheet of the ledger cannot be read");
+                tracing::error!(key = %pair.key, "unreadable binding log segment");
                 continue;
             };
             self.write_number = self.write_number.max(record.write_number);
@@ -166,7 +169,7 @@
                 self.read_next_conflict(ctx);
             }
             other => {
-                tracing::error!(outcome = ?other, "a transaction of the ledger was not taken");
+                tracing::error!(outcome = ?other, "transaction rejected: binding log");
                 self.settle_binding_log(None, ctx);
             }
         }
--- a/crates/controller/src/controller/chunks.rs
+++ b/crates/controller/src/controller/chunks.rs
@@ -5,8 +5,14 @@
 use super::{CallContext, LeaderContext};
 use crate::Time;
 use crate::cluster_state::{ClusterState, parse_task_name};
-use crate::constants::*;
-use crate::job::*;
+use crate::constants::{
+    BINDING_LOG_KEPT, CHUNK_BYTES, COMPACTION_MIN, COMPACTION_MS, COMPACTION_PRESSING,
+    COMPACTIONS_AT_ONCE, COMPACTIONS_QUEUED, ENDS_QUEUED, RANGE_BYTES, TXN_BYTES,
+};
+use crate::job::{
+    Attempt, AttemptPhase, Binding, BindingChunk, FinalRecord, FinalState, InFlightTransaction,
+    Job, JobId, JobState, StoredJob, chunk_key, keys,
+};
 use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -20,7 +26,7 @@
             let rest = pair.key.strip_prefix(keys::BINDINGS);
             let Some((id, chunk)) = rest.and_then(parse_task_name) else { continue };
             let Ok(record) = serde_json::from_value::<BindingChunk>(pair.value.clone()) else {
-                tracing::error!(key = %pair.key, "a record of bindings cannot be read");
+                tracing::error!(key = %pair.key, "unreadable binding chunk");
                 continue;
             };
             self.write_number = self.write_number.max(record.write_number);
@@ -194,7 +200,7 @@
                 self.resolve(id, ctx);
             }
             other => {
-                tracing::error!(job = %id, outcome = ?other, "a transaction was not taken");
+                tracing::error!(job = %id, outcome = ?other, "transaction rejected");
                 self.settle(id, None, ctx);
             }
         }
@@ -305,7 +311,7 @@
             if let Some(job) = self.remove_job(id, now) {
                 let chunks = job.chunk_revisions.keys().map(|chunk| chunk_key(id, *chunk));
                 self.stale_binding_keys.extend(chunks);
-                tracing::debug!(job = %id, cancelled = job.is_cancelled(), "job over");
+                tracing::debug!(job = %id, cancelled = job.is_cancelled(), "job finished");
             }
             // Committed, and not before: whoever awaits it begins by that.
             self.on_dependency_finished(id, record.fate(wall), now, wall);
--- a/crates/controller/src/controller/cpu_accounting.rs
+++ b/crates/controller/src/controller/cpu_accounting.rs
@@ -3,7 +3,12 @@
 use super::{Controller, Event};
 use crate::Time;
 use crate::cluster_state::{ClusterState, ProvisioningRequest};
-use crate::constants::*;
+use crate::constants::{
+    CALL_US, CYCLE_BINDINGS_MAX, CYCLE_EVALUATION_MS, CYCLE_JOBS, CYCLE_JOBS_MIN, CYCLE_QUEUED_MAX,
+    EVALUATION_US, FORWARDED_REPORT_US, HEARTBEAT_FRESH_MS, MS_PER_S, PLACE_BYTES, RENT_BATCH_MAX,
+    REPORT_US, RUN_QUEUES_MAX, RUN_QUEUES_MIN, SHARE_BELIEVED, STATUS_MS, TASK_STATUS_US,
+    TICK_MACHINE_US, TICK_MS, TICK_US, UNCHANGED_MACHINE_US,
+};
 use crate::cycle_policy::CycleBounds;
 use crate::machine::MachineState;
 use crate::settings::Settings;
@@ -24,7 +29,7 @@
         let first = std::mem::replace(&mut self.last_tick_at, now) == 0;
         if !first && self.load_level.record_delay(now.saturating_sub(due), now) {
             let level = self.load_level.level();
-            tracing::info!(?level, load = ?self.cpu_load.share(), "pressure");
+            tracing::info!(?level, load = ?self.cpu_load.share(), "load level changed");
         }
     }
 
@@ -166,13 +171,7 @@
         let now = self.now.monotonic;
         if now >= self.bound_logged_at + STATUS_MS {
             self.bound_logged_at = now;
-            tracing::warn!(
-                wanted,
-                left,
-                most,
-                ?bound,
-                "no more machines are rented than these controllers can lead"
-            );
+            tracing::warn!(wanted, left, most, ?bound, "scale out limited by controller capacity");
         }
         for wish in wishes.iter_mut() {
             wish.number = wish.number.min(left as u32);
--- a/crates/controller/src/controller/deadline_planning.rs
+++ b/crates/controller/src/controller/deadline_planning.rs
@@ -3,7 +3,7 @@
 use super::plugins::plugin_error_reply;
 use super::{CallContext, Controller, Reply, RequestId};
 use crate::cluster_state::{ClusterState, facts_of};
-use crate::constants::*;
+use crate::constants::{BOOT_UNKNOWN_MS, DISPATCH_MS, STORE_TIMEOUT_MS};
 use crate::job::{AttemptPhase, FinalState, Job, JobId, JobState, StoredJob, keys};
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
 use serde_json::json;
@@ -60,7 +60,7 @@
         for (key, value) in self.replicated_records.records.get_by_prefix(DUE) {
             match Occurrence::from_record(key, value) {
                 Ok(arrival) => board.restore(key.trim_start_matches(DUE), arrival),
-                Err(e) => tracing::error!(cause = %e, "an arrival is not taken over"),
+                Err(e) => tracing::error!(cause = %e, "unreadable occurrence record ignored"),
             }
         }
         for (key, value) in self.replicated_records.records.get_by_prefix(TOOK) {
@@ -103,9 +103,9 @@
             let (step, cause) = it.lateness_cause.unwrap_or_default();
             match it.phase {
                 OccurrencePhase::Late | OccurrencePhase::Missed => {
-                    tracing::warn!(arrival = %it.key, phase = ?it.phase, step, cause, "a dispatch deadline is in danger");
+                    tracing::warn!(arrival = %it.key, phase = ?it.phase, step, cause, "dispatch deadline at risk");
                 }
-                phase => tracing::info!(arrival = %it.key, ?phase, "arrival"),
+                phase => tracing::info!(arrival = %it.key, ?phase, "occurrence changed phase"),
             }
             leader.events.note(
                 "arrival",
@@ -184,7 +184,7 @@
         let found = self.replicated_records.records.get_committed(PLAN);
         let held = found.map(|value| DeadlinePlan::from_record(PLAN, value));
         if let Some(Err(e)) = &held {
-            tracing::error!(cause = %e, "the plan in force stays");
+            tracing::error!(cause = %e, "new dispatch plan rejected, keeping the active one");
             return;
         }
         let there = held.as_ref().and_then(|h| h.as_ref().ok()).map_or(0, |p| p.version);
@@ -194,10 +194,12 @@
             let version = plan.version;
             match DeadlineSchedule::new(plan) {
                 Ok(calendar) => {
-                    tracing::info!(version, "dispatch plan in force");
+                    tracing::info!(version, "dispatch plan activated");
                     self.replicated_records.calendar = Some(Rc::new(calendar));
                 }
-                Err(e) => tracing::error!(cause = %e, "the plan in force stays"),
+                Err(e) => {
+                    tracing::error!(cause = %e, "new dispatch plan rejected, keeping the active one")
+                }
             }
         }
         let own = self
--- a/crates/controller/src/controller/dependency_lookup.rs
+++ b/crates/controller/src/controller/dependency_lookup.rs
@@ -5,7 +5,7 @@
 use super::requests::PendingRequest;
 use super::{CallContext, Controller, Reply, RequestId};
 use crate::cluster_state::ClusterState;
-use crate::constants::*;
+use crate::constants::{DEPENDENCY_LOOKUPS_MAX, USER_STORE_TIMEOUT_MS};
 use crate::job::{FinalRecord, JobId, JobRecord, StoredJob, keys};
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
 use std::collections::HashMap;
--- a/crates/controller/src/controller/format_upgrade.rs
+++ b/crates/controller/src/controller/format_upgrade.rs
@@ -4,7 +4,7 @@
 //! is noted in the state service, once and for good: whoever begins later need not hear them all again.
 
 use super::{CallContext, Controller};
-use crate::constants::*;
+use crate::constants::{FORMAT_VERSION, USER_STORE_TIMEOUT_MS};
 use crate::job::keys;
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
 use serde::{Deserialize, Serialize};
@@ -109,7 +109,7 @@
         if self.format_upgrade.advance(to) && to == UpgradeStage::Raised {
             tracing::info!(
                 form = FORMAT_VERSION,
-                "every controller knows jobs that await others: they are accepted"
+                "format upgraded: every controller reads jobs with dependencies"
             );
         }
     }
--- a/crates/controller/src/controller/gpu_lending.rs
+++ b/crates/controller/src/controller/gpu_lending.rs
@@ -127,7 +127,7 @@
         for (key, value) in self.replicated_records.records.get_by_prefix(PREFIX) {
             match LenderRecord::from_record(key, value) {
                 Ok(lent) => leader.gpu_loans.restore(key.trim_start_matches(PREFIX), lent),
-                Err(e) => tracing::error!(cause = %e, "a loan is not taken over"),
+                Err(e) => tracing::error!(cause = %e, "unreadable loan record ignored"),
             }
         }
     }
--- a/crates/controller/src/controller/isolation.rs
+++ b/crates/controller/src/controller/isolation.rs
@@ -4,7 +4,7 @@
 
 use super::Controller;
 use crate::Time;
-use crate::constants::*;
+use crate::constants::{MS_PER_S, QUIET_SHARE, RESIGN_MACHINES, RESIGN_MAX_MS, RESIGN_MS};
 
 /// What a node has heard as a leader, and what it has given up for hearing nothing.
 #[derive(Debug, Default)]
--- a/crates/controller/src/controller/job_cache.rs
+++ b/crates/controller/src/controller/job_cache.rs
@@ -5,7 +5,10 @@
 use super::requests::PendingRequest;
 use super::{CallContext, Controller, Reply};
 use crate::Time;
-use crate::constants::*;
+use crate::constants::{
+    DISPLACED_OF, JOB_CACHE_FULL_MS, JOB_CACHE_IDLE_MS, JOB_CACHE_MS, JOB_CACHE_STALE_MS,
+    STORE_TIMEOUT_MS, USER_STORE_TIMEOUT_MS,
+};
 use crate::job::{FinalRecord, JobId, StoredJob, keys};
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
 use std::collections::HashMap;
--- a/crates/controller/src/controller/leadership.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -3,7 +3,9 @@
 use super::{Action, CallContext, Controller, store_rates};
 use crate::Time;
 use crate::cluster_state::ClusterState;
-use crate::constants::*;
+use crate::constants::{
+    ELECTION_JITTER_MS, ELECTION_RETRY_MS, LEADER_POLL_MS, MS_PER_S, STORE_TIMEOUT_MS,
+};
 use crate::job::keys;
 use crate::leadership::{AnswerAuthority, LeaderRecord, LeadershipPhase};
 use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
@@ -126,7 +128,7 @@
         self.leadership.on_resume(now);
         let (rps, writes) = store_rates(&self.settings, true);
         self.store.set_rates(rps, writes, now);
-        tracing::info!(term = token, "leading: reading the store");
+        tracing::info!(fencing_token = token, "leader elected, loading cluster state");
         let era = self.leadership.generation;
         let mut tables = ClusterState::new(token, era, now);
         tables.read_at = now;
@@ -146,7 +148,7 @@
     }
 
     pub(super) fn step_down(&mut self, why: &str) {
-        tracing::warn!(term = self.leadership.token, why, "stepping down");
+        tracing::warn!(fencing_token = self.leadership.token, why, "stepping down");
         self.record_leadership_event("ended", why);
         self.record_pending_terminations();
         self.leadership.advance(LeadershipPhase::Unknown);
@@ -348,10 +350,10 @@
         let from = leader.watched_revision;
         self.cancellations.advance_required_revision(from);
         tracing::info!(
-            term = leader.token,
+            fencing_token = leader.token,
             jobs = leader.jobs.len(),
             machines = leader.machines.len(),
-            "leading"
+            "leader ready"
         );
         self.cluster_state = Some(leader);
         self.on_records_changed();
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -51,7 +51,10 @@
 use crate::Time;
 use crate::cloud::{self, CloudClient};
 use crate::cluster_state::ClusterState;
-use crate::constants::*;
+use crate::constants::{
+    CLOUD_BACKOFF_MS, HEARTBEAT_INTERVAL_MS, LEASE_TTL_MS, PROCESS_PAUSE_MS, RETRY_AFTER_S,
+    STORE_SHARE_ALL, STORE_SHARE_LEADER, STORE_TIMEOUT_MS,
+};
 use crate::cycle_policy::CyclePolicy;
 use crate::job::{FinalRecord, JobId, MachineId, chunk_size, keys};
 use crate::leadership::{AnswerAuthority, CancellationQuorum, Leadership, LeadershipPhase};
--- a/crates/controller/src/controller/pause_detection.rs
+++ b/crates/controller/src/controller/pause_detection.rs
@@ -3,7 +3,7 @@
 //! writes, commands or answers; everybody drops what others vouched for.
 
 use super::{CallContext, Controller, Reply};
-use crate::constants::*;
+use crate::constants::{HEARTBEAT_INTERVAL_MS, LEASE_RENEW_MS, STORE_TIMEOUT_MS};
 use crate::leadership::LeaseValidity;
 use crate::store::{CallPriority, RetryPolicy, StoreCall};
 
@@ -14,7 +14,7 @@
         self.resumed_at = now;
         self.report_forwarder.drop_delegation();
         let doubted = self.leadership.on_resume(now);
-        tracing::warn!(stood_ms, doubted, "this process has stood still");
+        tracing::warn!(stood_ms, doubted, "process was paused");
         if doubted {
             self.renew_lease();
             self.read_leader_key();
@@ -68,7 +68,7 @@
         if !doubted || !self.is_lease_confirmed() {
             return;
         }
-        tracing::info!(term = self.leadership.token, "the lead is proved anew");
+        tracing::info!(fencing_token = self.leadership.token, "lease confirmed after pause");
         // A new leader that still reads the store holds them until it has.
         if self.loading_state.is_none() {
             for (id, report) in std::mem::take(&mut self.deferred_reports) {
--- a/crates/controller/src/controller/peers.rs
+++ b/crates/controller/src/controller/peers.rs
@@ -2,7 +2,7 @@
 
 use super::Controller;
 use crate::cluster_state::ClusterState;
-use crate::constants::*;
+use crate::constants::{FORMAT_VERSION, HEARTBEAT_FRESH_MS};
 use crate::leadership::{LeaderProgress, PeerHealth};
 use swiftsail_protocol::controllers::Heartbeat;
 
--- a/crates/controller/src/controller/pending_terminations.rs
+++ b/crates/controller/src/controller/pending_terminations.rs
@@ -10,7 +10,7 @@
 use crate::Time;
 use crate::cloud::CloudCall;
 use crate::cluster_state::ClusterState;
-use crate::constants::*;
+use crate::constants::{HEARTBEAT_FRESH_MS, RETURN_AGAIN_MS, RETURN_BATCH_MAX};
 use crate::fleet::cancellation_deadline_ms;
 use crate::job::{Attempt, JobId, MachineId};
 use std::collections::BTreeMap;
@@ -129,7 +129,7 @@
         if !names.is_empty() {
             tracing::warn!(
                 machines = names.len(),
-                "nobody leads: machines with cancelled tasks are returned"
+                "no leader: terminating machines that hold cancelled tasks"
             );
             self.pending_terminations.requested_at = now;
             let call = CloudCall::Return(names);
--- a/crates/controller/src/controller/plugins.rs
+++ b/crates/controller/src/controller/plugins.rs
@@ -3,7 +3,7 @@
 
 use super::{Action, CallContext, Controller, Reply, RequestId};
 use crate::Time;
-use crate::constants::*;
+use crate::constants::{PLUGINS_RETRY_MS, STORE_TIMEOUT_MS, USER_STORE_TIMEOUT_MS};
 use crate::job::keys;
 use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
 use std::collections::BTreeMap;
@@ -172,7 +172,7 @@
                     Ok(record) => {
                         known.insert(rest.to_string(), (record, pair.mod_revision));
                     }
-                    Err(_) => tracing::error!(key = %pair.key, "a plug-in's record cannot be read"),
+                    Err(_) => tracing::error!(key = %pair.key, "unreadable plug-in record"),
                 }
             }
         }
@@ -186,7 +186,7 @@
             |name: &String| known.get(name).is_some_and(|(r, _)| r.state == PluginState::Active);
         self.plugins.to_record.retain(|name, _| active(name));
         if self.plugins.known != known {
-            tracing::info!(plugins = set.len(), "plug-ins read");
+            tracing::info!(plugins = set.len(), "plug-ins loaded");
         }
         self.plugin_host.install(set);
         self.plugins.known = known;
--- a/crates/controller/src/controller/policy_evaluation.rs
+++ b/crates/controller/src/controller/policy_evaluation.rs
@@ -3,7 +3,7 @@
 
 use super::{Controller, Now, Reply};
 use crate::cluster_state::{ClusterState, team_amounts};
-use crate::constants::*;
+use crate::constants::{MS_PER_S, NO_DEADLINE_S};
 use crate::cycle_policy::{CyclePolicy, JobPolicy};
 use crate::job::{GangState, Job, JobId, JobKind, JobSpec, JobState, Priority};
 use crate::machine::{MachineState, MachineType};
@@ -79,7 +79,7 @@
         steering.job_overrides.insert(job.id.clone(), found);
     }
     for (name, flaw) in policy.take_new_failures() {
-        tracing::error!(setting = name, cause = %flaw, "an expression of the policy failed: its default is used");
+        tracing::error!(setting = name, cause = %flaw, "policy expression failed, using its default");
     }
 }
 
--- a/crates/controller/src/controller/quota_accounts.rs
+++ b/crates/controller/src/controller/quota_accounts.rs
@@ -5,7 +5,7 @@
 use super::{CallContext, Controller};
 use crate::Time;
 use crate::cluster_state::{ClusterState, team_amounts};
-use crate::constants::*;
+use crate::constants::{QUOTA_READ_MS, QUOTA_RETRY_MS};
 use crate::job::keys;
 use crate::quota_records::{self, KEY_PREFIX};
 use crate::settings::TeamSettings;
@@ -135,7 +135,7 @@
                 node.is_none_or(|node| others.chain([&self.settings.host_name]).any(|o| o == node))
             };
             let Some(stranger) = page.holdings.keys().find(|d| !known(d)) else { continue };
-            tracing::info!(record = %stranger, "limits of a controller that is no longer there are dropped");
+            tracing::info!(record = %stranger, "dropped quota records of a removed controller");
             let mut account = QuotaAccount::new(stranger, 0);
             account.on_page(&page);
             if let Some(txn) = account.remove_holding() {
@@ -212,7 +212,7 @@
                 account::TransactionOutcome::Conflict(vec![QuotaKey::Pool])
             }
             other => {
-                tracing::error!(outcome = ?other, "a transaction of amounts was not taken");
+                tracing::error!(outcome = ?other, "transaction rejected: quota accounts");
                 account::TransactionOutcome::Conflict(vec![QuotaKey::Pool])
             }
         };
@@ -281,7 +281,7 @@
             }
         }
         if !stops.is_empty() {
-            tracing::info!(tasks = stops.len(), "stopped: limits were lowered");
+            tracing::info!(tasks = stops.len(), "tasks preempted: quota limits lowered");
         }
         for (id, task) in stops {
             self.request_stop(&id, task, now);
--- a/crates/controller/src/controller/replicated_records.rs
+++ b/crates/controller/src/controller/replicated_records.rs
@@ -5,7 +5,7 @@
 use super::{CallContext, Controller, Reply, RequestId};
 use crate::Time;
 use crate::cluster_state::{ClusterState, facts_of};
-use crate::constants::*;
+use crate::constants::{RECORD_WRITE_TIMEOUT_MS, RECORDS_RETRY_MS, STORE_TIMEOUT_MS};
 use crate::job::{Job, JobId, keys};
 use crate::settings::StoreSettings;
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
@@ -79,17 +79,19 @@
 
 impl ReplicatedRecords {
     pub fn new(operator: &OperatorSettings, state: &StoreSettings, now: Time) -> ReplicatedRecords {
-        let own_tiers = operator.tiers.as_ref().and_then(|file| match TierTable::compile(tier_table_record(file)) {
-            Ok(table) => Some(Rc::new(table)),
-            Err(e) => {
-                tracing::error!(cause = %e, "the file's tiers are not sound: they do not count");
-                None
+        let own_tiers = operator.tiers.as_ref().and_then(|file| {
+            match TierTable::compile(tier_table_record(file)) {
+                Ok(table) => Some(Rc::new(table)),
+                Err(e) => {
+                    tracing::error!(cause = %e, "tier table in the operators' file rejected");
+                    None
+                }
             }
         });
         let own_plan = operator.dispatch.clone().and_then(|table| match compile_plan(table) {
             Ok(calendar) => Some(Rc::new(calendar)),
             Err(e) => {
-                tracing::error!(cause = %e, "the file's dispatch plan is not sound: it does not count");
+                tracing::error!(cause = %e, "dispatch plan in the operators' file rejected");
                 None
             }
         });
@@ -340,7 +342,7 @@
             }
             StoreOutcome::Conflict(_) => End::Conflict,
             other => {
-                tracing::error!(outcome = ?other, "a transaction of records was not taken");
+                tracing::error!(outcome = ?other, "transaction rejected: replicated records");
                 End::Conflict
             }
         };
@@ -380,7 +382,7 @@
         let held = found.and_then(|value| match TierTableRecord::from_record(TIERS, value) {
             Ok(record) => Some(record),
             Err(e) => {
-                tracing::error!(cause = %e, "the tiers in force stay");
+                tracing::error!(cause = %e, "new tier table rejected, keeping the active one");
                 None
             }
         });
@@ -390,7 +392,9 @@
         {
             match TierTable::compile(held) {
                 Ok(table) => self.put_tiers_in_force(Rc::new(table)),
-                Err(e) => tracing::error!(cause = %e, "the tiers in force stay"),
+                Err(e) => {
+                    tracing::error!(cause = %e, "new tier table rejected, keeping the active one")
+                }
             }
         }
         let Some(own) = self
@@ -411,7 +415,7 @@
             tracing::info!(
                 version = own.version(),
                 held = there,
-                "this controller's tiers are the higher ones"
+                "this controller's tier table is newer than the stored one"
             );
             self.replicated_records.records.put(TIERS, own.record().to_record());
         }
@@ -419,13 +423,13 @@
 
     fn put_tiers_in_force(&mut self, table: Rc<TierTable>) {
         let names: Vec<&str> = table.record().tiers.iter().map(|t| t.name.as_str()).collect();
-        tracing::info!(version = table.version(), tiers = names.join(", "), "tiers in force");
+        tracing::info!(version = table.version(), tiers = names.join(", "), "tier table activated");
         if let Some(own) =
             self.replicated_records.own_tiers.as_ref().filter(|own| own.version() < table.version())
         {
             tracing::info!(
                 file = own.version(),
-                "this controller's file has an older table: it does not count"
+                "ignoring older tier table in this controller's file"
             );
         }
         self.replicated_records.tiers = table.clone();
--- a/crates/controller/src/controller/report_forwarding.rs
+++ b/crates/controller/src/controller/report_forwarding.rs
@@ -7,7 +7,12 @@
 use super::{Action, Controller, Reply, RequestId};
 use crate::Time;
 use crate::cluster_state::ReportSource;
-use crate::constants::*;
+use crate::constants::{
+    DISTRIBUTE_ABOVE, DISTRIBUTE_LOAD, DISTRIBUTE_SLACK, FORWARD_BATCH_BYTES, FORWARD_BATCH_MAX,
+    FORWARD_GATHER_MS, FORWARD_TIMEOUT_MS, FORWARDING_HISTORY_MAX, FORWARDS_IN_FLIGHT_MAX,
+    HEARTBEAT_FRESH_MS, LOAD_SLACK, REDIRECT_AGAIN_MS, REPORT_BYTES, SUMMARY_MS, TASK_STATUS_BYTES,
+    UNCHANGED_MACHINE_BYTES,
+};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
--- a/crates/controller/src/controller/requests.rs
+++ b/crates/controller/src/controller/requests.rs
@@ -4,8 +4,10 @@
 use super::job_cache::CachedJob;
 use super::{Action, CallContext, Controller, Reply, RequestId, UserRequest};
 use crate::Time;
-use crate::constants::*;
-use crate::job::*;
+use crate::constants::{
+    CANCEL_CONFLICTS_MAX, EXPEDITED_HEARTBEAT_MS, SLACK, USER_STORE_TIMEOUT_MS,
+};
+use crate::job::{FinalRecord, FinalState, JobId, JobKind, JobRecord, JobSpec, StoredJob, keys};
 use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
 use std::collections::HashMap;
 use swiftsail_protocol::state::{Mutation, Precondition, Transaction};
--- a/crates/controller/src/controller/scheduling_cycle.rs
+++ b/crates/controller/src/controller/scheduling_cycle.rs
@@ -5,7 +5,10 @@
 use crate::Time;
 use crate::cloud::{self, CloudCall, CloudClient};
 use crate::cluster_state::{ClusterState, ProvisioningRequest, QuotaGuard, RunQueue, usable};
-use crate::constants::*;
+use crate::constants::{
+    CYCLE_MS, CYCLE_REST_FACTOR, EVALUATION_US, HEARTBEAT_FRESH_MS, IDLE_CHECK_MS, LEASE_TTL_MS,
+    LIVENESS_CHECK_MS, LONG_CYCLE_MS, MOVES_MS, MS_PER_S, RENT_BATCH_MAX, SCORE_US, YIELD_HOLD_MS,
+};
 use crate::fleet::{self, FleetPlan};
 use crate::job::{GangState, Job, JobId, JobSpec, MachineId};
 use crate::machine::{Machine, Resources};
@@ -76,7 +79,7 @@
         while left > 0 {
             let number = left.min(RENT_BATCH_MAX);
             left -= number;
-            tracing::info!(kind = %wish.kind, zone = %wish.zone, spot = wish.spot, number, "renting machines");
+            tracing::info!(kind = %wish.kind, zone = %wish.zone, spot = wish.spot, number, "scale out");
             let part = ProvisioningRequest { number, ..wish.clone() };
             let charter = tables.provisioning.open_request(tables.token, part.clone(), now);
             cloud.enqueue(CloudCall::Provision(part.to_wire(&charter)));
@@ -121,7 +124,7 @@
     };
     for batch in [pressing, tables.provisioning.next_returns()] {
         if !batch.is_empty() {
-            tracing::info!(machines = batch.len(), "returning machines");
+            tracing::info!(machines = batch.len(), "scale in");
             cloud.enqueue(CloudCall::Return(batch.iter().map(|id| id.to_string()).collect()));
         }
     }
@@ -225,7 +228,7 @@
         } else if let Some(leader) = &mut self.cluster_state {
             leader.on_probed(id, probe, report.as_deref(), self.now.monotonic);
         }
-        tracing::debug!(machine = %id, ?probe, "asked directly");
+        tracing::debug!(machine = %id, ?probe, "machine probed");
         if let Some(report) = report {
             self.on_command_response(&report);
         }
@@ -412,7 +415,7 @@
                 tables.yielding_machines.extend(machines.into_iter().map(|id| (id, until)));
             }
             PlanStep::PreemptForQuota { by, victims } => {
-                tracing::info!(job = %by, tasks = victims.len(), "stopped: the team's limit leaves a service nothing");
+                tracing::info!(job = %by, tasks = victims.len(), "tasks preempted: the team's limit leaves no room for a service");
                 for (id, task) in victims {
                     tables.request_stop(&id, task, view.now);
                 }
@@ -433,7 +436,7 @@
     launch: Option<u64>,
 ) -> Option<u32> {
     if let Err(why) = guard.check(tables, id, machine, launch.is_some()) {
-        tracing::debug!(job = %id, machine = %machine, ?why, "a planned binding is refused");
+        tracing::debug!(job = %id, machine = %machine, ?why, "planned binding rejected");
         return None;
     }
     let value = (view.settings.settings.state.value_kb * 1024.0) as usize;
--- a/crates/controller/src/controller/status.rs
+++ b/crates/controller/src/controller/status.rs
@@ -2,7 +2,7 @@
 
 use super::Controller;
 use crate::cluster_state::team_amounts;
-use crate::constants::*;
+use crate::constants::STATUS_MS;
 use crate::job::AttemptPhase;
 use crate::machine::MachineState;
 use std::collections::BTreeMap;
--- a/crates/controller/src/controller/store_calls.rs
+++ b/crates/controller/src/controller/store_calls.rs
@@ -3,7 +3,7 @@
 use super::{Controller, LeaderContext, RequestId};
 use crate::Time;
 use crate::cluster_state::ClusterState;
-use crate::constants::*;
+use crate::constants::{ARCHIVE_BACKLOG, ARCHIVE_BATCH, CLOUD_TYPES_MS};
 use crate::job::{JobId, keys};
 use crate::machine::MachineType;
 use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
--- a/crates/controller/src/controller/worker_reports.rs
+++ b/crates/controller/src/controller/worker_reports.rs
@@ -3,7 +3,10 @@
 use super::{Action, Controller, Reply, RequestId};
 use crate::Time;
 use crate::cluster_state::ReportSource;
-use crate::constants::*;
+use crate::constants::{
+    ANSWER_MARGIN_MS, ANSWER_VALIDITY_MIN_MS, CAME_BACK_MS, FORWARD_MS, FORWARDING_HISTORY_MAX,
+    HEARTBEAT_FRESH_MS, MS_PER_S,
+};
 use crate::leadership::AnswerAuthority;
 use swiftsail_protocol::workers::{Redirect, StatusReport};
 
@@ -173,14 +176,14 @@
     /// Tells those on call by what this leader answers its workers, when that changes.
     pub(super) fn update_answer_authority(&mut self) {
         let Some(leader) = &self.cluster_state else { return };
-        let term = leader.token;
+        let fencing_token = leader.token;
         let (read, known) = self.cancellations_known_as_of();
         let to = AnswerAuthority::of(read, known, self.answer_validity_ms(), self.now.monotonic);
         if self.answer_authority.advance(to) {
             let sure_ms = self.remaining_answer_ms();
             match to {
-                AnswerAuthority::Lost => tracing::warn!(term, "workers are answered no more"),
-                _ => tracing::info!(term, by = ?to, sure_ms, "workers are answered"),
+                AnswerAuthority::Lost => tracing::warn!(term, "stopped answering workers"),
+                _ => tracing::info!(term, by = ?to, sure_ms, "answering workers"),
             }
         }
     }
--- a/crates/controller/src/cycle_policy.rs
+++ b/crates/controller/src/cycle_policy.rs
@@ -2,7 +2,10 @@
 //! placement and fleet only read them. None of them is a rule: limits, zones, proof and the order of
 //! priorities are not here.
 
-use crate::constants::*;
+use crate::constants::{
+    CYCLE_BINDINGS_MAX, CYCLE_JOBS, CYCLE_QUEUED_MAX, IDLE_MACHINE_MS, PRUNING_THRESHOLD,
+    PRUNING_TOGGLE_MISSES, RESERVE_TASKS, ROUND_MS, RUN_QUEUE_MAX, RUN_QUEUES_MAX, SPOT_SHARE,
+};
 use crate::job::JobId;
 use std::collections::{BTreeSet, HashMap};
 
--- a/crates/controller/src/fleet/consolidation.rs
+++ b/crates/controller/src/fleet/consolidation.rs
@@ -5,8 +5,10 @@
 use super::FleetPlan;
 use crate::Time;
 use crate::cluster_state::ClusterState;
-use crate::constants::*;
-use crate::job::*;
+use crate::constants::{
+    DRAINS_MAX, MOVE_AGE_MS, MOVE_FETCH_MS, MOVE_RATIO, MOVE_REPLICAS, MOVE_TRIES,
+};
+use crate::job::{Attempt, AttemptPhase, JobId, JobKind, JobSpec, MachineId};
 use crate::machine::{MachineState, MachineType, Resources};
 use crate::placement::PlanningContext;
 use std::collections::BTreeMap;
@@ -40,7 +42,7 @@
     for id in &draining {
         match next_replica_to_move(tables, id, types) {
             Some((job, task)) => {
-                tracing::info!(job = %job, task, machine = %id, "replica moved");
+                tracing::info!(job = %job, task, machine = %id, "replica migrated");
                 out.stops.push((job, task));
                 return;
             }
--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -7,7 +7,10 @@
 
 use crate::Time;
 use crate::cluster_state::ClusterState;
-use crate::constants::*;
+use crate::constants::{
+    BOOT_LATE_FACTOR, BOOT_LATE_MS, BOOT_UNKNOWN_MS, CANCEL_MARGIN_MS, CLOUD_LIST_MS,
+    CLOUD_TYPES_MS, IDLE_CHECK_MS, MOVES_MS, MS_PER_S, STOP_GRACE_EXTRA_S,
+};
 use crate::job::{JobId, JobKind, MachineId};
 use crate::machine::{Machine, MachineState};
 use crate::placement::PlanningContext;
--- a/crates/controller/src/job/failure_attribution.rs
+++ b/crates/controller/src/job/failure_attribution.rs
@@ -4,7 +4,9 @@
 
 use super::{Attempt, Job, JobKind};
 use crate::Time;
-use crate::constants::*;
+use crate::constants::{
+    JOB_AT_FAULT_MACHINES, JOB_AT_FAULT_RETRY_MAX_MS, JOB_AT_FAULT_RETRY_MS, JOB_AT_FAULT_TASKS,
+};
 
 /// What is believed of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/controller/src/job/mod.rs
+++ b/crates/controller/src/job/mod.rs
@@ -8,7 +8,10 @@
     keys,
 };
 
-use crate::constants::*;
+use crate::constants::{
+    BAD_MACHINES_MAX, CHUNK_BYTES, GANG_START_PROMISE_MS, KEEP_FOR_GANG_MS, MS_PER_S, RANGE_BYTES,
+    RETRY_MAX_MS, RETRY_MS, START_PROMISE_MS, START_PROMISE_PART,
+};
 pub use swiftsail_protocol::users::{JobKind, JobSpec, Priority};
 
 use crate::Time;
--- a/crates/controller/src/job/record.rs
+++ b/crates/controller/src/job/record.rs
@@ -1,7 +1,7 @@
 //! What the state service holds of a job, in compact form.
 
 use super::{JobId, JobSpec, MachineId};
-use crate::constants::*;
+use crate::constants::{BINDING_BYTES, CHUNK_BYTES, CHUNK_TASKS_MAX, RANGE_BYTES};
 use crate::settings::StoreSettings;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
--- a/crates/controller/src/leadership/cancellation_quorum.rs
+++ b/crates/controller/src/leadership/cancellation_quorum.rs
@@ -14,7 +14,7 @@
 //! any time by raising the floor: that costs a leader its vouchers, never a user the promise.
 
 use crate::Time;
-use crate::constants::*;
+use crate::constants::{HEARTBEATS_REMEMBERED, PENDING_CANCELLATIONS_MAX, STORE_TIMEOUT_MS};
 use crate::job::JobId;
 use std::collections::{BTreeMap, VecDeque};
 use swiftsail_protocol::controllers::Heartbeat;
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -10,7 +10,7 @@
 };
 
 use crate::Time;
-use crate::constants::*;
+use crate::constants::{LEASE_MARGIN_MS, LEASE_TTL_MS};
 use serde::{Deserialize, Serialize};
 
 /// Value of the leader's key.
--- a/crates/controller/src/machine/mod.rs
+++ b/crates/controller/src/machine/mod.rs
@@ -1,7 +1,7 @@
 //! Machines: their types, what is known of each, and what is on it.
 
 use crate::Time;
-use crate::constants::*;
+use crate::constants::{BOOT_USUAL_MOST, MS_PER_S, REGISTRATION_MS, SLACK};
 use crate::job::{JobId, JobSpec, MachineId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
--- a/crates/controller/src/placement/candidate.rs
+++ b/crates/controller/src/placement/candidate.rs
@@ -2,7 +2,7 @@
 
 use super::target::PlacementTarget;
 use crate::Time;
-use crate::job::*;
+use crate::job::{JobId, JobKind, JobSpec, MachineId, Priority};
 use crate::machine::Resources;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/controller/src/placement/cycle.rs
+++ b/crates/controller/src/placement/cycle.rs
@@ -6,8 +6,8 @@
 use super::target::{PlacementTarget, TargetKind};
 use crate::Time;
 use crate::cluster_state::{ClusterState, ProvisioningRequest};
-use crate::constants::*;
-use crate::job::*;
+use crate::constants::{PROMISED_GANGS, SCORE_STEPS, SLACK};
+use crate::job::{JobId, JobKind, Priority};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
 use swiftsail_tiers::TierAssignment;
@@ -98,7 +98,7 @@
             }
             let dropped = self.plan.run_queues.retain(&slot, &keep);
             if dropped > 0 {
-                tracing::debug!(machine = %slot.0, dropped, "tasks pruned from a line");
+                tracing::debug!(machine = %slot.0, dropped, "tasks pruned from a run queue");
             }
         }
     }
--- a/crates/controller/src/placement/gangs.rs
+++ b/crates/controller/src/placement/gangs.rs
@@ -4,7 +4,7 @@
 use super::mapping_round::MappingRound;
 use super::plan::PlanStep;
 use super::target::TargetKind;
-use crate::constants::*;
+use crate::constants::{GANG_EVALUATIONS_MAX, GANGS_RESERVED_MAX, GATHER_SOON_MS, GATHERED_MS};
 use crate::job::{JobKind, MachineId};
 use crate::machine::Resources;
 
--- a/crates/controller/src/placement/mapping.rs
+++ b/crates/controller/src/placement/mapping.rs
@@ -3,8 +3,8 @@
 use super::candidate::{NO_SCORE, PlacementCandidate, PlacementScore, TargetRank};
 use super::mapping_round::MappingRound;
 use super::target::{PlacementTarget, TargetKind};
-use crate::constants::*;
-use crate::job::*;
+use crate::constants::MS_PER_S;
+use crate::job::{JobId, JobKind};
 use crate::machine::Resources;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/controller/src/placement/plan.rs
+++ b/crates/controller/src/placement/plan.rs
@@ -2,9 +2,9 @@
 
 use crate::Time;
 use crate::cluster_state::{ProvisioningRequest, RunQueues};
-use crate::constants::*;
+use crate::constants::MS_PER_S;
 use crate::cycle_policy::CyclePolicy;
-use crate::job::*;
+use crate::job::{JobId, MachineId};
 use crate::machine::MachineType;
 use crate::settings::Settings;
 
--- a/crates/controller/src/placement/preemption.rs
+++ b/crates/controller/src/placement/preemption.rs
@@ -8,8 +8,14 @@
 use super::team_usage::TeamUsage;
 use super::victims::{PreemptionCandidate, PreemptionVictim};
 use crate::cluster_state::{team_amounts, usable};
-use crate::constants::*;
-use crate::job::*;
+use crate::constants::{
+    FETCH_WEIGHT, GRADE_WEIGHT, GUARANTEE_S, LEND_AGE_MS, LEND_URGENT_MS, LEND_URGENT_PART,
+    LEND_WAIT_MS, MS_PER_S, PREEMPT_GAIN_MS, PREEMPT_REPORTS, PREEMPT_WAIT_MS, RECLAIM_AFTER,
+    RECLAIM_MOST, START_MS, YIELD_AFTER_MS, YIELD_LEFT_MS,
+};
+use crate::job::{
+    Attempt, AttemptPhase, GangState, Job, JobId, JobKind, JobSpec, JobState, MachineId, Priority,
+};
 use crate::machine::Resources;
 use swiftsail_quota::ResourceQuantities;
 
--- a/crates/controller/src/placement/scale_out.rs
+++ b/crates/controller/src/placement/scale_out.rs
@@ -6,7 +6,10 @@
 use super::target::{PlacementTarget, TargetKind};
 use crate::Time;
 use crate::completion_time::Pmf;
-use crate::constants::*;
+use crate::constants::{
+    QUIET_SHARE, RENT_BATCH_MAX, RENT_WAIT_MS, SCARCE_COST, SILENT_ZONE_COST, SILENT_ZONE_LEAST,
+    ZONE_COST, ZONE_PART,
+};
 use crate::machine::{MachineState, Resources};
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/controller/src/placement/target.rs
+++ b/crates/controller/src/placement/target.rs
@@ -2,7 +2,7 @@
 
 use super::completion_times::CompletionId;
 use crate::cluster_state::SlotId;
-use crate::job::*;
+use crate::job::{JobId, MachineId, Priority};
 use crate::machine::Resources;
 use std::collections::HashMap;
 
--- a/crates/controller/src/placement/team_usage.rs
+++ b/crates/controller/src/placement/team_usage.rs
@@ -1,7 +1,7 @@
 //! Teams as a round sees them, and what their limits leave.
 
 use crate::cluster_state::{ClusterState, team_amounts};
-use crate::job::*;
+use crate::job::{Attempt, JobKind, JobSpec};
 use crate::settings::TeamSettings;
 use swiftsail_quota::{Quantity, QuotaLimit, ResourceQuantities};
 
--- a/crates/controller/src/placement/victims.rs
+++ b/crates/controller/src/placement/victims.rs
@@ -1,6 +1,6 @@
 //! What could be stopped for others.
 
-use crate::job::*;
+use crate::job::{JobId, MachineId, Priority};
 use crate::machine::Resources;
 use swiftsail_quota::ResourceQuantities;
 
--- a/crates/controller/src/store/mod.rs
+++ b/crates/controller/src/store/mod.rs
@@ -1,7 +1,7 @@
 //! The state service's client as a pure machine: budget, order, retries, unknown outcomes.
 
 use crate::Time;
-use crate::constants::*;
+use crate::constants::{MS_PER_S, STORE_BACKOFF_MAX_MS, STORE_BACKOFF_MS, STORE_IN_FLIGHT_MAX};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use std::collections::{HashMap, VecDeque};
--- a/crates/dag/src/dependency_traversal.rs
+++ b/crates/dag/src/dependency_traversal.rs
@@ -1,6 +1,6 @@
 //! What becomes of one job by what comes before it, worked out by whoever is asked, from reads of its own.
 
-use crate::constants::*;
+use crate::constants::MAX_TRAVERSED_JOBS;
 use crate::{JobId, JobOutcome};
 use std::collections::{BTreeSet, VecDeque};
 
--- a/crates/dag/src/effective_deadlines.rs
+++ b/crates/dag/src/effective_deadlines.rs
@@ -1,6 +1,6 @@
 //! By when a job has to be done for what needs it, and how urgent it is for that.
 
-use crate::constants::*;
+use crate::constants::{DOWNSTREAM_PROBABILITY, MAX_DEPENDENCY_DEPTH};
 use crate::{DependencyGraph, JobId};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/deadline-planning/src/backward_planning.rs
+++ b/crates/deadline-planning/src/backward_planning.rs
@@ -1,6 +1,6 @@
 //! From the arrival backward through the chain: by when each step must be done, and when it must begin at the latest.
 
-use crate::constants::*;
+use crate::constants::{DEFAULT_STEP_DURATION_MS, MS_PER_S};
 use crate::schedule::ChainDefinition;
 
 /// A step's times of day, ms.
--- a/crates/deadline-planning/src/schedule.rs
+++ b/crates/deadline-planning/src/schedule.rs
@@ -2,7 +2,9 @@
 //! across a change of daylight saving an arrival stays at its time of day. A time that a day does not have (the hour
 //! that is skipped) is the one as long after the change; of a time that a day has twice the first counts.
 
-use crate::constants::*;
+use crate::constants::{
+    DEFAULT_MARGIN_S, MAX_CHAIN_STEPS, MAX_CHAINS, MAX_NAME_BYTES, MAX_SCHEDULE_ENTRIES,
+};
 use jiff::civil::{Date, Time, Weekday};
 use jiff::tz::TimeZone;
 use jiff::{Timestamp, ToSpan, Zoned};
--- a/crates/deadline-planning/src/tracker.rs
+++ b/crates/deadline-planning/src/tracker.rs
@@ -1,7 +1,10 @@
 //! All arrivals that are open: which job serves which step, and what will be late.
 
 use crate::backward_planning::{plan_backward, quantile};
-use crate::constants::*;
+use crate::constants::{
+    DEFAULT_STEP_DURATION_MS, DURATION_QUANTILE, MAX_DURATION_SAMPLES, MAX_OCCURRENCES,
+    OCCURRENCE_RETENTION_MS, PLANNING_HORIZON_MS, WARNING_LEAD_MS,
+};
 use crate::occurrence::{Occurrence, OccurrencePhase, OccurrenceStep, StepPhase};
 use crate::schedule::DeadlineSchedule;
 use serde::{Deserialize, Serialize};
--- a/crates/failure-detector/src/inbound_reachability.rs
+++ b/crates/failure-detector/src/inbound_reachability.rs
@@ -3,7 +3,7 @@
 //! place there is each time: empty, ready, its images held.
 
 use crate::Time;
-use crate::constants::*;
+use crate::constants::{IGNORED_ORDERS_SUSPECT, IGNORED_ORDERS_UNREACHABLE, RELAPSE_WINDOW_MS};
 
 /// Where a machine's hearing stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
--- a/crates/gpu-lending/src/gpu_loans.rs
+++ b/crates/gpu-lending/src/gpu_loans.rs
@@ -1,6 +1,9 @@
 //! Loans by the job that lends.
 
-use crate::constants::*;
+use crate::constants::{
+    LOAN_RETURN_TIMEOUT_MS, LOAN_START_TIMEOUT_MS, MAX_LENDERS, MAX_LOANS_PER_LENDER,
+    MAX_PREEMPTIONS_PER_WINDOW, MIN_PREEMPTION_INTERVAL_MS, PREEMPTION_WINDOW_MS,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use swiftsail_replicated_records::Versioned;
--- a/crates/overload-control/src/admission.rs
+++ b/crates/overload-control/src/admission.rs
@@ -1,7 +1,7 @@
 //! Which requests are taken, before their bodies are read. Each urgency may fill a part of the bodies'
 //! memory, so that what is least urgent is refused first, and a lease is never lost for a poll.
 
-use crate::constants::*;
+use crate::constants::{ADMISSION_SHARES, REQUEST_BYTES, UNKNOWN_BODY_BYTES};
 use crate::load_level::LoadLevel;
 
 /// How urgent a request is, the most urgent first.
--- a/crates/overload-control/src/fleet_limit.rs
+++ b/crates/overload-control/src/fleet_limit.rs
@@ -1,6 +1,9 @@
 //! How many machines these controllers can hear and lead, from what leading the present ones costs.
 
-use crate::constants::*;
+use crate::constants::{
+    LOAD_SMOOTHING_MS, MAX_MACHINE_LOAD, MIN_MACHINES, MIN_PART, MIN_SIGNIFICANT_LOAD,
+    RESERVED_CONNECTIONS,
+};
 
 /// A controller's load: the share of its processor that it used, smoothed.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
--- a/crates/overload-control/src/load_level.rs
+++ b/crates/overload-control/src/load_level.rs
@@ -3,7 +3,11 @@
 //! whose least delay over an interval stays above a target stands, and something must be shed.
 
 use crate::Time;
-use crate::constants::*;
+use crate::constants::{
+    DELAY_INTERVAL_MS, ELEVATED_DELAY_MS, ELEVATED_PERIOD_FACTOR, ELEVATED_RETRY_AFTER_S,
+    ELEVATED_WORK_SHARE, OVERLOADED_DELAY_MS, OVERLOADED_PERIOD_FACTOR, OVERLOADED_RETRY_AFTER_S,
+    OVERLOADED_WORK_SHARE, RELIEF_INTERVALS,
+};
 
 /// How pressed a controller is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/overload-control/src/memory_budget.rs
+++ b/crates/overload-control/src/memory_budget.rs
@@ -1,7 +1,12 @@
 //! The memory that the platform gives, divided among connections, bodies, queues, calls, caches and
 //! tables. What is beyond a part's share is refused or shed where it comes in.
 
-use crate::constants::*;
+use crate::constants::{
+    BASE_MEMORY_MB, BODIES_SHARE, CACHED_JOB_BYTES, CACHES_SHARE, CLUSTER_STATE_SHARE,
+    CONNECTION_KB, CONNECTIONS_SHARE, FINAL_ANSWER_BYTES, FORWARDED_REPORTS_SHARE, JOB_CACHE_SHARE,
+    KB, MACHINE_BYTES, MB, MIN_PART, POLL_BYTES, POLLS_SHARE, REPORT_BYTES, REQUEST_BYTES,
+    SCHEDULING_CYCLE_SHARE, SOCKETS_SHARE, STORE_CALL_BYTES, STORE_CALLS_SHARE,
+};
 
 /// What each part may hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/overload-control/src/rejected_polls.rs
+++ b/crates/overload-control/src/rejected_polls.rs
@@ -3,7 +3,9 @@
 //! others are answered twice.
 
 use crate::Time;
-use crate::constants::*;
+use crate::constants::{
+    MAX_REJECTED_POLLS, REJECTED_POLL_RETENTION_MS, RETRIED_POLL_DELAY_MS, RETRIED_POLLS_PER_S,
+};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{HashMap, VecDeque};
 use std::hash::{Hash, Hasher};
--- a/crates/overload-control/src/retry_budget.rs
+++ b/crates/overload-control/src/retry_budget.rs
@@ -1,7 +1,7 @@
 //! Repeats that don't feed the fire: a budget earned by answered calls, and jittered back-off.
 
 use crate::Time;
-use crate::constants::*;
+use crate::constants::{MAX_SAVED_RETRIES, MIN_RETRIES_PER_S, RETRIES_PER_SUCCESS};
 use rand::Rng;
 
 /// How many repeats are left.
--- a/crates/policy/src/expression_engine.rs
+++ b/crates/policy/src/expression_engine.rs
@@ -2,7 +2,10 @@
 //! clock, no randomness, no module and no `eval` in it.
 
 use crate::attributes::{Attribute, SUBJECTS};
-use crate::constants::*;
+use crate::constants::{
+    MAX_CALL_DEPTH, MAX_EXPRESSION_DEPTH, MAX_FUNCTIONS, MAX_LIST_LENGTH, MAX_MAP_SIZE,
+    MAX_TEXT_BYTES, MAX_VARIABLES, SUGGESTION_SIMILARITY,
+};
 use rhai::packages::{
     BasicArrayPackage, BasicMapPackage, BasicMathPackage, CorePackage, LogicPackage,
     MoreStringPackage, Package,
--- a/crates/policy/src/hooks.rs
+++ b/crates/policy/src/hooks.rs
@@ -11,7 +11,7 @@
 //!
 //! `()` is no answer. None reaches limits, zones, proofs, or the order of priorities.
 
-use crate::constants::*;
+use crate::constants::{MAX_CLASS_ORDER, MAX_RETRY_AFTER_S, MAX_SCORE};
 use crate::expression_engine::Diagnostic;
 use rhai::{Array, Dynamic, Position};
 use serde::{Deserialize, Serialize};
--- a/crates/policy/src/outbox.rs
+++ b/crates/policy/src/outbox.rs
@@ -1,7 +1,10 @@
 //! Report hooks: events on their way to an operator's address. A slow receiver costs nothing but the
 //! events that find no room.
 
-use crate::constants::*;
+use crate::constants::{
+    DELIVERY_BACKOFF_MS, MAX_DELIVERY_BACKOFF_MS, MAX_DELIVERY_EVENTS, MAX_OUTBOX_EVENTS,
+    MIN_DELIVERY_INTERVAL_MS,
+};
 use crate::expression_engine::{Diagnostic, unknown_name_message};
 use crate::plugin_host::Time;
 use serde::{Deserialize, Serialize};
--- a/crates/policy/src/plugin.rs
+++ b/crates/policy/src/plugin.rs
@@ -1,6 +1,6 @@
 //! A plug-in's record and its life cycle.
 
-use crate::constants::*;
+use crate::constants::{DEFAULT_PRECEDENCE, MAX_NAME_BYTES};
 use crate::hooks::Hook;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
--- a/crates/policy/src/plugin_host.rs
+++ b/crates/policy/src/plugin_host.rs
@@ -2,7 +2,10 @@
 //! and values out, and no clock of its own.
 
 use crate::attributes::{AttributeValues, CLASS_ATTRIBUTES, CLUSTER_ATTRIBUTES, JOB_ATTRIBUTES};
-use crate::constants::*;
+use crate::constants::{
+    FAULT_WINDOW_MS, MAX_CALL_OPS, MAX_FAULTS, MAX_PLUGIN_OPS_PER_S, MAX_PLUGINS, MAX_SLOW_CYCLES,
+    MAX_SOURCE_BYTES, MIN_SLOW_OPS, OPS_PER_SCORE, SLOW_CYCLE_SHARE,
+};
 use crate::expression_engine::{
     Diagnostic, ExpressionEngine, defined_functions, unknown_name_message,
 };
--- a/crates/policy/src/scheduling_policy.rs
+++ b/crates/policy/src/scheduling_policy.rs
@@ -2,7 +2,7 @@
 //! is itself one.
 
 use crate::attributes::{AttributeValues, CLUSTER_ATTRIBUTES, JOB_ATTRIBUTES, TEAM_ATTRIBUTES};
-use crate::constants::*;
+use crate::constants::MAX_POLICY_OPS;
 use crate::expression_engine::{Diagnostic, ExpressionEngine};
 use rhai::{AST, Dynamic};
 use serde::{Deserialize, Serialize};
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -1,7 +1,10 @@
 //! Users and the controllers.
 
 use super::ProtocolError;
-use crate::constants::*;
+use crate::constants::{
+    MAX_BODY_BYTES, MAX_DEPENDENCIES, MAX_JOB_ID_BYTES, MAX_MACHINE_TYPES, MAX_NESTING_DEPTH,
+    MAX_TASKS, MAX_TEXT_BYTES,
+};
 use rmpv::Value;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
--- a/crates/quota/src/account.rs
+++ b/crates/quota/src/account.rs
@@ -7,7 +7,10 @@
 //! second opinion is needed to be within a limit.
 
 use crate::quantities::{Quantity, ResourceQuantities};
-use crate::records::*;
+use crate::records::{
+    PartitionId, QuotaHolding, QuotaKey, QuotaPage, QuotaPool, QuotaRecord, QuotaTransaction,
+    TeamName, TeamQuota,
+};
 use std::collections::BTreeMap;
 
 /// Where an account stands.
--- a/crates/quota/src/allocation.rs
+++ b/crates/quota/src/allocation.rs
@@ -14,7 +14,10 @@
 //! part is counted in the amount of which it takes the largest part (dominant resource fairness; Ghodsi and others,
 //! 2011): a class of accelerator work and one of CPU work then each have what they lack most of.
 
-use crate::constants::*;
+use crate::constants::{
+    AGED_JOBS_SHARE, AGING_THRESHOLD_MS, BUSY_TIME_FACTOR, MAX_JOB_TIME_MS,
+    RUNNING_TASK_REMAINING_SHARE, TAIL_TASK_FACTOR,
+};
 use crate::quantities::{Quantity, ResourceQuantities};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/quota/src/planner/mod.rs
+++ b/crates/quota/src/planner/mod.rs
@@ -14,7 +14,11 @@
 
 use crate::Time;
 use crate::account::{AccountPhase, QuotaAccount};
-use crate::constants::*;
+use crate::constants::{
+    LIMIT_STOP_INTERVAL_MS, MIN_TRANSFER_DIVISOR, PEER_USAGE_TTL_MS, REBALANCE_DIVISOR,
+    RECEIVED_QUOTA_HOLD_MS, TRANSFER_REQUEST_INTERVAL_MS, TRANSFER_REQUEST_TTL_MS,
+    UNUSED_RETURN_DELAY_MS, USAGE_BROADCAST_INTERVAL_MS,
+};
 use crate::quantities::{Quantity, ResourceQuantities};
 use crate::records::{PartitionId, QuotaTransaction, TeamName};
 use revocation::QuotaRevocation;
--- a/crates/quota/src/planner/revocation.rs
+++ b/crates/quota/src/planner/revocation.rs
@@ -3,7 +3,7 @@
 
 use super::{QuotaAction, QuotaMessage, QuotaPlanner};
 use crate::Time;
-use crate::constants::*;
+use crate::constants::{REVOCATION_HOLD_MS, REVOCATION_TIMEOUT_MS};
 use crate::quantities::{Quantity, ResourceQuantities};
 use crate::records::{PartitionId, TeamName};
 use std::collections::BTreeMap;
--- a/crates/quota/src/rate_loans.rs
+++ b/crates/quota/src/rate_loans.rs
@@ -7,7 +7,10 @@
 //! loans are short.
 
 use crate::Time;
-use crate::constants::*;
+use crate::constants::{
+    MAX_LENT_SHARE, MIN_RATE_LOAN_SHARE, RATE_HEADROOM_FACTOR, RATE_LOAN_CLOCK_DRIFT_DIVISOR,
+    RATE_LOAN_MS, RATE_LOAN_REQUEST_INTERVAL_MS,
+};
 use std::collections::BTreeMap;
 
 /// One controller's part of a rate.
--- a/crates/replicated-records/src/record_store.rs
+++ b/crates/replicated-records/src/record_store.rs
@@ -1,7 +1,9 @@
 //! The records, as one controller knows them, and what its leader wants changed.
 
 use crate::Time;
-use crate::constants::*;
+use crate::constants::{
+    MAX_BATCH_BYTES, MAX_BATCH_WRITES, MAX_RECORDS, MAX_WRITE_BURST_S, WRITE_RATE_SHARE,
+};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -1,6 +1,10 @@
 //! The cloud as a pure machine: rentals, boot times, capacity, a list that lags, prices, money.
 
-use crate::constants::*;
+use crate::constants::{
+    BOOT_TIME_SIGMA, DEAD_MACHINE_LISTED_MS, FAILED_BOOT_SHARE, MAX_MACHINE_PAGE,
+    MAX_PROVISION_MACHINES, MIN_BILLED_S, MS_PER_S, PRICE_INTERVAL_MS, PRICE_SPREAD,
+    SLOW_BOOT_SHARE,
+};
 use rand::Rng;
 use rand::rngs::StdRng;
 use rand_distr::{Distribution, LogNormal};
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -2,7 +2,7 @@
 //! serves simulated time and real sockets alike.
 
 use crate::cloud::{FakeCloud, MachineOffer};
-use crate::constants::*;
+use crate::constants::{FETCH_SPREAD, MS_PER_S, RUNTIME_SIGMA, SPEED_SPREAD};
 use crate::worker::{ExecutionPhase, FakeWorker, MachineHardware};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/crates/simulation/src/simulation/services.rs
+++ b/crates/simulation/src/simulation/services.rs
@@ -1,7 +1,7 @@
 //! State service and cloud, and what becomes of calls on the way.
 
 use super::{CONTROLLER_COUNT, Simulation, SimulationEvent, TransactionFate};
-use crate::constants::*;
+use crate::constants::MAX_MACHINE_PAGE;
 use crate::store::{CompactedRevision, TransactionResult};
 use rand::Rng;
 use std::collections::BTreeSet;
--- a/crates/simulation/src/store.rs
+++ b/crates/simulation/src/store.rs
@@ -1,6 +1,9 @@
 //! The state service as a pure machine: keys, stamps, transactions, leases, watches, limits.
 
-use crate::constants::*;
+use crate::constants::{
+    LEASE_TTL_RANGE_MS, MAX_KEY_BYTES, MAX_PAGE_BYTES, MAX_PAGE_KEYS, MAX_TRANSACTION_BYTES,
+    MAX_WATCH_HISTORY,
+};
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 use swiftsail_controller::settings::StoreSettings;
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -1,6 +1,8 @@
 //! One machine's worker as a pure machine: reports, sessions, tokens, leases, images, tasks.
 
-use crate::constants::*;
+use crate::constants::{
+    CONTROLLER_FAILOVER_DELAY_MS, MIN_REPORT_INTERVAL_MS, MS_PER_S, WORKER_ANSWER_TIMEOUT_MS,
+};
 use std::collections::VecDeque;
 use swiftsail_controller::job::JobSpec;
 use swiftsail_controller::settings::WorkerSettings;
--- a/crates/tiers/src/tier_table.rs
+++ b/crates/tiers/src/tier_table.rs
@@ -1,7 +1,7 @@
 //! The table of tiers: named, ordered, each with an expression over what a job asks for. What changes while a
 //! job waits is out of its reach, or the line would change with it.
 
-use crate::constants::*;
+use crate::constants::MAX_EXPRESSION_OPS;
 use crate::validation::{self, TierTableError};
 use rhai::{AST, Dynamic, Map};
 use serde::{Deserialize, Serialize};
--- a/crates/tiers/src/validation.rs
+++ b/crates/tiers/src/validation.rs
@@ -1,7 +1,7 @@
 //! What speaks against a table: its form, unknown names, what changes while a job waits, tiers that nothing can
 //! reach, and a lower priority above a higher one, on which the protocol's preemption forbids acting.
 
-use crate::constants::*;
+use crate::constants::{MAX_EXPRESSION_BYTES, MAX_NAME_BYTES, MAX_TIERS, TRIAL_JOBS};
 use crate::tier_table::{
     ATTRIBUTE_NAMES, JobAttributes, JobKindAttribute, JobPriorityAttribute, TierTable,
     TierTableRecord, UNTIERED_NAME,
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -1,6 +1,6 @@
 //! The operators' listener: JSON over HTTP, apart from the protocol's own listeners.
 
-use crate::constants::*;
+use crate::constants::{KEEP_ALIVE_S, MAX_ADMIN_BODY_BYTES, MAX_ADMIN_CONNECTIONS};
 use crate::http::respond;
 use crate::runtime::{ControllerActor, IncomingRequest, TypedRequest};
 use actix::Addr;
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,7 +1,7 @@
 //! The gate at the entry: a request is let in by its urgency and the length that it tells, before its
 //! body is read; what trickles is cut off.
 
-use crate::constants::*;
+use crate::constants::{REQUEST_BODY_TIMEOUT_MS, SHED_RETRY_AFTER_S};
 use crate::http::{MESSAGE_PACK, respond};
 use actix_web::rt::time::timeout;
 use actix_web::{HttpRequest, HttpResponse, web};
--- a/src/client.rs
+++ b/src/client.rs
@@ -1,7 +1,10 @@
 //! What the command line asks of a service that runs: users' requests in the protocol's form, and
 //! operators' in JSON. Repetitions keep the same id, so that none makes a second job.
 
-use crate::constants::*;
+use crate::constants::{
+    CLIENT_TIMEOUT_MS, EXIT_STATUS_REFUSED, EXIT_STATUS_UNKNOWN, MAX_RESPONSE_BYTES,
+    MAX_RETRY_DELAY_S, MAX_RETRY_MS, RETRY_DELAY_MS,
+};
 use awc::Client as Http;
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/src/http.rs
+++ b/src/http.rs
@@ -2,7 +2,7 @@
 //! passes the gate before its body is read.
 
 use crate::admission::{AdmissionController, AdmittedRequest};
-use crate::constants::*;
+use crate::constants::{KEEP_ALIVE_S, LISTEN_BACKLOG, REQUEST_HEAD_TIMEOUT_MS};
 use crate::runtime::{ControllerActor, IncomingHeartbeat, IncomingRequest, TypedRequest};
 use actix::Addr;
 use actix_web::dev::Payload;
--- a/src/local/config.rs
+++ b/src/local/config.rs
@@ -1,6 +1,8 @@
 //! What `swiftsail local` is made of: machine types, teams, limits, and the controllers' settings.
 
-use crate::constants::*;
+use crate::constants::{
+    LOCAL_MAX_CLOCK_OFFSET_MS, LOCAL_MAX_CONNECTIONS, LOCAL_MAX_CONTROLLERS, LOCAL_MEMORY_MB,
+};
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
--- a/src/local/emulator.rs
+++ b/src/local/emulator.rs
@@ -4,7 +4,10 @@
 use super::config::{LocalConfig, PortPlan, controller_number, zone_of_controller};
 use super::faults::Fault;
 use super::persistence::Persistence;
-use crate::constants::*;
+use crate::constants::{
+    EXIT_STATUS_REFUSED, LOCAL_MAX_MACHINES, LOCAL_PARTITION_HOLD_MS, LOCAL_RECLAIM_NOTICE_MS,
+    LOCAL_STEP_INTERVAL_MS,
+};
 use actix::prelude::*;
 use awc::Client;
 use serde::Serialize;
@@ -145,7 +148,7 @@
 
 /// What is not on disk must not be answered as if it were.
 fn persistence_failure(cause: &redb::Error) -> RawResponse {
-    tracing::error!(%cause, "the data folder cannot be written: free space, then start anew");
+    tracing::error!(%cause, "cannot write the data folder: free space, then restart");
     System::current().stop_with_code(i32::from(EXIT_STATUS_REFUSED));
     unavailable()
 }
@@ -475,7 +478,7 @@
         }
         let now = self.elapsed_ms();
         let after = |seconds: f64| now + (seconds * 1000.0) as u64;
-        tracing::warn!(?fault, "fault asked for");
+        tracing::warn!(?fault, "fault requested");
         let done = match fault {
             Fault::Crash { node } => {
                 let _ = self.crash_requests.send(node);
--- a/src/local/http.rs
+++ b/src/local/http.rs
@@ -6,7 +6,9 @@
     Emulator, EmulatorCall, EmulatorRequest, GetEmulatorStatus, InjectFault, RawResponse,
 };
 use super::faults::Fault;
-use crate::constants::*;
+use crate::constants::{
+    KEEP_ALIVE_S, LOCAL_MAX_CONTROLLERS, LOCAL_MAX_MACHINES, MAX_ADMIN_BODY_BYTES,
+};
 use actix::Addr;
 use actix_web::http::StatusCode;
 use actix_web::{App, HttpRequest, HttpResponse, HttpServer, web};
--- a/src/local/mod.rs
+++ b/src/local/mod.rs
@@ -14,7 +14,10 @@
 pub use faults::Fault;
 pub use http::path;
 
-use crate::constants::*;
+use crate::constants::{
+    LOCAL_BASE_PORT, LOCAL_MAX_MACHINES, LOCAL_PROCESS_CHECK_INTERVAL_MS,
+    LOCAL_PROGRESS_INTERVAL_MS,
+};
 use crate::logging::LogFormat;
 use actix::Actor;
 use clap::Args;
--- a/src/local/persistence.rs
+++ b/src/local/persistence.rs
@@ -35,7 +35,7 @@
             match decode::<KeyValue>(value.value()) {
                 Ok(pair) => pairs.push(pair),
                 Err(e) => {
-                    tracing::error!(key = key.value(), cause = %e, "a kept value is unreadable")
+                    tracing::error!(key = key.value(), cause = %e, "unreadable stored value")
                 }
             }
         }
--- a/src/local/processes.rs
+++ b/src/local/processes.rs
@@ -1,6 +1,6 @@
 //! The controllers' processes: started, watched, killed when a fault asks for it, started again.
 
-use crate::constants::*;
+use crate::constants::LOCAL_RESTART_DELAY_MS;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
--- a/src/program.rs
+++ b/src/program.rs
@@ -5,7 +5,7 @@
 use crate::commands::{
     DispatchCommand, JobCommand, LoanCommand, PipelineCommand, PluginCommand, TierCommand,
 };
-use crate::constants::*;
+use crate::constants::EXIT_STATUS_REFUSED;
 use crate::local::{LocalArgs, LocalCommand};
 use crate::logging::{self, LogFormat};
 use crate::runtime::ControllerActor;
@@ -163,7 +163,7 @@
             actix::spawn(async move {
                 // Without it the service goes on: operators are not what it is for.
                 if let Err(e) = admin::serve(listen, to).await {
-                    tracing::error!(%listen, cause = %e, "operators cannot be served: free the address");
+                    tracing::error!(%listen, cause = %e, "cannot serve operators: free the address");
                 }
             });
         }
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -1,7 +1,10 @@
 //! The actors: they bring events to the core and carry its actions out.
 
 use crate::admission::AdmissionController;
-use crate::constants::*;
+use crate::constants::{
+    CPU_SAMPLE_INTERVAL_MS, MAX_MAILBOX_MESSAGES, MAX_RESPONSE_BYTES, MONOTONIC_ORIGIN_MS,
+    PEER_TIMEOUT_MS, PROBE_CONNECT_TIMEOUT_MS, PROBE_TIMEOUT_MS, WORKER_TIMEOUT_MS,
+};
 use actix::prelude::*;
 use awc::error::{ConnectError, SendRequestError};
 use awc::{Client, Connector};
@@ -10,7 +13,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use swiftsail_controller::constants::*;
+use swiftsail_controller::constants::{
+    CLOUD_PAGE, CLOUD_TIMEOUT_MS, FORWARD_TIMEOUT_MS, LIST_PAGE, STORE_TIMEOUT_MS, TICK_MS,
+    WATCH_BLOCK_MS, WATCH_TIMEOUT_MS,
+};
 use swiftsail_controller::controller::{
     Action, AdminRequest, Controller, Event, Now, Reply, RequestId, UserRequest,
 };
@@ -300,7 +306,7 @@
         Some(body) => request.send_body(body).await,
         None => request.send().await,
     };
-    let mut response = sent.map_err(|e| tracing::debug!(cause = %e, "a call had no answer"))?;
+    let mut response = sent.map_err(|e| tracing::debug!(cause = %e, "no response to a request"))?;
     let status = response.status().as_u16();
     // A follow's response has no size limit of its own.
     let bytes = response.body().limit(MAX_RESPONSE_BYTES).await;
@@ -388,7 +394,7 @@
         }
         (400, _) => {
             let text = String::from_utf8_lossy(&bytes).into_owned();
-            tracing::error!(cause = %text, "the state service calls a request malformed");
+            tracing::error!(cause = %text, "state service rejected a request as malformed");
             StoreOutcome::Malformed(text)
         }
         _ => StoreOutcome::Unknown,
@@ -436,7 +442,7 @@
         (503, CloudCall::Provision(_)) if is_no_capacity(&bytes) => CloudOutcome::NoCapacity,
         (400, _) => {
             let text = String::from_utf8_lossy(&bytes).into_owned();
-            tracing::error!(cause = %text, "the cloud calls a request malformed");
+            tracing::error!(cause = %text, "cloud rejected a request as malformed");
             CloudOutcome::Malformed(text)
         }
         _ => CloudOutcome::Failed,
--- a/tests/membership.rs
+++ b/tests/failure_detector.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
-use swiftsail_failure_detector::constants::*;
+use swiftsail_failure_detector::constants::{MS_PER_S, REDIRECT_GRACE_MS, REPORT_JITTER_SHARE};
 use swiftsail_failure_detector::{FailureDetector, Liveness, MachineObservation, ProbeOutcome};
 use swiftsail_simulation::simulation::{FaultRates, Simulation, job_body, submit_mixed_load};
 
--- a/tests/loans.rs
+++ b/tests/gpu_lending.rs
@@ -7,7 +7,9 @@
 use rand::{Rng, SeedableRng};
 use serde_json::Value;
 use swiftsail_controller::controller::{AdminRequest, Controller};
-use swiftsail_gpu_lending::constants::*;
+use swiftsail_gpu_lending::constants::{
+    LOAN_RETURN_TIMEOUT_MS, LOAN_START_TIMEOUT_MS, MAX_PREEMPTIONS_PER_WINDOW,
+};
 use swiftsail_gpu_lending::{GpuLoans, LenderRecord, LoanAction, LoanObservation, LoanPhase};
 use swiftsail_policy::operator_settings::OperatorSettings;
 use swiftsail_replicated_records::Versioned;
--- a/tests/overload.rs
+++ b/tests/overload_control.rs
@@ -6,7 +6,11 @@
 use rand::rngs::StdRng;
 use swiftsail_controller::controller::Controller;
 use swiftsail_overload_control::admission::{AdmissionGate, RequestPriority};
-use swiftsail_overload_control::constants::*;
+use swiftsail_overload_control::constants::MAX_DELEGATION_MS;
+use swiftsail_overload_control::constants::{
+    BASE_MEMORY_MB, ELEVATED_DELAY_MS, MAX_MACHINE_LOAD, MAX_SAVED_RETRIES, MB, MIN_MACHINES,
+    MIN_RETRIES_PER_S, OVERLOADED_DELAY_MS, REQUEST_BYTES, UNKNOWN_BODY_BYTES,
+};
 use swiftsail_overload_control::delegated_answering::{DelegatedAnswering, DelegationEvent};
 use swiftsail_overload_control::fleet_limit::{CpuLoad, FleetLimit, max_machines};
 use swiftsail_overload_control::load_level::{LoadLevel, LoadMonitor};
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -6,7 +6,10 @@
 use std::collections::BTreeMap;
 use swiftsail_controller::controller::AdminRequest;
 use swiftsail_policy::attributes::{AttributeValues, CLUSTER_ATTRIBUTES, JOB_ATTRIBUTES};
-use swiftsail_policy::constants::*;
+use swiftsail_policy::constants::{
+    MAX_CALL_OPS, MAX_DELIVERY_EVENTS, MAX_OUTBOX_EVENTS, MAX_PLUGIN_OPS_PER_S, MAX_SCORE,
+    MAX_SLOW_CYCLES, MIN_DELIVERY_INTERVAL_MS,
+};
 use swiftsail_policy::hooks::{Hook, HookAnswer, compose_answers};
 use swiftsail_policy::operator_settings::OperatorSettings;
 use swiftsail_policy::outbox::{EventOutbox, EventReceiver, ReportedEvent};
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -7,7 +7,10 @@
 use std::sync::Arc;
 use swiftsail_controller::cloud::{self, CloudClient};
 use swiftsail_controller::cluster_state::{ClusterState, ReportSource};
-use swiftsail_controller::constants::*;
+use swiftsail_controller::constants::{
+    BINDING_LOG_MAX, CYCLE_BINDINGS_MAX, OPEN_REQUESTS_MAX, REGISTRATION_MS, RENT_BATCH_MAX,
+    REPORT_BYTES, ROUND_MS, TASK_STATUS_BYTES,
+};
 use swiftsail_controller::controller::{self, CallContext, LeaderContext};
 use swiftsail_controller::cycle_policy::CyclePolicy;
 use swiftsail_controller::job::{AttemptPhase, JobKind, JobRecord, JobSpec, keys};
