--- a/tests/answer_linearizability/cases.rs
+++ b/tests/answer_linearizability/cases.rs
@@ -397,7 +397,7 @@
         let key = keys::job(&self.ids[job]);
         let last = FinalRecord { state: FinalState::Done, done: 1, at_wall: None };
         let value = serde_json::to_value(last).expect("our own record");
-        let apply = vec![Mutation::Put { key: key, value, lease: None }];
+        let apply = vec![Mutation::Put { key, value, lease: None }];
         self.store.apply_transaction(&Transaction { preconditions: Vec::new(), mutations: apply });
     }
 
