--- /dev/null
+++ b/crates/controller/src/controller/capacity.rs
@@ -0,0 +1,100 @@
+//! What these controllers can afford: the bounds of a scheduling cycle and the number of machines that they can manage,
+//! given their processor, memory and connections.
+
+use super::Controller;
+use crate::cluster_state::{ClusterState, ProvisioningRequest};
+use crate::constants::{
+    CYCLE_BINDINGS_MAX, CYCLE_EVALUATION_MS, CYCLE_JOBS, CYCLE_JOBS_MIN, CYCLE_QUEUED_MAX,
+    EVALUATION_US, HEARTBEAT_FRESH_MS, PLACE_BYTES, RENT_BATCH_MAX, REPORT_US, RUN_QUEUES_MAX,
+    RUN_QUEUES_MIN, STATUS_MS,
+};
+use crate::cycle_policy::CycleBounds;
+use crate::machine::MachineState;
+use swiftsail_overload_control::constants::MAX_MACHINE_LOAD;
+use swiftsail_overload_control::fleet_limit::{FleetLimit, max_machines};
+
+/// Evaluations of a target for one job in a cycle: once, and again if it did not pass the threshold.
+const EVALUATIONS_PER_TARGET: f64 = 2.0;
+
+impl Controller {
+    /// Machines that the leader manages; 0 for a follower.
+    pub(super) fn machine_count(&self) -> usize {
+        self.cluster_state.as_ref().map_or(0, |state| state.machines.len())
+    }
+
+    /// Bounds of the next scheduling cycle. Hundreds of jobs of one task at thousands of run queues once took longer
+    /// than the leader's lease lasts.
+    pub(super) fn cycle_bounds(&self) -> CycleBounds {
+        let machines = self.machine_count();
+        let queued_jobs =
+            |state: &ClusterState| state.jobs.values().filter(|job| job.has_queued_tasks()).count();
+        let waiting_jobs = self.cluster_state.as_ref().map_or(0, queued_jobs).max(1);
+        let available_us = self.cpu.available_us(CYCLE_EVALUATION_MS as u64);
+        let evaluations = (available_us / (EVALUATIONS_PER_TARGET * EVALUATION_US)) as usize;
+        let queues = (evaluations / waiting_jobs).saturating_sub(machines).max(RUN_QUEUES_MIN);
+        let queues = self.load_level.scaled_work(RUN_QUEUES_MAX).min(queues);
+        let targets = (machines + queues).max(1);
+        let by_memory = self.budget.scheduling_cycle_bytes / (targets * PLACE_BYTES);
+        let by_processor = evaluations / targets;
+        let jobs = self.load_level.scaled_work(CYCLE_JOBS).min(by_memory).min(by_processor);
+        CycleBounds {
+            max_bindings: self.load_level.scaled_work(CYCLE_BINDINGS_MAX),
+            max_queue_joins: self.load_level.scaled_work(CYCLE_QUEUED_MAX),
+            max_jobs_per_level: jobs.max(CYCLE_JOBS_MIN),
+            max_queues: queues,
+            is_fleet_near_limit: self.machines_left() < RENT_BATCH_MAX as usize,
+        }
+    }
+
+    /// How many machines these controllers can manage, and what limits it.
+    pub(super) fn max_machines(&self) -> (usize, FleetLimit) {
+        let now = self.now.monotonic;
+        let is_heard = |heard_at: crate::Time| now.saturating_sub(heard_at) <= HEARTBEAT_FRESH_MS;
+        let peers = self.peers.values().filter(|peer| is_heard(peer.health.heard_at));
+        let peer_loads = peers.filter_map(|peer| peer.baseline_load);
+        let loads: Vec<f64> = peer_loads.chain(self.cpu.baseline_load()).collect();
+        let controllers = self.settings.controllers();
+        let us_per_machine = REPORT_US / self.settings.settings.workers.report_s;
+        let available_us = self.cpu.available_us(1_000) * MAX_MACHINE_LOAD * controllers as f64;
+        let estimate = (available_us / us_per_machine) as usize;
+        let (connections, by_memory) = (self.budget.connections, self.budget.machines);
+        max_machines(self.machine_count(), &loads, estimate, controllers, connections, by_memory)
+    }
+
+    /// Machines that may still be provisioned.
+    fn machines_left(&self) -> usize {
+        let Some(state) = &self.cluster_state else { return 0 };
+        let is_terminating =
+            |machine: &&crate::machine::Machine| machine.state() == MachineState::Terminating;
+        let terminating = state.machines.values().filter(is_terminating).count();
+        let requested: usize =
+            state.provisioning.open_requests().map(|(request, _)| request.number as usize).sum();
+        let expected = (state.machines.len() - terminating) + requested;
+        self.max_machines().0.saturating_sub(expected)
+    }
+
+    /// Whether there are more machines than these controllers can manage: idle ones are then terminated at once.
+    pub(super) fn is_crowded(&self) -> bool {
+        self.cluster_state.is_some() && self.machine_count() > self.max_machines().0
+    }
+
+    /// Cuts provisioning requests to what these controllers can manage. They come in order of preference.
+    pub(super) fn limit_to_headroom(&mut self, requests: &mut Vec<ProvisioningRequest>) {
+        let wanted: usize = requests.iter().map(|request| request.number as usize).sum();
+        let mut left = self.machines_left();
+        if wanted <= left {
+            return;
+        }
+        let (most, bound) = self.max_machines();
+        let now = self.now.monotonic;
+        if now >= self.bound_logged_at + STATUS_MS {
+            self.bound_logged_at = now;
+            tracing::warn!(wanted, left, most, ?bound, "scale out limited by controller capacity");
+        }
+        for request in requests.iter_mut() {
+            request.number = request.number.min(left as u32);
+            left -= request.number as usize;
+        }
+        requests.retain(|request| request.number > 0);
+    }
+}
--- /dev/null
+++ b/crates/controller/src/controller/fleet_management.rs
@@ -0,0 +1,266 @@
+//! The leader's machines: scale out and in, liveness probes, drains. Plans come from `placement` and `fleet`; this
+//! module applies them to the cluster state and is the only one that asks the cloud for machines.
+
+use super::{Action, Controller};
+use crate::Time;
+use crate::cloud::{CloudCall, CloudClient, CloudOutcome};
+use crate::cluster_state::{ClusterState, ProvisioningRequest};
+use crate::constants::{
+    HEARTBEAT_FRESH_MS, IDLE_CHECK_MS, LEASE_TTL_MS, LIVENESS_CHECK_MS, MOVES_MS, RENT_BATCH_MAX,
+};
+use crate::fleet::{self, FleetPlan};
+use crate::job::MachineId;
+use crate::placement::PlanningContext;
+use swiftsail_failure_detector::ProbeOutcome;
+use swiftsail_protocol::workers::StatusReport;
+
+/// Queues provisioning requests, in the given order. A request of the same offer that has not been sent yet is enlarged
+/// instead, since the cloud's calls a second are few.
+pub fn plan_provisioning(
+    state: &mut ClusterState,
+    cloud: &mut CloudClient,
+    requests: Vec<ProvisioningRequest>,
+    now: Time,
+) {
+    for request in requests {
+        let mut remaining = request.number;
+        for (request_id, open) in state.provisioning.unsent_requests(&request) {
+            let more = remaining.min(RENT_BATCH_MAX.saturating_sub(open.request.number));
+            if more > 0 && cloud.enlarge_queued_request(request_id, open.request.number + more) {
+                open.request.number += more;
+                remaining -= more;
+            }
+        }
+        while remaining > 0 {
+            let number = remaining.min(RENT_BATCH_MAX);
+            remaining -= number;
+            tracing::info!(kind = %request.kind, zone = %request.zone, spot = request.spot, number, "scale out");
+            let part = ProvisioningRequest { number, ..request.clone() };
+            let request_id = state.provisioning.open_request(state.token, part.clone(), now);
+            cloud.enqueue(CloudCall::Provision(part.to_wire(&request_id)));
+        }
+    }
+}
+
+/// Plans and applies what the fleet needs. Called with every tick of the leader. `store_answers`: the store has
+/// responded within the time of a lease. Returns the machines to probe.
+pub fn plan_fleet(
+    state: &mut ClusterState,
+    cloud: &mut CloudClient,
+    context: PlanningContext,
+    store_answers: bool,
+) -> Vec<MachineId> {
+    let now = context.now;
+    let to_probe = if now >= state.machines_checked_at + LIVENESS_CHECK_MS {
+        state.check_machine_liveness(&context.settings.settings, now)
+    } else {
+        Vec::new()
+    };
+    let provisioning = &state.provisioning;
+    let checks_idle = now >= provisioning.idle_checked_at + IDLE_CHECK_MS;
+    let checks_consolidation = now >= provisioning.moves_checked_at + MOVES_MS;
+    if checks_idle || checks_consolidation {
+        state.count_free_resources(context.machine_types);
+    }
+    let plan = fleet::plan_fleet(state, context, store_answers);
+    refresh_cloud_inventory(state, cloud, &plan, now);
+    apply_fleet_plan(state, plan, now);
+    terminate_machines(state, cloud, now);
+    to_probe
+}
+
+/// Asks the cloud for its machines and types where the plan wants them.
+fn refresh_cloud_inventory(
+    state: &mut ClusterState,
+    cloud: &mut CloudClient,
+    plan: &FleetPlan,
+    now: Time,
+) {
+    if plan.refresh_machine_list {
+        state.provisioning.listed_at = now;
+        state.provisioning.is_listing = true;
+        cloud.enqueue(CloudCall::ListMachines(None));
+    }
+    if plan.refresh_machine_types {
+        state.provisioning.types_requested_at = now;
+        cloud.enqueue(CloudCall::ListTypes);
+    }
+}
+
+/// Marks machines and tasks as the plan says.
+fn apply_fleet_plan(state: &mut ClusterState, plan: FleetPlan, now: Time) {
+    for (id, reason) in plan.returns {
+        let is_unreachable =
+            matches!(reason, fleet::RETURN_REASON_UNREACHABLE | fleet::RETURN_REASON_NOT_REPORTING);
+        if state.request_return(&id, reason, now) && is_unreachable {
+            state.provisioning.note_unreachable_return(now);
+        }
+        if reason == fleet::RETURN_REASON_CANCELLED {
+            state.provisioning.mark_urgent(&id);
+        }
+    }
+    for (job, task) in plan.stops {
+        state.request_stop(&job, task, now);
+    }
+    for (id, machine_state) in plan.state_changes {
+        state.machine_entry(&id, now).advance(machine_state);
+    }
+    if plan.checked_idle_machines {
+        state.provisioning.idle_checked_at = now;
+    }
+    if plan.checked_consolidation {
+        state.provisioning.moves_checked_at = now;
+    }
+}
+
+/// Queues termination requests for marked machines. Urgent ones are not queued a second time while a request waits to
+/// be sent.
+fn terminate_machines(state: &mut ClusterState, cloud: &mut CloudClient, now: Time) {
+    let urgent = if cloud.has_queued_return() {
+        Vec::new()
+    } else {
+        state.provisioning.next_urgent_returns(now)
+    };
+    for batch in [urgent, state.provisioning.next_returns()] {
+        if !batch.is_empty() {
+            tracing::info!(machines = batch.len(), "scale in");
+            cloud.enqueue(CloudCall::Return(batch.iter().map(|id| id.to_string()).collect()));
+        }
+    }
+}
+
+impl Controller {
+    /// Manages the leader's machines. Called with every tick.
+    pub(super) fn manage_fleet(&mut self) {
+        let now = self.now.monotonic;
+        let is_crowded = self.is_crowded();
+        let reachable_zones = self.reachable_zones();
+        let Some(state) = &mut self.cluster_state else { return };
+        if is_crowded {
+            self.job_policies.idle_timeout_ms = 0;
+        }
+        state.reachable_zones = reachable_zones;
+        let machine_types = self.machine_types.clone().unwrap_or_default();
+        let last_success = self.store.last_success_at;
+        let store_answers = last_success.is_some_and(|at| now.saturating_sub(at) <= LEASE_TTL_MS);
+        let context = PlanningContext {
+            now,
+            wall_now: self.now.wall_clock,
+            settings: &self.settings,
+            machine_types: &machine_types,
+            policy: &self.job_policies,
+        };
+        for id in plan_fleet(state, &mut self.cloud, context, store_answers) {
+            let machine = state.machines.get_mut(&id);
+            let Some(machine) = machine.filter(|m| !m.address.is_empty()) else {
+                // Not in the machine list yet: there is no address to probe.
+                state.on_probed(&id, ProbeOutcome::Refused, None, now);
+                continue;
+            };
+            if self.open_probes.contains_key(&id) {
+                machine.probe_baseline = None;
+            }
+            self.actions.push(Action::ProbeMachine(id, machine.address.clone()));
+        }
+    }
+
+    /// Zones in which a controller is heard, this one's own among them.
+    fn reachable_zones(&self) -> std::collections::BTreeSet<String> {
+        let now = self.now.monotonic;
+        let is_heard = |name: &String| {
+            let peer = self.peers.get(name);
+            peer.is_some_and(|p| now.saturating_sub(p.health.heard_at) <= HEARTBEAT_FRESH_MS)
+        };
+        let others = self.settings.others.iter().filter(|other| is_heard(&other.host_name));
+        let own = std::iter::once(&self.settings.site);
+        others.map(|other| &other.site).chain(own).cloned().collect()
+    }
+
+    /// A probe of a machine ended, with or without an answer.
+    pub(super) fn on_probed(
+        &mut self,
+        id: &MachineId,
+        probe: ProbeOutcome,
+        report: Option<Box<StatusReport>>,
+    ) {
+        // Where a probe of an earlier leadership is open, it cannot be told which of the two this answers. Its report
+        // then counts as any report, and proves nothing about the worker's restart.
+        let is_ambiguous = self.closes_previous_term_probe(id);
+        if !is_ambiguous && let Some(state) = &mut self.cluster_state {
+            state.on_probed(id, probe, report.as_deref(), self.now.monotonic);
+        }
+        tracing::debug!(machine = %id, ?probe, "machine probed");
+        if let Some(report) = report {
+            self.on_command_response(&report);
+        }
+    }
+
+    /// Whether a probe of this machine that an earlier leadership sent is open; if so, one of them is closed.
+    fn closes_previous_term_probe(&mut self, id: &MachineId) -> bool {
+        let Some(open) = self.open_probes.get_mut(id) else { return false };
+        *open -= 1;
+        if *open == 0 {
+            self.open_probes.remove(id);
+        }
+        true
+    }
+
+    /// A call to the cloud ended, with or without a response.
+    pub(super) fn on_cloud(&mut self, call: &CloudCall, outcome: &CloudOutcome) {
+        self.cloud.on_outcome(outcome, self.now.monotonic);
+        if let CloudOutcome::Types(types) = outcome {
+            self.learn_machine_types(types);
+            self.store_machine_types(types);
+        }
+        if let (CloudCall::Return(names), CloudOutcome::Returned) = (call, outcome) {
+            self.pending_terminations.on_terminated(names);
+        }
+        let Some(state) = &mut self.cluster_state else { return };
+        let retry = apply_cloud_outcome(state, call, outcome, self.now.monotonic);
+        if let Some(retry) = retry {
+            self.cloud.enqueue(retry);
+        }
+    }
+}
+
+/// Applies the outcome of a call to the cluster state. Returns the call to make next, if any.
+fn apply_cloud_outcome(
+    state: &mut ClusterState,
+    call: &CloudCall,
+    outcome: &CloudOutcome,
+    now: Time,
+) -> Option<CloudCall> {
+    match (call, outcome) {
+        (CloudCall::Provision(request), CloudOutcome::Provisioned(provisioned)) => {
+            state.on_provisioned(&request.request_id, &provisioned.machines, now);
+        }
+        (CloudCall::Provision(request), CloudOutcome::NoCapacity | CloudOutcome::Malformed(_)) => {
+            state.on_provisioning_refused(&request.request_id, now);
+        }
+        // Idempotent: if the request was served, the same id gets the same machines.
+        (CloudCall::Provision(request), _) => {
+            return state.provisioning.mark_unanswered(&request.request_id).then(|| call.clone());
+        }
+        (CloudCall::Return(names), CloudOutcome::Returned) => {
+            for name in names {
+                state.on_returned(&MachineId::from(name.as_str()), now);
+            }
+        }
+        (CloudCall::Return(names), _) => {
+            for name in names {
+                state.provisioning.on_return_failed(MachineId::from(name.as_str()));
+            }
+        }
+        (CloudCall::ListMachines(_), CloudOutcome::Listed(page)) => {
+            for id in state.apply_machine_list(page, now) {
+                state.request_return(&id, fleet::RETURN_REASON_FAILED, now);
+            }
+            state.provisioning.is_listing = page.has_next;
+            let last = page.machines.last().filter(|_| page.has_next);
+            return last.map(|last| CloudCall::ListMachines(Some(last.name.clone())));
+        }
+        (CloudCall::ListMachines(_), _) => state.provisioning.is_listing = false,
+        (CloudCall::ListTypes, _) => {}
+    }
+    None
+}
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -1,9 +1,21 @@
-//! One controller: the pure core that turns events and time into state and actions.
+//! One controller as a pure state machine: events and the time go in, actions come out.
 //!
-//! Nothing here does I/O, reads a clock or draws random numbers by itself: [`Node::handle`] takes
-//! an event and the time, and leaves the actions to be done in [`Node::take_actions`].
+//! Nothing here does I/O, reads a clock or draws random numbers that its seed does not give. The runtime calls
+//! [`Controller::handle`] with an event and the time, and then executes what [`Controller::take_actions`] returns.
+//!
+//! This module routes an event to the part that it concerns. The parts:
+//!
+//! - leadership: `leadership` (election, loading of the state), `peers` (heartbeats), `isolation`, `pause_detection`,
+//!   `format_upgrade`, `pending_terminations`
+//! - users: `requests`, `job_cache`, `dependency_lookup`, `final_records`
+//! - workers: `worker_reports`, `report_forwarding`
+//! - the leader's writes: `binding_log`, `chunks`; `store_calls` routes every response of the state service
+//! - the leader's decisions: `scheduling_cycle`, `policy_evaluation`, `gpu_lending`, `deadline_planning`,
+//!   `quota_accounts`
+//! - records and operators: `replicated_records`, `plugins`, `admin`, `status`
+//! - `cpu_accounting`: how much a cycle may do
 
-/// The leader's context, borrowed beside its tables.
+/// The leader's context, borrowed beside its cluster state.
 macro_rules! ctx {
     ($node:expr) => {
         LeaderContext {
@@ -17,18 +29,23 @@
 
 mod admin;
 mod binding_log;
+mod capacity;
 mod chunks;
 mod cpu_accounting;
 mod deadline_planning;
 mod dependency_lookup;
+mod final_records;
+mod fleet_management;
 mod format_upgrade;
 mod gpu_lending;
 mod isolation;
 mod job_cache;
 mod leadership;
+mod messages;
 mod pause_detection;
 mod peers;
 mod pending_terminations;
+mod plan_application;
 mod plugins;
 mod policy_evaluation;
 mod quota_accounts;
@@ -41,27 +58,31 @@
 mod worker_reports;
 
 pub use admin::AdminRequest;
+pub use fleet_management::{plan_fleet, plan_provisioning};
+pub use messages::{
+    Action, Event, ForwardBatchId, LeaderContext, Now, Reply, RequestId, StoreCallId, UserRequest,
+};
 pub use policy_evaluation::{PolicyContext, steer};
 pub use replicated_records::{compile_plan as plan_of_file, tier_table_record as tiers_of_file};
-pub use scheduling_cycle::{
-    CycleResult as PassOutcome, plan_fleet, plan_provisioning, run_scheduling_cycle,
-};
+pub use scheduling_cycle::{CycleResult, run_scheduling_cycle};
 pub use store_calls::CallContext;
 
 use crate::Time;
 use crate::cloud::{self, CloudClient};
 use crate::cluster_state::ClusterState;
 use crate::constants::{
-    CLOUD_BACKOFF_MS, HEARTBEAT_INTERVAL_MS, LEASE_TTL_MS, PROCESS_PAUSE_MS, RETRY_AFTER_S,
-    STORE_SHARE_ALL, STORE_SHARE_LEADER, STORE_TIMEOUT_MS,
+    CLOUD_BACKOFF_MS, HEARTBEAT_INTERVAL_MS, LEASE_TTL_MS, PROCESS_PAUSE_MS, STORE_SHARE_ALL,
+    STORE_SHARE_LEADER, STORE_TIMEOUT_MS,
 };
 use crate::cycle_policy::CyclePolicy;
 use crate::job::{FinalRecord, JobId, MachineId, chunk_size, keys};
 use crate::leadership::{AnswerAuthority, CancellationQuorum, Leadership, LeadershipPhase};
 use crate::machine::MachineType;
 use crate::settings::Settings;
-use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreClient, StoreOutcome};
+use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreClient};
+use cpu_accounting::CpuAccounting;
 use dependency_lookup::DependencyLookups;
+use final_records::FinalRecordCache;
 use format_upgrade::FormatUpgrade;
 use isolation::Isolation;
 use job_cache::JobCache;
@@ -74,220 +95,120 @@
 use replicated_records::ReplicatedRecords;
 use report_forwarding::ReportForwarder;
 use requests::Requests;
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
-use swiftsail_failure_detector::ProbeOutcome;
-use swiftsail_overload_control::fleet_limit::CpuLoad;
 use swiftsail_overload_control::load_level::LoadMonitor;
 use swiftsail_overload_control::memory_budget::MemoryBudget;
 use swiftsail_policy::operator_settings::OperatorSettings;
-use swiftsail_policy::outbox::EventDelivery;
 use swiftsail_policy::plugin_host::PluginHost;
 use swiftsail_policy::scheduling_policy::SchedulingPolicy;
-use swiftsail_protocol::controllers::{ForwardedAnswers, ForwardedReports, Heartbeat};
 use swiftsail_protocol::workers::{DirectCommands, StatusReport};
 use worker_reports::ForwardingHistory;
 
-/// Steady time and time of day, ms.
-#[derive(Debug, Clone, Copy)]
-pub struct Now {
-    /// Steady time.
-    pub monotonic: Time,
-    /// Time of day since the epoch.
-    pub wall_clock: u64,
-}
-
-/// Number of a request that waits for its answer.
-pub type RequestId = u64;
-
-/// An answer to a request.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Reply {
-    /// Status.
-    pub status: u16,
-    /// Body.
-    pub body: Vec<u8>,
-    /// When to come back, s.
-    pub retry_after: Option<u32>,
-}
-
-impl Reply {
-    /// An answer with a body.
-    pub fn new<T: serde::Serialize>(status: u16, body: &T) -> Reply {
-        Reply { status, body: swiftsail_protocol::encode(body), retry_after: None }
-    }
-    /// "Come back later."
-    pub fn retry_later(why: &str) -> Reply {
-        let problem =
-            swiftsail_protocol::users::ErrorResponse { error: format!("{why}; try again later") };
-        Reply { retry_after: Some(RETRY_AFTER_S), ..Reply::new(503, &problem) }
-    }
-}
-
-/// What a user asks.
-#[derive(Debug)]
-pub enum UserRequest {
-    /// Submit: the body as it came.
-    Submit(Vec<u8>),
-    /// The state of a job.
-    Poll(String),
-    /// The state of a job about which a question was turned away here before.
-    RetriedPoll(String),
-    /// Cancel a job.
-    Cancel(String),
-    /// Health.
-    Health,
-}
-
-/// What happens to a node.
-#[derive(Debug)]
-pub enum Event {
-    /// Time passes.
-    Tick,
-    /// A user's request.
-    UserRequest(RequestId, UserRequest),
-    /// A worker's report.
-    StatusReport(RequestId, Box<StatusReport>),
-    /// A worker's answer to a direct command.
-    CommandResponse(Box<StatusReport>),
-    /// The state service answered, or not.
-    StoreResponse(u64, StoreOutcome),
-    /// The cloud answered, or not.
-    CloudResponse(Box<cloud::CloudCall>, cloud::CloudOutcome),
-    /// Reports that another controller passes on.
-    ForwardedReports(RequestId, Box<ForwardedReports>),
-    /// The leader's answers to reports passed on, or none.
-    ForwardedAnswers(u64, Option<ForwardedAnswers>),
-    /// Another controller's heartbeat, or its answer to ours.
-    Heartbeat(Heartbeat),
-    /// An operator's request.
-    AdminRequest(RequestId, AdminRequest),
-    /// A delivery to a report hook has ended: of which plug-in, and whether it was taken.
-    HookDelivered(String, bool),
-    /// A machine was asked directly whether it lives: what came of it, and its report if it answered.
-    ProbeFinished(MachineId, ProbeOutcome, Option<Box<StatusReport>>),
-    /// The process has used so much of a core, us, over so much time, ms.
-    CpuUsage(u64, u64),
-}
-
-/// What a node wants done.
-#[derive(Debug)]
-pub enum Action {
-    /// Answer a request.
-    Reply(RequestId, Reply),
-    /// Call the state service.
-    CallStore(u64, StoreCall),
-    /// Call the cloud.
-    CallCloud(cloud::CloudCall),
-    /// Send commands straight to a worker.
-    SendCommands(String, DirectCommands),
-    /// Ask a machine at its address whether it lives.
-    ProbeMachine(MachineId, String),
-    /// Pass reports on to the controller of that name; the number is of the message.
-    ForwardReports(u64, String, Box<ForwardedReports>),
-    /// Send a heartbeat to every other controller.
-    SendHeartbeat(Heartbeat),
-    /// Deliver events to a report hook.
-    DeliverEvents(EventDelivery),
-}
-
-/// What the leader's functions work with.
-pub struct LeaderContext<'a> {
-    /// Steady time.
-    pub now: Time,
-    /// Time of day.
-    pub wall_clock: u64,
-    /// The settings.
-    pub settings: &'a Settings,
-    /// The state service.
-    pub store: &'a mut StoreClient<CallContext>,
-}
-
-/// One controller.
+/// One controller. See the module's documentation for its parts.
 pub struct Controller {
     settings: Arc<Settings>,
+    /// Random number of this process: tells its messages and keys from those of its predecessor.
     incarnation: u64,
+    /// The clocks as of the event being handled.
     now: Now,
     rng: StdRng,
-    leadership: Leadership,
+    /// Client of the state service.
     store: StoreClient<CallContext>,
+    /// Client of the cloud.
     cloud: CloudClient,
+    /// Actions to be executed after this event.
+    actions: Vec<Action>,
+    /// Commands to be sent directly to workers, by address, while the lease is confirmed.
+    pending_commands: Vec<(String, DirectCommands)>,
+
+    /// This controller's view of who leads.
+    leadership: Leadership,
+    /// When the leader's key was last read.
+    leader_key_read_at: Time,
+    /// Whether a watch of the leader's key is open.
+    watching_leader_key: bool,
+    /// The leader's state; none while this controller does not lead.
     cluster_state: Option<ClusterState>,
+    /// The state that a new leader is reading from the store.
     loading_state: Option<ClusterState>,
-    machine_types: Option<Arc<Vec<MachineType>>>,
-    job_policies: CyclePolicy,
-    policy: SchedulingPolicy,
-    plugin_host: PluginHost,
-    plugins: Plugins,
-    /// Attributes of the cluster as the leader last told them.
+    /// Cancellations that users may have been told of, and which controllers hold them.
+    cancellations: CancellationQuorum,
+    /// By what a leader answers its workers, as last logged.
+    answer_authority: AnswerAuthority,
+    /// Detects that this leader reaches nobody.
+    isolation: Isolation,
+    /// Machines to terminate for cancelled tasks while nobody leads.
+    pending_terminations: PendingTerminations,
+    /// Whether every controller reads the record format that this one writes.
+    format_upgrade: FormatUpgrade,
+    /// When the process last resumed after a pause.
+    resumed_at: Time,
+
+    /// The other controllers, by name, as of their last heartbeats.
+    peers: BTreeMap<String, Peer>,
+    heartbeat_sent_at: Time,
+    /// When a heartbeat was last sent early because a user waits for a cancellation to be replicated.
+    expedited_heartbeat_at: Time,
+    /// Attributes of the cluster as the leader last told them, for admission plug-ins.
     cluster_attributes: Vec<f64>,
-    scores_computed: u64,
-    /// What each part may hold.
-    budget: MemoryBudget,
-    /// How far behind this node is.
-    load_level: LoadMonitor,
-    /// How much of its processor it uses.
-    cpu_load: CpuLoad,
-    /// Of that, what the machines cost, whatever is placed.
-    baseline_cpu_load: CpuLoad,
-    /// When the platform last told what the process uses.
-    cpu_measured_at: Time,
-    /// What this node's work has cost by count, us of a whole core: events, and passes.
-    event_cost_us: f64,
-    cycle_cost_us: f64,
-    /// When they were last looked at, and what they were then.
-    cost_snapshot: (Time, f64, f64),
-    last_tick_at: Time,
-    bound_logged_at: Time,
-    /// No pass before that: the last one cost as much.
-    next_cycle_at: Time,
-    status_logged_at: Time,
+    /// Tasks done and running by job as the leader last told them, for display.
+    task_counts: BTreeMap<String, (u32, u32)>,
+
+    /// Users' requests that wait for the store.
     requests: Requests,
-    /// Questions under way about what comes before a job.
+    /// Dependency look-ups under way for users' requests.
     dependency_lookups: DependencyLookups,
-    /// Whether every controller knows the form of records that this one writes.
-    format_upgrade: FormatUpgrade,
     job_cache: JobCache,
-    final_records: HashMap<JobId, FinalRecord>,
-    final_record_order: VecDeque<JobId>,
-    task_counts: BTreeMap<String, (u32, u32)>,
-    peers: BTreeMap<String, Peer>,
-    /// Cancellations held for the leader, and what others hold.
-    cancellations: CancellationQuorum,
-    answer_authority: AnswerAuthority,
-    forwarding_history: HashMap<String, ForwardingHistory>,
+    final_records: FinalRecordCache,
+
+    /// Status reports that wait until this controller knows whether it may answer them.
     deferred_reports: Vec<(RequestId, Box<StatusReport>)>,
-    /// Questions to machines that an earlier lead of this process has asked and that are open.
-    open_probes: HashMap<MachineId, u32>,
     report_forwarder: ReportForwarder,
-    isolation: Isolation,
-    quota_accounts: QuotaAccounts,
-    replicated_records: ReplicatedRecords,
-    /// Returns that a lead which is over has left undone.
-    pending_terminations: PendingTerminations,
+    /// What this follower has done with each worker's reports.
+    forwarding_history: HashMap<String, ForwardingHistory>,
+    /// Probes by machine that this process sent under an earlier leadership and that are still open.
+    open_probes: HashMap<MachineId, u32>,
     /// Workers by the controller that they report to, this one under its own name.
     workers_by_controller: BTreeMap<Arc<str>, usize>,
-    /// Workers are shared among controllers.
+    /// Whether workers are distributed among the controllers.
     distributes_workers: bool,
-    leader_key_read_at: Time,
-    heartbeat_sent_at: Time,
-    /// When a heartbeat was last made because a user waits for it.
-    expedited_heartbeat_at: Time,
-    watching_leader_key: bool,
-    actions: Vec<Action>,
-    pending_commands: Vec<(String, DirectCommands)>,
+
+    /// Machine types of the cloud; none: not known yet.
+    machine_types: Option<Arc<Vec<MachineType>>>,
     machine_types_requested_at: Time,
-    /// When the process last woke from a standstill.
-    resumed_at: Time,
+    /// Results of the policy for the next scheduling cycle.
+    job_policies: CyclePolicy,
+    /// The operators' compiled policy.
+    policy: SchedulingPolicy,
+    plugin_host: PluginHost,
+    plugins: Plugins,
+    quota_accounts: QuotaAccounts,
+    replicated_records: ReplicatedRecords,
+    /// No scheduling cycle before this time: the last one was long.
+    next_cycle_at: Time,
+    /// Scores computed so far.
+    scores_computed: u64,
+
+    /// What each part may hold in memory.
+    budget: MemoryBudget,
+    /// How far this controller is behind its timer.
+    load_level: LoadMonitor,
+    /// Processor time used by this controller.
+    cpu: CpuAccounting,
+    last_tick_at: Time,
+    status_logged_at: Time,
+    /// When a bound of the number of machines was last logged.
+    bound_logged_at: Time,
 }
 
 impl Controller {
-    /// A node that has just started, without an operators' file.
+    /// A controller that has just started, without an operators' file.
     pub fn new(settings: Arc<Settings>, seed: u64, now: Now) -> Controller {
         Controller::with_operator_file(settings, &OperatorSettings::default(), seed, now)
     }
 
-    /// A node that has just started. `seed` feeds all its random choices.
+    /// A controller that has just started, with an operators' file. `seed` determines all its random choices.
     pub fn with_operator_file(
         settings: Arc<Settings>,
         operator: &OperatorSettings,
@@ -299,7 +220,7 @@
         let cloud = CloudClient::new(settings.settings.cloud.rps, now.monotonic);
         let limits = settings.settings.machine_limits.clone();
         let budget = MemoryBudget::divide(limits.mem_mb, limits.max_connections);
-        let mut node = Controller {
+        let mut controller = Controller {
             incarnation: rng.random::<u64>() >> 1,
             now,
             rng,
@@ -317,12 +238,7 @@
             scores_computed: 0,
             budget,
             load_level: LoadMonitor::new(now.monotonic),
-            cpu_load: CpuLoad::default(),
-            baseline_cpu_load: CpuLoad::default(),
-            cpu_measured_at: 0,
-            event_cost_us: 0.0,
-            cycle_cost_us: 0.0,
-            cost_snapshot: (now.monotonic, 0.0, 0.0),
+            cpu: CpuAccounting::new(limits.cores, now.monotonic),
             last_tick_at: 0,
             bound_logged_at: 0,
             next_cycle_at: 0,
@@ -331,8 +247,7 @@
             dependency_lookups: DependencyLookups::default(),
             format_upgrade: FormatUpgrade::default(),
             job_cache: JobCache::new(budget.cached_jobs),
-            final_records: HashMap::new(),
-            final_record_order: VecDeque::new(),
+            final_records: FinalRecordCache::new(budget.cached_final_answers),
             task_counts: BTreeMap::new(),
             peers: BTreeMap::new(),
             cancellations: CancellationQuorum::default(),
@@ -365,111 +280,111 @@
             resumed_at: 0,
             settings,
         };
-        node.read_leader_key();
-        node.store.push(
+        controller.read_leader_key();
+        controller.store.push(
             StoreCall::Get(keys::TYPES.into()),
             CallContext::ReadMachineTypes,
             CallPriority::Normal,
             RetryPolicy::UntilDefinite,
         );
-        node
+        controller
     }
 
-    /// The actions that have come up since the last call.
+    /// Takes the actions that have come up since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
-        let (calls, late) = self.store.take_due_calls(self.now.monotonic);
-        self.actions.extend(calls.into_iter().map(|(id, c)| Action::CallStore(id, c)));
-        for end in late {
-            self.on_store_response(end);
+        let (calls, expired) = self.store.take_due_calls(self.now.monotonic);
+        self.actions.extend(calls.into_iter().map(|(id, call)| Action::CallStore(id, call)));
+        for call in expired {
+            self.on_store_response(call);
         }
-        // What a leader in doubt asks of the cloud or orders straight would be done under another's lead.
+        // While the lease is not confirmed another controller may lead: nothing is asked of the cloud, and no command is
+        // sent.
         if self.is_lease_confirmed() {
             let calls = self.cloud.take_due_calls(self.now.monotonic);
             self.actions.extend(calls.into_iter().map(Action::CallCloud));
-            self.actions
-                .extend(self.pending_commands.drain(..).map(|(to, d)| Action::SendCommands(to, d)));
+            let commands = self.pending_commands.drain(..);
+            self.actions.extend(commands.map(|(to, commands)| Action::SendCommands(to, commands)));
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// Takes an event.
+    /// Handles an event. Time must not go back from one event to the next.
     pub fn handle(&mut self, event: Event, now: Now) {
-        let stood_ms = now.monotonic.saturating_sub(self.now.monotonic);
+        let elapsed_ms = now.monotonic.saturating_sub(self.now.monotonic);
         self.now = now;
-        if stood_ms >= PROCESS_PAUSE_MS {
-            self.on_resume(stood_ms);
+        if elapsed_ms >= PROCESS_PAUSE_MS {
+            self.on_resume(elapsed_ms);
         }
-        self.charge_event(&event);
+        self.cpu.charge_event(&event, self.machine_count());
+        self.route(event);
+        self.answer_confirmed_cancellations();
+        self.run_cycle_if_due();
+        self.forward_queued_reports();
+        self.deliver_cluster_events();
+    }
+
+    /// Hands an event to the part that it concerns.
+    fn route(&mut self, event: Event) {
+        let now = self.now.monotonic;
         match event {
             Event::Tick => self.tick(),
-            Event::UserRequest(id, ask) => self.on_user_request(id, ask),
+            Event::UserRequest(id, request) => self.on_user_request(id, request),
             Event::StatusReport(id, report) => self.on_status_report(id, report),
             Event::CommandResponse(report) => self.on_command_response(&report),
             Event::StoreResponse(id, outcome) => {
-                if let Some(end) = self.store.finish(id, outcome, now.monotonic) {
-                    self.on_store_response(end);
+                if let Some(call) = self.store.finish(id, outcome, now) {
+                    self.on_store_response(call);
                 }
             }
             Event::CloudResponse(call, outcome) => self.on_cloud(&call, &outcome),
-            Event::ForwardedReports(id, batch) => self.on_forwarded_reports(id, &batch),
-            Event::ForwardedAnswers(number, answers) => self.on_forwarded_answers(number, answers),
-            Event::Heartbeat(beat) => self.on_heartbeat(&beat),
-            Event::AdminRequest(id, ask) => self.on_admin(id, ask),
-            Event::HookDelivered(name, taken) => {
-                self.plugin_host.on_delivery_ended(&name, taken, now.monotonic)
+            Event::ForwardedReports(id, reports) => self.on_forwarded_reports(id, &reports),
+            Event::ForwardedAnswers(batch, answers) => self.on_forwarded_answers(batch, answers),
+            Event::Heartbeat(heartbeat) => self.on_heartbeat(&heartbeat),
+            Event::AdminRequest(id, request) => self.on_admin(id, request),
+            Event::HookDelivered(plugin, accepted) => {
+                self.plugin_host.on_delivery_ended(&plugin, accepted, now);
             }
-            Event::ProbeFinished(id, probe, report) => self.on_probed(&id, probe, report),
-            Event::CpuUsage(us, over_ms) => self.on_cpu_usage(us, over_ms),
+            Event::ProbeFinished(id, outcome, report) => self.on_probed(&id, outcome, report),
+            Event::CpuUsage(used_us, over_ms) => self.on_cpu_usage(used_us, over_ms),
         }
-        self.answer_confirmed_cancellations();
-        self.run_cycle_if_due();
-        self.forward_queued_reports();
-        self.deliver_cluster_events();
     }
 
-    /// Whether this node leads.
+    /// Whether this controller leads: it holds the leader's key and has loaded the cluster state.
     pub fn is_leader(&self) -> bool {
         self.leadership.phase() == LeadershipPhase::Leading
     }
 
-    /// Scores computed so far: what passes cost, whatever the processor's speed.
+    /// Scores computed so far: the cost of scheduling, whatever the processor's speed.
     pub fn scores_computed(&self) -> u64 {
         self.scores_computed
     }
 
-    /// The leader's tables, if this node leads.
+    /// The leader's cluster state; none if this controller does not lead.
     pub fn cluster_state(&self) -> Option<&ClusterState> {
         self.cluster_state.as_ref()
     }
 
+    /// Runs a function on the leader's cluster state with its context; none if this controller does not lead.
+    fn with_cluster_state<R>(
+        &mut self,
+        run: impl FnOnce(&mut ClusterState, &mut LeaderContext) -> R,
+    ) -> Option<R> {
+        let state = self.cluster_state.as_mut()?;
+        let mut context = LeaderContext {
+            now: self.now.monotonic,
+            wall_clock: self.now.wall_clock,
+            settings: &self.settings,
+            store: &mut self.store,
+        };
+        Some(run(state, &mut context))
+    }
+
+    /// Periodic work of every controller.
     fn tick(&mut self) {
         let now = self.now.monotonic;
         self.update_load_level(now);
-        if let LeadershipPhase::Vacant(at) = self.leadership.phase()
-            && now >= at
-        {
-            self.leadership.advance(LeadershipPhase::GrantingLease);
-            let purpose = CallContext::GrantLease {
-                generation: self.leadership.generation,
-                requested_at: now,
-            };
-            let call = StoreCall::GrantLease { ttl_ms: LEASE_TTL_MS };
-            self.store.push(
-                call,
-                purpose,
-                CallPriority::Leadership,
-                RetryPolicy::OnceBefore(now + STORE_TIMEOUT_MS),
-            );
-        }
-        if self.leadership.holds_key() && now >= self.leadership.renew_at {
-            self.renew_lease();
-        }
-        // A look at the term now and then also tells whether the store is there.
-        if !self.leadership.holds_key()
-            && now >= self.leader_key_read_at + 2 * HEARTBEAT_INTERVAL_MS
-        {
-            self.read_leader_key();
-        }
+        self.start_election_if_due();
+        self.maintain_leader_key();
         if self.machine_types.is_none() && now >= self.machine_types_requested_at + CLOUD_BACKOFF_MS
         {
             self.machine_types_requested_at = now;
@@ -478,8 +393,8 @@
         if now >= self.heartbeat_sent_at + HEARTBEAT_INTERVAL_MS {
             self.heartbeat_sent_at = now;
             self.count_workers_by_controller();
-            let beat = self.build_heartbeat(false);
-            self.actions.push(Action::SendHeartbeat(beat));
+            let heartbeat = self.build_heartbeat(false);
+            self.actions.push(Action::SendHeartbeat(heartbeat));
         }
         if self.is_lease_confirmed() {
             self.run_leader_tick();
@@ -493,13 +408,44 @@
         self.log_status();
     }
 
-    /// A leader's part of a timer step.
+    /// Asks for a lease when nobody leads and this controller's election delay is over.
+    fn start_election_if_due(&mut self) {
+        let now = self.now.monotonic;
+        let LeadershipPhase::Vacant(campaign_at) = self.leadership.phase() else { return };
+        if now < campaign_at {
+            return;
+        }
+        self.leadership.advance(LeadershipPhase::GrantingLease);
+        let generation = self.leadership.generation;
+        self.store.push(
+            StoreCall::GrantLease { ttl_ms: LEASE_TTL_MS },
+            CallContext::GrantLease { generation, requested_at: now },
+            CallPriority::Leadership,
+            RetryPolicy::OnceBefore(now + STORE_TIMEOUT_MS),
+        );
+    }
+
+    /// Renews the lease of a leader. Another controller reads the leader's key now and then, beside its watch: this also
+    /// shows whether the store responds.
+    fn maintain_leader_key(&mut self) {
+        let now = self.now.monotonic;
+        if self.leadership.holds_key() {
+            if now >= self.leadership.renew_at {
+                self.renew_lease();
+            }
+        } else if now >= self.leader_key_read_at + 2 * HEARTBEAT_INTERVAL_MS {
+            self.read_leader_key();
+        }
+    }
+
+    /// Periodic work of the leader. The order matters: what is decided earlier counts for what comes later, and the
+    /// bindings of all are written together.
     fn run_leader_tick(&mut self) {
         self.resign_if_isolated();
         self.poll_job_changes();
         self.update_answer_authority();
-        if let Some(leader) = &mut self.cluster_state {
-            self.pending_commands.extend(leader.stop_commands(self.now.monotonic));
+        if let Some(state) = &mut self.cluster_state {
+            self.pending_commands.extend(state.stop_commands(self.now.monotonic));
         }
         self.update_quota_accounts();
         self.update_gpu_loans();
@@ -507,45 +453,40 @@
         self.update_dependencies();
         self.manage_fleet();
         self.close_finished_jobs();
-        if let Some(leader) = &mut self.cluster_state {
-            let mut ctx = ctx!(self);
-            leader.write_binding_log(&mut ctx);
-            leader.flush_all(&mut ctx);
-        }
+        self.with_cluster_state(|state, context| {
+            state.write_binding_log(context);
+            state.flush_all(context);
+        });
         self.collect_stale_bindings();
         self.archive_finished_jobs();
     }
 
     fn remember_final(&mut self, id: &JobId, record: FinalRecord) {
-        if self.final_records.insert(id.clone(), record).is_none() {
-            self.final_record_order.push_back(id.clone());
-            if self.final_record_order.len() > self.budget.cached_final_answers
-                && let Some(oldest) = self.final_record_order.pop_front()
-            {
-                self.final_records.remove(&oldest);
-            }
-        }
+        self.final_records.insert(id, record);
     }
 
+    /// Tasks of a job that are done and that run, for display. A follower knows them from the leader's heartbeats.
     fn task_counts_of(&self, id: &str) -> (u32, u32) {
         match &self.cluster_state {
-            Some(leader) => leader.jobs.get(id).map_or((0, 0), |j| j.task_counts()),
+            Some(state) => state.jobs.get(id).map_or((0, 0), |job| job.task_counts()),
             None => self.task_counts.get(id).copied().unwrap_or((0, 0)),
         }
     }
 
+    /// Tasks in one binding chunk of a job accepted now.
     fn tasks_per_chunk(&self) -> u32 {
         chunk_size(&self.settings.settings.state)
     }
 }
 
-/// Requests and writes a second for a node: together the nodes stay within the limits.
-fn store_rates(settings: &Settings, leads: bool) -> (f64, f64) {
+/// Store requests and writes a second that a controller may make: together the controllers stay within the platform's
+/// limits.
+fn store_rates(settings: &Settings, is_leader: bool) -> (f64, f64) {
     let state = &settings.settings.state;
     let others = settings.others.len();
     let share = if others == 0 {
         STORE_SHARE_ALL
-    } else if leads {
+    } else if is_leader {
         STORE_SHARE_ALL * STORE_SHARE_LEADER
     } else {
         STORE_SHARE_ALL * (1.0 - STORE_SHARE_LEADER) / others as f64
--- a/crates/controller/src/controller/peers.rs
+++ b/crates/controller/src/controller/peers.rs
@@ -32,8 +32,8 @@
             is_leader: self.is_leader(),
             since_store_response_ms: if away { self.now.monotonic.saturating_sub(ok) } else { 0 },
             distributes_workers: self.distributes_workers(),
-            cpu_load_permille: self.cpu_load.share().map(thousandths),
-            machine_cpu_load_permille: self.baseline_cpu_load.share().map(thousandths),
+            cpu_load_permille: self.cpu.load().map(thousandths),
+            machine_cpu_load_permille: self.cpu.baseline_load().map(thousandths),
             cluster_attributes: if brief {
                 Vec::new()
             } else {
--- /dev/null
+++ b/crates/controller/src/controller/plan_application.rs
@@ -0,0 +1,197 @@
+//! Applies a placement plan to the cluster state. Every binding is checked once more against quotas, zones and machine
+//! types by the [`QuotaGuard`], whoever planned it; nothing else binds a task.
+
+use crate::cluster_state::{ClusterState, QuotaGuard, RunQueue, SlotId, usable};
+use crate::constants::YIELD_HOLD_MS;
+use crate::job::{GangState, Job, JobId, JobSpec, MachineId};
+use crate::machine::{Machine, Resources};
+use crate::placement::{CyclePlan, PlanStep, PlanningContext};
+use std::cmp::Reverse;
+use std::sync::Arc;
+use swiftsail_tiers::TierAssignment;
+
+/// Part of the value size that is left unused, as a divisor: keys and the envelope of a record take it.
+const VALUE_MARGIN_DIVISOR: usize = 32;
+
+/// Jobs of ordered tiers that wait for a machine.
+type OrderedJobs = [(Arc<JobSpec>, TierAssignment)];
+
+/// Whether a job of an ordered tier waits that could run in these resources and comes before `next`. The run queue of
+/// the slot then does not take it: without this, queued work took whatever came free before a cycle looked at who waits.
+fn is_wanted_by_ordered_job(
+    ordered: &OrderedJobs,
+    machine: &Machine,
+    free: &Resources,
+    next: &Job,
+) -> bool {
+    ordered.iter().any(|(spec, tier)| {
+        let comes_before =
+            (Reverse(spec.priority), *tier) < (Reverse(next.spec.priority), next.tier);
+        comes_before
+            && free.fits_task(spec)
+            && (!machine.spot || spec.spot)
+            && spec.machine_types.as_ref().is_none_or(|types| types.contains(&machine.machine_type))
+            && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
+    })
+}
+
+/// Binds the next job of each run queue whose executing task has ended, unless a waiting job of an ordered tier could
+/// have the room. Jobs that do not fit wait again. Returns how many tasks were bound.
+pub(super) fn promote_queued_jobs(
+    state: &mut ClusterState,
+    guard: &mut QuotaGuard,
+    context: PlanningContext,
+) -> usize {
+    let is_waiting = |job: &&Job| job.tier.ordered && job.has_queued_tasks() && !job.is_cancelled();
+    let ordered: Vec<(Arc<JobSpec>, TierAssignment)> =
+        state.jobs.values().filter(is_waiting).map(|job| (job.spec.clone(), job.tier)).collect();
+    let slots = state.run_queues.slots_without_head(&state.jobs);
+    slots.into_iter().filter(|slot| promote_in_slot(state, guard, context, &ordered, slot)).count()
+}
+
+/// Binds the next job of a slot's run queue. Returns whether one was bound.
+fn promote_in_slot(
+    state: &mut ClusterState,
+    guard: &mut QuotaGuard,
+    context: PlanningContext,
+    ordered: &OrderedJobs,
+    slot: &SlotId,
+) -> bool {
+    let mut queue: RunQueue = state.run_queues.take(slot);
+    let machine_id = &slot.0;
+    let lease_ms = context.lease_ms();
+    if !state.machines.get(machine_id).is_some_and(|m| usable(m, context.now, lease_ms)) {
+        return false;
+    }
+    // An earlier slot may have bound a task to the same machine.
+    state.count_free_resources(context.machine_types);
+    let machine = state.machines.get(machine_id);
+    let free = machine.and_then(Machine::free_resources).unwrap_or_default();
+    let is_wanted = |id: &JobId| {
+        let next = state.jobs.get(id);
+        machine.zip(next).is_some_and(|(m, next)| is_wanted_by_ordered_job(ordered, m, &free, next))
+    };
+    if queue.front().is_some_and(is_wanted) {
+        return false;
+    }
+    while let Some(id) = queue.pop_front() {
+        let job = state.jobs.get(&id);
+        let fits = job
+            .is_some_and(|job| free.fits_task(&job.spec) && !job.bad_machines.contains(machine_id));
+        if fits && let Some(task) = bind(state, guard, context, &id, machine_id, None) {
+            state.run_queues.append_all(&(machine_id.clone(), id, task), queue);
+            return true;
+        }
+    }
+    false
+}
+
+/// Applies a plan. Returns how many tasks were bound.
+pub(super) fn apply_plan(
+    state: &mut ClusterState,
+    guard: &mut QuotaGuard,
+    context: PlanningContext,
+    plan: CyclePlan,
+) -> usize {
+    state.run_queues = plan.run_queues;
+    let steps = plan.steps.into_iter();
+    let bound = steps.map(|step| apply_step(state, guard, context, step)).sum();
+    state.needs_scheduling |= plan.cut_short;
+    bound
+}
+
+/// Applies one step of a plan. Returns how many tasks were bound.
+fn apply_step(
+    state: &mut ClusterState,
+    guard: &mut QuotaGuard,
+    context: PlanningContext,
+    step: PlanStep,
+) -> usize {
+    match step {
+        PlanStep::Bind(id, machine) => {
+            return usize::from(bind(state, guard, context, &id, &machine, None).is_some());
+        }
+        PlanStep::BindGang(id, machines) => {
+            return bind_gang(state, guard, context, &id, &machines);
+        }
+        PlanStep::Preempt { by, fetch_ms, victims } => {
+            for (id, task) in state.lend(&by, victims, context.wall_now) {
+                tracing::debug!(job = %id, task, by = %by, "task preempted");
+                state.request_stop(&id, task, context.now);
+            }
+            state.preempting.insert(by, (context.now, fetch_ms));
+        }
+        PlanStep::ReserveForGang(id, machines) => reserve_for_gang(state, context, &id, machines),
+        PlanStep::HoldFromLowPriority(machines) => {
+            state.yielding_machines.retain(|_, until| context.now < *until);
+            let until = context.now + YIELD_HOLD_MS;
+            state.yielding_machines.extend(machines.into_iter().map(|id| (id, until)));
+        }
+        PlanStep::PreemptForQuota { by, victims } => {
+            tracing::info!(job = %by, tasks = victims.len(), "tasks preempted: the team's limit leaves no room for a service");
+            for (id, task) in victims {
+                state.request_stop(&id, task, context.now);
+            }
+        }
+    }
+    0
+}
+
+/// Binds a task of a gang to each of these machines under one attempt number. A part of a gang is never started: if a
+/// binding was rejected, the gang is stopped and planned anew.
+fn bind_gang(
+    state: &mut ClusterState,
+    guard: &mut QuotaGuard,
+    context: PlanningContext,
+    id: &JobId,
+    machines: &[MachineId],
+) -> usize {
+    let attempt = state.next_attempt_number();
+    let is_bound =
+        |machine: &&MachineId| bind(state, guard, context, id, machine, Some(attempt)).is_some();
+    let bound = machines.iter().filter(is_bound).count();
+    if bound < machines.len()
+        && let Some(job) = state.jobs.get_mut(id)
+    {
+        job.set_gang_state(GangState::Stopping);
+    }
+    bound
+}
+
+/// Reserves machines for a gang. Their run queues are dissolved: the next job of a queue would else take what comes
+/// free before a cycle looks at it.
+fn reserve_for_gang(
+    state: &mut ClusterState,
+    context: PlanningContext,
+    id: &JobId,
+    machines: Vec<MachineId>,
+) {
+    machines.iter().for_each(|machine| state.run_queues.remove_machine(machine));
+    if let Some(job) = state.jobs.get_mut(id) {
+        job.vacated_machines = machines.into_iter().map(|machine| (machine, context.now)).collect();
+    }
+}
+
+/// Binds a job's next waiting task to a machine, if the guard allows it. `attempt`: the number that a gang shares.
+/// Returns the task.
+fn bind(
+    state: &mut ClusterState,
+    guard: &mut QuotaGuard,
+    context: PlanningContext,
+    id: &JobId,
+    machine: &MachineId,
+    attempt: Option<u64>,
+) -> Option<u32> {
+    if let Err(why) = guard.check(state, id, machine, attempt.is_some()) {
+        tracing::debug!(job = %id, machine = %machine, ?why, "planned binding rejected");
+        return None;
+    }
+    let value_bytes = (context.settings.settings.state.value_kb * 1024.0) as usize;
+    let attempt = attempt.unwrap_or_else(|| state.next_attempt_number());
+    let usable_bytes = value_bytes - value_bytes / VALUE_MARGIN_DIVISOR;
+    let task = state.bind(id, machine, attempt, usable_bytes, context.now)?;
+    if let Some(job) = state.jobs.get(id) {
+        guard.count(&job.spec);
+    }
+    Some(task)
+}
--- a/crates/controller/src/controller/report_forwarding.rs
+++ b/crates/controller/src/controller/report_forwarding.rs
@@ -462,7 +462,7 @@
     /// Begins to share workers out, or ceases to well below where it began.
     fn update_worker_distribution(&mut self) {
         let machines = self.cluster_state.as_ref().map_or(0, |l| l.machines.len());
-        let upkeep = self.baseline_cpu_load.share().unwrap_or(0.0);
+        let upkeep = self.cpu.baseline_load().unwrap_or(0.0);
         let (most, busy) = match self.distributes_workers {
             false => (self.max_own_workers(), DISTRIBUTE_LOAD),
             true => (self.max_own_workers() * 3 / 4, DISTRIBUTE_LOAD / 2.0),
@@ -507,10 +507,9 @@
         let by_number = mine > part + slack && theirs + slack < mine;
         // Even shares would leave the leader the busiest, since placement is its alone.
         let spare = self.budget.connections.saturating_sub(RESERVED_CONNECTIONS);
-        let by_load =
-            self.cpu_load.share().zip(busy).is_some_and(|(own, its)| own > its + LOAD_SLACK)
-                && mine > slack
-                && theirs < spare;
+        let by_load = self.cpu.load().zip(busy).is_some_and(|(own, its)| own > its + LOAD_SLACK)
+            && mine > slack
+            && theirs < spare;
         if !by_number && !by_load {
             return None;
         }
--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -159,11 +159,15 @@
     }
 }
 
-/// Why a machine is returned in time for a cancellation.
+// The reasons below are told to event receivers of plug-ins: their texts are part of that interface.
+
+/// Reason to terminate a machine that the cloud lists as failed.
+pub const RETURN_REASON_FAILED: &str = "it failed";
+/// Reason to terminate a machine in time for a cancellation.
 pub const RETURN_REASON_CANCELLED: &str = "a cancelled task is not proved gone";
-/// Why a machine is returned that does not hear.
+/// Reason to terminate a machine that reports but cannot be reached.
 pub const RETURN_REASON_UNREACHABLE: &str = "it does not hear";
-/// Why a machine is returned whose reports do not arrive, though it answers.
+/// Reason to terminate a machine that answers probes but whose reports do not arrive.
 pub const RETURN_REASON_NOT_REPORTING: &str = "it answers, and reports to nobody";
 
 /// How many more machines may be returned now for not hearing: where the way back of a whole zone is lost its
--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -144,9 +144,9 @@
             };
             let passed = controller::run_scheduling_cycle(&mut tables, view, true);
             pass_s += begin.elapsed().as_secs_f64();
-            host.end_cycle(passed.scored);
-            looked += passed.looked;
-            scored += passed.scored;
+            host.end_cycle(passed.scores_computed);
+            looked += passed.targets_evaluated;
+            scored += passed.scores_computed;
         }
         let shown = host.statuses();
         let calls: u64 = shown.iter().map(|p| p.calls).sum();
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -132,9 +132,9 @@
             policy: &steering,
         };
         let passed = controller::run_scheduling_cycle(&mut self.cluster_state, view, true);
-        let wishes = passed.wishes.unwrap_or_default();
+        let wishes = passed.provisioning_requests.unwrap_or_default();
         controller::plan_provisioning(&mut self.cluster_state, &mut self.cloud, wishes, self.now);
-        passed.scored
+        passed.scores_computed
     }
 
     fn run_periodic_work(&mut self) {
@@ -519,7 +519,7 @@
             policy: &steering,
         };
         let passed = controller::run_scheduling_cycle(&mut bench.cluster_state, view, true);
-        (passed.bound, passed.looked)
+        (passed.bound, passed.targets_evaluated)
     };
     let (free, few, many) = (cost(100, 0.0), cost(12, 1_200.0), cost(100, 1_200.0));
     assert!(
