--- a/crates/controller/src/controller/worker_reports.rs
+++ b/crates/controller/src/controller/worker_reports.rs
@@ -182,8 +182,10 @@
         if self.answer_authority.advance(to) {
             let sure_ms = self.remaining_answer_ms();
             match to {
-                AnswerAuthority::Lost => tracing::warn!(term, "stopped answering workers"),
-                _ => tracing::info!(term, by = ?to, sure_ms, "answering workers"),
+                AnswerAuthority::Lost => {
+                    tracing::warn!(fencing_token = term, "stopped answering workers")
+                }
+                _ => tracing::info!(fencing_token = term, by = ?to, sure_ms, "answering workers"),
             }
         }
     }
