--- a/crates/controller/src/controller/worker_reports.rs
+++ b/crates/controller/src/controller/worker_reports.rs
@@ -183,9 +183,9 @@
             let sure_ms = self.remaining_answer_ms();
             match to {
                 AnswerAuthority::Lost => {
-                    tracing::warn!(fencing_token = term, "stopped answering workers")
+                    tracing::warn!(fencing_token, "stopped answering workers")
                 }
-                _ => tracing::info!(fencing_token = term, by = ?to, sure_ms, "answering workers"),
+                _ => tracing::info!(fencing_token, by = ?to, sure_ms, "answering workers"),
             }
         }
     }
