--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -26,7 +26,7 @@
 };
 use crate::job::{
     Attempt, AttemptPhase, Binding, FinalRecord, GangState, Job, JobId, JobKind, JobState,
-    MachineId, Priority, StoredJob, keys,
+    MachineId, Priority, StopRequest, StoredJob, keys,
 };
 use crate::machine::{Machine, MachineState};
 use crate::settings::{PlatformSettings, WorkerSettings};
@@ -498,14 +498,16 @@
         let machine = self.machines.get_mut(machine_id)?;
         let job = self.jobs.get_mut(id)?;
         let task = job.waiting.pop_first()?;
-        job.attempts
-            .insert(task, Attempt::new(launch, machine_id.clone(), machine.last_message.0, now));
+        job.attempts.insert(
+            task,
+            Attempt::new(launch, machine_id.clone(), machine.last_message.session, now),
+        );
         job.vacated_machines.clear();
         let bound = Binding {
             task,
             attempt: launch,
             machine: machine_id.clone(),
-            worker_session: machine.last_message.0,
+            worker_session: machine.last_message.session,
         };
         self.binding_log.add(id, &bound, value_bytes);
         machine.add_task(id, task, launch);
@@ -540,7 +542,7 @@
         let Some(job) = self.jobs.get_mut(id) else { return };
         let gang = job.spec.kind == JobKind::Gang;
         if let Some(attempt) = job.attempts.get_mut(&task).filter(|a| a.occupies_resources()) {
-            attempt.stop_requested.get_or_insert((now, 0));
+            attempt.stop_requested.get_or_insert(StopRequest::unsent(now));
             if gang {
                 job.set_gang_state(GangState::Stopping);
             }
--- a/crates/controller/src/cluster_state/status_reports.rs
+++ b/crates/controller/src/cluster_state/status_reports.rs
@@ -5,8 +5,9 @@
 use crate::constants::{STOP_AGAIN_MS, STOP_GRACE_EXTRA_S, SUSPECT_JOBS, SUSPECT_NEW_JOBS};
 use crate::job::{
     Attempt, AttemptPhase, Binding, FailureAttribution, GangState, Job, JobId, JobKind, MachineId,
+    StopRequest,
 };
-use crate::machine::{Machine, MachineState, MachineType, Resources};
+use crate::machine::{AttemptId, Machine, MachineState, MachineType, MessageOrder, Resources};
 use std::collections::{BTreeMap, HashMap};
 use swiftsail_failure_detector::{InboundReachability, ProbeOutcome, ReachabilityEvidence};
 use swiftsail_protocol::workers::{
@@ -65,7 +66,7 @@
         }
         let machine =
             self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id.clone(), now));
-        let at = (report.session, report.sequence);
+        let at = MessageOrder::of(report);
         // A token once shown is shown ever after: a higher number under a lower one is of an earlier life of its
         // worker, on its way since then.
         if at <= machine.last_message || report.fencing_token < machine.highest_token {
@@ -74,7 +75,7 @@
         machine.highest_token = report.fencing_token;
         let first = machine.last_heard_at.is_none();
         if source == ReportSource::StatusReport && acknowledged {
-            let sign = machine.session_evidence(report.session, self.lease_ms, now);
+            let sign = machine.on_answered_report(report.session, self.lease_ms, now);
             self.on_reachability_evidence(&id, sign.filter(|_| self.lease_ms > 0.0), now);
         }
         let Some(machine) = self.machines.get_mut(&id) else { return orders };
@@ -103,10 +104,10 @@
         if first && machine.last_heard_at.is_some() {
             tracing::debug!(machine = %id, "machine up");
         }
-        let mut listed: HashMap<(JobId, u32, u64), &TaskStatus> = HashMap::new();
+        let mut listed: HashMap<AttemptId, &TaskStatus> = HashMap::new();
         for shard in &report.tasks {
             if let Some((job, task)) = parse_task_name(&shard.task) {
-                listed.insert((job, task, shard.attempt), shard);
+                listed.insert(AttemptId { job, task, attempt: shard.attempt }, shard);
             }
         }
         self.reconcile(&id, report, source, &listed, now, types);
@@ -198,7 +199,7 @@
             _ => machine.probe_baseline,
         };
         if let Some(report) = report
-            && asked.is_some_and(|before| (report.session, report.sequence) <= before)
+            && asked.is_some_and(|before| MessageOrder::of(report) <= before)
         {
             tracing::warn!(machine = %id, watch = report.session, "worker restarted");
             machine.on_worker_restart(now);
@@ -237,21 +238,29 @@
         now: Time,
     ) -> Option<&mut Machine> {
         let machine = self.machines.get_mut(report.machine.as_str())?;
-        let at = (report.session, report.sequence);
+        let at = MessageOrder::of(report);
         (machine.last_message == at && machine.last_heard_at == Some(now)).then_some(machine)
     }
 
     /// Takes a report that shows the same as the machine's last whole one. False: it must come whole,
     /// since something is bound, stopped, exited or stray there, or this leader does not know what the
     /// last one showed. Otherwise it says no more than that all goes on, and nothing is ordered.
-    pub fn on_unchanged_report(&mut self, id: &str, at: (u64, u64), shown: u64, now: Time) -> bool {
+    pub fn on_unchanged_report(
+        &mut self,
+        id: &str,
+        at: MessageOrder,
+        shown: u64,
+        now: Time,
+    ) -> bool {
         let same = self.machines.get(id).is_some_and(|m| {
-            m.report_digest == Some(shown) && m.last_message.0 == at.0 && self.has_no_commands(m)
+            m.report_digest == Some(shown)
+                && m.last_message.session == at.session
+                && self.has_no_commands(m)
         });
         let Some(machine) = self.machines.get_mut(id) else { return false };
         // An older one changes nothing, as ever.
         if same && at > machine.last_message {
-            let sign = machine.session_evidence(at.0, self.lease_ms, now);
+            let sign = machine.on_answered_report(at.session, self.lease_ms, now);
             machine.last_message = at;
             machine.last_report = at;
             (machine.last_heard_at, machine.last_report_at) = (Some(now), Some(now));
@@ -292,17 +301,17 @@
         id: &MachineId,
         report: &StatusReport,
         source: ReportSource,
-        listed: &HashMap<(JobId, u32, u64), &TaskStatus>,
+        listed: &HashMap<AttemptId, &TaskStatus>,
         now: Time,
         types: &[MachineType],
     ) {
         let Some(machine) = self.machines.get(id) else { return };
         let bound: Vec<((JobId, u32), u64)> =
             machine.tasks.iter().map(|(k, v)| (k.clone(), *v)).collect();
-        let at = (report.session, report.sequence);
+        let at = MessageOrder::of(report);
         let (mut heeded, mut unheeded) = (false, false);
         for ((job_id, task), launch) in bound {
-            let shown = listed.get(&(job_id.clone(), task, launch));
+            let shown = listed.get(&AttemptId { job: job_id.clone(), task, attempt: launch });
             let Some(job) = self.jobs.get_mut(&job_id) else { continue };
             let Some(attempt) = job.attempts.get_mut(&task).filter(|a| a.number == launch) else {
                 continue;
@@ -333,7 +342,7 @@
                             .iter()
                             .find(|t| t.name == m.machine_type)
                             .map_or(0.0, |t| t.cache_gb);
-                        m.cache_image(&image.0, image.1, cache);
+                        m.images.note_use(&image.0, image.1, cache);
                     }
                     if let AttemptPhase::Exited(cause) = stage {
                         self.on_exit(&job_id, task, cause, now);
@@ -356,7 +365,7 @@
                 // The response that carried the start may still be on its way when a direct
                 // command is answered: only a later report shows that it was not taken.
                 let untaken = source == ReportSource::StatusReport && at > offered;
-                unheeded |= untaken && report.session == offered.0;
+                unheeded |= untaken && report.session == offered.session;
                 if untaken && !attempt.start_withdrawn {
                     attempt.offered_in = None;
                 }
@@ -385,7 +394,7 @@
         &mut self,
         id: &MachineId,
         report: &StatusReport,
-        listed: &HashMap<(JobId, u32, u64), &TaskStatus>,
+        listed: &HashMap<AttemptId, &TaskStatus>,
         now: Time,
     ) {
         let Some(machine) = self.machines.get_mut(id) else { return };
@@ -393,10 +402,14 @@
             machine.orphaned_tasks.retain(|key, _| listed.contains_key(key));
             machine.invalidate_free_resources();
         }
-        for ((job_id, task, launch), shard) in listed {
+        for (AttemptId { job: job_id, task, attempt: launch }, shard) in listed {
             let key = (job_id.clone(), *task);
             if machine.tasks.get(&key) == Some(launch) || shard.phase == TaskPhase::Exited {
-                machine.orphaned_tasks.remove(&(job_id.clone(), *task, *launch));
+                machine.orphaned_tasks.remove(&AttemptId {
+                    job: job_id.clone(),
+                    task: *task,
+                    attempt: *launch,
+                });
                 continue;
             }
             let job = self.jobs.get_mut(job_id);
@@ -420,7 +433,9 @@
                 machine.add_task(job_id, *task, *launch);
                 continue;
             }
-            machine.orphaned_tasks.insert((job_id.clone(), *task, *launch), room);
+            machine
+                .orphaned_tasks
+                .insert(AttemptId { job: job_id.clone(), task: *task, attempt: *launch }, room);
             machine.invalidate_free_resources();
         }
     }
@@ -431,14 +446,14 @@
         id: &MachineId,
         report: &StatusReport,
         source: ReportSource,
-        listed: &HashMap<(JobId, u32, u64), &TaskStatus>,
+        listed: &HashMap<AttemptId, &TaskStatus>,
         out: &mut Vec<Command>,
     ) {
         let Some(machine) = self.machines.get_mut(id) else { return };
-        for (job, task, launch) in machine.orphaned_tasks.keys() {
+        for AttemptId { job, task, attempt: launch } in machine.orphaned_tasks.keys() {
             out.push(command(CommandKind::Stop, job, *task, *launch, Some(0.0)));
         }
-        for ((job, task, launch), shard) in listed {
+        for (AttemptId { job, task, attempt: launch }, shard) in listed {
             let known = machine.tasks.get(&(job.clone(), *task)) == Some(launch);
             if shard.phase == TaskPhase::Exited && !known {
                 out.push(command(CommandKind::Forget, job, *task, *launch, None));
@@ -474,7 +489,7 @@
                 && !attempt.from_previous_term
                 && attempt.worker_session == report.session
             {
-                attempt.offered_in = Some((report.session, report.sequence));
+                attempt.offered_in = Some(MessageOrder::of(report));
                 out.push(command(CommandKind::Start, job_id, *task, *launch, None));
             }
         }
@@ -606,13 +621,16 @@
                     }
                     _ => {}
                 }
-                let (first, last) = attempt.stop_requested.unwrap_or((now, 0));
+                let mut stop = attempt.stop_requested.unwrap_or(StopRequest::unsent(now));
                 // A second stop without grace would end a task that saves.
                 let saving = attempt.phase() == AttemptPhase::Saving && job.cancelled_at.is_none();
-                if now < last + STOP_AGAIN_MS || (saving && last > 0) {
+                if now < stop.sent_at.unwrap_or(0) + STOP_AGAIN_MS
+                    || (saving && stop.sent_at.is_some())
+                {
                     continue;
                 }
-                attempt.stop_requested = Some((first, now));
+                stop.sent_at = Some(now);
+                attempt.stop_requested = Some(stop);
                 let order = command(CommandKind::Stop, id, *task, attempt.number, Some(ease));
                 orders.entry(attempt.machine.clone()).or_default().push(order);
             }
@@ -624,12 +642,12 @@
         let mut direct = Vec::new();
         for (id, orders) in orders {
             let Some(machine) = self.machines.get(&id) else { continue };
-            if machine.address.is_empty() || machine.last_message.0 == 0 {
+            if machine.address.is_empty() || machine.last_message.session == 0 {
                 continue;
             }
             let message = DirectCommands {
                 fencing_token: self.token,
-                session: machine.last_message.0,
+                session: machine.last_message.session,
                 commands: orders,
             };
             direct.push((machine.address.clone(), message));
--- a/crates/controller/src/controller/chunks.rs
+++ b/crates/controller/src/controller/chunks.rs
@@ -10,8 +10,9 @@
     COMPACTIONS_AT_ONCE, COMPACTIONS_QUEUED, ENDS_QUEUED, RANGE_BYTES, TXN_BYTES,
 };
 use crate::job::{
-    Attempt, AttemptPhase, Binding, BindingChunk, FinalRecord, FinalState, InFlightTransaction,
-    Job, JobId, JobState, StoredJob, chunk_key, keys,
+    Attempt, AttemptPhase, Binding, BindingChunk, ChunkWrite, FinalRecord, FinalState,
+    InFlightTransaction, Job, JobId, JobState, LoggedBindings, StoredJob, TaskAttempt, chunk_key,
+    keys,
 };
 use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
 use std::cmp::Reverse;
@@ -137,7 +138,11 @@
             let ended = job.attempts.values().filter(|a| !a.occupies_resources()).count();
             let pressing = ended >= COMPACTION_PRESSING;
             urgency = if pressing { CallPriority::Normal } else { CallPriority::Low };
-            let take_over = self.binding_log.len() > BINDING_LOG_KEPT;
+            let logged = if self.binding_log.len() > BINDING_LOG_KEPT {
+                LoggedBindings::TakeOver
+            } else {
+                LoggedBindings::Leave
+            };
             let mut bytes = 512;
             // What only a chunk tells of is on a sheet before the chunk is written without it.
             let told = |chunk: &u32| {
@@ -155,7 +160,16 @@
                         .for_each(|b| self.binding_log.return_to_log(id, b, value - value / 32));
                     continue;
                 }
-                let record = job.chunk_record(chunk, (nonce, upto), value, take_over, elsewhere);
+                let record = job.chunk_record(
+                    chunk,
+                    ChunkWrite {
+                        write_number: nonce,
+                        last_attempt: upto,
+                        max_bytes: value,
+                        logged,
+                    },
+                    elsewhere,
+                );
                 bytes += CHUNK_BYTES + record.done.len() * RANGE_BYTES;
                 bytes += record.bindings.iter().map(Binding::bytes).sum::<usize>();
                 if bytes > TXN_BYTES && !flight.chunks.is_empty() {
@@ -166,7 +180,12 @@
                 commit.preconditions.push(Precondition { key: key.clone(), mod_revision: stamp });
                 commit.mutations.push(put_change(key, &record));
                 flight.chunks.push(chunk);
-                flight.bindings.extend(record.bindings.iter().map(|b| (b.task, b.attempt)));
+                flight.bindings.extend(
+                    record
+                        .bindings
+                        .iter()
+                        .map(|b| TaskAttempt { task: b.task, attempt: b.attempt }),
+                );
                 job.dirty_chunks.remove(&chunk);
                 let from = chunk * job.chunk_tasks;
                 let range = job.attempts.range(from..from + job.chunk_tasks);
@@ -320,7 +339,7 @@
         for chunk in &flight.chunks {
             job.chunk_revisions.insert(*chunk, epoch);
         }
-        for (task, launch) in flight.bindings {
+        for TaskAttempt { task, attempt: launch } in flight.bindings {
             if let Some(a) = job.attempts.get_mut(&task).filter(|a| a.number == launch)
                 && a.phase() == AttemptPhase::Committing
             {
--- a/crates/controller/src/controller/report_forwarding.rs
+++ b/crates/controller/src/controller/report_forwarding.rs
@@ -13,6 +13,7 @@
     HEARTBEAT_FRESH_MS, LOAD_SLACK, REDIRECT_AGAIN_MS, REPORT_BYTES, SUMMARY_MS, TASK_STATUS_BYTES,
     UNCHANGED_MACHINE_BYTES,
 };
+use crate::machine::MessageOrder;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
@@ -396,7 +397,12 @@
             .map(|id| id.to_string())
             .collect();
         for (berth, watch, tick, shown) in &batch.locally_answered {
-            if !leader.on_unchanged_report(berth, (*watch, *tick), *shown, now) {
+            if !leader.on_unchanged_report(
+                berth,
+                MessageOrder { session: *watch, sequence: *tick },
+                *shown,
+                now,
+            ) {
                 look.insert(berth.clone());
             }
         }
@@ -421,7 +427,12 @@
                     sequence: tick,
                     content_hash: shown,
                 } => {
-                    let same = leader.on_unchanged_report(berth, (*watch, *tick), *shown, now);
+                    let same = leader.on_unchanged_report(
+                        berth,
+                        MessageOrder { session: *watch, sequence: *tick },
+                        *shown,
+                        now,
+                    );
                     if same {
                         answers.delegable_reports.push(n);
                     }
@@ -516,7 +527,7 @@
         }
         let machine = self.cluster_state.as_mut()?.machines.get_mut(report.machine.as_str())?;
         // A copy is sent nowhere: its worker is elsewhere.
-        if (report.session, report.sequence) <= machine.last_message {
+        if MessageOrder::of(report) <= machine.last_message {
             return None;
         }
         if machine.redirected_at.is_some_and(|at| now < at + REDIRECT_AGAIN_MS) {
--- a/crates/controller/src/fleet/consolidation.rs
+++ b/crates/controller/src/fleet/consolidation.rs
@@ -149,7 +149,7 @@
         let zone_of = |m: &MachineId| tables.machines.get(m).map(|m| m.zone.as_str());
         let place = tables.machines.values().find(|m| {
             let Some(kind) = types.iter().find(|t| t.name == m.machine_type) else { return false };
-            let near = m.has_cached_image(&spec.image) || kind.fetch_ms(spec) <= MOVE_FETCH_MS;
+            let near = m.images.contains(&spec.image) || kind.fetch_ms(spec) <= MOVE_FETCH_MS;
             let others = job.attempts.iter().filter(|(t, _)| *t != task);
             let there = others.filter(|(_, a)| zone_of(&a.machine) == Some(&m.zone)).count() as u32;
             m.id != *from
--- /dev/null
+++ b/crates/controller/src/job/chunks.rs
@@ -0,0 +1,217 @@
+//! What a job's chunk records should hold, and what a new leader restores from them and from the binding log. A chunk
+//! covers a fixed range of tasks; `controller/chunks.rs` writes and reads the records.
+
+use super::record::task_ranges;
+use super::{Attempt, Binding, BindingChunk, FinalRecord, Job};
+use crate::Time;
+use crate::constants::{CHUNK_BYTES, RANGE_BYTES};
+use std::collections::BTreeSet;
+use std::ops::Range;
+
+/// An attempt of one of the job's tasks.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct TaskAttempt {
+    /// The task's number in the job.
+    pub task: u32,
+    /// The attempt's number.
+    pub attempt: u64,
+}
+
+/// A job's transaction that was sent and whose outcome is not known.
+#[derive(Debug, Clone)]
+pub struct InFlightTransaction {
+    /// Number of the write, held in each chunk it writes: by it a later read tells whether the write was applied.
+    pub write_number: u64,
+    /// Chunks written.
+    pub chunks: Vec<u32>,
+    /// Attempts whose bindings it writes.
+    pub bindings: Vec<TaskAttempt>,
+    /// Tasks recorded as done by it.
+    pub done: Vec<u32>,
+    /// The final record, if it ends the job.
+    pub final_record: Option<FinalRecord>,
+}
+
+/// What a chunk does with bindings that the binding log holds.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LoggedBindings {
+    /// They stay in the log.
+    Leave,
+    /// The chunk takes over as many as fit, so that the log can drop them.
+    TakeOver,
+}
+
+/// How a chunk's record is to be written.
+#[derive(Debug, Clone, Copy)]
+pub struct ChunkWrite {
+    /// Number of the write.
+    pub write_number: u64,
+    /// The latest attempt number given out so far.
+    pub last_attempt: u64,
+    /// The largest value that the store takes, bytes.
+    pub max_bytes: usize,
+    /// What becomes of bindings in the log.
+    pub logged: LoggedBindings,
+}
+
+/// What a chunk's record holds within a bounded size.
+struct ChunkContents {
+    /// Tasks done, as ranges with both ends.
+    done: Vec<(u32, u32)>,
+    /// Bindings that no log segment holds and that fit.
+    fitting: Vec<Binding>,
+    /// Bindings that no log segment holds and that do not fit.
+    overflowing: Vec<Binding>,
+    /// Bytes still free.
+    bytes_left: usize,
+}
+
+impl Job {
+    /// The chunk of a task.
+    pub fn chunk_of(&self, task: u32) -> u32 {
+        task / self.chunk_tasks
+    }
+
+    /// Tasks that a chunk covers.
+    fn chunk_range(&self, chunk: u32) -> Range<u32> {
+        let first = chunk * self.chunk_tasks;
+        first..(first + self.chunk_tasks).min(self.spec.tasks)
+    }
+
+    /// Notes that the record of a task's chunk must be written. The time of the first change stays.
+    pub fn mark_chunk_dirty(&mut self, task: u32, now: Time) {
+        self.dirty_chunks.entry(self.chunk_of(task)).or_insert(now);
+    }
+
+    /// Tasks of a chunk that have an attempt.
+    pub fn tasks_in_chunk(&self, chunk: u32) -> impl Iterator<Item = u32> {
+        self.attempts.range(self.chunk_range(chunk)).map(|(task, _)| *task)
+    }
+
+    /// Tasks of a chunk that have ended with success and are not recorded as done.
+    pub fn completed_in_chunk(&self, chunk: u32) -> impl Iterator<Item = u32> {
+        let attempts = self.attempts.range(self.chunk_range(chunk));
+        attempts.filter(|(_, attempt)| attempt.is_completed()).map(|(task, _)| *task)
+    }
+
+    /// Bindings that only the chunk can hold, since no log segment does, and that do not fit in `max_bytes`: a leader
+    /// with larger store values could write them. `is_logged` says of a task whether the log holds its binding.
+    pub fn overflowing_bindings(
+        &self,
+        chunk: u32,
+        max_bytes: usize,
+        is_logged: impl Fn(u32) -> bool,
+    ) -> Vec<Binding> {
+        self.chunk_contents(chunk, max_bytes, is_logged).overflowing
+    }
+
+    fn chunk_contents(
+        &self,
+        chunk: u32,
+        max_bytes: usize,
+        is_logged: impl Fn(u32) -> bool,
+    ) -> ChunkContents {
+        let recorded = self.done.range(self.chunk_range(chunk)).copied();
+        let done: BTreeSet<u32> = recorded.chain(self.completed_in_chunk(chunk)).collect();
+        let done = task_ranges(&done);
+        let bytes_left = max_bytes.saturating_sub(CHUNK_BYTES + done.len() * RANGE_BYTES);
+        let mut contents =
+            ChunkContents { done, fitting: Vec::new(), overflowing: Vec::new(), bytes_left };
+        for binding in self.live_bindings(chunk).filter(|binding| !is_logged(binding.task)) {
+            let size = binding.bytes();
+            if size <= contents.bytes_left {
+                contents.bytes_left -= size;
+                contents.fitting.push(binding);
+            } else {
+                contents.overflowing.push(binding);
+            }
+        }
+        contents
+    }
+
+    /// Bindings of a chunk whose attempts are not known to have exited.
+    fn live_bindings(&self, chunk: u32) -> impl Iterator<Item = Binding> {
+        let attempts = self.attempts.range(self.chunk_range(chunk));
+        attempts
+            .filter(|(_, attempt)| attempt.occupies_resources())
+            .map(|(task, attempt)| attempt.binding(*task))
+    }
+
+    /// The record of a chunk as it should be, within `write.max_bytes`. `is_logged` says of a task whether the log holds
+    /// its binding. What neither fits nor is in the log must have been returned to the log before
+    /// ([`Job::overflowing_bindings`]).
+    pub fn chunk_record(
+        &self,
+        chunk: u32,
+        write: ChunkWrite,
+        is_logged: impl Fn(u32) -> bool,
+    ) -> BindingChunk {
+        let contents = self.chunk_contents(chunk, write.max_bytes, &is_logged);
+        let mut bytes_left = contents.bytes_left;
+        let mut record = BindingChunk {
+            write_number: write.write_number,
+            covers: write.last_attempt,
+            done: contents.done,
+            bindings: contents.fitting,
+        };
+        // A reader takes attempts later than `covers` from the log: so no attempt that the record lacks may be covered.
+        let uncover = |covers: &mut u64, attempt: u64| {
+            *covers = (*covers).min(attempt.saturating_sub(1));
+        };
+        for binding in contents.overflowing {
+            uncover(&mut record.covers, binding.attempt);
+        }
+        for binding in self.live_bindings(chunk).filter(|binding| is_logged(binding.task)) {
+            let size = binding.bytes();
+            if write.logged == LoggedBindings::TakeOver && size <= bytes_left {
+                bytes_left -= size;
+                record.bindings.push(binding);
+            } else {
+                uncover(&mut record.covers, binding.attempt);
+            }
+        }
+        record
+    }
+
+    /// Restores a chunk read from the store. To be called before any [`Job::restore_log_binding`].
+    pub fn restore_chunk(
+        &mut self,
+        chunk: u32,
+        record: &BindingChunk,
+        mod_revision: u64,
+        now: Time,
+    ) {
+        self.chunk_revisions.insert(chunk, mod_revision);
+        self.chunk_covers.insert(chunk, record.covers);
+        for &(first, last) in &record.done {
+            for task in first..=last.min(self.spec.tasks.saturating_sub(1)) {
+                self.waiting.remove(&task);
+                self.done.insert(task);
+            }
+        }
+        for binding in &record.bindings {
+            if binding.task < self.spec.tasks && self.waiting.remove(&binding.task) {
+                self.attempts.insert(binding.task, Attempt::restored(binding, now));
+            }
+        }
+    }
+
+    /// Restores a binding read from the log, unless its chunk covers it or a later attempt of its task is known. To be
+    /// called after all chunks. Returns whether it was restored.
+    pub fn restore_log_binding(&mut self, binding: &Binding, now: Time) -> bool {
+        let chunk = self.chunk_of(binding.task);
+        let covered = self.chunk_covers.get(&chunk).copied().unwrap_or(0);
+        let known = self.attempts.get(&binding.task);
+        let is_newest = known.is_none_or(|attempt| attempt.number < binding.attempt);
+        if binding.task >= self.spec.tasks
+            || binding.attempt <= covered
+            || self.done.contains(&binding.task)
+            || !is_newest
+        {
+            return false;
+        }
+        self.waiting.remove(&binding.task);
+        self.attempts.insert(binding.task, Attempt::restored(binding, now));
+        true
+    }
+}
--- a/crates/controller/src/job/failure_attribution.rs
+++ b/crates/controller/src/job/failure_attribution.rs
@@ -1,43 +1,42 @@
-//! Whether a job or a machine is to blame for a failure, by evidence: a job that fails on several machines
-//! and has never succeeded was probably submitted with a mistake; a machine on which several such jobs fail
-//! that do succeed elsewhere is probably faulty.
+//! Whether a job is at fault for its tasks' failures. A job that fails on several machines and has never succeeded was
+//! probably submitted with a mistake: its retries are limited. Whether a machine is at fault is decided in
+//! `cluster_state`, from the failures of jobs that are not at fault.
 
-use super::{Attempt, Job, JobKind};
+use super::{Job, JobKind};
 use crate::Time;
 use crate::constants::{
     JOB_AT_FAULT_MACHINES, JOB_AT_FAULT_RETRY_MAX_MS, JOB_AT_FAULT_RETRY_MS, JOB_AT_FAULT_TASKS,
 };
 
-/// What is believed of a job.
+/// What the evidence so far says of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureAttribution {
-    /// Nothing yet.
+    /// No evidence either way.
     New,
-    /// It has failed on several machines and never succeeded: it is tried again after a pause, since the
-    /// evidence may be wrong.
+    /// It has failed on several machines and never succeeded. It is retried after a pause, since the evidence may be
+    /// wrong.
     Mistaken {
-        /// When it is tried again.
+        /// When it is next retried.
         again: Time,
-        /// The next pause, ms.
+        /// The pause after that retry, ms.
         pause_ms: u64,
     },
-    /// A task of it has succeeded: what fails now is not the job's fault.
+    /// A task of it has succeeded: later failures are not the job's fault. Final.
     Proven,
 }
 
 impl Job {
-    /// What is believed of it.
+    /// What the evidence so far says of it.
     pub fn failure_attribution(&self) -> FailureAttribution {
         self.failure_attribution
     }
 
-    /// Whether it is held to be mistaken.
+    /// Whether it is assumed to be at fault for its failures.
     pub fn is_job_at_fault(&self) -> bool {
         matches!(self.failure_attribution, FailureAttribution::Mistaken { .. })
     }
 
-    /// The one function that changes what is believed of a job. Once proven it stays so. Returns whether it
-    /// changed.
+    /// The one function that changes the attribution. Once proven it stays so. Returns whether it changed.
     pub fn set_failure_attribution(&mut self, to: FailureAttribution) -> bool {
         let allowed = !matches!(
             (self.failure_attribution, to),
@@ -50,7 +49,7 @@
         changed
     }
 
-    /// A task of it has succeeded: what was held back for its failures waits again.
+    /// A task of it has succeeded: tasks held back for its earlier failures wait again.
     pub fn succeeded(&mut self) {
         if self.set_failure_attribution(FailureAttribution::Proven) {
             let held = std::mem::take(&mut self.backing_off);
@@ -58,7 +57,8 @@
         }
     }
 
-    /// A task of it has failed on a machine by itself. True if that is the evidence that makes it mistaken.
+    /// A task of it has failed by itself, on a machine noted before ([`Job::note_bad_machine`]). Returns whether this
+    /// failure is the one by which the job is found to be at fault.
     pub fn failed(&mut self, now: Time) -> bool {
         match self.failure_attribution {
             FailureAttribution::New if self.bad_machines.len() >= JOB_AT_FAULT_MACHINES => {
@@ -68,12 +68,11 @@
                     pause_ms: 2 * JOB_AT_FAULT_RETRY_MS,
                 })
             }
-            // One failure a try: what else was still running says nothing new.
+            // One failure counts for each retry: other tasks that were still running say nothing new.
             FailureAttribution::Mistaken { again, pause_ms } if now >= again => {
-                let next = (pause_ms * 2).min(JOB_AT_FAULT_RETRY_MAX_MS);
                 self.set_failure_attribution(FailureAttribution::Mistaken {
                     again: now + pause_ms,
-                    pause_ms: next,
+                    pause_ms: (pause_ms * 2).min(JOB_AT_FAULT_RETRY_MAX_MS),
                 });
                 false
             }
@@ -81,26 +80,25 @@
         }
     }
 
-    /// Of a mistaken job only a few tasks may wait for a place at once, and none before its next try. The
-    /// rest is held back, and neither takes room nor has machines rented.
+    /// Limits how many tasks of a job at fault wait at once: a few, and none before its next retry. The others are held
+    /// back, so that they neither take resources nor have machines rented.
     pub(super) fn limit_suspect_job(&mut self, now: Time) {
         let FailureAttribution::Mistaken { again, .. } = self.failure_attribution else { return };
-        let busy = self.attempts.values().filter(|a| Attempt::occupies_resources(a)).count();
-        let most = match self.spec.kind {
+        let tried_at_once = match self.spec.kind {
             JobKind::Gang => self.spec.tasks as usize,
-            _ => JOB_AT_FAULT_TASKS,
+            JobKind::Array | JobKind::Service => JOB_AT_FAULT_TASKS,
         };
-        let may = if now >= again { most.saturating_sub(busy) } else { 0 };
-        while self.waiting.len() < may
+        let may_wait =
+            if now >= again { tried_at_once.saturating_sub(self.occupying_attempts()) } else { 0 };
+        while self.waiting.len() < may_wait
             && let Some((task, _)) = self.backing_off.pop_first()
         {
             self.waiting.insert(task);
         }
-        while self.waiting.len() > may
+        while self.waiting.len() > may_wait
             && let Some(task) = self.waiting.pop_last()
         {
-            let count = self.failures.get(&task).copied().unwrap_or(0);
-            self.backing_off.insert(task, (again.max(now + JOB_AT_FAULT_RETRY_MS), count));
+            self.backing_off.insert(task, again.max(now + JOB_AT_FAULT_RETRY_MS));
         }
     }
 }
--- a/crates/controller/src/job/record.rs
+++ b/crates/controller/src/job/record.rs
@@ -1,4 +1,5 @@
-//! What the state service holds of a job, in compact form.
+//! Records that the state service holds of a job, in compact form, and their keys. What is read here was written by any
+//! earlier version and any controller: the stored bytes must not change.
 
 use super::{JobId, JobSpec, MachineId};
 use crate::constants::{BINDING_BYTES, CHUNK_BYTES, CHUNK_TASKS_MAX, RANGE_BYTES};
@@ -9,60 +10,63 @@
 
 /// Prefixes and keys in the state service.
 pub mod keys {
-    /// Accepted jobs that are not over.
+    /// Prefix of accepted jobs that are not over, or have just ended.
     pub const JOBS: &str = "job/";
-    /// Jobs that are over, kept for good.
+    /// Prefix of final records, kept for good.
     pub const FINALS: &str = "end/";
-    /// Bindings of tasks, in chunks.
+    /// Prefix of binding chunks.
     pub const BINDINGS: &str = "bind/";
-    /// Sheets of the ledger: new bindings of all jobs.
+    /// Prefix of the binding log's segments.
     pub const SHEETS: &str = "sheet/";
-    /// Plug-ins: records, and their sources in chunks.
+    /// Prefix of plug-ins: their records, and their sources in parts.
     pub const PLUGINS: &str = "plug/";
-    /// Records that outlive controllers: tiers, dispatch, loans.
+    /// Prefix of replicated records: tiers, dispatch plan, loans.
     pub const ORDER: &str = "order/";
-    /// The form of records in use, once every controller reads it: see `node::rollout`.
+    /// The record format in use, written once every controller reads it (`controller::format_upgrade`).
     pub const FORM: &str = "term/form";
-    /// The leader's key.
+    /// The leadership record. Its mod revision is the fencing token.
     pub const LEADER: &str = "term/leader";
-    /// Prefix of the leader's key.
+    /// Prefix of the leadership record and the record format.
     pub const TERM: &str = "term/";
     /// The machine types.
     pub const TYPES: &str = "types/all";
 
-    /// Key of a live job.
+    /// Key of a job that is not over, or whose final record has not been moved yet.
     pub fn job(id: &str) -> String {
         format!("{JOBS}{id}")
     }
-    /// Key of a sheet.
+
+    /// Key of a segment of the binding log.
     pub fn sheet(number: usize) -> String {
         format!("{SHEETS}{number:03}")
     }
-    /// Key of a final job.
+
+    /// Key of a final record that has been moved.
     pub fn end(id: &str) -> String {
         format!("{FINALS}{id}")
     }
-    /// Key of a job's last place, or of its first.
+
+    /// Key of a job's final place if `last`, else of its first.
     pub fn place(id: &str, last: bool) -> String {
         if last { end(id) } else { job(id) }
     }
 }
 
-/// Key of a chunk of bindings.
+/// Key of a binding chunk.
 pub fn chunk_key(id: &JobId, chunk: u32) -> String {
     format!("{}{id}/{chunk:05}", keys::BINDINGS)
 }
 
-/// Tasks in a chunk, so that what is done of them fits in a value however it is scattered. Bindings that
-/// find no room beside it stay in the ledger.
+/// Number of tasks that a chunk covers, so that the tasks done fit in a stored value however they are scattered. Bindings
+/// that do not fit beside them stay in the binding log.
 pub fn chunk_size(state: &StoreSettings) -> u32 {
-    let bytes = (state.value_kb * 1024.0) as usize;
-    let ranges = bytes.saturating_sub(CHUNK_BYTES) / RANGE_BYTES;
-    // Scattered at worst, every second task is done.
-    (ranges as u32).saturating_mul(2).clamp(1, CHUNK_TASKS_MAX)
+    let max_bytes = (state.value_kb * 1024.0) as usize;
+    let max_ranges = max_bytes.saturating_sub(CHUNK_BYTES) / RANGE_BYTES;
+    // The worst case is every second task done: then a range covers one task, with a gap of one behind it.
+    (max_ranges as u32).saturating_mul(2).clamp(1, CHUNK_TASKS_MAX)
 }
 
-/// A live job.
+/// Record of a job that is not over.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "EncodedRecord", into = "EncodedRecord")]
 pub struct JobRecord {
@@ -72,22 +76,22 @@
     pub cancelled_wall: u64,
     /// Time of day of its acceptance, ms.
     pub accepted_wall: u64,
-    /// Tasks in a chunk: fixed at acceptance, so that no change of settings moves a task.
+    /// Tasks that a chunk covers: fixed at acceptance, so that no change of settings moves a task to another chunk.
     pub chunk_tasks: u32,
-    /// Number that tells this writing from any other.
+    /// Random number by which this write is told from any other.
     #[serde(rename = "nonce")]
     pub write_number: u64,
     /// Name of the tier that it was accepted into, where tiers are held in the state service.
     pub tier: Option<String>,
-    /// The jobs that have to be done before any task of it starts.
+    /// Dependencies: the jobs that must be done before any task of it starts.
     #[serde(rename = "awaits")]
     pub depends_on: Vec<JobId>,
     /// What it asks for.
     pub spec: JobSpec,
 }
 
-/// A live job as it is written. What a job that awaits others asks for stands under another name than ever before:
-/// an earlier version, which would start it at once, cannot read it and leaves it as it is.
+/// A [`JobRecord`] as it is stored. The specification of a job with dependencies stands under another key (`p`) than that
+/// of one without (`j`): an earlier version, which would start it at once, cannot read it and leaves it alone.
 #[derive(Serialize, Deserialize)]
 struct EncodedRecord {
     #[serde(rename = "x", default)]
@@ -99,53 +103,58 @@
     #[serde(rename = "c")]
     chunk_tasks: u32,
     #[serde(rename = "w", default)]
-    nonce: u64,
+    write_number: u64,
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     tier: Option<String>,
     #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
-    spec: Option<JobSpec>,
+    independent: Option<JobSpec>,
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
-    waiting: Option<(Vec<String>, JobSpec)>,
+    dependent: Option<(Vec<String>, JobSpec)>,
 }
 
+/// A stored job is none: it has no specification, or two.
+#[derive(Debug, thiserror::Error)]
+#[error("a job's record asks for nothing, or twice")]
+struct AmbiguousSpec;
+
 impl TryFrom<EncodedRecord> for JobRecord {
-    type Error = &'static str;
+    type Error = AmbiguousSpec;
 
-    fn try_from(w: EncodedRecord) -> Result<JobRecord, &'static str> {
-        let (awaits, spec) = match (w.spec, w.waiting) {
+    fn try_from(encoded: EncodedRecord) -> Result<JobRecord, AmbiguousSpec> {
+        let (depends_on, spec) = match (encoded.independent, encoded.dependent) {
             (Some(spec), None) => (Vec::new(), spec),
-            (None, Some((awaits, spec))) => (awaits.into_iter().map(JobId::from).collect(), spec),
-            _ => return Err("a job's record asks for nothing, or twice"),
+            (None, Some((ids, spec))) => (ids.into_iter().map(JobId::from).collect(), spec),
+            (None, None) | (Some(_), Some(_)) => return Err(AmbiguousSpec),
         };
         Ok(JobRecord {
-            cancelled: w.cancelled,
-            cancelled_wall: w.cancelled_wall,
-            accepted_wall: w.accepted_wall,
-            chunk_tasks: w.chunk_tasks,
-            write_number: w.nonce,
-            tier: w.tier,
-            depends_on: awaits,
+            cancelled: encoded.cancelled,
+            cancelled_wall: encoded.cancelled_wall,
+            accepted_wall: encoded.accepted_wall,
+            chunk_tasks: encoded.chunk_tasks,
+            write_number: encoded.write_number,
+            tier: encoded.tier,
+            depends_on,
             spec,
         })
     }
 }
 
 impl From<JobRecord> for EncodedRecord {
-    fn from(r: JobRecord) -> EncodedRecord {
-        let awaits: Vec<String> = r.depends_on.iter().map(|id| id.to_string()).collect();
-        let (spec, waiting) = match awaits.is_empty() {
-            true => (Some(r.spec), None),
-            false => (None, Some((awaits, r.spec))),
+    fn from(record: JobRecord) -> EncodedRecord {
+        let ids: Vec<String> = record.depends_on.iter().map(|id| id.to_string()).collect();
+        let (independent, dependent) = match ids.is_empty() {
+            true => (Some(record.spec), None),
+            false => (None, Some((ids, record.spec))),
         };
         EncodedRecord {
-            cancelled: r.cancelled,
-            cancelled_wall: r.cancelled_wall,
-            accepted_wall: r.accepted_wall,
-            chunk_tasks: r.chunk_tasks,
-            nonce: r.write_number,
-            tier: r.tier,
-            spec,
-            waiting,
+            cancelled: record.cancelled,
+            cancelled_wall: record.cancelled_wall,
+            accepted_wall: record.accepted_wall,
+            chunk_tasks: record.chunk_tasks,
+            write_number: record.write_number,
+            tier: record.tier,
+            independent,
+            dependent,
         }
     }
 }
@@ -161,22 +170,24 @@
     Cancelled,
 }
 
-/// A job that is over.
+/// Record of a job that is over.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct FinalRecord {
-    /// How.
+    /// How it ended.
     #[serde(rename = "e")]
     pub state: FinalState,
-    /// Tasks done.
+    /// Number of tasks done.
     #[serde(rename = "n")]
     pub done: u32,
-    /// Time of day of the end, ms: from then on the times of what awaits it count. None: an earlier version's.
+    /// Time of day of the end, ms: from then on jobs that depend on it count as waiting. None in records of earlier
+    /// versions.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub at_wall: Option<u64>,
 }
 
 impl FinalRecord {
-    /// What follows from it for jobs that await this one; of an earlier version's the time is that of the look.
+    /// What it means for jobs that depend on this one. `now_wall` (ms) stands in where an earlier version recorded no
+    /// time of the end.
     pub fn fate(&self, now_wall: u64) -> JobOutcome {
         match self.state {
             FinalState::Done => JobOutcome::Done(self.at_wall.unwrap_or(now_wall)),
@@ -190,38 +201,38 @@
 pub enum StoredJob {
     /// It is not over.
     Live(Box<JobRecord>),
-    /// It is over, and its record has not moved to its last place yet.
+    /// It is over, and its final record has not been moved to `end/` yet.
     Finished(FinalRecord),
 }
 
 impl StoredJob {
-    /// Reads a value; none if it is neither.
+    /// Decodes a stored value; none if it is neither.
     pub fn read(value: &serde_json::Value) -> Option<StoredJob> {
-        let live = JobRecord::deserialize(value).map(|r| StoredJob::Live(Box::new(r)));
+        let live = JobRecord::deserialize(value).map(|record| StoredJob::Live(Box::new(record)));
         live.or_else(|_| FinalRecord::deserialize(value).map(StoredJob::Finished)).ok()
     }
 }
 
-/// One binding.
+/// Binding of a task to a machine, stored as an array.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u32, u64, String, u64)", into = "(u32, u64, String, u64)")]
 pub struct Binding {
-    /// Task.
+    /// The task's number in its job.
     pub task: u32,
-    /// Attempt.
+    /// The attempt's number.
     #[serde(rename = "launch")]
     pub attempt: u64,
-    /// Machine.
+    /// The machine.
     pub machine: MachineId,
-    /// Its session.
+    /// Session of the machine's worker when the task was bound.
     #[serde(rename = "watch")]
     pub worker_session: u64,
 }
 
 impl Binding {
-    /// Its size in JSON form, with the comma behind it.
+    /// Its size as JSON, with the comma behind it.
     pub fn bytes(&self) -> usize {
-        let digits = |n: u64| n.checked_ilog10().unwrap_or(0) as usize + 1;
+        let digits = |number: u64| number.checked_ilog10().unwrap_or(0) as usize + 1;
         let numbers =
             digits(u64::from(self.task)) + digits(self.attempt) + digits(self.worker_session);
         numbers + self.machine.len() + BINDING_BYTES
@@ -229,43 +240,43 @@
 }
 
 impl From<(u32, u64, String, u64)> for Binding {
-    fn from((task, launch, machine, watch): (u32, u64, String, u64)) -> Binding {
-        Binding { task, attempt: launch, machine: machine.into(), worker_session: watch }
+    fn from((task, attempt, machine, worker_session): (u32, u64, String, u64)) -> Binding {
+        Binding { task, attempt, machine: machine.into(), worker_session }
     }
 }
 
 impl From<Binding> for (u32, u64, String, u64) {
-    fn from(b: Binding) -> Self {
-        (b.task, b.attempt, b.machine.to_string(), b.worker_session)
+    fn from(binding: Binding) -> Self {
+        (binding.task, binding.attempt, binding.machine.to_string(), binding.worker_session)
     }
 }
 
-/// Bindings and finishes of a range of tasks.
+/// Record of a chunk: bindings and tasks done of a fixed range of a job's tasks.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct BindingChunk {
     /// Number of the write.
     #[serde(rename = "w")]
     pub write_number: u64,
-    /// The latest launch given out when it was written: of its tasks, it holds every binding up to
-    /// that one. Later ones are in the ledger.
+    /// Of its tasks, the chunk accounts for every attempt up to this one. Bindings of later attempts are in the binding
+    /// log.
     #[serde(rename = "l", default)]
     pub covers: u64,
     /// Tasks done, as ranges with both ends.
     #[serde(rename = "d", default)]
     pub done: Vec<(u32, u32)>,
-    /// Attempts not proved gone.
+    /// Bindings of attempts not proved gone.
     #[serde(rename = "b", default)]
     pub bindings: Vec<Binding>,
 }
 
-/// Tasks as ranges with both ends.
-pub fn ranges(tasks: &BTreeSet<u32>) -> Vec<(u32, u32)> {
-    let mut found: Vec<(u32, u32)> = Vec::new();
+/// Tasks as ranges with both ends, in ascending order.
+pub(super) fn task_ranges(tasks: &BTreeSet<u32>) -> Vec<(u32, u32)> {
+    let mut ranges: Vec<(u32, u32)> = Vec::new();
     for &task in tasks {
-        match found.last_mut() {
-            Some((_, to)) if *to + 1 == task => *to = task,
-            _ => found.push((task, task)),
+        match ranges.last_mut() {
+            Some((_, last)) if *last + 1 == task => *last = task,
+            _ => ranges.push((task, task)),
         }
     }
-    found
+    ranges
 }
--- /dev/null
+++ b/crates/controller/src/job/retry.rs
@@ -0,0 +1,61 @@
+//! How a job's tasks come to wait again after an attempt: at once when it was lost, after a backoff when it failed.
+
+use super::{Attempt, Job, JobKind, MachineId};
+use crate::Time;
+use crate::constants::{BAD_MACHINES_MAX, RETRY_MAX_MS, RETRY_MS};
+
+/// The backoff doubles so many times at most.
+const MAX_DOUBLINGS: u32 = 8;
+
+impl Job {
+    /// Removes an attempt that is proved gone, or was never started: its task waits again.
+    pub fn release_attempt(&mut self, task: u32, now: Time) -> Option<Attempt> {
+        let attempt = self.attempts.remove(&task)?;
+        if !self.done.contains(&task) {
+            self.waiting.insert(task);
+        }
+        if self.spec.kind == JobKind::Gang && attempt.had_image() {
+            self.vacated_machines.insert(attempt.machine.clone(), now);
+        }
+        self.mark_chunk_dirty(task, now);
+        Some(attempt)
+    }
+
+    /// Holds a waiting task back after a failure, for twice as long as after its last one.
+    pub fn back_off(&mut self, task: u32, now: Time) {
+        if self.waiting.remove(&task) {
+            let failures = self.failures.entry(task).or_insert(0);
+            *failures += 1;
+            let backoff_ms = RETRY_MS << (*failures - 1).min(MAX_DOUBLINGS);
+            self.backing_off.insert(task, now + backoff_ms.min(RETRY_MAX_MS));
+        }
+    }
+
+    /// Tasks whose backoff has ended wait again.
+    pub fn end_backoffs(&mut self, now: Time) {
+        if self.backing_off.is_empty() {
+            return;
+        }
+        let ended: Vec<u32> = self
+            .backing_off
+            .iter()
+            .filter(|(_, until)| **until <= now)
+            .map(|(task, _)| *task)
+            .collect();
+        for task in ended {
+            self.backing_off.remove(&task);
+            self.waiting.insert(task);
+        }
+        self.limit_suspect_job(now);
+    }
+
+    /// Remembers a machine on which a task of this job failed: at most [`BAD_MACHINES_MAX`], the oldest forgotten first.
+    pub fn note_bad_machine(&mut self, machine: &MachineId) {
+        if !self.bad_machines.contains(machine) {
+            if self.bad_machines.len() >= BAD_MACHINES_MAX {
+                self.bad_machines.pop_front();
+            }
+            self.bad_machines.push_back(machine.clone());
+        }
+    }
+}
--- a/crates/controller/src/placement/preemption.rs
+++ b/crates/controller/src/placement/preemption.rs
@@ -321,7 +321,7 @@
             let fetch = self.types[m.type_index].fetch_ms(&c.spec);
             let there = || {
                 let machine = self.cluster_state.machines.get(&m.machine);
-                machine.is_some_and(|it| it.has_cached_image(&c.spec.image))
+                machine.is_some_and(|it| it.images.contains(&c.spec.image))
             };
             if !c.is_allowed_on(m.type_index, m.zone_index, m.spot, &self.zones)
                 || c.excluded_machines.contains(&m.machine)
--- a/crates/controller/src/placement/quota_limits.rs
+++ b/crates/controller/src/placement/quota_limits.rs
@@ -178,7 +178,7 @@
             }
             let found =
                 found.get_or_insert_with(|| stoppable_tasks(self.cluster_state, self.view, team));
-            let has = |v: &StoppableTask| v.machine.has_cached_image(&by.spec.image);
+            let has = |v: &StoppableTask| v.machine.images.contains(&by.spec.image);
             let lower = |v: &StoppableTask| v.job.spec.priority < by.spec.priority;
             found.sort_by_cached_key(|v| {
                 Reverse((!lower(v), !has(v), v.lost_work_ms, v.job.id.clone(), v.task))
--- a/crates/controller/src/placement/target_collection.rs
+++ b/crates/controller/src/placement/target_collection.rs
@@ -122,7 +122,7 @@
                 });
             place.reserved_for_gangs = gangs.remove(id).unwrap_or_default();
             place.images =
-                machine.images.iter().filter_map(|i| self.images.index_of(&i.0)).collect();
+                machine.images.names().filter_map(|name| self.images.index_of(name)).collect();
             if self.is_full {
                 for (job, task) in machine.tasks.keys() {
                     slots.push((self.targets.len(), (id.clone(), job.clone(), *task), room));
--- a/tests/concurrent_faults.rs
+++ b/tests/concurrent_faults.rs
@@ -12,6 +12,7 @@
 use swiftsail_controller::leadership::{
     AnswerAuthority, CancellationQuorum, LeaderProgress, endorsements_needed, replicas_needed,
 };
+use swiftsail_controller::machine::MessageOrder;
 use swiftsail_controller::store::StoreOutcome;
 use swiftsail_failure_detector::ProbeOutcome;
 use swiftsail_protocol::controllers::Heartbeat;
@@ -692,9 +693,10 @@
     assert!(tables.machines[&id].may_receive_work());
     // Under this term's token another life's higher number is seen through by the token that it shows.
     tables.on_status_report(&report(2, 5, 8), ReportSource::StatusReport, now, &[]);
-    assert_eq!(tables.machines[&id].last_message, (1, 61));
+    assert_eq!(tables.machines[&id].last_message, MessageOrder { session: 1, sequence: 61 });
     // Of a life that had this term's token nothing can be told: the machine is given no more.
-    tables.machines.get_mut(&id).expect("known").probe_baseline = Some((1, 61));
+    tables.machines.get_mut(&id).expect("known").probe_baseline =
+        Some(MessageOrder { session: 1, sequence: 61 });
     tables.on_probed(&id, ProbeOutcome::Answered, Some(&report(1, 3, 9)), now);
     assert!(!tables.machines[&id].may_receive_work(), "it is emptied and returned");
 }
--- a/tests/failovers.rs
+++ b/tests/failovers.rs
@@ -10,6 +10,7 @@
 use std::rc::Rc;
 use swiftsail_controller::controller::Controller;
 use swiftsail_controller::job::keys;
+use swiftsail_controller::machine::MessageOrder;
 use swiftsail_policy::operator_settings::OperatorSettings;
 use swiftsail_protocol::state::{Mutation, Transaction};
 use swiftsail_simulation::simulation::{
@@ -74,7 +75,7 @@
 fn unreported_machines_with_tasks(world: &Simulation) -> usize {
     let tables = world.controllers.iter().flatten().find_map(Controller::cluster_state);
     let machines = tables.into_iter().flat_map(|t| t.machines.values());
-    machines.filter(|m| m.last_message == (0, 0) && !m.tasks.is_empty()).count()
+    machines.filter(|m| m.last_message == MessageOrder::default() && !m.tasks.is_empty()).count()
 }
 
 /// Every second report is kept and comes again, to every controller, just as a new leader begins, before most machines
--- a/tests/out_of_order_reports.rs
+++ b/tests/out_of_order_reports.rs
@@ -8,9 +8,10 @@
 use std::collections::BTreeMap;
 use swiftsail_controller::cluster_state::{ClusterState, ReportSource};
 use swiftsail_controller::job::{
-    AttemptPhase, BindingChunk, JobId, JobKind, JobRecord, MachineId, keys,
+    AttemptPhase, BindingChunk, ChunkWrite, JobId, JobKind, JobRecord, LoggedBindings, MachineId,
+    keys,
 };
-use swiftsail_controller::machine::MachineState;
+use swiftsail_controller::machine::{MachineState, MessageOrder};
 use swiftsail_failure_detector::ProbeOutcome;
 use swiftsail_protocol::state::{KeyPage, KeyValue};
 use swiftsail_protocol::workers::{
@@ -207,7 +208,16 @@
     fn commit_bindings(&mut self) {
         let last = self.cluster_state.last_attempt_number();
         let job = self.cluster_state.jobs.get_mut(JOB).expect("the job stays");
-        self.chunk = job.chunk_record(0, (1, last), usize::MAX, true, |_| false);
+        self.chunk = job.chunk_record(
+            0,
+            ChunkWrite {
+                write_number: 1,
+                last_attempt: last,
+                max_bytes: usize::MAX,
+                logged: LoggedBindings::TakeOver,
+            },
+            |_| false,
+        );
         for attempt in job.attempts.values_mut() {
             if attempt.phase() == AttemptPhase::Committing {
                 attempt.advance(AttemptPhase::Bound, self.now);
@@ -234,11 +244,11 @@
         let Some(machine) = self.cluster_state.machines.get(report.machine.as_str()) else {
             return;
         };
-        let at = (report.session, report.sequence);
+        let at = MessageOrder::of(report);
         if at <= machine.last_message {
             self.interleavings.after_newer += 1;
             self.interleavings.earlier_session +=
-                u32::from(report.session < machine.last_message.0);
+                u32::from(report.session < machine.last_message.session);
             return;
         }
         self.interleavings.as_newest += 1;
@@ -246,7 +256,8 @@
             let name = format!("{job}/{task}");
             !report.tasks.iter().any(|s| s.task == name && s.attempt == *launch)
         });
-        self.interleavings.absent_first += u32::from(machine.last_message == (0, 0) && lacks);
+        self.interleavings.absent_first +=
+            u32::from(machine.last_message == MessageOrder::default() && lacks);
         let first = machine.highest_token < self.fencing_token
             && report.fencing_token == self.fencing_token;
         self.interleavings.absent_with_token += u32::from(first && lacks);
@@ -277,7 +288,7 @@
         let number = content_hash(report);
         let known = self.forwarder_cache.get(&report.machine)
             == Some(&(number, report.session, report.fencing_token));
-        let at = (report.session, report.sequence);
+        let at = MessageOrder::of(report);
         if known && self.cluster_state.on_unchanged_report(&report.machine, at, number, self.now) {
             self.interleavings.forwarded_unchanged += u32::from(copy);
             return Some(HeartbeatResponse {
@@ -406,9 +417,12 @@
                 if !self.probe_answers.is_empty() && self.rng.random_bool(0.6) {
                     let at = self.rng.random_range(0..self.probe_answers.len());
                     let (id, report) = self.probe_answers.swap_remove(at);
-                    let known =
-                        self.cluster_state.machines.get(&id).map_or((0, 0), |m| m.last_message);
-                    let overtaken = (report.session, report.sequence) < known;
+                    let known = self
+                        .cluster_state
+                        .machines
+                        .get(&id)
+                        .map_or(MessageOrder::default(), |m| m.last_message);
+                    let overtaken = MessageOrder::of(&report) < known;
                     self.interleavings.overtaken_answers += u32::from(overtaken);
                     self.cluster_state.on_probed(
                         &id,
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -14,7 +14,7 @@
 use swiftsail_controller::controller::{self, CallContext, LeaderContext};
 use swiftsail_controller::cycle_policy::CyclePolicy;
 use swiftsail_controller::job::{AttemptPhase, JobKind, JobRecord, JobSpec, keys};
-use swiftsail_controller::machine::MachineType;
+use swiftsail_controller::machine::{MachineType, MessageOrder};
 use swiftsail_controller::placement::PlanningContext;
 use swiftsail_controller::settings::{Settings, TeamSettings};
 use swiftsail_controller::store::{StoreCall, StoreClient, StoreOutcome};
@@ -413,7 +413,12 @@
     let same = |bench: &mut LeaderBench, tick: u64, shown: u64| {
         bench.now += 1_000;
         let now = bench.now;
-        bench.cluster_state.on_unchanged_report(id, (1, tick), shown, now)
+        bench.cluster_state.on_unchanged_report(
+            id,
+            MessageOrder { session: 1, sequence: tick },
+            shown,
+            now,
+        )
     };
     assert!(!same(&mut bench, 10, 7), "nothing was shown whole through another controller");
     know(&mut bench, 7);
@@ -421,10 +426,23 @@
     assert_eq!(bench.cluster_state.machines[id].last_heard_at, Some(bench.now));
     assert!(!same(&mut bench, 12, 8), "it shows something else");
     assert!(
-        !bench.cluster_state.on_unchanged_report("m-none", (1, 1), 7, bench.now),
+        !bench.cluster_state.on_unchanged_report(
+            "m-none",
+            MessageOrder { session: 1, sequence: 1 },
+            7,
+            bench.now
+        ),
         "an unknown machine"
     );
-    assert!(!bench.cluster_state.on_unchanged_report(id, (2, 13), 7, bench.now), "another session");
+    assert!(
+        !bench.cluster_state.on_unchanged_report(
+            id,
+            MessageOrder { session: 2, sequence: 13 },
+            7,
+            bench.now
+        ),
+        "another session"
+    );
     bench.sequence = 20;
     bench.run_scheduling_cycle();
     assert!(!same(&mut bench, 21, 7), "a binding is being committed: its start must be offered");
@@ -435,7 +453,10 @@
     know(&mut bench, 9);
     assert!(same(&mut bench, 40, 9), "both run, and were seen");
     assert!(same(&mut bench, 39, 9), "an older one is no news");
-    assert_eq!(bench.cluster_state.machines[id].last_message, (1, 40));
+    assert_eq!(
+        bench.cluster_state.machines[id].last_message,
+        MessageOrder { session: 1, sequence: 40 }
+    );
     let now = bench.now;
     bench.cluster_state.request_stop(&"wk-1".into(), 0, now);
     assert!(!same(&mut bench, 41, 9), "its stop must be repeated until it is gone");
--- a/tests/state_machines.rs
+++ b/tests/state_machines.rs
@@ -3,7 +3,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use swiftsail_controller::job::{
-    Attempt, AttemptPhase, Binding, BindingChunk, Job, JobKind, JobRecord, JobSpec, JobState,
+    Attempt, AttemptPhase, Binding, BindingChunk, ChunkWrite, Job, JobKind, JobRecord, JobSpec,
+    JobState, LoggedBindings,
 };
 use swiftsail_controller::leadership::{Leadership, LeadershipPhase};
 use swiftsail_controller::machine::{Machine, MachineState};
@@ -109,9 +110,12 @@
             for chunk in 0..3 {
                 let text = serde_json::to_string(&job.chunk_record(
                     chunk,
-                    (1, 0),
-                    usize::MAX,
-                    true,
+                    ChunkWrite {
+                        write_number: 1,
+                        last_attempt: 0,
+                        max_bytes: usize::MAX,
+                        logged: LoggedBindings::TakeOver,
+                    },
                     |_| false,
                 ))
                 .expect("our own record");
@@ -237,8 +241,21 @@
                             let launch = job.attempts.get(&t).map(|a| a.number);
                             sheet.iter().any(|b| b.task == t && Some(b.attempt) == launch)
                         };
-                        let record =
-                            job.chunk_record(chunk, (1, launch), usize::MAX, take_over, held);
+                        let logged = if take_over {
+                            LoggedBindings::TakeOver
+                        } else {
+                            LoggedBindings::Leave
+                        };
+                        let record = job.chunk_record(
+                            chunk,
+                            ChunkWrite {
+                                write_number: 1,
+                                last_attempt: launch,
+                                max_bytes: usize::MAX,
+                                logged,
+                            },
+                            held,
+                        );
                         // A sheet lets go of what was taken over only when it is next written.
                         sheet.retain(|b| stale || !record.bindings.contains(b));
                         chunks[chunk as usize] = Some(record);
