--- a/crates/controller/src/cluster_state/binding_log.rs
+++ b/crates/controller/src/cluster_state/binding_log.rs
@@ -1,13 +1,30 @@
-//! The ledger's sheets as the leader holds them: new bindings of all jobs, until chunks have taken
-//! them over.
+//! The binding log in the leader's memory: which log segment holds which new binding, until a chunk has taken it over or
+//! its task is done. `controller/binding_log.rs` writes the segments to the store and reads them.
 
 use crate::Time;
 use crate::constants::{BINDING_LOG_MAX, SEGMENT_BYTES, SEGMENT_HEADER_BYTES, SEGMENT_JOB_BYTES};
 use crate::job::{Binding, JobId};
+use crate::machine::AttemptId;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// What the store holds of a sheet.
+/// A task of any job.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct TaskId {
+    /// The job.
+    pub job: JobId,
+    /// The task's number in the job.
+    pub task: u32,
+}
+
+impl TaskId {
+    /// A task of a job.
+    pub fn new(job: &JobId, task: u32) -> TaskId {
+        TaskId { job: job.clone(), task }
+    }
+}
+
+/// Record of a log segment.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct LogSegmentRecord {
     /// Number of the write.
@@ -18,146 +35,165 @@
     pub bindings: BTreeMap<String, Vec<Binding>>,
 }
 
-/// A sheet as the leader holds it.
+/// A log segment as the leader holds it.
 #[derive(Debug, Default)]
 pub struct LogSegment {
+    /// Mod revision of its record in the store; 0: there is none.
     pub(crate) mod_revision: u64,
-    pub(crate) entries: BTreeMap<(JobId, u32), u64>,
+    /// The attempt that is bound, by task.
+    pub(crate) entries: BTreeMap<TaskId, u64>,
+    /// Estimated size of its record without the header, bytes.
     pub(crate) bytes: usize,
+    /// Its record in the store lacks a binding.
     pub(crate) dirty: bool,
 }
 
 impl LogSegment {
-    /// What a binding adds to the sheet, bytes: the first of a job brings the job's name.
-    fn added_bytes(&self, job: &JobId, bound: &Binding) -> usize {
-        bound.bytes() + if self.contains_job(job) { 0 } else { name_bytes(job) }
+    /// What a binding adds to the record, bytes: the first of a job brings the job's name.
+    fn added_bytes(&self, job: &JobId, binding: &Binding) -> usize {
+        binding.bytes() + if self.contains_job(job) { 0 } else { job_bytes(job) }
     }
 
-    /// Whether a binding of a job is on it.
     fn contains_job(&self, job: &JobId) -> bool {
-        let next = self.entries.range((job.clone(), 0)..).next();
-        next.is_some_and(|((id, _), _)| id == job)
+        let next = self.entries.range(TaskId::new(job, 0)..).next();
+        next.is_some_and(|(id, _)| id.job == *job)
     }
 }
 
-/// What a job takes on a sheet beside its bindings, bytes.
-fn name_bytes(job: &JobId) -> usize {
+/// What a job takes in a segment's record beside its bindings, bytes.
+fn job_bytes(job: &JobId) -> usize {
     job.len() + SEGMENT_JOB_BYTES
 }
 
-/// A transaction of the ledger on its way.
+/// A transaction of the log that was sent and whose outcome is not known.
 #[derive(Debug, Clone)]
 pub struct InFlightLogWrite {
+    /// Number of the write, held in each segment it writes: by it a later read tells whether the write was applied.
     pub(crate) write_number: u64,
+    /// Segments written.
     pub(crate) segments: Vec<usize>,
-    pub(crate) bindings: Vec<(JobId, u32, u64)>,
-    /// Bindings taken back from chunks that it holds.
-    pub(crate) returned_to_log: Vec<(JobId, u32)>,
+    /// Attempts that it commits.
+    pub(crate) bindings: Vec<AttemptId>,
+    /// Tasks whose bindings were returned from chunks, and that it commits in the log.
+    pub(crate) returned_to_log: Vec<TaskId>,
     /// Keys still to be read after a conflict.
     pub(crate) unread: Vec<String>,
+    /// Revision at which the write was applied, as found by such a read.
     pub(crate) applied_revision: Option<u64>,
 }
 
-/// The sheets, and the transaction on its way.
+/// Where the log holds a binding.
+#[derive(Debug, Clone, Copy)]
+struct Location {
+    segment: usize,
+    /// Size of the binding there, bytes.
+    bytes: usize,
+}
+
+/// The log's segments, and its one transaction in flight.
 #[derive(Debug, Default)]
 pub struct BindingLog {
     pub(crate) segments: Vec<LogSegment>,
     pub(crate) in_flight: Option<InFlightLogWrite>,
-    /// No write before that.
+    /// No write before this.
     pub(crate) next_write_at: Time,
-    /// The sheet of each binding, and its size there.
-    locations: HashMap<(JobId, u32), (usize, usize)>,
-    /// Bindings by launch: the oldest come first.
+    locations: HashMap<TaskId, Location>,
+    /// Attempt number, job and task of every binding in the log: the oldest come first.
     by_attempt: BTreeSet<(u64, JobId, u32)>,
-    /// Bindings that a chunk holds and can hold no longer: taken back, and not committed on their sheet yet.
-    pub(crate) returned_to_log: BTreeSet<(JobId, u32)>,
+    /// Tasks whose bindings a chunk holds and can hold no longer: they are in the log again, but not committed there yet.
+    pub(crate) returned_to_log: BTreeSet<TaskId>,
 }
 
 impl BindingLog {
-    /// Notes a new binding, to be written soon: on a sheet that is to be written anyway, else on the one
-    /// with most room. What is full of old bindings is left alone, since a sheet is written whole.
-    pub fn add(&mut self, job: &JobId, bound: &Binding, value_bytes: usize) {
-        let most = value_bytes.min(SEGMENT_BYTES).saturating_sub(SEGMENT_HEADER_BYTES);
-        self.forget(job, bound.task, None);
-        let roomy = |(_, s): &(usize, &LogSegment)| s.bytes + s.added_bytes(job, bound) <= most;
-        let with_room = self.segments.iter().enumerate().filter(roomy);
-        let best = with_room.min_by_key(|(_, s)| (!s.dirty, s.bytes)).map(|(n, _)| n);
-        let index = best.unwrap_or_else(|| {
+    /// Adds a new binding, to be written soon: to a segment that is to be written anyway, else to the one with most room.
+    /// A segment full of old bindings is left alone, since a segment is written as a whole. `max_value_bytes` is the
+    /// largest value that the store takes.
+    pub fn add(&mut self, job: &JobId, binding: &Binding, max_value_bytes: usize) {
+        let max_bytes = max_value_bytes.min(SEGMENT_BYTES).saturating_sub(SEGMENT_HEADER_BYTES);
+        self.forget(job, binding.task, None);
+        let has_room = |(_, segment): &(usize, &LogSegment)| {
+            segment.bytes + segment.added_bytes(job, binding) <= max_bytes
+        };
+        let with_room = self.segments.iter().enumerate().filter(has_room);
+        let best = with_room.min_by_key(|(_, segment)| (!segment.dirty, segment.bytes));
+        let index = best.map(|(index, _)| index).unwrap_or_else(|| {
             self.segments.push(LogSegment::default());
             self.segments.len() - 1
         });
-        self.put(index, job, bound);
+        self.put(index, job, binding);
         self.segments[index].dirty = true;
     }
 
-    /// Takes back what a job's chunk has no room for any more, since values have become smaller: it is committed on a
-    /// sheet before the chunk is written without it.
-    pub fn return_to_log(&mut self, job: &JobId, bound: &Binding, value_bytes: usize) {
-        self.add(job, bound, value_bytes);
-        self.returned_to_log.insert((job.clone(), bound.task));
+    /// Returns a binding to the log that its chunk has no room for any more, since the store's values have become
+    /// smaller. It must be committed in a segment before the chunk is written without it ([`BindingLog::awaits_commit`]).
+    pub fn return_to_log(&mut self, job: &JobId, binding: &Binding, max_value_bytes: usize) {
+        self.add(job, binding, max_value_bytes);
+        self.returned_to_log.insert(TaskId::new(job, binding.task));
     }
 
-    /// Whether a binding was taken back and is not on its sheet yet: its chunk alone tells of it.
+    /// Whether a binding was returned to the log and is not committed there: only its chunk holds it durably.
     pub fn awaits_commit(&self, job: &JobId, task: u32) -> bool {
-        !self.returned_to_log.is_empty() && self.returned_to_log.contains(&(job.clone(), task))
+        !self.returned_to_log.is_empty() && self.returned_to_log.contains(&TaskId::new(job, task))
     }
 
-    /// A sheet was committed with this binding on it.
-    pub(crate) fn on_committed(&mut self, job: &JobId, task: u32) {
-        self.returned_to_log.remove(&(job.clone(), task));
+    /// A segment was committed with a binding that had been returned to the log.
+    pub(crate) fn on_committed(&mut self, id: &TaskId) {
+        self.returned_to_log.remove(id);
     }
 
-    /// A binding is on a sheet.
-    pub(crate) fn put(&mut self, index: usize, job: &JobId, bound: &Binding) {
-        let sheet = &mut self.segments[index];
-        sheet.bytes += sheet.added_bytes(job, bound);
-        sheet.entries.insert((job.clone(), bound.task), bound.attempt);
-        self.locations.insert((job.clone(), bound.task), (index, bound.bytes()));
-        self.by_attempt.insert((bound.attempt, job.clone(), bound.task));
+    /// Places a binding in a segment, which must exist. The task must have no other in the log.
+    pub(crate) fn put(&mut self, index: usize, job: &JobId, binding: &Binding) {
+        let id = TaskId::new(job, binding.task);
+        let segment = &mut self.segments[index];
+        segment.bytes += segment.added_bytes(job, binding);
+        segment.entries.insert(id.clone(), binding.attempt);
+        self.locations.insert(id, Location { segment: index, bytes: binding.bytes() });
+        self.by_attempt.insert((binding.attempt, job.clone(), binding.task));
     }
 
-    /// Whether a sheet holds the binding of a task.
+    /// Whether the log holds the binding of a task.
     pub fn holds(&self, job: &JobId, task: u32) -> bool {
-        self.locations.contains_key(&(job.clone(), task))
+        self.locations.contains_key(&TaskId::new(job, task))
     }
 
-    /// Bindings that the ledger may still take: what is beyond waits for chunks to take some over.
+    /// How many more bindings the log may take. Further ones wait until chunks have taken some over.
     pub fn room(&self) -> usize {
         BINDING_LOG_MAX.saturating_sub(self.len())
     }
 
-    /// Bindings on the sheets.
+    /// Number of bindings in the log.
     pub fn len(&self) -> usize {
         self.locations.len()
     }
 
-    /// Whether no binding is on a sheet.
+    /// Whether the log holds no binding.
     pub fn is_empty(&self) -> bool {
         self.locations.is_empty()
     }
 
-    /// The oldest bindings beyond so many: chunks are to take them over.
-    pub fn beyond(&self, most: usize) -> impl Iterator<Item = (&JobId, u32)> {
-        let over = self.len().saturating_sub(most);
-        self.by_attempt.iter().take(over).map(|(_, job, task)| (job, *task))
+    /// The oldest bindings, as far as the log holds more than `kept`: chunks are to take them over.
+    pub fn beyond(&self, kept: usize) -> impl Iterator<Item = (&JobId, u32)> {
+        let excess = self.len().saturating_sub(kept);
+        self.by_attempt.iter().take(excess).map(|(_, job, task)| (job, *task))
     }
 
-    /// A binding leaves the sheets: its task is done or released, a chunk that holds it is committed, or
-    /// a later one of the same task takes its place. `launch`: only if it is that one. What is over and
-    /// stayed here until its sheet was written again once filled the ledger for good: nothing more
-    /// could be bound, so no sheet was ever written again.
-    pub fn forget(&mut self, job: &JobId, task: u32, launch: Option<u64>) {
-        let key = (job.clone(), task);
-        let Some(&(index, size)) = self.locations.get(&key) else { return };
-        let sheet = &mut self.segments[index];
-        let Some(&held) = sheet.entries.get(&key) else { return };
-        if launch.is_none_or(|l| l == held) {
-            sheet.entries.remove(&key);
-            let name = if sheet.contains_job(job) { 0 } else { name_bytes(job) };
-            sheet.bytes = sheet.bytes.saturating_sub(size + name);
-            self.by_attempt.remove(&(held, key.0.clone(), task));
-            self.returned_to_log.remove(&key);
-            self.locations.remove(&key);
+    /// Drops the binding of a task, if `attempt` is none or its attempt: the task is done or released, a chunk that holds
+    /// the binding is committed, or a later binding takes its place. Dropped at once, not when the segment is next
+    /// written: once, bindings of tasks that were over filled the log for good, since with a full log nothing more could
+    /// be bound, and so no segment was ever written again.
+    pub fn forget(&mut self, job: &JobId, task: u32, attempt: Option<u64>) {
+        let id = TaskId::new(job, task);
+        let Some(&location) = self.locations.get(&id) else { return };
+        let segment = &mut self.segments[location.segment];
+        let Some(&held) = segment.entries.get(&id) else { return };
+        if attempt.is_some_and(|attempt| attempt != held) {
+            return;
         }
+        segment.entries.remove(&id);
+        let freed_name = if segment.contains_job(job) { 0 } else { job_bytes(job) };
+        segment.bytes = segment.bytes.saturating_sub(location.bytes + freed_name);
+        self.by_attempt.remove(&(held, id.job.clone(), task));
+        self.returned_to_log.remove(&id);
+        self.locations.remove(&id);
     }
 }
--- a/crates/controller/src/cluster_state/cluster_events.rs
+++ b/crates/controller/src/cluster_state/cluster_events.rs
@@ -1,29 +1,29 @@
-//! What has happened, for those who are told of it.
+//! Events of the cluster for those who subscribed to them: collected by the leader, taken by the controller.
 
 use crate::constants::CLUSTER_EVENTS_MAX;
 
-/// Something that happened.
+/// An event.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClusterEvent {
     /// `task`, `job`, `machine`, `term` or `rental`.
     pub kind: &'static str,
-    /// What.
+    /// What happened.
     pub what: String,
-    /// Of which.
+    /// Name of the subject: which task, job, machine.
     pub of: String,
     /// More, if there is any.
     pub detail: Option<String>,
 }
 
-/// What has happened since it was last told. Empty, and free of cost, while nobody listens.
+/// Events since they were last taken. Empty, and free of cost, while nobody is subscribed.
 #[derive(Debug, Default)]
 pub struct ClusterEvents {
-    listened: bool,
-    held: Vec<ClusterEvent>,
+    has_subscribers: bool,
+    pending: Vec<ClusterEvent>,
 }
 
 impl ClusterEvents {
-    /// Notes something. Between two tellings only so much is held.
+    /// Notes an event. Events beyond [`CLUSTER_EVENTS_MAX`] are lost until the others are taken.
     pub fn note(
         &mut self,
         kind: &'static str,
@@ -31,16 +31,16 @@
         of: impl std::fmt::Display,
         detail: Option<&str>,
     ) {
-        if self.listened && self.held.len() < CLUSTER_EVENTS_MAX {
+        if self.has_subscribers && self.pending.len() < CLUSTER_EVENTS_MAX {
             let detail = detail.map(str::to_string);
             let (what, of) = (what.to_string(), of.to_string());
-            self.held.push(ClusterEvent { kind, what, of, detail });
+            self.pending.push(ClusterEvent { kind, what, of, detail });
         }
     }
 
-    /// What there is to tell; and whether anybody listens from now on.
-    pub fn take(&mut self, listened: bool) -> Vec<ClusterEvent> {
-        self.listened = listened;
-        std::mem::take(&mut self.held)
+    /// Takes the events so far, and sets whether further ones are collected.
+    pub fn take(&mut self, has_subscribers: bool) -> Vec<ClusterEvent> {
+        self.has_subscribers = has_subscribers;
+        std::mem::take(&mut self.pending)
     }
 }
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -11,7 +11,7 @@
 mod run_queues;
 mod status_reports;
 
-pub use binding_log::{BindingLog, InFlightLogWrite, LogSegment, LogSegmentRecord};
+pub use binding_log::{BindingLog, InFlightLogWrite, LogSegment, LogSegmentRecord, TaskId};
 pub use cluster_events::{ClusterEvent, ClusterEvents};
 pub use provisioning::{Market, Provisioning, ProvisioningRequest};
 pub use queue_order::{facts_of, rank_of};
--- a/crates/controller/src/cluster_state/queue_order.rs
+++ b/crates/controller/src/cluster_state/queue_order.rs
@@ -1,4 +1,5 @@
-//! The line of waiting work in the tables: what of a job's record the tiers and the line are made from.
+//! Queue order of the jobs that are not over: assigns each to a tier and turns it into what `swiftsail_tiers` orders. It
+//! owns no state; tiers are kept with the jobs.
 
 use super::ClusterState;
 use crate::job::{Job, JobKind, JobSpec, JobState, Priority};
@@ -10,7 +11,7 @@
     queue_order,
 };
 
-/// A job's priority, as tiers name it.
+/// A job's priority as tier expressions name it.
 pub fn rank_of(priority: Priority) -> JobPriorityAttribute {
     match priority {
         Priority::Production => JobPriorityAttribute::Production,
@@ -20,7 +21,7 @@
     }
 }
 
-/// What the expressions of tiers may know of a job.
+/// Attributes of a job that tier expressions can refer to.
 pub fn facts_of(id: &str, spec: &JobSpec) -> JobAttributes {
     JobAttributes {
         id: id.into(),
@@ -42,13 +43,13 @@
     }
 }
 
-/// Whether a job is in the line: it is not cancelled, and awaits no other.
+/// Whether a job has a place in the queue: it is not cancelled, and its dependencies are done.
 fn is_queueable(job: &Job) -> bool {
     !job.is_cancelled() && job.state() != JobState::Awaiting
 }
 
 impl ClusterState {
-    /// Another table of tiers is in force: every job finds its place in it, by its record.
+    /// Puts another tier table in force: every job is assigned to one of its tiers, by the job's record.
     pub fn set_tiers(&mut self, tiers: Rc<TierTable>) {
         self.tiers = tiers;
         for (id, job) in &mut self.jobs {
@@ -58,11 +59,13 @@
         self.needs_scheduling = true;
     }
 
-    /// The line of all jobs that are not over, from their records and the table of tiers alone.
+    /// Queue positions of all jobs that are not over, made from their records, the tier table and the teams' guarantees
+    /// alone: every leader finds the same.
     pub fn queue_order(&self, teams: &[TeamSettings]) -> Vec<QueuePosition<'_>> {
         let guarantees: HashMap<&str, (f64, f64)> =
-            teams.iter().map(|t| (t.name.as_str(), (t.cpus, t.gpus))).collect();
-        let entries = self.jobs.iter().filter(|(_, j)| is_queueable(j)).map(|(id, job)| {
+            teams.iter().map(|team| (team.name.as_str(), (team.cpus, team.gpus))).collect();
+        let queueable = self.jobs.iter().filter(|(_, job)| is_queueable(job));
+        let waiting = queueable.map(|(id, job)| {
             let tasks = f64::from(job.spec.tasks);
             WaitingJob {
                 id,
@@ -73,6 +76,6 @@
                 total_resources: (job.spec.cpus * tasks, job.spec.gpus * tasks),
             }
         });
-        queue_order(entries, &guarantees)
+        queue_order(waiting, &guarantees)
     }
 }
--- a/crates/controller/src/cluster_state/run_queues.rs
+++ b/crates/controller/src/cluster_state/run_queues.rs
@@ -1,126 +1,135 @@
-//! Lines of waiting work behind the heads that run. They live in the leader alone: workers hold
-//! only what runs, so leaving a line costs nothing. The maps are persistent: a round works on a copy
-//! that costs nothing until it differs, and gives it back with its plan.
+//! Run queues: which waiting tasks are planned to follow a running one in its slot. They exist in the leader's memory
+//! alone; workers hold only what runs, so taking a task out of a queue costs nothing. Placement plans on a copy and returns
+//! it with its plan: the maps are persistent, so a copy is free until it differs.
 
 use crate::job::{Attempt, Job, JobId, MachineId};
 use imbl::OrdMap;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A slot: the part of a machine that one running task, its head, has.
+/// A slot, named by its running task (machine, job, task): the resources of that task on its machine.
 pub type SlotId = (MachineId, JobId, u32);
 
-/// The jobs that stand behind a head, the next first.
+/// Jobs whose tasks are to follow in a slot, the next first. Tasks of a job are alike until they are bound, so a queue
+/// holds a job once for each task.
 pub type RunQueue = VecDeque<JobId>;
 
-/// All lines. Tasks of an array are alike until they are bound, so a line holds jobs.
+/// All run queues. No queue is empty, and no job counts zero.
 #[derive(Debug, Default, Clone)]
 pub struct RunQueues {
     by_slot: OrdMap<SlotId, RunQueue>,
+    /// Number of queued tasks of each job.
     by_job: OrdMap<JobId, u32>,
 }
 
 impl RunQueues {
-    /// The line behind a head.
+    /// The queue of a slot.
     pub fn behind(&self, slot: &SlotId) -> impl Iterator<Item = &JobId> {
         self.by_slot.get(slot).into_iter().flatten()
     }
 
-    /// Tasks of a job that stand in lines.
+    /// Number of tasks of a job that are queued.
     pub fn queued_tasks(&self, id: &JobId) -> u32 {
         self.by_job.get(id).copied().unwrap_or(0)
     }
 
-    /// Jobs that stand in lines.
+    /// Jobs that have queued tasks.
     pub fn jobs(&self) -> Vec<JobId> {
         self.by_job.keys().cloned().collect()
     }
 
-    /// Whether another task may join a line of at most `cap`, the head counted.
-    pub fn has_room(&self, slot: &SlotId, cap: usize) -> bool {
-        self.by_slot.get(slot).map_or(0, VecDeque::len) + 1 < cap
+    /// Whether another task may join a slot of at most `limit` tasks, the running one counted.
+    pub fn has_room(&self, slot: &SlotId, limit: usize) -> bool {
+        self.by_slot.get(slot).map_or(0, VecDeque::len) + 1 < limit
     }
 
-    /// Puts a task of a job at the end.
+    /// Appends a task of a job to a slot's queue.
     pub fn push(&mut self, slot: SlotId, id: &JobId) {
         *self.by_job.entry(id.clone()).or_insert(0) += 1;
         self.by_slot.entry(slot).or_default().push_back(id.clone());
     }
 
-    /// Replaces a line, dropping those that do not stay. Returns how many.
+    /// Drops from a slot's queue the tasks of which `keep`, by position, is false. Returns how many.
     pub fn retain(&mut self, slot: &SlotId, keep: &[bool]) -> u32 {
-        let Some(line) = self.by_slot.get_mut(slot) else { return 0 };
-        let mut gone = Vec::new();
-        let mut index = 0;
-        line.retain(|id| {
-            let stays = keep.get(index).copied().unwrap_or(true);
-            index += 1;
-            if !stays {
-                gone.push(id.clone());
-            }
+        let mut position = 0;
+        let dropped = self.drop_from(slot, |_| {
+            let stays = keep.get(position).copied().unwrap_or(true);
+            position += 1;
             stays
         });
-        if line.is_empty() {
-            self.by_slot.remove(slot);
-        }
-        gone.iter().for_each(|id| self.decrement(id));
-        gone.len() as u32
+        dropped.iter().for_each(|id| self.decrement(id));
+        dropped.len() as u32
     }
 
-    /// All tasks of a job leave their lines.
+    /// Drops all tasks of a job from all queues.
     pub fn remove_job(&mut self, id: &JobId) {
         if self.by_job.remove(id).is_none() {
             return;
         }
-        let holds = |(_, line): &(&SlotId, &RunQueue)| line.contains(id);
-        let slots: Vec<SlotId> =
-            self.by_slot.iter().filter(holds).map(|(slot, _)| slot.clone()).collect();
+        let slots_with_job = self.by_slot.iter().filter(|(_, queue)| queue.contains(id));
+        let slots: Vec<SlotId> = slots_with_job.map(|(slot, _)| slot.clone()).collect();
         for slot in slots {
-            if let Some(line) = self.by_slot.get_mut(&slot) {
-                line.retain(|j| j != id);
-                if line.is_empty() {
-                    self.by_slot.remove(&slot);
-                }
+            self.drop_from(&slot, |queued| queued != id);
+        }
+    }
+
+    /// Drops tasks from a slot's queue, and the queue if it becomes empty. Returns their jobs; `by_job` is left to the
+    /// caller.
+    fn drop_from(&mut self, slot: &SlotId, mut stays: impl FnMut(&JobId) -> bool) -> Vec<JobId> {
+        let Some(queue) = self.by_slot.get_mut(slot) else { return Vec::new() };
+        let mut dropped = Vec::new();
+        queue.retain(|id| {
+            let stays = stays(id);
+            if !stays {
+                dropped.push(id.clone());
             }
+            stays
+        });
+        if queue.is_empty() {
+            self.by_slot.remove(slot);
         }
+        dropped
     }
 
-    /// A machine is gone or gets nothing more.
+    /// Drops all queues of a machine that is gone or gets no more work.
     pub fn remove_machine(&mut self, machine: &MachineId) {
-        let slots: Vec<SlotId> = self.by_slot.keys().filter(|s| s.0 == *machine).cloned().collect();
+        let slots: Vec<SlotId> =
+            self.by_slot.keys().filter(|(at, _, _)| at == machine).cloned().collect();
         for slot in slots {
             self.take(&slot);
         }
     }
 
-    /// Takes a line out: its jobs wait again.
+    /// Removes and returns a slot's queue. Its tasks count as waiting again.
     pub fn take(&mut self, slot: &SlotId) -> RunQueue {
-        let line = self.by_slot.remove(slot).unwrap_or_default();
-        line.iter().for_each(|id| self.decrement(id));
-        line
+        let queue = self.by_slot.remove(slot).unwrap_or_default();
+        queue.iter().for_each(|id| self.decrement(id));
+        queue
     }
 
-    /// Slots whose head has ended.
+    /// Slots with a queue whose running task has ended.
     pub fn slots_without_head(&self, jobs: &BTreeMap<JobId, Job>) -> Vec<SlotId> {
-        let over = |slot: &&SlotId| {
-            let head = jobs.get(&slot.1).and_then(|j| j.attempts.get(&slot.2));
-            !head.is_some_and(|a| a.machine == slot.0 && Attempt::occupies_resources(a))
+        let has_ended = |(machine, job, task): &&SlotId| {
+            let attempt = jobs.get(job).and_then(|job| job.attempts.get(task));
+            !attempt.is_some_and(|attempt| {
+                attempt.machine == *machine && Attempt::occupies_resources(attempt)
+            })
         };
-        self.by_slot.keys().filter(over).cloned().collect()
+        self.by_slot.keys().filter(has_ended).cloned().collect()
     }
 
-    /// A line stands behind a new head.
-    pub fn append_all(&mut self, head: &SlotId, line: impl IntoIterator<Item = JobId>) {
-        for id in line {
-            self.push(head.clone(), &id);
+    /// Appends tasks to a slot's queue in their order.
+    pub fn append_all(&mut self, slot: &SlotId, queue: impl IntoIterator<Item = JobId>) {
+        for id in queue {
+            self.push(slot.clone(), &id);
         }
     }
 
-    /// Slots that have a line.
+    /// Slots that have a queue.
     pub fn slots(&self) -> Vec<SlotId> {
         self.by_slot.keys().cloned().collect()
     }
 
-    /// A task of a job has left a line and waits.
+    /// A task of a job is queued no more.
     fn decrement(&mut self, id: &JobId) {
         if let Some(count) = self.by_job.get_mut(id) {
             *count -= 1;
--- a/crates/controller/src/controller/binding_log.rs
+++ b/crates/controller/src/controller/binding_log.rs
@@ -8,12 +8,13 @@
 
 use super::{CallContext, LeaderContext};
 use crate::Time;
-use crate::cluster_state::{ClusterState, InFlightLogWrite, LogSegment, LogSegmentRecord};
+use crate::cluster_state::{ClusterState, InFlightLogWrite, LogSegment, LogSegmentRecord, TaskId};
 use crate::constants::{
     BINDING_LOG_MS, BINDING_LOG_PART, BINDING_LOG_PART_BUSY, ENDS_QUEUED, MS_PER_S, SEGMENT_BYTES,
     SEGMENTS_MAX, TXN_BYTES,
 };
 use crate::job::{AttemptPhase, Binding, JobId, keys};
+use crate::machine::AttemptId;
 use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -81,19 +82,20 @@
         // Four times as many conditions as changes (protocol).
         let conditions = (state.txn_ops * 4).saturating_sub(1 + most);
         let mut named: BTreeSet<JobId> = BTreeSet::new();
-        let mut over: Vec<(JobId, u32, u64)> = Vec::new();
+        let mut over: Vec<AttemptId> = Vec::new();
         let taken_back = std::mem::take(&mut self.binding_log.returned_to_log);
         for n in dirty.into_iter().take(most) {
             let sheet = &mut self.binding_log.segments[n];
             sheet.dirty = false;
             let mut record =
                 LogSegmentRecord { write_number: self.write_number, bindings: BTreeMap::new() };
-            for ((id, task), launch) in &sheet.entries {
+            for (entry, launch) in &sheet.entries {
+                let TaskId { job: id, task } = entry;
                 let job = self.jobs.get(id);
                 let attempt = job.and_then(|j| j.attempts.get(task));
                 let Some(a) = attempt.filter(|a| a.number == *launch && a.occupies_resources())
                 else {
-                    over.push((id.clone(), *task, *launch));
+                    over.push(AttemptId { job: id.clone(), task: *task, attempt: *launch });
                     continue;
                 };
                 if a.phase() == AttemptPhase::Committing {
@@ -102,11 +104,14 @@
                         continue;
                     }
                     named.insert(id.clone());
-                    passage.bindings.push((id.clone(), *task, *launch));
+                    passage.bindings.push(AttemptId {
+                        job: id.clone(),
+                        task: *task,
+                        attempt: *launch,
+                    });
                 }
-                let key = (id.clone(), *task);
-                if taken_back.contains(&key) {
-                    passage.returned_to_log.push(key);
+                if taken_back.contains(entry) {
+                    passage.returned_to_log.push(entry.clone());
                 }
                 record.bindings.entry(id.to_string()).or_default().push(Binding {
                     task: *task,
@@ -129,7 +134,7 @@
         let part = if busy { BINDING_LOG_PART_BUSY } else { BINDING_LOG_PART };
         let rest = passage.segments.len() as f64 * part * MS_PER_S / rate;
         self.binding_log.next_write_at = now + (rest as u64).max(BINDING_LOG_MS);
-        for (id, task, launch) in over {
+        for AttemptId { job: id, task, attempt: launch } in over {
             self.binding_log.forget(&id, task, Some(launch));
         }
         for id in named {
@@ -245,11 +250,11 @@
                 }
             }
         }
-        for (id, task) in passage.returned_to_log.iter().filter(|_| committed.is_some()) {
-            self.binding_log.on_committed(id, *task);
+        for id in passage.returned_to_log.iter().filter(|_| committed.is_some()) {
+            self.binding_log.on_committed(id);
         }
         let mut never = Vec::new();
-        for (id, task, launch) in passage.bindings {
+        for AttemptId { job: id, task, attempt: launch } in passage.bindings {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             let cancelled = job.is_cancelled();
             let Some(a) = job.attempts.get_mut(&task).filter(|a| a.number == launch) else {
