--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -4,12 +4,16 @@
 
 mod binding_log;
 mod cluster_events;
+mod commands;
 mod dependencies;
 mod provisioning;
 mod queue_order;
 mod quota_usage;
+mod reachability;
+mod reconciliation;
 mod run_queues;
 mod status_reports;
+mod task_exits;
 
 pub use binding_log::{BindingLog, InFlightLogWrite, LogSegment, LogSegmentRecord, TaskId};
 pub use cluster_events::{ClusterEvent, ClusterEvents};
@@ -134,6 +138,11 @@
     Some((JobId::from(job), task.parse().ok()?))
 }
 
+/// The name by which workers know a task.
+fn task_name(job: &JobId, task: u32) -> String {
+    format!("{job}/{task}")
+}
+
 impl ClusterState {
     /// An empty table under a token.
     pub fn new(token: u64, generation: u64, now: Time) -> ClusterState {
@@ -414,8 +423,7 @@
             if done.is_some_and(|a| a.phase() == AttemptPhase::Exited(ExitCause::Completed)) {
                 continue;
             }
-            self.release(&job, task, now);
-            self.stop_gang_after_loss(&job);
+            self.release_lost_task(&job, task, now);
         }
         self.run_queues.remove_machine(id);
         self.machines.remove(id);
--- /dev/null
+++ b/crates/controller/src/cluster_state/reachability.rs
@@ -0,0 +1,121 @@
+//! Machines whose connection fails in one direction, or whose worker restarted: which tasks given to them are taken back.
+//! The evidence itself is judged by `swiftsail_failure_detector`.
+
+use super::{ClusterState, parse_task_name};
+use crate::Time;
+use crate::job::{AttemptPhase, JobId, MachineId};
+use crate::machine::MessageOrder;
+use swiftsail_failure_detector::{InboundReachability, ProbeOutcome, ReachabilityEvidence};
+use swiftsail_protocol::workers::StatusReport;
+
+impl ClusterState {
+    /// Applies evidence on whether responses and commands reach a machine. Once that is in doubt, starts that no report
+    /// shows are not offered again: the next report proves that they were not taken, and the tasks move.
+    pub fn on_reachability_evidence(
+        &mut self,
+        id: &MachineId,
+        evidence: Option<ReachabilityEvidence>,
+        now: Time,
+    ) {
+        let (Some(evidence), Some(machine)) = (evidence, self.machines.get_mut(id)) else { return };
+        if !machine.inbound.apply_evidence(evidence, now) {
+            return;
+        }
+        let reachability = machine.inbound.reachability();
+        tracing::debug!(machine = %id, hearing = ?reachability, sign = ?evidence, "inbound reachability changed");
+        self.needs_scheduling = true;
+        match reachability {
+            InboundReachability::Reachable => return,
+            InboundReachability::Suspected => {}
+            InboundReachability::Unreachable => {
+                tracing::info!(machine = %id, sign = ?evidence, "machine unreachable inbound");
+                self.events.note("machine", "deaf", id, None);
+            }
+        }
+        self.withdraw_unreported_starts(id);
+        self.run_queues.remove_machine(id);
+    }
+
+    /// A machine's reports have ceased though it answers probes, or they arrive again. In the first case tasks bound there
+    /// whose start was never offered would wait for a report: they are released, since nothing of them is anywhere.
+    pub fn on_reports_missing_changed(&mut self, id: &MachineId, now: Time) {
+        let Some(machine) = self.machines.get(id) else { return };
+        tracing::info!(machine = %id, mute = machine.reports_missing(), "arrival of a machine's status reports changed");
+        self.needs_scheduling = true;
+        if !machine.reports_missing() {
+            return;
+        }
+        self.events.note("machine", "mute", id, None);
+        for (job, task) in self.withdraw_unreported_starts(id) {
+            self.release_lost_task(&job, task, now);
+        }
+        self.run_queues.remove_machine(id);
+    }
+
+    /// Withdraws the starts of a machine's attempts that no report shows. Returns the tasks of which the start was never
+    /// offered: they are nowhere.
+    fn withdraw_unreported_starts(&mut self, id: &MachineId) -> Vec<(JobId, u32)> {
+        let Some(machine) = self.machines.get(id) else { return Vec::new() };
+        let mut never_offered = Vec::new();
+        for ((job, task), number) in &machine.tasks {
+            let attempt = self.jobs.get_mut(job).and_then(|job| job.attempts.get_mut(task));
+            let unreported = attempt.filter(|a| a.number == *number && a.may_be_unstarted());
+            let Some(attempt) = unreported else { continue };
+            attempt.start_withdrawn = true;
+            if attempt.phase() == AttemptPhase::Bound && attempt.offered_in.is_none() {
+                never_offered.push((job.clone(), *task));
+            }
+        }
+        never_offered
+    }
+
+    /// A probe of a machine has ended. An answer is newer than anything received before the probe: if its numbers are
+    /// not, the worker has restarted, and every task that the answer does not show is gone.
+    pub fn on_probed(
+        &mut self,
+        id: &MachineId,
+        outcome: ProbeOutcome,
+        report: Option<&StatusReport>,
+        now: Time,
+    ) {
+        if let Some(failure_detector) = &mut self.failure_detector {
+            failure_detector.on_probe_outcome(id, outcome);
+        }
+        let Some(machine) = self.machines.get_mut(id) else { return };
+        machine.open_probes = machine.open_probes.saturating_sub(1);
+        let baseline = match machine.open_probes {
+            0 => machine.probe_baseline.take(),
+            _ => machine.probe_baseline,
+        };
+        if let Some(report) = report
+            && baseline.is_some_and(|baseline| MessageOrder::of(report) <= baseline)
+        {
+            tracing::warn!(machine = %id, watch = report.session, "worker restarted");
+            machine.on_worker_restart(now);
+            self.release_unreported_tasks(id, report, now);
+        }
+        let evidence = match outcome {
+            ProbeOutcome::Answered => ReachabilityEvidence::ProbeAnswered,
+            _ => ReachabilityEvidence::ProbeFailed,
+        };
+        self.on_reachability_evidence(id, Some(evidence), now);
+    }
+
+    /// A restarted worker runs what it shows and nothing else: its other tasks are released. Those whose binding is still
+    /// being committed follow when a later report lacks them.
+    fn release_unreported_tasks(&mut self, id: &MachineId, report: &StatusReport, now: Time) {
+        let shown: Vec<(JobId, u32)> =
+            report.tasks.iter().filter_map(|status| parse_task_name(&status.task)).collect();
+        let Some(machine) = self.machines.get(id) else { return };
+        let missing: Vec<(JobId, u32)> =
+            machine.tasks.keys().filter(|task| !shown.contains(task)).cloned().collect();
+        for (job, task) in missing {
+            let attempt = self.jobs.get_mut(&job).and_then(|job| job.attempts.get_mut(&task));
+            let Some(attempt) = attempt.filter(|a| a.occupies_resources()) else { continue };
+            attempt.start_withdrawn = true;
+            if attempt.phase() != AttemptPhase::Committing {
+                self.release_lost_task(&job, task, now);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/cluster_state/task_exits.rs
@@ -0,0 +1,119 @@
+//! Exits of attempts: success, failure with its attribution to the job or the machine, and what an exit means for a gang.
+
+use super::{ClusterState, task_name};
+use crate::Time;
+use crate::constants::{SUSPECT_JOBS, SUSPECT_NEW_JOBS};
+use crate::job::{FailureAttribution, GangState, Job, JobId, JobKind, MachineId};
+use swiftsail_protocol::workers::ExitCause;
+
+impl ClusterState {
+    /// An attempt has exited, as its phase already shows.
+    pub(super) fn on_exit(&mut self, id: &JobId, task: u32, cause: ExitCause, now: Time) {
+        let attempt = self.jobs.get(id).and_then(|job| job.attempts.get(&task));
+        let Some(machine_id) = attempt.map(|attempt| attempt.machine.clone()) else { return };
+        self.needs_scheduling = true;
+        self.events.note("task", cause.event_name(), task_name(id, task), Some(&machine_id));
+        if cause == ExitCause::Completed {
+            self.on_task_completed(id, task, &machine_id, now);
+            return;
+        }
+        tracing::debug!(job = %id, task, machine = %machine_id, ?cause, "task exited");
+        if matches!(cause, ExitCause::Failed | ExitCause::Other) {
+            self.attribute_failure(id, &machine_id, now);
+        }
+        self.release(id, task, now);
+        let must_back_off = matches!(
+            cause,
+            ExitCause::Failed
+                | ExitCause::UnknownJob
+                | ExitCause::Other
+                | ExitCause::InsufficientResources
+                | ExitCause::ConflictingAttempt
+        );
+        if must_back_off && let Some(job) = self.jobs.get_mut(id) {
+            job.back_off(task, now);
+        }
+        // A gang of which only some machines have fetched the image is not stopped: a stop would give up the other
+        // fetches, and the gang would start over and be incomplete in time again, for ever.
+        let waits_for_fetch = |job: &Job| {
+            job.spec.kind == JobKind::Gang
+                && cause == ExitCause::GangIncomplete
+                && job.is_fetching()
+        };
+        match self.jobs.get_mut(id).filter(|job| waits_for_fetch(job)) {
+            Some(job) => {
+                job.set_gang_state(GangState::Fetching);
+            }
+            None => self.stop_gang_after_loss(id),
+        }
+    }
+
+    /// A task has ended with success.
+    fn on_task_completed(&mut self, id: &JobId, task: u32, machine_id: &MachineId, now: Time) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(attempt) = job.attempts.get(&task) else { return };
+        // Of an attempt that an earlier leader started only the later part was seen: its run time is not known, and a
+        // guess from it would make every such job look short.
+        let running_since = attempt.running_since.filter(|_| !attempt.from_previous_term);
+        let ran_ms = running_since.map(|since| now.saturating_sub(since));
+        job.mark_chunk_dirty(task, now);
+        job.succeeded();
+        if let Some(machine) = self.machines.get_mut(machine_id) {
+            machine.failed_jobs.clear();
+            if let Some(ran_ms) = ran_ms {
+                let machine_type = &machine.machine_type;
+                self.run_time_history.record_finish(id, &job.spec, machine_type, ran_ms);
+            }
+        }
+        self.maybe_finished.insert(id.clone());
+    }
+
+    /// A task has failed by itself: the failure counts against its job or its machine.
+    fn attribute_failure(&mut self, id: &JobId, machine_id: &MachineId, now: Time) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        if !job.is_job_at_fault() {
+            job.note_bad_machine(machine_id);
+        }
+        if job.failed(now) {
+            self.on_job_at_fault(id);
+            return;
+        }
+        if !job.is_job_at_fault() {
+            self.count_failure_on_machine(id, machine_id);
+        }
+    }
+
+    /// A job was found at fault: its failures count against no machine, and it avoids none.
+    fn on_job_at_fault(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let blamed_machines = std::mem::take(&mut job.bad_machines);
+        tracing::warn!(job = %id, machines = blamed_machines.len(), "job fails on every machine, limiting retries");
+        self.events.note("job", "mistaken", id, None);
+        self.run_queues.remove_job(id);
+        for name in &blamed_machines {
+            let Some(machine) = self.machines.get_mut(name) else { continue };
+            machine.failed_jobs.remove(id);
+            machine.is_suspect &= machine.failed_jobs.len() >= SUSPECT_JOBS;
+        }
+    }
+
+    /// A machine on which several jobs failed since the last success is suspected. It takes fewer jobs if one of them has
+    /// succeeded elsewhere.
+    fn count_failure_on_machine(&mut self, id: &JobId, machine_id: &MachineId) {
+        let Some(machine) = self.machines.get_mut(machine_id) else { return };
+        machine.failed_jobs.insert(id.clone());
+        let is_proven = |id: &JobId| {
+            let job = self.jobs.get(id);
+            job.is_some_and(|job| job.failure_attribution() == FailureAttribution::Proven)
+        };
+        let enough_jobs = match machine.failed_jobs.iter().any(is_proven) {
+            true => SUSPECT_JOBS,
+            false => SUSPECT_NEW_JOBS,
+        };
+        if machine.failed_jobs.len() >= enough_jobs && !machine.is_suspect {
+            machine.is_suspect = true;
+            self.events.note("machine", "suspected", machine_id, None);
+            tracing::warn!(machine = %machine_id, "machine cordoned: tasks of several jobs failed on it");
+        }
+    }
+}
