--- a/crates/controller/src/cluster_state/dependencies.rs
+++ b/crates/controller/src/cluster_state/dependencies.rs
@@ -1,9 +1,10 @@
-//! Jobs that await others, in the leader's tables. What becomes of them follows from what is committed of those before
-//! them: a job whose record says done, or one that is cancelled, is so for good. So a binding needs no condition on what
-//! its job awaits: it is planned only once all of that is known to be committed as done.
+//! Dependencies between jobs, as far as the leader knows them. Their outcome follows from committed records alone: a job
+//! whose record says done, or that is cancelled, stays so. Therefore a binding needs no precondition on the jobs that its
+//! job depends on: it is planned only once all of them are known to be committed as done.
 
 use super::ClusterState;
 use crate::Time;
+use crate::completion_time::Pmf;
 use crate::constants::{
     DEPENDENCY_DEADLINES_MS, HAND_OVER_MS, MS_PER_S, UNKNOWN_DEPENDENCIES_MAX,
     UNKNOWN_DEPENDENCY_RETRY_MS, UPCOMING_TASKS_MS,
@@ -14,30 +15,40 @@
 use swiftsail_dag::constants::DOWNSTREAM_PROBABILITY;
 use swiftsail_dag::{DependencyState, JobOutcome, JobRequirements, effective_requirements};
 
-impl ClusterState {
-    /// A job is over, or cancelled for good: what follows for those that await it.
-    pub fn on_dependency_finished(&mut self, id: &JobId, fate: JobOutcome, now: Time, wall: u64) {
-        self.awaited_reads.remove(id);
-        for (job, standing) in self.dependencies.on_job_ended(id, fate) {
-            self.apply_dependency_state(&job, standing, now, wall);
-        }
-    }
+/// Which way to follow dependencies from a job.
+#[derive(Debug, Clone, Copy)]
+enum Direction {
+    /// To the jobs that it depends on.
+    Dependencies,
+    /// To the jobs that depend on it.
+    Dependents,
+}
 
-    fn apply_dependency_state(
+impl ClusterState {
+    /// A job is over, or cancelled for good: settles the jobs that depend on it. `now` is steady time, `wall` the time of
+    /// day, both in ms.
+    pub fn on_dependency_finished(
         &mut self,
         id: &JobId,
-        standing: DependencyState,
+        outcome: JobOutcome,
         now: Time,
         wall: u64,
     ) {
+        self.awaited_reads.remove(id);
+        for (dependent, state) in self.dependencies.on_job_ended(id, outcome) {
+            self.apply_dependency_state(&dependent, state, now, wall);
+        }
+    }
+
+    fn apply_dependency_state(&mut self, id: &JobId, state: DependencyState, now: Time, wall: u64) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        match standing {
+        match state {
             DependencyState::Waiting => {}
-            DependencyState::Ready(at_wall) => {
-                job.make_eligible(at_wall, now, wall);
+            DependencyState::Ready(finished_wall) => {
+                job.make_eligible(finished_wall, now, wall);
                 self.needs_scheduling = true;
             }
-            // Nothing of it has ever had a place, so nothing has to be stopped: only its end is to be written.
+            // None of its tasks was ever bound, so nothing has to be stopped: only its end is to be written.
             DependencyState::CancelledByDependency => {
                 if job.advance(JobState::Cancelling, now) {
                     tracing::info!(job = %id, "job cancelled by dependency");
@@ -47,135 +58,148 @@
         }
     }
 
-    /// A job that awaits others has become known, maybe after one of them was cancelled.
+    /// A job with dependencies has become known, perhaps after one of them was cancelled: then it is cancelled too.
     pub(super) fn cancel_dependents(&mut self, id: &JobId, now: Time, wall: u64) {
-        let gone = |a: &&JobId| self.jobs.get(*a).is_some_and(Job::is_cancelled);
-        let off: Vec<JobId> =
-            self.dependencies.unfinished_dependencies(id).filter(gone).cloned().collect();
-        off.iter().for_each(|id| self.on_dependency_finished(id, JobOutcome::Cancelled, now, wall));
+        let is_cancelled =
+            |dependency: &&JobId| self.jobs.get(*dependency).is_some_and(Job::is_cancelled);
+        let cancelled: Vec<JobId> =
+            self.dependencies.unfinished_dependencies(id).filter(is_cancelled).cloned().collect();
+        for dependency in &cancelled {
+            self.on_dependency_finished(dependency, JobOutcome::Cancelled, now, wall);
+        }
     }
 
-    /// A new leader has read all jobs: what those that are over or cancelled leave to others. Whatever has begun had
-    /// all that it awaits.
+    /// A new leader has read all jobs: settles the dependents of those that are over or cancelled. A job that has begun
+    /// had all its dependencies done.
     pub(super) fn settle_dependencies(&mut self, now: Time, wall: u64) {
         if self.dependencies.is_empty() {
             return;
         }
-        for job in self.jobs.values_mut().filter(|j| j.has_begun()) {
+        for job in self.jobs.values_mut().filter(|job| job.has_begun()) {
             job.advance(JobState::Live, now);
         }
-        let over =
-            self.unarchived_jobs.iter().map(|(id, _, record)| (id.clone(), record.fate(wall)));
-        let cancelled = self.jobs.iter().filter(|(_, j)| j.is_cancelled());
+        let ended = self.unarchived_jobs.iter();
+        let ended = ended.map(|(id, _, record)| (id.clone(), record.fate(wall)));
+        let cancelled = self.jobs.iter().filter(|(_, job)| job.is_cancelled());
         let cancelled = cancelled.map(|(id, _)| (id.clone(), JobOutcome::Cancelled));
-        for (id, fate) in over.chain(cancelled).collect::<Vec<_>>() {
-            self.on_dependency_finished(&id, fate, now, wall);
+        for (id, outcome) in ended.chain(cancelled).collect::<Vec<_>>() {
+            self.on_dependency_finished(&id, outcome, now, wall);
         }
     }
 
-    /// Jobs that others await and of which the tables know nothing: they are over, and how is to be read. Each is
-    /// named once, until its end is told or [`Tables::ask_again`].
+    /// Jobs that others depend on and that are not among those not over: so they have ended, and their final records must
+    /// be read. Each is returned once, until its end is known or [`ClusterState::retry_unknown_dependencies`] is called.
     pub fn unknown_dependencies(&mut self, now: Time) -> Vec<JobId> {
-        let unknown = |id: &&JobId| {
-            let asked = self.awaited_reads.get(*id).is_some_and(|until| now < *until);
-            !asked && !self.jobs.contains_key(*id)
+        let must_be_read = |id: &&JobId| {
+            let is_being_read = self.awaited_reads.get(*id).is_some_and(|until| now < *until);
+            !is_being_read && !self.jobs.contains_key(*id)
         };
-        let found: Vec<JobId> = self
+        let unknown: Vec<JobId> = self
             .dependencies
             .unfinished_jobs_with_dependents()
-            .filter(unknown)
+            .filter(must_be_read)
             .take(UNKNOWN_DEPENDENCIES_MAX)
             .cloned()
             .collect();
-        self.awaited_reads.extend(found.iter().map(|id| (id.clone(), Time::MAX)));
-        found
+        self.awaited_reads.extend(unknown.iter().map(|id| (id.clone(), Time::MAX)));
+        unknown
     }
 
-    /// The reading of such a job has told nothing: it is asked for again, but not at once.
+    /// Reading such a job's final record gave no result: it is to be read again after a pause.
     pub fn retry_unknown_dependencies(&mut self, id: &JobId, now: Time) {
         self.awaited_reads.insert(id.clone(), now + UNKNOWN_DEPENDENCY_RETRY_MS);
     }
 
-    /// For operators: a job, and the jobs before and after it, through others too, that are not over. None: it is over,
-    /// or nobody knows it.
+    /// For operators: a job and those not over that it depends on or that depend on it, directly or through others.
+    /// None: no job of that id is known that is not over.
     pub fn describe_dependencies(&self, id: &str, now: Time) -> Option<Value> {
-        let first = self.jobs.get_key_value(id)?.0;
+        let (first, _) = self.jobs.get_key_value(id)?;
         let mut found = vec![first.clone()];
-        for ahead in [true, false] {
-            let mut next = vec![first.clone()];
-            while let Some(id) = next.pop() {
-                let more: Vec<&JobId> = match ahead {
-                    true => self.dependencies.unfinished_dependencies(&id).collect(),
-                    false => self.dependencies.waiting_dependents(&id).collect(),
-                };
-                for id in more {
-                    if !found.contains(id) {
-                        found.push(id.clone());
-                        next.push(id.clone());
+        for direction in [Direction::Dependencies, Direction::Dependents] {
+            let mut unvisited = vec![first.clone()];
+            while let Some(id) = unvisited.pop() {
+                for neighbour in self.neighbours(&id, direction) {
+                    if !found.contains(neighbour) {
+                        found.push(neighbour.clone());
+                        unvisited.push(neighbour.clone());
                     }
                 }
             }
         }
-        let row = |id: &JobId| {
-            let job = self.jobs.get(id)?;
-            let left_s = job.deadline.map(|due| (due as f64 - now as f64) / MS_PER_S);
-            let awaits: Vec<&str> =
-                self.dependencies.unfinished_dependencies(id).map(|a| &**a).collect();
-            let waits_for = match job.state() {
-                JobState::Awaiting => "the jobs that it awaits",
-                JobState::Cancelling => "its end to be written: it is cancelled or called off",
-                _ if !job.waiting.is_empty() => "places for its tasks",
-                _ if !job.backing_off.is_empty() => "a pause after a failure",
-                _ => "its tasks to end",
-            };
-            Some(json!({
-                "job": id.as_ref(),
-                "class": job.spec.class,
-                "state": format!("{:?}", job.state()).to_lowercase(),
-                "priority": job.spec.priority,
-                "tasks": job.spec.tasks,
-                "done": job.done.len(),
-                "left_s": left_s.map(f64::round),
-                "awaits": awaits,
-                "waits_for": waits_for,
-            }))
+        let rows = found.iter().filter_map(|id| self.describe_job(id, now));
+        Some(json!({ "jobs": rows.collect::<Vec<_>>() }))
+    }
+
+    fn neighbours(&self, id: &JobId, direction: Direction) -> Vec<&JobId> {
+        match direction {
+            Direction::Dependencies => self.dependencies.unfinished_dependencies(id).collect(),
+            Direction::Dependents => self.dependencies.waiting_dependents(id).collect(),
+        }
+    }
+
+    fn describe_job(&self, id: &JobId, now: Time) -> Option<Value> {
+        let job = self.jobs.get(id)?;
+        let left_s = job.deadline.map(|due| (due as f64 - now as f64) / MS_PER_S);
+        let awaits: Vec<&str> =
+            self.dependencies.unfinished_dependencies(id).map(|dependency| &**dependency).collect();
+        let waits_for = match job.state() {
+            JobState::Awaiting => "the jobs that it awaits",
+            JobState::Cancelling => "its end to be written: it is cancelled or called off",
+            _ if !job.waiting.is_empty() => "places for its tasks",
+            _ if !job.backing_off.is_empty() => "a pause after a failure",
+            _ => "its tasks to end",
         };
-        Some(json!({ "jobs": found.iter().filter_map(row).collect::<Vec<_>>() }))
+        Some(json!({
+            "job": id.as_ref(),
+            "class": job.spec.class,
+            "state": format!("{:?}", job.state()).to_lowercase(),
+            "priority": job.spec.priority,
+            "tasks": job.spec.tasks,
+            "done": job.done.len(),
+            "left_s": left_s.map(f64::round),
+            "awaits": awaits,
+            "waits_for": waits_for,
+        }))
     }
 
-    /// Jobs that are about to begin: all that they still await has a place, and ends soon as far as its run times tell.
-    /// The most urgent come first.
+    /// Jobs whose tasks are about to wait: all their unfinished dependencies are placed and probably end within
+    /// [`UPCOMING_TASKS_MS`]. Those of the highest priority come first.
     pub fn upcoming_tasks(&self, now: Time) -> Vec<&Job> {
         let ends_soon = |id: &JobId| {
-            let left = self.jobs.get(id).and_then(|job| self.left_ms(job, now));
-            left.is_some_and(|ms| ms <= UPCOMING_TASKS_MS)
+            let remaining_ms = self.jobs.get(id).and_then(|job| self.remaining_ms(job, now));
+            remaining_ms.is_some_and(|ms| ms <= UPCOMING_TASKS_MS)
         };
-        let awaiting = self.jobs.values().filter(|j| j.state() == JobState::Awaiting);
-        let mut found: Vec<&Job> = awaiting
-            .filter(|j| self.dependencies.unfinished_dependencies(&j.id).all(ends_soon))
+        let awaiting = self.jobs.values().filter(|job| job.state() == JobState::Awaiting);
+        let mut upcoming: Vec<&Job> = awaiting
+            .filter(|job| self.dependencies.unfinished_dependencies(&job.id).all(ends_soon))
             .collect();
-        found.sort_by(|a, b| (b.spec.priority, &a.id).cmp(&(a.spec.priority, &b.id)));
-        found
+        upcoming.sort_by(|a, b| (b.spec.priority, &a.id).cmp(&(a.spec.priority, &b.id)));
+        upcoming
     }
 
-    /// How long a job's tasks go on, as likely as not, if all of them have a place, ms.
-    fn left_ms(&self, job: &Job, now: Time) -> Option<f64> {
+    /// How long a job's attempts will go on, at [`DOWNSTREAM_PROBABILITY`], ms. None while any of its tasks waits.
+    fn remaining_ms(&self, job: &Job, now: Time) -> Option<f64> {
         if job.state() != JobState::Live || !job.waiting.is_empty() || !job.backing_off.is_empty() {
             return None;
         }
-        let left = job.attempts.values().filter(|a| a.occupies_resources()).map(|a| {
-            let kind = self.machines.get(&a.machine).map_or("", |m| m.machine_type.as_str());
-            let run = self.run_time_history.run_time(&job.id, &job.spec, kind);
-            match (a.phase(), a.running_since) {
-                (AttemptPhase::Running, Some(at)) => run.remaining(now.saturating_sub(at) as f64),
-                _ => crate::completion_time::Pmf::clone(&run),
+        let occupying = job.attempts.values().filter(|attempt| attempt.occupies_resources());
+        let remaining = occupying.map(|attempt| {
+            let machine = self.machines.get(&attempt.machine);
+            let machine_type = machine.map_or("", |machine| machine.machine_type.as_str());
+            let run_time = self.run_time_history.run_time(&job.id, &job.spec, machine_type);
+            match (attempt.phase(), attempt.running_since) {
+                (AttemptPhase::Running, Some(since)) => {
+                    run_time.remaining(now.saturating_sub(since) as f64)
+                }
+                _ => Pmf::clone(&run_time),
             }
             .quantile(DOWNSTREAM_PROBABILITY)
         });
-        left.reduce(f64::max).or(Some(0.0))
+        remaining.reduce(f64::max).or(Some(0.0))
     }
 
-    /// Works out, now and then, by when each job has to be done for those that await it, and how urgent it is.
+    /// Works out, every [`DEPENDENCY_DEADLINES_MS`], by when and at which priority each job is needed by those that
+    /// depend on it.
     pub fn propagate_deadlines(&mut self, types: &[MachineType], now: Time) {
         if self.dependencies.is_empty()
             || now < self.dependency_deadlines_at + DEPENDENCY_DEADLINES_MS
@@ -183,22 +207,24 @@
             return;
         }
         self.dependency_deadlines_at = now;
-        let asked = |id: &JobId| {
-            let job = self.jobs.get(id).filter(|j| !j.is_cancelled())?;
-            // By its class: asked for by its own name, what the class teaches until it begins would come too late for it.
-            let run = self.run_time_history.prior(&job.spec.class, job.spec.runtime_estimate_s);
-            let fetches = types.iter().filter(|t| t.allows(&job.spec));
-            let fetch_ms = fetches.map(|t| t.fetch_ms(&job.spec)).reduce(f64::min).unwrap_or(0.0);
-            let takes = run.maximum_of(job.spec.tasks).shifted(fetch_ms + HAND_OVER_MS);
+        let requirements_of = |id: &JobId| {
+            let job = self.jobs.get(id).filter(|job| !job.is_cancelled())?;
+            // By class, not by job: an estimate cached for the job now would miss what its class shows until it begins.
+            let run_time =
+                self.run_time_history.prior(&job.spec.class, job.spec.runtime_estimate_s);
+            let allowed = types.iter().filter(|machine_type| machine_type.allows(&job.spec));
+            let fetch_times = allowed.map(|machine_type| machine_type.fetch_ms(&job.spec));
+            let fetch_ms = fetch_times.reduce(f64::min).unwrap_or(0.0);
             Some(JobRequirements {
                 deadline: job.own_deadline(),
                 priority: job.own_priority,
-                duration: takes,
+                duration: run_time.maximum_of(job.spec.tasks).shifted(fetch_ms + HAND_OVER_MS),
             })
         };
-        for (id, needed) in effective_requirements(&self.dependencies, now, asked) {
+        let requirements = effective_requirements(&self.dependencies, now, requirements_of);
+        for (id, required) in requirements {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.set_dependent_requirements(needed.effective_deadline, needed.priority);
+                job.set_dependent_requirements(required.effective_deadline, required.priority);
             }
         }
     }
--- a/crates/controller/src/cluster_state/provisioning.rs
+++ b/crates/controller/src/cluster_state/provisioning.rs
@@ -1,4 +1,5 @@
-//! Rentals and returns under way, and what the cloud has refused lately.
+//! Rental requests and machine returns that the cloud has not answered, markets that it refused lately, and machines
+//! returned under this leader. `fleet` plans them, `controller` and `cloud` send them.
 
 use super::ClusterState;
 use crate::Time;
@@ -17,14 +18,14 @@
 /// A market: machine type, zone, and whether spot.
 pub type Market = (String, String, bool);
 
-/// Machines that are wanted.
+/// Machines to rent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProvisioningRequest {
-    /// Type.
+    /// Machine type.
     pub kind: String,
     /// Zone.
     pub zone: String,
-    /// Spot.
+    /// Spot or on demand.
     pub spot: bool,
     /// How many.
     pub number: u32,
@@ -35,10 +36,10 @@
         (self.kind.clone(), self.zone.clone(), self.spot)
     }
 
-    /// The request that asks for it.
-    pub fn to_wire(&self, charter: &str) -> ProvisionMachinesRequest {
+    /// The request to the cloud, under an idempotency key.
+    pub fn to_wire(&self, request_id: &str) -> ProvisionMachinesRequest {
         ProvisionMachinesRequest {
-            request_id: charter.to_string(),
+            request_id: request_id.to_string(),
             machine_type: self.kind.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
@@ -47,95 +48,107 @@
     }
 }
 
-/// A rental asked for and not answered.
+/// A rental request without an answer.
 #[derive(Debug, Clone)]
 pub struct OpenRequest {
     /// What is asked for.
     pub request: ProvisioningRequest,
-    /// When.
+    /// When it was made.
     pub requested_at: Time,
-    /// It has left at least once: its name then stands for this number of machines.
+    /// It was sent at least once: its idempotency key then stands for this number of machines, which must not change.
     pub was_sent: bool,
 }
 
-/// Number of a machine's name.
+/// Hash of a machine's name.
 fn name_hash(id: &MachineId) -> u64 {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Rentals and returns under way.
+/// Until when a market is not asked again, and for how long it was refused last.
+#[derive(Debug, Default)]
+struct Refusal {
+    until: Time,
+    backoff_ms: u64,
+}
+
+/// Rental requests and returns, and what is remembered of earlier ones.
 #[derive(Debug, Default)]
 pub struct Provisioning {
+    /// Number of requests made, for idempotency keys.
     requests_made: u64,
+    /// By idempotency key.
     open_requests: BTreeMap<String, OpenRequest>,
-    refused: HashMap<Market, (Time, u64)>,
+    refused: HashMap<Market, Refusal>,
+    /// Machines whose return was sent and not answered.
     returning: BTreeSet<MachineId>,
+    /// Machines whose return is to be sent.
     return_queue: BTreeSet<MachineId>,
-    /// Returns that a cancellation needs: when each was last asked for.
+    /// Of both, those that a cancellation needs gone in time: when each was last sent; 0: not yet.
     urgent_returns: BTreeMap<MachineId, Time>,
+    /// Name hashes of machines returned, the oldest first.
     returned: VecDeque<u64>,
-    /// The same, to be found at once.
+    /// The same, for look-up.
     returned_set: FxHashSet<u64>,
-    /// When machines were returned because they do not hear, of late.
+    /// When machines were returned lately because they were unreachable inbound.
     unreachable_returns: VecDeque<Time>,
-    /// When the machine list was last begun, and whether it is being read.
+    /// When the last listing of machines began.
     pub listed_at: Time,
-    /// See `listed_at`.
+    /// Pages of that listing are still being read.
     pub is_listing: bool,
-    /// When machine types were last asked for.
+    /// When machine types were last requested.
     pub types_requested_at: Time,
     /// When idle machines were last looked for.
     pub idle_checked_at: Time,
-    /// When a move of replicas was last looked for.
+    /// When moves of replicas were last looked for.
     pub moves_checked_at: Time,
 }
 
 impl Provisioning {
-    /// Rentals asked for and not answered.
+    /// Rental requests without an answer, and when each was made.
     pub fn open_requests(&self) -> impl Iterator<Item = (&ProvisioningRequest, Time)> {
-        self.open_requests.values().map(|a| (&a.request, a.requested_at))
+        self.open_requests.values().map(|open| (&open.request, open.requested_at))
     }
 
-    /// Rentals of the same market that have not left yet: their names, and what they may still
-    /// take in.
+    /// Requests for the same market that were not sent yet, by idempotency key: their number of machines may still
+    /// change.
     pub fn unsent_requests(
         &mut self,
-        wish: &ProvisioningRequest,
+        request: &ProvisioningRequest,
     ) -> impl Iterator<Item = (&String, &mut OpenRequest)> {
-        let market = wish.market();
+        let market = request.market();
         self.open_requests
             .iter_mut()
-            .filter(move |(_, a)| !a.was_sent && a.request.market() == market)
+            .filter(move |(_, open)| !open.was_sent && open.request.market() == market)
     }
 
-    /// Notes a rental under a name that no node uses again: the token and a counter.
-    pub fn open_request(&mut self, token: u64, wish: ProvisioningRequest, now: Time) -> String {
+    /// Notes a request to be sent. Returns its idempotency key, made of the fencing token and a counter: no other request
+    /// of any controller has the same.
+    pub fn open_request(&mut self, token: u64, request: ProvisioningRequest, now: Time) -> String {
         self.requests_made += 1;
-        let charter = format!("s{token}-{}", self.requests_made);
-        self.open_requests.insert(
-            charter.clone(),
-            OpenRequest { request: wish, requested_at: now, was_sent: false },
-        );
-        charter
+        let request_id = format!("s{token}-{}", self.requests_made);
+        let open = OpenRequest { request, requested_at: now, was_sent: false };
+        self.open_requests.insert(request_id.clone(), open);
+        request_id
     }
 
-    /// A rental had no answer: it is asked for again, under the same name. False if unknown.
-    pub fn mark_unanswered(&mut self, charter: &str) -> bool {
-        self.open_requests.get_mut(charter).map(|a| a.was_sent = true).is_some()
+    /// A request had no answer, and is to be sent again under the same idempotency key. Returns false if there is no such
+    /// request.
+    pub fn mark_unanswered(&mut self, request_id: &str) -> bool {
+        self.open_requests.get_mut(request_id).map(|open| open.was_sent = true).is_some()
     }
 
-    /// Whether a machine was returned under this term. Of names a number is kept: at 16,000 of them the chance
-    /// that a machine is taken for another is one in a million million.
+    /// Whether a machine was returned under this leader. Only hashes of names are kept: with 16,000 of them the chance that
+    /// a machine is taken for another is one in a million million.
     pub fn was_returned(&self, id: &MachineId) -> bool {
         self.returned_set.contains(&name_hash(id))
     }
 
     fn note_returned(&mut self, id: &MachineId) {
-        let number = name_hash(id);
-        if self.returned_set.insert(number) {
-            self.returned.push_back(number);
+        let hash = name_hash(id);
+        if self.returned_set.insert(hash) {
+            self.returned.push_back(hash);
         }
         if self.returned.len() > RETURNED_REMEMBERED
             && let Some(oldest) = self.returned.pop_front()
@@ -144,7 +157,7 @@
         }
     }
 
-    /// Machines given up lately because they do not hear.
+    /// Number of machines returned lately because they were unreachable inbound.
     pub fn recent_unreachable_returns(&self, now: Time) -> usize {
         self.unreachable_returns
             .iter()
@@ -152,29 +165,33 @@
             .count()
     }
 
-    /// One more.
+    /// A machine is returned because it is unreachable inbound.
     pub fn note_unreachable_return(&mut self, now: Time) {
         self.unreachable_returns.retain(|at| now < *at + UNREACHABLE_RETURN_WINDOW_MS);
         self.unreachable_returns.push_back(now);
     }
 
-    /// Whether a rental is worth asking for.
+    /// Whether a market may be asked for machines: it was not refused lately, and few requests for it are open.
     pub fn may_rent(&self, kind: &str, zone: &str, spot: bool, now: Time) -> bool {
-        let key = (kind.to_string(), zone.to_string(), spot);
-        let waiting = self.open_requests.values().map(|a| &a.request);
-        let waiting = waiting.filter(|w| w.kind == kind && w.zone == zone && w.spot == spot);
-        waiting.count() < OPEN_REQUESTS_MAX
-            && self.refused.get(&key).is_none_or(|(until, _)| now >= *until)
+        let market = (kind.to_string(), zone.to_string(), spot);
+        let requests = self.open_requests.values().map(|open| &open.request);
+        let open = requests.filter(|r| r.kind == kind && r.zone == zone && r.spot == spot);
+        open.count() < OPEN_REQUESTS_MAX
+            && self.refused.get(&market).is_none_or(|refusal| now >= refusal.until)
     }
 
+    /// The cloud refused a market: it is asked again after a backoff, which doubles with each refusal.
     fn note_refusal(&mut self, market: Market, now: Time) {
-        let entry = self.refused.entry(market).or_insert((0, 0));
-        entry.1 = if entry.1 == 0 { NO_CAPACITY_MS } else { (entry.1 * 2).min(NO_CAPACITY_MAX_MS) };
-        entry.0 = now + entry.1;
+        let refusal = self.refused.entry(market).or_default();
+        refusal.backoff_ms = match refusal.backoff_ms {
+            0 => NO_CAPACITY_MS,
+            last => (last * 2).min(NO_CAPACITY_MAX_MS),
+        };
+        refusal.until = now + refusal.backoff_ms;
     }
 
-    /// A return is needed in time: it waits for no other, nor for an answer that does not come. Its name may be given to
-    /// the cloud any number of times.
+    /// Marks a return as urgent: it waits neither for other returns nor for an answer that does not come. A return may be
+    /// sent any number of times.
     pub fn mark_urgent(&mut self, id: &MachineId) {
         if (self.return_queue.contains(id) || self.returning.contains(id))
             && !self.urgent_returns.contains_key(id)
@@ -183,7 +200,7 @@
         }
     }
 
-    /// Pressing returns to be asked for now.
+    /// Urgent returns to be sent now, marked as sent.
     pub fn next_urgent_returns(&mut self, now: Time) -> Vec<MachineId> {
         let due = self.urgent_returns.iter_mut().filter(|(_, at)| now >= **at + RETURN_AGAIN_MS);
         let batch: Vec<MachineId> = due
@@ -193,31 +210,31 @@
                 id.clone()
             })
             .collect();
-        for id in &batch {
-            self.return_queue.remove(id);
-            self.returning.insert(id.clone());
-        }
+        self.mark_returning(&batch);
         batch
     }
 
-    /// The next batch to return, marked as on its way. One return flies at a time, and takes all
-    /// that has come up: a wave of machines lost must not keep rentals waiting for its many calls.
+    /// The next batch of returns, marked as sent. Only one is in flight at a time, and it takes all that is queued: when
+    /// many machines are lost at once, rentals must not wait behind many calls.
     pub fn next_returns(&mut self) -> Vec<MachineId> {
         if !self.returning.is_empty() {
             return Vec::new();
         }
         let batch: Vec<MachineId> =
             self.return_queue.iter().take(RETURN_BATCH_MAX).cloned().collect();
-        for id in &batch {
+        self.mark_returning(&batch);
+        batch
+    }
+
+    fn mark_returning(&mut self, batch: &[MachineId]) {
+        for id in batch {
             self.return_queue.remove(id);
             self.returning.insert(id.clone());
         }
-        batch
     }
 
-    /// A return had no answer: it is tried again.
+    /// A return had no answer: it is queued again, unless another try of an urgent one was answered meanwhile.
     pub fn on_return_failed(&mut self, id: MachineId) {
-        // Another try of a pressing one may have been answered meanwhile.
         if !self.was_returned(&id) {
             self.returning.remove(&id);
             self.return_queue.insert(id);
@@ -226,7 +243,7 @@
 }
 
 impl ClusterState {
-    /// Marks a machine to be returned. Returns whether it was not before.
+    /// Queues the return of a machine. Returns whether it was not queued before.
     pub fn request_return(&mut self, id: &MachineId, why: &str, now: Time) -> bool {
         let marked = self.machine_entry(id, now).advance(MachineState::Terminating);
         if marked {
@@ -237,7 +254,7 @@
         marked
     }
 
-    /// A return was confirmed: the machine and all on it are gone.
+    /// The cloud confirmed a return: the machine and all attempts on it are gone.
     pub fn on_returned(&mut self, id: &MachineId, now: Time) {
         self.provisioning.returning.remove(id);
         self.provisioning.return_queue.remove(id);
@@ -246,44 +263,38 @@
         self.on_machine_gone(id, now);
     }
 
-    /// A rental was answered with these machines, perhaps fewer than asked for. Others are then
-    /// planned at once, not with the next round.
-    pub fn on_provisioned(&mut self, charter: &str, names: &[String], now: Time) {
-        let Some(OpenRequest { request: wish, .. }) =
-            self.provisioning.open_requests.remove(charter)
-        else {
-            return;
-        };
-        let what = format!("rented {} of {}", names.len(), wish.number);
-        self.events.note("rental", what, &wish.kind, Some(&wish.zone));
-        if (names.len() as u32) < wish.number {
-            self.provisioning.note_refusal(wish.market(), now);
+    /// The cloud answered a request with these machines. If they are fewer than requested, others are planned at once,
+    /// not with the next mapping round.
+    pub fn on_provisioned(&mut self, request_id: &str, names: &[String], now: Time) {
+        let Some(open) = self.provisioning.open_requests.remove(request_id) else { return };
+        let request = open.request;
+        let what = format!("rented {} of {}", names.len(), request.number);
+        self.events.note("rental", what, &request.kind, Some(&request.zone));
+        if (names.len() as u32) < request.number {
+            self.provisioning.note_refusal(request.market(), now);
             self.force_mapping_round();
         } else {
-            self.provisioning.refused.remove(&wish.market());
+            self.provisioning.refused.remove(&request.market());
         }
         for name in names {
             let machine = self.machine_entry(&MachineId::from(name.as_str()), now);
             if machine.last_heard_at.is_none() {
                 machine.invalidate_free_resources();
-                machine.machine_type.clone_from(&wish.kind);
-                machine.zone.clone_from(&wish.zone);
-                machine.spot = wish.spot;
+                machine.machine_type.clone_from(&request.kind);
+                machine.zone.clone_from(&request.zone);
+                machine.spot = request.spot;
                 machine.rented_at = now;
             }
         }
     }
 
-    /// A rental was refused. Others are planned at once.
-    pub fn on_provisioning_refused(&mut self, charter: &str, now: Time) {
-        let Some(OpenRequest { request: wish, .. }) =
-            self.provisioning.open_requests.remove(charter)
-        else {
-            return;
-        };
-        self.events.note("rental", "no capacity", &wish.kind, Some(&wish.zone));
-        tracing::info!(kind = %wish.kind, zone = %wish.zone, spot = wish.spot, "no capacity");
-        self.provisioning.note_refusal(wish.market(), now);
+    /// The cloud refused a request. Others are planned at once.
+    pub fn on_provisioning_refused(&mut self, request_id: &str, now: Time) {
+        let Some(open) = self.provisioning.open_requests.remove(request_id) else { return };
+        let request = open.request;
+        self.events.note("rental", "no capacity", &request.kind, Some(&request.zone));
+        tracing::info!(kind = %request.kind, zone = %request.zone, spot = request.spot, "no capacity");
+        self.provisioning.note_refusal(request.market(), now);
         self.force_mapping_round();
     }
 }
--- a/crates/controller/src/cluster_state/quota_usage.rs
+++ b/crates/controller/src/cluster_state/quota_usage.rs
@@ -1,4 +1,5 @@
-//! Room on machines, what teams use, and the last check of the rules before a task is bound.
+//! Free resources of machines, quota used by teams, and the guard: the check that every binding must pass at the moment
+//! of binding, whoever planned it.
 
 use super::ClusterState;
 use crate::Time;
@@ -10,21 +11,21 @@
 use swiftsail_quota::{QuotaLimit, ResourceQuantities};
 
 impl ClusterState {
-    /// Counts the free room of the machines whose work has changed.
+    /// Counts the free resources of the machines on which something has changed.
     pub fn count_free_resources(&mut self, types: &[MachineType]) {
         for machine in self.machines.values_mut().filter(|m| m.free_resources().is_none()) {
-            if let Some(kind) = types.iter().find(|t| t.name == machine.machine_type) {
-                let (free, anchored) = free_room(&self.jobs, machine, kind);
-                machine.set_free_resources(free, anchored);
+            if let Some(machine_type) = types.iter().find(|t| t.name == machine.machine_type) {
+                let occupancy = count_occupancy(&self.jobs, machine, machine_type);
+                machine.set_free_resources(occupancy.free, occupancy.has_replicas);
             }
         }
     }
 
-    /// What each team's tasks take, counting everything not proved gone.
+    /// What each team's attempts take, in the order of `teams`. Everything not proved gone counts.
     pub fn usage(&self, teams: &[TeamSettings]) -> Vec<ResourceQuantities> {
         let mut usage = vec![ResourceQuantities::default(); teams.len()];
         for job in self.jobs.values() {
-            let held = job.attempts.values().filter(|a| a.occupies_resources()).count() as u32;
+            let held = job.occupying_attempts() as u32;
             if let Some(team) = teams.iter().position(|t| held > 0 && t.name == job.spec.team) {
                 usage[team] += team_amounts(&job.spec).multiplied_by(held);
             }
@@ -32,151 +33,156 @@
         usage
     }
 
-    /// What a team may use: by the settings, and by what the leader holds of its limit.
+    /// The limit of a team, the `number`th in the settings: the lower of the settings' limit and, where limits are held in
+    /// the state service, the leader's holding.
     pub fn cap(&self, number: usize, team: &TeamSettings) -> QuotaLimit {
         let cap = QuotaLimit::from_settings(team.cpus_max, team.gpus_max);
-        let held =
-            self.quota_limits.as_ref().map(|caps| caps.get(number).copied().unwrap_or_default());
-        held.map_or(cap, |held| cap.at_most(held))
+        let holding = self
+            .quota_limits
+            .as_ref()
+            .map(|holdings| holdings.get(number).copied().unwrap_or_default());
+        holding.map_or(cap, |holding| cap.at_most(holding))
     }
 }
 
-/// What one task takes of its team's limit.
+/// What one task takes of its team's quota.
 pub fn team_amounts(spec: &JobSpec) -> ResourceQuantities {
     ResourceQuantities::from_request(spec.cpus, spec.gpus)
 }
 
-/// Room left on a machine, and whether replicas are on it, counted from the tables.
-fn free_room(
+/// What is on a machine.
+struct Occupancy {
+    /// Resources that no attempt takes.
+    free: Resources,
+    /// Replicas of services are on it.
+    has_replicas: bool,
+}
+
+fn count_occupancy(
     jobs: &BTreeMap<JobId, Job>,
     machine: &Machine,
-    kind: &MachineType,
-) -> (Resources, bool) {
-    let (mut room, mut anchored) = (kind.resources(), false);
+    machine_type: &MachineType,
+) -> Occupancy {
+    let mut occupancy = Occupancy { free: machine_type.resources(), has_replicas: false };
     for (job, task) in machine.tasks.keys() {
         if let Some(job) = jobs.get(job)
             && job.attempts.get(task).is_some_and(Attempt::occupies_resources)
         {
-            room.subtract(&Resources::for_task(&job.spec));
-            anchored |= job.spec.kind == JobKind::Service;
+            occupancy.free.subtract(&Resources::for_task(&job.spec));
+            occupancy.has_replicas |= job.spec.kind == JobKind::Service;
         }
     }
-    for stray in machine.orphaned_tasks.values() {
-        // What a stray takes is not always known: then the machine has no room.
-        match stray {
-            Some(each) => room.subtract(each),
-            None => room = Resources::default(),
+    for orphan in machine.orphaned_tasks.values() {
+        // What an orphaned task takes is not always known: then nothing counts as free.
+        match orphan {
+            Some(taken) => occupancy.free.subtract(taken),
+            None => occupancy.free = Resources::default(),
         }
     }
-    (room, anchored)
+    occupancy
 }
 
-/// Whether a machine may be given work: it is heard under this term, and lately. One that answers and reports nothing is
-/// found out by [`Machine::weigh_reports`]; going by its reports here as well, every report that a loaded leader takes in
-/// late made its machine unusable, and passes longer, until the leader lost its grant.
+/// Whether a machine may be given work: it is ready, nothing was found against it, and it was heard lately. That its
+/// reports arrive is checked by [`Machine::update_reports_missing`], not here: when this looked at the time of the last
+/// report, every report that a loaded leader took in late made its machine unusable and lengthened the scheduling cycles,
+/// until the leader lost its lease.
 pub fn usable(machine: &Machine, now: Time, lease_ms: f64) -> bool {
-    let quiet = machine
+    let is_silent = machine
         .last_heard_at
-        .is_none_or(|at| now.saturating_sub(at) as f64 > lease_ms * QUIET_SHARE);
+        .is_none_or(|heard_at| now.saturating_sub(heard_at) as f64 > lease_ms * QUIET_SHARE);
     machine.state() == MachineState::Ready
         && machine.may_receive_work()
         && machine.reclaimed_at.is_none()
-        && !quiet
+        && !is_silent
 }
 
-/// Why the rules refuse a binding.
+/// Why the guard refuses a binding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaRefusal {
-    /// The job is over, cancelled, leaving whole, or has no task that waits.
+    /// The job is over or cancelled, its gang is not whole, or none of its tasks waits.
     Closed,
-    /// The machine is not known, or not ready under this term.
+    /// The machine or its type is not known, or the machine is not ready.
     Machine,
-    /// The job does not allow its type, zone or kind, given the job's other tasks.
+    /// The job does not allow the machine's type, zone or spot market, given where its other tasks are.
     Place,
-    /// The team's limit leaves no room.
+    /// The team's limit would be exceeded, or the team is not known.
     Limit,
-    /// The ledger is full: chunks must take some of it over first.
+    /// The binding log is full: chunks must take some bindings over first.
     Ledger,
 }
 
-/// The rules themselves, read from the tables at the moment of binding, whoever planned it: no
-/// plan, policy or plug-in gets past this.
+/// The guard, made from the cluster state at the moment of binding: no plan, policy or plug-in gets past it.
 pub struct QuotaGuard<'a> {
     teams: &'a [TeamSettings],
     types: &'a [MachineType],
+    /// What each team uses, bindings just made included.
     usage: Vec<ResourceQuantities>,
-    caps: Vec<QuotaLimit>,
+    limits: Vec<QuotaLimit>,
 }
 
 impl<'a> QuotaGuard<'a> {
-    /// Counts what teams use now.
+    /// A guard that counts what teams use now.
     pub fn new(
-        tables: &ClusterState,
+        cluster_state: &ClusterState,
         teams: &'a [TeamSettings],
         types: &'a [MachineType],
     ) -> QuotaGuard<'a> {
-        let caps = teams.iter().enumerate().map(|(n, team)| tables.cap(n, team)).collect();
-        QuotaGuard { teams, types, usage: tables.usage(teams), caps }
+        let limits = teams.iter().enumerate().map(|(n, team)| cluster_state.cap(n, team)).collect();
+        QuotaGuard { teams, types, usage: cluster_state.usage(teams), limits }
     }
 
-    /// Whether the rules let a job's next waiting task go to a machine. A `gang` is bound whole, even
-    /// if it overfills the ledger.
+    /// Whether a job's next waiting task may be bound to a machine. A `gang` is bound whole, even if that overfills the
+    /// binding log.
     pub fn check(
         &self,
-        tables: &ClusterState,
+        cluster_state: &ClusterState,
         id: &JobId,
         machine: &MachineId,
         gang: bool,
     ) -> Result<(), QuotaRefusal> {
-        let job = tables.jobs.get(id).ok_or(QuotaRefusal::Closed)?;
+        let job = cluster_state.jobs.get(id).ok_or(QuotaRefusal::Closed)?;
         if job.state() != JobState::Live
             || job.gang_state() != GangState::Whole
             || job.waiting.is_empty()
         {
             return Err(QuotaRefusal::Closed);
         }
-        let machine = tables.machines.get(machine).ok_or(QuotaRefusal::Machine)?;
+        let machine = cluster_state.machines.get(machine).ok_or(QuotaRefusal::Machine)?;
         if machine.state() != MachineState::Ready {
             return Err(QuotaRefusal::Machine);
         }
-        let spec = &job.spec;
-        let kind = self
-            .types
-            .iter()
-            .find(|t| t.name == machine.machine_type)
-            .ok_or(QuotaRefusal::Machine)?;
+        self.check_machine(&job.spec, machine)?;
+        check_zones(cluster_state, job, machine)?;
+        self.check_limit(&job.spec)?;
+        if !gang && cluster_state.binding_log.room() == 0 {
+            return Err(QuotaRefusal::Ledger);
+        }
+        Ok(())
+    }
+
+    /// The machine's type, market and zone are those that the job allows.
+    fn check_machine(&self, spec: &JobSpec, machine: &Machine) -> Result<(), QuotaRefusal> {
+        let machine_type = self.types.iter().find(|t| t.name == machine.machine_type);
+        let machine_type = machine_type.ok_or(QuotaRefusal::Machine)?;
         if machine.spot && !spec.spot
-            || !kind.allows(spec)
-            || spec.zone.as_ref().is_some_and(|z| *z != machine.zone)
+            || !machine_type.allows(spec)
+            || spec.zone.as_ref().is_some_and(|zone| *zone != machine.zone)
         {
             return Err(QuotaRefusal::Place);
         }
-        if spec.spread || spec.one_zone {
-            // A machine whose zone is not known could be in any: it counts in all.
-            let zone_of = |m: &MachineId| {
-                let zone = tables.machines.get(m).map(|m| m.zone.as_str());
-                zone.filter(|z| !z.is_empty())
-            };
-            let there = job.tasks_in_zone(zone_of, &machine.zone);
-            let held = job.attempts.values().filter(|a| a.occupies_resources()).count() as u32;
-            let sure = job.attempts.values().filter(|a| a.occupies_resources());
-            let sure = sure.filter(|a| zone_of(&a.machine) == Some(&machine.zone)).count() as u32;
-            if spec.spread && there >= spec.max_tasks_per_zone() || spec.one_zone && sure < held {
-                return Err(QuotaRefusal::Place);
-            }
-        }
-        let Some(team) = self.teams.iter().position(|t| t.name == spec.team) else {
-            return Err(QuotaRefusal::Limit);
-        };
-        if !self.caps[team].allows(self.usage[team], team_amounts(spec)) {
-            return Err(QuotaRefusal::Limit);
-        }
-        if !gang && tables.binding_log.room() == 0 {
-            return Err(QuotaRefusal::Ledger);
-        }
         Ok(())
     }
 
+    fn check_limit(&self, spec: &JobSpec) -> Result<(), QuotaRefusal> {
+        let team = self.teams.iter().position(|t| t.name == spec.team);
+        let team = team.ok_or(QuotaRefusal::Limit)?;
+        if self.limits[team].allows(self.usage[team], team_amounts(spec)) {
+            Ok(())
+        } else {
+            Err(QuotaRefusal::Limit)
+        }
+    }
+
     /// Counts a task just bound.
     pub fn count(&mut self, spec: &JobSpec) {
         if let Some(team) = self.teams.iter().position(|t| t.name == spec.team) {
@@ -184,3 +190,29 @@
         }
     }
 }
+
+/// Whether a job that must spread over zones, or stay in one, may have another task in a machine's zone.
+fn check_zones(
+    cluster_state: &ClusterState,
+    job: &Job,
+    machine: &Machine,
+) -> Result<(), QuotaRefusal> {
+    let spec = &job.spec;
+    if !spec.spread && !spec.one_zone {
+        return Ok(());
+    }
+    let zone_of = |id: &MachineId| {
+        let zone = cluster_state.machines.get(id).map(|m| m.zone.as_str());
+        zone.filter(|zone| !zone.is_empty())
+    };
+    // A machine whose zone is not known could be in any. So it counts as in this zone for spreading, and as outside it
+    // for keeping together.
+    let at_most = job.tasks_in_zone(zone_of, &machine.zone);
+    let mut occupying = job.attempts.values().filter(|attempt| attempt.occupies_resources());
+    let any_may_be_outside =
+        occupying.any(|attempt| zone_of(&attempt.machine) != Some(&machine.zone));
+    if spec.spread && at_most >= spec.max_tasks_per_zone() || spec.one_zone && any_may_be_outside {
+        return Err(QuotaRefusal::Place);
+    }
+    Ok(())
+}
