--- a/crates/controller/src/controller/binding_log.rs
+++ b/crates/controller/src/controller/binding_log.rs
@@ -1,10 +1,9 @@
-//! The ledger: where new bindings of all jobs are committed, many with one change.
+//! Writing and reading of the binding log, where new bindings of all jobs are committed, many with one transaction.
 //!
-//! The state service limits changes a second, and a job's chunk holds that job alone: with dozens
-//! of jobs binding at once each would wait seconds for its turn. A sheet of the ledger takes the
-//! new bindings of every job in one change; each job's chunk takes them over later, and only then
-//! do they leave the sheet. A reader trusts a chunk for every launch up to the one it names, and
-//! the sheets beyond it.
+//! The state service limits writes a second, and a job's chunk holds that job alone: with dozens of jobs binding at once,
+//! each would wait seconds for its turn. A log segment takes new bindings of every job in one write. Each job's chunk takes
+//! them over later (`controller/chunks.rs`), and only then do they leave the segment. A reader trusts a chunk for every
+//! attempt up to the one that it names, and the log for later ones.
 
 use super::{CallContext, LeaderContext};
 use crate::Time;
@@ -13,19 +12,33 @@
     BINDING_LOG_MS, BINDING_LOG_PART, BINDING_LOG_PART_BUSY, ENDS_QUEUED, MS_PER_S, SEGMENT_BYTES,
     SEGMENTS_MAX, TXN_BYTES,
 };
-use crate::job::{AttemptPhase, Binding, JobId, keys};
+use crate::job::{Attempt, AttemptPhase, JobId, keys};
 use crate::machine::AttemptId;
 use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use swiftsail_protocol::state::{KeyPage, Precondition, Transaction};
 
+/// Preconditions that a transaction may have for each of its writes (protocol).
+const PRECONDITIONS_PER_WRITE: usize = 4;
+
+/// A transaction of the log while it is put together.
+struct LogWrite {
+    commit: Transaction,
+    in_flight: InFlightLogWrite,
+    /// Jobs of which it commits a new binding. Each costs a precondition: it must not have been cancelled.
+    jobs: BTreeSet<JobId>,
+    max_jobs: usize,
+    /// Entries of attempts that have ended meanwhile.
+    obsolete: Vec<AttemptId>,
+}
+
 impl ClusterState {
-    /// Takes over a page of sheets. To be called after all chunks are known.
+    /// A new leader has read a page of segments. To be called after all chunks are restored.
     pub fn load_log_segments(&mut self, page: &KeyPage, now: Time) {
         for pair in &page.entries {
-            let number = pair.key.strip_prefix(keys::SHEETS).and_then(|n| n.parse::<usize>().ok());
-            let Some(number) = number.filter(|n| *n < SEGMENTS_MAX) else { continue };
+            let Some(number) = segment_number(&pair.key).filter(|n| *n < SEGMENTS_MAX) else {
+                continue;
+            };
             let Ok(record) = serde_json::from_value::<LogSegmentRecord>(pair.value.clone()) else {
                 tracing::error!(key = %pair.key, "unreadable binding log segment");
                 continue;
@@ -35,13 +48,13 @@
                 self.binding_log.segments.push(LogSegment::default());
             }
             self.binding_log.segments[number].mod_revision = pair.mod_revision;
-            for (name, bound) in &record.bindings {
+            for (name, bindings) in &record.bindings {
                 let id = JobId::from(name.as_str());
                 let Some(job) = self.jobs.get_mut(&id) else { continue };
-                for bound in bound {
-                    if job.restore_log_binding(bound, now) {
-                        self.binding_log.forget(&id, bound.task, None);
-                        self.binding_log.put(number, &id, bound);
+                for binding in bindings {
+                    if job.restore_log_binding(binding, now) {
+                        self.binding_log.forget(&id, binding.task, None);
+                        self.binding_log.put(number, &id, binding);
                     }
                 }
             }
@@ -50,126 +63,105 @@
 
     /// Commits new bindings, one transaction at a time, each with all that has come up by then.
     pub fn write_binding_log(&mut self, ctx: &mut LeaderContext) {
-        let now = ctx.now;
-        if self.binding_log.in_flight.is_some() || now < self.binding_log.next_write_at {
+        if self.binding_log.in_flight.is_some() || ctx.now < self.binding_log.next_write_at {
             return;
         }
-        let dirty: Vec<usize> = (0..self.binding_log.segments.len())
-            .filter(|n| self.binding_log.segments[*n].dirty)
-            .collect();
+        let segments = self.binding_log.segments.iter().enumerate();
+        let dirty: Vec<usize> =
+            segments.filter(|(_, segment)| segment.dirty).map(|(number, _)| number).collect();
         if dirty.is_empty() {
             return;
         }
         self.write_number += 1;
         let state = &ctx.settings.settings.state;
-        let value = (state.value_kb * 1024.0) as usize;
-        let most = state.txn_ops.min(TXN_BYTES / value.clamp(1, SEGMENT_BYTES)).max(1);
-        let mut commit = Transaction {
-            preconditions: vec![Precondition {
-                key: keys::LEADER.into(),
-                mod_revision: self.token,
-            }],
-            mutations: Vec::new(),
-        };
-        let mut passage = InFlightLogWrite {
-            write_number: self.write_number,
-            segments: Vec::new(),
-            bindings: Vec::new(),
-            returned_to_log: Vec::new(),
-            unread: Vec::new(),
-            applied_revision: None,
-        };
-        // Four times as many conditions as changes (protocol).
-        let conditions = (state.txn_ops * 4).saturating_sub(1 + most);
-        let mut named: BTreeSet<JobId> = BTreeSet::new();
-        let mut over: Vec<AttemptId> = Vec::new();
-        let taken_back = std::mem::take(&mut self.binding_log.returned_to_log);
-        for n in dirty.into_iter().take(most) {
-            let sheet = &mut self.binding_log.segments[n];
-            sheet.dirty = false;
-            let mut record =
-                LogSegmentRecord { write_number: self.write_number, bindings: BTreeMap::new() };
-            for (entry, launch) in &sheet.entries {
-                let TaskId { job: id, task } = entry;
-                let job = self.jobs.get(id);
-                let attempt = job.and_then(|j| j.attempts.get(task));
-                let Some(a) = attempt.filter(|a| a.number == *launch && a.occupies_resources())
-                else {
-                    over.push(AttemptId { job: id.clone(), task: *task, attempt: *launch });
-                    continue;
-                };
-                if a.phase() == AttemptPhase::Committing {
-                    if !named.contains(id) && named.len() >= conditions {
-                        sheet.dirty = true;
-                        continue;
-                    }
-                    named.insert(id.clone());
-                    passage.bindings.push(AttemptId {
-                        job: id.clone(),
-                        task: *task,
-                        attempt: *launch,
-                    });
-                }
-                if taken_back.contains(entry) {
-                    passage.returned_to_log.push(entry.clone());
-                }
-                record.bindings.entry(id.to_string()).or_default().push(Binding {
-                    task: *task,
-                    attempt: *launch,
-                    machine: a.machine.clone(),
-                    worker_session: a.worker_session,
-                });
-            }
-            let key = keys::sheet(n);
-            commit
-                .preconditions
-                .push(Precondition { key: key.clone(), mod_revision: sheet.mod_revision });
-            commit.mutations.push(super::chunks::put_change(key, &record));
-            passage.segments.push(n);
-        }
-        self.binding_log.returned_to_log = taken_back;
-        // Half of the changes that this node may make are for users, ends and chunks.
-        let rate = ctx.store.write_rate();
-        let busy = ctx.store.queued()[CallPriority::Normal as usize] >= ENDS_QUEUED;
-        let part = if busy { BINDING_LOG_PART_BUSY } else { BINDING_LOG_PART };
-        let rest = passage.segments.len() as f64 * part * MS_PER_S / rate;
-        self.binding_log.next_write_at = now + (rest as u64).max(BINDING_LOG_MS);
-        for AttemptId { job: id, task, attempt: launch } in over {
-            self.binding_log.forget(&id, task, Some(launch));
+        let max_value_bytes = (state.value_kb * 1024.0) as usize;
+        let max_segments =
+            state.txn_ops.min(TXN_BYTES / max_value_bytes.clamp(1, SEGMENT_BYTES)).max(1);
+        let max_preconditions = state.txn_ops * PRECONDITIONS_PER_WRITE;
+        let mut write = LogWrite::new(
+            self.token,
+            self.write_number,
+            // One for the leadership record, and one for each segment.
+            max_preconditions.saturating_sub(1 + max_segments),
+        );
+        for number in dirty.into_iter().take(max_segments) {
+            self.add_segment(number, &mut write);
         }
-        for id in named {
-            let stamp = self.jobs.get(&id).map_or(0, |j| j.mod_revision);
-            commit.preconditions.push(Precondition { key: keys::job(&id), mod_revision: stamp });
+        // The other part of this controller's writes is for users, final records and chunks.
+        let is_busy = ctx.store.queued()[CallPriority::Normal as usize] >= ENDS_QUEUED;
+        let part = if is_busy { BINDING_LOG_PART_BUSY } else { BINDING_LOG_PART };
+        let pause_ms =
+            write.in_flight.segments.len() as f64 * part * MS_PER_S / ctx.store.write_rate();
+        self.binding_log.next_write_at = ctx.now + (pause_ms as u64).max(BINDING_LOG_MS);
+        for AttemptId { job, task, attempt } in write.obsolete {
+            self.binding_log.forget(&job, task, Some(attempt));
         }
-        if passage.bindings.is_empty() && passage.returned_to_log.is_empty() {
-            // All of it was released meanwhile.
+        if write.in_flight.bindings.is_empty() && write.in_flight.returned_to_log.is_empty() {
+            // All new bindings were released meanwhile.
             return;
         }
-        self.binding_log.in_flight = Some(passage);
+        for id in write.jobs {
+            let mod_revision = self.jobs.get(&id).map_or(0, |job| job.mod_revision);
+            write.commit.preconditions.push(Precondition { key: keys::job(&id), mod_revision });
+        }
+        self.binding_log.in_flight = Some(write.in_flight);
         let purpose = CallContext::WriteBindingLog { generation: self.generation };
         ctx.store.push(
-            StoreCall::Commit(commit),
+            StoreCall::Commit(write.commit),
             purpose,
             CallPriority::High,
             RetryPolicy::UntilDefinite,
         );
     }
 
-    /// The ledger's transaction has ended. Returns true if the term is lost.
+    /// Adds a segment to a transaction: all its bindings, new ones as far as the transaction's preconditions allow.
+    fn add_segment(&mut self, number: usize, write: &mut LogWrite) {
+        let write_number = write.in_flight.write_number;
+        let mut record = LogSegmentRecord { write_number, bindings: BTreeMap::new() };
+        let returned_to_log = &self.binding_log.returned_to_log;
+        let segment = &mut self.binding_log.segments[number];
+        segment.dirty = false;
+        for (id, attempt_number) in &segment.entries {
+            let attempt = self.jobs.get(&id.job).and_then(|job| job.attempts.get(&id.task));
+            let attempt = attempt.filter(|attempt| {
+                attempt.number == *attempt_number && attempt.occupies_resources()
+            });
+            let Some(attempt) = attempt else {
+                write.obsolete.push(attempt_id(id, *attempt_number));
+                continue;
+            };
+            if !write.admit(id, attempt) {
+                segment.dirty = true;
+                continue;
+            }
+            if returned_to_log.contains(id) {
+                write.in_flight.returned_to_log.push(id.clone());
+            }
+            let bindings = record.bindings.entry(id.job.to_string()).or_default();
+            bindings.push(attempt.binding(id.task));
+        }
+        let key = keys::sheet(number);
+        let mod_revision = segment.mod_revision;
+        write.commit.preconditions.push(Precondition { key: key.clone(), mod_revision });
+        write.commit.mutations.push(super::chunks::put_change(key, &record));
+        write.in_flight.segments.push(number);
+    }
+
+    /// The log's transaction has ended. Returns true if another controller leads.
     pub fn on_binding_log_written(
         &mut self,
         end: &FinishedCall<CallContext>,
         ctx: &mut LeaderContext,
     ) -> bool {
         match &end.outcome {
-            StoreOutcome::Committed(epoch) => self.settle_binding_log(Some(*epoch), ctx),
+            StoreOutcome::Committed(revision) => self.settle_binding_log(Some(*revision), ctx),
             StoreOutcome::Conflict(failed) => {
-                if failed.iter().any(|k| k == keys::LEADER) {
+                if failed.iter().any(|key| key == keys::LEADER) {
                     return true;
                 }
-                // A job was cancelled, or an earlier try of ours was applied: read to know.
-                if let Some(passage) = &mut self.binding_log.in_flight {
-                    passage.unread.clone_from(failed);
+                // A job was cancelled, or an earlier try of our own was applied: the keys are read to know.
+                if let Some(in_flight) = &mut self.binding_log.in_flight {
+                    in_flight.unread.clone_from(failed);
                 }
                 self.read_next_conflict(ctx);
             }
@@ -181,9 +173,10 @@
         false
     }
 
+    /// Reads the next key whose precondition failed; after the last, the transaction's outcome is known.
     fn read_next_conflict(&mut self, ctx: &mut LeaderContext) {
-        let Some(passage) = &mut self.binding_log.in_flight else { return };
-        match passage.unread.pop() {
+        let Some(in_flight) = &mut self.binding_log.in_flight else { return };
+        match in_flight.unread.pop() {
             Some(key) => {
                 let purpose = CallContext::ResolveBindingLog {
                     generation: self.generation,
@@ -197,40 +190,33 @@
                 );
             }
             None => {
-                let applied = passage.applied_revision;
+                let applied = in_flight.applied_revision;
                 self.settle_binding_log(applied, ctx);
             }
         }
     }
 
-    /// One of the keys whose condition failed.
+    /// A key whose precondition had failed was read.
     pub fn on_binding_log_conflict_read(
         &mut self,
         key: &str,
         outcome: &StoreOutcome,
         ctx: &mut LeaderContext,
     ) {
-        let (now, wall) = (ctx.now, ctx.wall_clock);
-        let sheet = key.strip_prefix(keys::SHEETS).and_then(|n| n.parse::<usize>().ok());
-        match (sheet, outcome) {
-            (Some(n), StoreOutcome::Found(pair)) => {
+        match (segment_number(key), outcome) {
+            (Some(number), StoreOutcome::Found(pair)) => {
                 let record: LogSegmentRecord =
                     serde_json::from_value(pair.value.clone()).unwrap_or_default();
-                if let Some(passage) = &mut self.binding_log.in_flight
-                    && record.write_number == passage.write_number
+                if let Some(in_flight) = &mut self.binding_log.in_flight
+                    && record.write_number == in_flight.write_number
                 {
-                    passage.applied_revision = Some(pair.mod_revision);
-                }
-                if let Some(sheet) = self.binding_log.segments.get_mut(n) {
-                    sheet.mod_revision = pair.mod_revision;
-                }
-            }
-            (Some(n), _) => {
-                if let Some(sheet) = self.binding_log.segments.get_mut(n) {
-                    sheet.mod_revision = 0;
+                    in_flight.applied_revision = Some(pair.mod_revision);
                 }
+                self.set_segment_revision(number, pair.mod_revision);
             }
+            (Some(number), _) => self.set_segment_revision(number, 0),
             (None, StoreOutcome::Found(pair)) => {
+                let (now, wall) = (ctx.now, ctx.wall_clock);
                 self.apply_job_record(key, &pair.value, pair.mod_revision, now, wall)
             }
             (None, _) => {}
@@ -238,43 +224,90 @@
         self.read_next_conflict(ctx);
     }
 
-    /// The outcome of the ledger's transaction is known.
+    fn set_segment_revision(&mut self, number: usize, mod_revision: u64) {
+        if let Some(segment) = self.binding_log.segments.get_mut(number) {
+            segment.mod_revision = mod_revision;
+        }
+    }
+
+    /// The outcome of the log's transaction is known: committed at a revision, or never to be.
     fn settle_binding_log(&mut self, committed: Option<u64>, ctx: &mut LeaderContext) {
-        let now = ctx.now;
-        let Some(passage) = self.binding_log.in_flight.take() else { return };
-        for n in passage.segments {
-            if let Some(sheet) = self.binding_log.segments.get_mut(n) {
+        let Some(in_flight) = self.binding_log.in_flight.take() else { return };
+        for number in in_flight.segments {
+            if let Some(segment) = self.binding_log.segments.get_mut(number) {
                 match committed {
-                    Some(epoch) => sheet.mod_revision = epoch,
-                    None => sheet.dirty = true,
+                    Some(revision) => segment.mod_revision = revision,
+                    None => segment.dirty = true,
                 }
             }
         }
-        for id in passage.returned_to_log.iter().filter(|_| committed.is_some()) {
-            self.binding_log.on_committed(id);
+        if committed.is_some() {
+            in_flight.returned_to_log.iter().for_each(|id| self.binding_log.on_committed(id));
         }
-        let mut never = Vec::new();
-        for AttemptId { job: id, task, attempt: launch } in passage.bindings {
+        let mut cancelled = Vec::new();
+        for AttemptId { job: id, task, attempt: number } in in_flight.bindings {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
-            let cancelled = job.is_cancelled();
-            let Some(a) = job.attempts.get_mut(&task).filter(|a| a.number == launch) else {
-                continue;
-            };
-            if a.phase() != AttemptPhase::Committing {
-                continue;
-            }
+            let is_cancelled = job.is_cancelled();
+            let attempt = job.attempts.get_mut(&task).filter(|attempt| {
+                attempt.number == number && attempt.phase() == AttemptPhase::Committing
+            });
+            let Some(attempt) = attempt else { continue };
             if committed.is_some() {
-                a.advance(AttemptPhase::Bound, now);
-            } else if cancelled {
-                never.push((id, task));
+                attempt.advance(AttemptPhase::Bound, ctx.now);
+            } else if is_cancelled {
+                cancelled.push(TaskId { job: id, task });
             }
         }
-        // Never committed, never offered: nothing of it is left.
-        for (id, task) in never {
-            self.release(&id, task, now);
-            self.close_if_finished(&id, ctx);
+        // Never committed, so never offered: nothing of these attempts is anywhere.
+        for TaskId { job, task } in cancelled {
+            self.release(&job, task, ctx.now);
+            self.close_if_finished(&job, ctx);
         }
         self.needs_scheduling = true;
         self.write_binding_log(ctx);
     }
 }
+
+impl LogWrite {
+    /// A transaction that succeeds only while this controller leads.
+    fn new(token: u64, write_number: u64, max_jobs: usize) -> LogWrite {
+        let leadership = Precondition { key: keys::LEADER.into(), mod_revision: token };
+        LogWrite {
+            commit: Transaction { preconditions: vec![leadership], mutations: Vec::new() },
+            in_flight: InFlightLogWrite {
+                write_number,
+                segments: Vec::new(),
+                bindings: Vec::new(),
+                returned_to_log: Vec::new(),
+                unread: Vec::new(),
+                applied_revision: None,
+            },
+            jobs: BTreeSet::new(),
+            max_jobs,
+            obsolete: Vec::new(),
+        }
+    }
+
+    /// Whether a binding may go into the transaction: a new one needs a precondition on its job, and must wait for the
+    /// next transaction if this one has no more.
+    fn admit(&mut self, id: &TaskId, attempt: &Attempt) -> bool {
+        if attempt.phase() != AttemptPhase::Committing {
+            return true;
+        }
+        if !self.jobs.contains(&id.job) && self.jobs.len() >= self.max_jobs {
+            return false;
+        }
+        self.jobs.insert(id.job.clone());
+        self.in_flight.bindings.push(attempt_id(id, attempt.number));
+        true
+    }
+}
+
+fn attempt_id(id: &TaskId, attempt: u64) -> AttemptId {
+    AttemptId { job: id.job.clone(), task: id.task, attempt }
+}
+
+/// Number of the segment that a key holds; none: another key.
+fn segment_number(key: &str) -> Option<usize> {
+    key.strip_prefix(keys::SHEETS).and_then(|number| number.parse().ok())
+}
