--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -1,11 +1,13 @@
-//! What the leader knows, and what changes it: jobs, machines, lines, rentals. Each kind of change
-//! is one function. Tables know nobody above them: placement and fleet read them, and the node alone
-//! applies what those plan.
+//! What the leader knows under one term: jobs, machines, run queues, requests to the cloud. Each kind of change is one
+//! function here or in a submodule. The cluster state knows nobody above it: `placement` and `fleet` read it and return
+//! plans, and the controller alone applies these.
 
 mod binding_log;
 mod cluster_events;
 mod commands;
 mod dependencies;
+mod job_records;
+mod liveness;
 mod provisioning;
 mod queue_order;
 mod quota_usage;
@@ -26,30 +28,35 @@
 use crate::Time;
 use crate::completion_time::RunTimeHistory;
 use crate::constants::{
-    ATTEMPT_COUNTER_BITS, IDLE_GRANT_MS, MACHINES_WITH_COMMANDS_MAX, PROBES_PART, TASK_COUNTS_MAX,
+    ATTEMPT_COUNTER_BITS, IDLE_GRANT_MS, MACHINES_WITH_COMMANDS_MAX, TASK_COUNTS_MAX,
 };
 use crate::job::{
-    Attempt, AttemptPhase, Binding, FinalRecord, GangState, Job, JobId, JobKind, JobState,
-    MachineId, Priority, StopRequest, StoredJob, keys,
+    Attempt, FinalRecord, GangState, Job, JobId, JobKind, JobState, MachineId, StopRequest,
 };
-use crate::machine::{Machine, MachineState};
-use crate::settings::{PlatformSettings, WorkerSettings};
+use crate::machine::Machine;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
-use swiftsail_dag::{DependencyGraph, JobOutcome};
-use swiftsail_failure_detector::{FailureDetector, Liveness, MachineObservation};
+use swiftsail_dag::DependencyGraph;
+use swiftsail_failure_detector::FailureDetector;
 use swiftsail_gpu_lending::GpuLoans;
 use swiftsail_protocol::cloud::{ListedMachineStatus, MachinePage};
-use swiftsail_protocol::state::{KeyPage, WatchResponse};
-use swiftsail_protocol::workers::ExitCause;
 use swiftsail_quota::ResourceQuantities;
 use swiftsail_tiers::TierTable;
 
-/// Everything the leader holds under one term.
+/// A job that mapping rounds could not place although its team's limit allows more.
+#[derive(Debug, Clone, Copy)]
+pub struct Starvation {
+    /// Since when.
+    pub since: Time,
+    /// When a round last could not place it.
+    pub last_seen: Time,
+}
+
+/// Everything the leader holds under one term. Made anew by each new leader.
 pub struct ClusterState {
-    /// Its token.
+    /// The fencing token.
     pub token: u64,
-    /// Era of the term, to know stale answers.
+    /// Number of the leadership phase in this process: answers to calls of an earlier one are stale.
     pub generation: u64,
     /// When it began to lead.
     pub leading_since: Time,
@@ -57,82 +64,83 @@
     pub jobs: BTreeMap<JobId, Job>,
     /// Machines known.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// Run times per job.
+    /// Run times seen, by job and class.
     pub run_time_history: RunTimeHistory,
-    /// Lines of waiting work.
+    /// Waiting tasks that are planned to follow running ones.
     pub run_queues: RunQueues,
-    /// Rentals and returns.
+    /// Requests to the cloud.
     pub provisioning: Provisioning,
-    /// Misses since the last round.
+    /// Tasks of jobs that missed their deadline since the last mapping round.
     pub misses: u32,
-    /// Passes so far.
+    /// Number of scheduling cycles so far.
     pub cycles: u64,
-    /// When the last pass was.
+    /// When the last scheduling cycle began.
     pub last_cycle_at: Time,
-    /// When the last round was.
+    /// When the last mapping round was; 0: one is due at once.
     pub last_round_at: Time,
-    /// Services for which room is being made: since when, and the fetch they will need there, ms.
+    /// Services for which tasks are being preempted: since when, and the time to fetch the image there, ms.
     pub preempting: HashMap<JobId, (Time, f64)>,
-    /// Machines whose room is kept from work of the lowest priority, and until when.
+    /// Machines whose free resources are not given to work of the lowest priority, and until when.
     pub yielding_machines: HashMap<MachineId, Time>,
-    /// Jobs that find no place for what their team's limit leaves them: since when, and when last.
-    pub starved_jobs: HashMap<JobId, (Time, Time)>,
-    /// Something changed that a pass may use.
+    /// Jobs that mapping rounds could not place.
+    pub starved_jobs: HashMap<JobId, Starvation>,
+    /// Something changed that a scheduling cycle may use.
     pub needs_scheduling: bool,
-    launches: u64,
-    /// Number of the latest write of bindings.
+    /// Number of attempts given out under this token.
+    attempts_given: u64,
+    /// Number of the latest write of chunks or log segments.
     pub write_number: u64,
-    /// Where new bindings are committed.
+    /// New bindings of all jobs.
     pub binding_log: BindingLog,
-    /// Keys of bindings whose job is over, to be removed.
+    /// Keys of chunks whose job is over, to be removed.
     pub stale_binding_keys: Vec<String>,
-    /// Jobs that are over and whose records are still to move to their last place, with their stamps.
+    /// Jobs that are over and whose final records are still to be moved to `end/`, with their mod revisions.
     pub unarchived_jobs: VecDeque<(JobId, u64, FinalRecord)>,
     /// Some of them are being moved.
     pub is_archiving: bool,
-    /// Jobs whose end is on its way, as counted with the last timer step and begun since.
+    /// Number of jobs whose final record is in flight, as counted in the last timer step, plus those sent since.
     pub closing_jobs: usize,
-    /// The store is being read by a new leader.
+    /// This leader is new, and still reads the store.
     is_loading: bool,
-    /// What may be used of each team's limit, where limits are held in the state service; none: what the
-    /// settings say.
+    /// The leader's holding of each team's limit, where limits are held in the state service; none: the settings' limits
+    /// count alone.
     pub quota_limits: Option<Vec<ResourceQuantities>>,
-    /// When work was last stopped for a lowered limit.
+    /// When tasks were last preempted for a lowered limit.
     pub limit_preempted_at: Time,
-    /// What happened, for report hooks.
+    /// Events for subscribers.
     pub events: ClusterEvents,
-    /// Machines that other controllers may answer for, and to which there is something to say now.
+    /// Machines that other controllers may answer for, and for which there is a new command.
     machines_with_commands: BTreeSet<MachineId>,
-    /// Jobs of which something has ended: they may be over.
+    /// Jobs that may be finished, since something of them has ended.
     maybe_finished: BTreeSet<JobId>,
     /// Revision up to which changes of jobs are known.
     pub watched_revision: u64,
-    /// When the request was sent whose answer brought the tables there: a later success of another call proves
-    /// nothing of the jobs.
+    /// When the request was sent whose answer reached that revision. The success of a later call of another kind proves
+    /// nothing about the jobs.
     pub read_at: Time,
-    /// When changes were last asked for beside the watch.
+    /// When changes were last read beside the watch.
     pub changes_requested_at: Time,
-    /// Which machines live, by evidence; begun with the first look.
+    /// Liveness of machines; created at the first check.
     pub failure_detector: Option<FailureDetector<MachineId>>,
-    /// When they were last looked at.
+    /// When that was last checked.
     pub machines_checked_at: Time,
-    /// Zones in which a controller is heard, the leader's own among them.
+    /// Zones of which a controller is reachable, the leader's own among them.
     pub reachable_zones: BTreeSet<String>,
-    /// Jobs that await others.
+    /// Dependencies between jobs that are not over.
     pub dependencies: DependencyGraph,
-    /// When their deadlines were last worked out.
+    /// When deadlines were last propagated along them.
     pub dependency_deadlines_at: Time,
-    /// Jobs that others await and that are not in the tables, whose end is being read, and until when none asks again.
+    /// Jobs that others depend on and that have ended: until when their final record is not to be read (again).
     pub(crate) awaited_reads: BTreeMap<JobId, Time>,
-    /// Accelerators lent.
+    /// GPU loans.
     pub gpu_loans: GpuLoans,
-    /// The table of tiers in force.
+    /// The tier table in force.
     pub tiers: Rc<TierTable>,
-    /// A worker's lease, ms; 0: hearing is not judged by leases.
+    /// A worker's lease, ms; 0: leases are no evidence of reachability.
     pub lease_ms: f64,
 }
 
-/// The job and task in a wire name.
+/// The job and task of a task's name on the wire, or of a chunk's key.
 pub fn parse_task_name(name: &str) -> Option<(JobId, u32)> {
     let (job, task) = name.rsplit_once('/')?;
     Some((JobId::from(job), task.parse().ok()?))
@@ -144,7 +152,7 @@
 }
 
 impl ClusterState {
-    /// An empty table under a token.
+    /// An empty state under a fencing token.
     pub fn new(token: u64, generation: u64, now: Time) -> ClusterState {
         ClusterState {
             token,
@@ -163,7 +171,7 @@
             yielding_machines: HashMap::new(),
             starved_jobs: HashMap::new(),
             needs_scheduling: true,
-            launches: 0,
+            attempts_given: 0,
             write_number: 0,
             binding_log: BindingLog::default(),
             stale_binding_keys: Vec::new(),
@@ -191,201 +199,23 @@
         }
     }
 
-    /// A launch number that no term has used or will use.
+    /// An attempt number that no leader has used or will use.
     pub fn next_attempt_number(&mut self) -> u64 {
-        self.launches += 1;
+        self.attempts_given += 1;
         self.last_attempt_number()
     }
 
-    /// The latest launch number given out, and the least that none of an earlier term reaches.
+    /// The latest attempt number given out, or a number above those of all earlier leaders.
     pub fn last_attempt_number(&self) -> u64 {
-        (self.token << ATTEMPT_COUNTER_BITS) + self.launches
-    }
-
-    // ---- loading -------------------------------------------------------------------------------
-
-    /// Takes over a page of jobs.
-    pub fn load_jobs(&mut self, page: &KeyPage, now: Time, wall: u64) {
-        if self.watched_revision == 0 {
-            self.watched_revision = page.revision;
-        }
-        for pair in &page.entries {
-            self.apply_job_record(&pair.key, &pair.value, pair.mod_revision, now, wall);
-        }
-    }
-
-    /// After loading: machines that bindings name are expected, and jobs that await others stand where those leave
-    /// them, as far as the tables tell.
-    pub fn finish_loading(&mut self, now: Time, wall: u64) {
-        self.is_loading = false;
-        self.settle_dependencies(now, wall);
-        for (id, job) in &self.jobs {
-            for (task, attempt) in &job.attempts {
-                let machine = self
-                    .machines
-                    .entry(attempt.machine.clone())
-                    .or_insert_with(|| Machine::new(attempt.machine.clone(), now));
-                machine.add_task(id, *task, attempt.number);
-            }
-        }
-    }
-
-    /// Takes over a job's record.
-    pub fn apply_job_record(
-        &mut self,
-        key: &str,
-        value: &serde_json::Value,
-        stamp: u64,
-        now: Time,
-        wall: u64,
-    ) {
-        let Some(id) = key.strip_prefix(keys::JOBS) else { return };
-        let id = JobId::from(id);
-        let record = match StoredJob::read(value) {
-            Some(StoredJob::Live(record)) => record,
-            // Found by a new leader: its predecessor ended it. One's own is known already; if the watch, behind, has
-            // brought it back with an earlier change, it goes again.
-            Some(StoredJob::Finished(record)) => {
-                let back = |j: &Job| {
-                    j.mod_revision < stamp && j.in_flight.is_none() && j.attempts.is_empty()
-                };
-                if self.is_loading {
-                    self.unarchived_jobs.push_back((id, stamp, record));
-                } else if self.jobs.get(&id).is_some_and(back) {
-                    self.jobs.remove(&id);
-                    self.run_queues.remove_job(&id);
-                    self.on_dependency_finished(&id, record.fate(wall), now, wall);
-                    self.dependencies.remove_job(&id);
-                }
-                return;
-            }
-            None => {
-                tracing::error!(key, "unreadable job record");
-                return;
-            }
-        };
-        self.dependencies.add_job(&id, &record.depends_on);
-        let job = self.jobs.entry(id.clone()).or_insert_with(|| {
-            tracing::debug!(job = %id, tasks = record.spec.tasks, "job loaded");
-            self.events.note("job", "accepted", &id, Some(&record.spec.class));
-            let mut job = Job::new(id.clone(), &record, stamp, now, wall);
-            job.tier = self.tiers.assign_tier(record.tier.as_deref(), &facts_of(&id, &record.spec));
-            job
-        });
-        if stamp >= job.mod_revision {
-            job.mod_revision = stamp;
-            if record.cancelled && !job.is_cancelled() {
-                let passed = wall.saturating_sub(record.cancelled_wall);
-                job.advance(JobState::Cancelling, now.saturating_sub(passed));
-            }
-            self.needs_scheduling = true;
-        }
-        if job.is_cancelled() {
-            self.on_dependency_finished(&id, JobOutcome::Cancelled, now, wall);
-        }
-        if !self.is_loading && !record.depends_on.is_empty() {
-            self.cancel_dependents(&id, now, wall);
-        }
-    }
-
-    /// Changes of jobs, seen by the watch or read beside it: the one may tell what the other has told, of a job
-    /// that is closed meanwhile.
-    pub fn apply_job_changes(&mut self, news: &WatchResponse, now: Time, wall: u64) {
-        let known = self.watched_revision;
-        for item in news.events.iter().filter(|i| i.mod_revision > known) {
-            if let Some(key) = &item.put_key {
-                self.apply_job_record(key, &item.value, item.mod_revision, now, wall);
-            }
-        }
-        self.watched_revision = self.watched_revision.max(news.revision);
+        (self.token << ATTEMPT_COUNTER_BITS) + self.attempts_given
     }
 
-    /// Another controller says that a job is cancelled: it was committed, so its tasks are stopped at once.
-    /// That the job is over is still for the state service to say.
-    pub fn on_remote_cancellation(&mut self, id: &JobId, at_wall: u64, now: Time, wall: u64) {
-        let Some(job) = self.jobs.get_mut(id).filter(|j| !j.is_cancelled()) else { return };
-        let passed = wall.saturating_sub(at_wall);
-        if job.advance(JobState::Cancelling, now.saturating_sub(passed)) {
-            tracing::info!(job = %id, "job cancelled, reported by another controller");
-            self.needs_scheduling = true;
-            self.on_dependency_finished(id, JobOutcome::Cancelled, now, wall);
-        }
-    }
-
-    /// Rentals were refused: others are planned at once, not with the next round.
+    /// Has the next scheduling cycle include a mapping round.
     pub fn force_mapping_round(&mut self) {
         self.last_round_at = 0;
     }
 
-    /// Looks at every machine that should be up: which to ask directly now.
-    pub fn check_machine_liveness(
-        &mut self,
-        platform: &PlatformSettings,
-        now: Time,
-    ) -> Vec<MachineId> {
-        self.machines_checked_at = now;
-        let WorkerSettings { report_s, lease_s, .. } = platform.workers;
-        let lease_ms = self.lease_ms;
-        let changed = self
-            .machines
-            .values_mut()
-            .filter_map(|m| m.update_reports_missing(lease_ms, now).then(|| m.id.clone()));
-        for id in changed.collect::<Vec<_>>() {
-            self.on_reports_missing_changed(&id, now);
-        }
-        let flying = platform.machine_limits.max_connections / PROBES_PART;
-        let mut members = self
-            .failure_detector
-            .take()
-            .unwrap_or_else(|| FailureDetector::new(self.leading_since, report_s, lease_s, flying));
-        let machines =
-            self.machines.values().filter_map(|m| Some((&m.id, self.observe_machine(m)?)));
-        let (ask, verdicts) = members.check_machines(machines, now);
-        self.failure_detector = Some(members);
-        ask.iter().for_each(|id| self.begin_probe(id));
-        for (id, state) in verdicts {
-            tracing::debug!(machine = %id, ?state, "machine liveness changed");
-            if state == Liveness::PresumedDead {
-                self.events.note("machine", "presumed dead", &id, None);
-            }
-        }
-        ask
-    }
-
-    /// A machine is asked directly. What answers is newer than what is known now, or its numbers have begun anew:
-    /// but an answer to an earlier question may come instead, and be older than what has been heard since.
-    pub fn begin_probe(&mut self, id: &MachineId) {
-        let Some(machine) = self.machines.get_mut(id) else { return };
-        if machine.open_probes == 0 {
-            machine.probe_baseline = Some(machine.last_message);
-        }
-        machine.open_probes += 1;
-    }
-
-    /// What membership is told of a machine, if it should be up: heard under this term, or holding work
-    /// of an earlier one.
-    pub fn observe_machine<'a>(&self, machine: &'a Machine) -> Option<MachineObservation<'a>> {
-        let up = machine.last_heard_at.is_some() || !machine.tasks.is_empty();
-        if !up || machine.state() == MachineState::Terminating {
-            return None;
-        }
-        let spec = |job: &JobId| self.jobs.get(job).map(|j| j.spec.priority);
-        let mut jobs = machine.tasks.keys().map(|(job, _)| job);
-        let production = jobs.any(|job| spec(job) == Some(Priority::Production));
-        let (zone, via) = (machine.zone.as_str(), machine.forwarded_by.as_deref());
-        let reached = self.reachable_zones.contains(zone);
-        let asked = !machine.inbound.is_reachable();
-        Some(MachineObservation {
-            zone,
-            reporting_controller: via,
-            zone_is_reachable: reached,
-            last_report_at: machine.last_heard_at,
-            has_production_work: production,
-            probe_requested: asked,
-        })
-    }
-
-    /// The task of an attempt proved gone waits again.
+    /// The attempt of a task is proved gone, or was never started: the task waits again.
     pub fn release(&mut self, id: &JobId, task: u32, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if let Some(attempt) = job.release_attempt(task, now)
@@ -397,7 +227,7 @@
         self.needs_scheduling = true;
     }
 
-    /// A gang that lost a task is stopped whole, and starts anew when none of it is left.
+    /// A gang that lost a task is stopped as a whole, and placed anew when none of it is left.
     pub(crate) fn stop_gang_after_loss(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if job.spec.kind == JobKind::Gang {
@@ -405,61 +235,92 @@
         }
     }
 
-    /// The machines of cancelled tasks that are not proved gone, and when each was cancelled.
+    /// Machines with attempts of cancelled jobs that are not proved gone, and when each job was cancelled.
     pub fn machines_with_cancelled_tasks(&self) -> impl Iterator<Item = (MachineId, Time)> {
-        let cancelled = self.jobs.values().filter_map(|j| Some((j, j.cancelled_at?)));
-        cancelled.flat_map(|(job, at)| {
-            let there = job.attempts.values().filter(|a| a.occupies_resources());
-            there.map(move |a| (a.machine.clone(), at))
+        let cancelled = self.jobs.values().filter_map(|job| Some((job, job.cancelled_at?)));
+        cancelled.flat_map(|(job, cancelled_at)| {
+            let occupying = job.attempts.values().filter(|a| a.occupies_resources());
+            occupying.map(move |attempt| (attempt.machine.clone(), cancelled_at))
         })
     }
 
-    /// A machine is gone, proved by a 200 to its return: all on it is gone.
-    pub fn on_machine_gone(&mut self, id: &MachineId, now: Time) {
-        let Some(machine) = self.machines.get(id) else { return };
-        let tasks: Vec<(JobId, u32)> = machine.tasks.keys().cloned().collect();
-        for (job, task) in tasks {
-            let done = self.jobs.get(&job).and_then(|j| j.attempts.get(&task));
-            if done.is_some_and(|a| a.phase() == AttemptPhase::Exited(ExitCause::Completed)) {
-                continue;
-            }
-            self.release_lost_task(&job, task, now);
+    /// Binds a job's first waiting task to a machine under an attempt number: in memory now, in the store with the next
+    /// write of the binding log. Its start is offered only after that. Returns the task.
+    pub fn bind(
+        &mut self,
+        id: &JobId,
+        machine_id: &MachineId,
+        number: u64,
+        max_value_bytes: usize,
+        now: Time,
+    ) -> Option<u32> {
+        let machine = self.machines.get_mut(machine_id)?;
+        let job = self.jobs.get_mut(id)?;
+        let task = job.waiting.pop_first()?;
+        let session = machine.last_message.session;
+        let attempt = Attempt::new(number, machine_id.clone(), session, now);
+        self.binding_log.add(id, &attempt.binding(task), max_value_bytes);
+        job.attempts.insert(task, attempt);
+        job.vacated_machines.clear();
+        machine.add_task(id, task, number);
+        if machine.forwarded_by.is_some() {
+            self.machines_with_commands.insert(machine.id.clone());
         }
-        self.run_queues.remove_machine(id);
-        self.machines.remove(id);
-        self.needs_scheduling = true;
-        self.events.note("machine", "gone", id, None);
-        tracing::debug!(machine = %id, "machine removed");
+        Some(task)
     }
 
-    /// Takes over a page of the machine list. Names the machines that have failed.
-    pub fn apply_machine_list(&mut self, page: &MachinePage, now: Time) -> Vec<MachineId> {
-        let mut failed = Vec::new();
-        for listed in &page.machines {
-            let id = MachineId::from(listed.name.as_str());
-            if self.provisioning.was_returned(&id) {
-                continue;
+    /// Requests the stop of an attempt, and with it of its whole gang. Its task waits again only after proof that it is
+    /// gone.
+    pub fn request_stop(&mut self, id: &JobId, task: u32, now: Time) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let gang = job.spec.kind == JobKind::Gang;
+        if let Some(attempt) = job.attempts.get_mut(&task).filter(|a| a.occupies_resources()) {
+            attempt.stop_requested.get_or_insert(StopRequest::unsent(now));
+            if gang {
+                job.set_gang_state(GangState::Stopping);
             }
-            self.machine_entry(&id, now).apply_listing(listed, now);
-            if listed.status == ListedMachineStatus::Failed {
-                failed.push(id);
+        }
+    }
+
+    /// Jobs of which something has ended since the last call: they may be finished.
+    pub fn take_maybe_finished(&mut self) -> BTreeSet<JobId> {
+        std::mem::take(&mut self.maybe_finished)
+    }
+
+    /// Removes a job that is over, with all that refers to it.
+    pub fn remove_job(&mut self, id: &JobId, now: Time) -> Option<Job> {
+        let job = self.jobs.remove(id)?;
+        for (task, attempt) in &job.attempts {
+            self.binding_log.forget(id, *task, Some(attempt.number));
+            if let Some(machine) = self.machines.get_mut(&attempt.machine) {
+                machine.remove_task(id, *task, now);
             }
         }
-        failed
+        let what = if job.is_cancelled() { "cancelled" } else { "done" };
+        self.events.note("job", what, id, None);
+        self.run_queues.remove_job(id);
+        self.run_time_history.remove_job(id);
+        self.preempting.remove(id);
+        self.gpu_loans.remove_lender(id);
+        self.dependencies.remove_job(id);
+        Some(job)
     }
 
-    /// A machine, known from now on.
-    pub fn machine_entry(&mut self, id: &MachineId, now: Time) -> &mut Machine {
-        self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id.clone(), now))
+    /// Numbers of tasks for display by the other controllers: (job, done, running), [`TASK_COUNTS_MAX`] jobs at most.
+    pub fn task_counts(&self) -> Vec<(String, u32, u32)> {
+        let counts = self.jobs.iter().map(|(id, job)| (id, job.task_counts()));
+        let begun = counts.filter(|(_, (done, running))| done + running > 0);
+        let rows = begun.map(|(id, (done, running))| (id.to_string(), done, running));
+        rows.take(TASK_COUNTS_MAX).collect()
     }
 
-    /// Begins a pass: pauses that are over end, jobs past their deadline are missed and leave their
-    /// lines (thesis, algorithm 2, 1-3).
+    /// Begins a scheduling cycle: ends backoffs, and counts jobs past their deadline as missed, whose tasks leave their run
+    /// queues (thesis, algorithm 2, steps 1-3).
     pub fn begin_cycle(&mut self, now: Time) {
         self.last_cycle_at = now;
         self.cycles += 1;
         self.needs_scheduling = false;
-        let mut over = Vec::new();
+        let mut late = Vec::new();
         for (id, job) in &mut self.jobs {
             job.end_backoffs(now);
             if job.deadline.is_some_and(|due| due < now)
@@ -467,124 +328,89 @@
                 && job.state() == JobState::Live
             {
                 job.missed_deadline = true;
-                let open = job.waiting.len()
-                    + job.attempts.values().filter(|a| a.occupies_resources()).count();
-                self.misses += open as u32;
+                let unfinished = job.waiting.len() + job.occupying_attempts();
+                self.misses += unfinished as u32;
                 self.events.note("job", "late", id, None);
-                over.push(id.clone());
+                late.push(id.clone());
             }
         }
-        for id in over {
+        for id in late {
             self.run_queues.remove_job(&id);
         }
     }
 
-    /// Notes who found no place in a round for what its team's limit leaves it. Whoever finds one now and then, or
-    /// asks for a machine that is refused, is not another for it: only who was not seen so for as long begins anew.
+    /// Notes the jobs that a mapping round could not place although their team's limit allows more. A job that is placed now
+    /// and then stays starved: its time begins anew only after it was not noted for [`IDLE_GRANT_MS`].
     pub fn note_starved(&mut self, jobs: Vec<JobId>, now: Time) {
-        self.starved_jobs.retain(|_, (_, last)| now < *last + IDLE_GRANT_MS);
+        self.starved_jobs.retain(|_, starvation| now < starvation.last_seen + IDLE_GRANT_MS);
         for id in jobs {
-            self.starved_jobs.entry(id).or_insert((now, now)).1 = now;
+            let starvation =
+                self.starved_jobs.entry(id).or_insert(Starvation { since: now, last_seen: now });
+            starvation.last_seen = now;
         }
     }
 
-    /// Whether a job has found no place for so long that others of its team come before it.
+    /// Whether a job could not be placed for so long that others of its team come before it.
     pub fn is_starved(&self, id: &JobId, now: Time) -> bool {
-        self.starved_jobs.get(id).is_some_and(|(since, _)| now >= since + IDLE_GRANT_MS)
+        let starvation = self.starved_jobs.get(id);
+        starvation.is_some_and(|starvation| now >= starvation.since + IDLE_GRANT_MS)
     }
 
-    /// Binds a job's first waiting task to a machine under a launch number: in the tables now, in
-    /// the store with the ledger's next write, and offered only after that.
-    pub fn bind(
-        &mut self,
-        id: &JobId,
-        machine_id: &MachineId,
-        launch: u64,
-        value_bytes: usize,
-        now: Time,
-    ) -> Option<u32> {
-        let machine = self.machines.get_mut(machine_id)?;
-        let job = self.jobs.get_mut(id)?;
-        let task = job.waiting.pop_first()?;
-        job.attempts.insert(
-            task,
-            Attempt::new(launch, machine_id.clone(), machine.last_message.session, now),
-        );
-        job.vacated_machines.clear();
-        let bound = Binding {
-            task,
-            attempt: launch,
-            machine: machine_id.clone(),
-            worker_session: machine.last_message.session,
-        };
-        self.binding_log.add(id, &bound, value_bytes);
-        machine.add_task(id, task, launch);
-        if machine.forwarded_by.is_some() {
-            self.machines_with_commands.insert(machine.id.clone());
-        }
-        Some(task)
-    }
-
-    /// Machines whose reports that controller passes on and to which something new is to be said, a
-    /// bounded number at once.
-    pub fn take_machines_with_commands(&mut self, via: &str) -> Vec<MachineId> {
-        let its = |id: &&MachineId| {
-            self.machines.get(*id).is_some_and(|m| m.forwarded_by.as_deref() == Some(via))
+    /// Machines whose reports a controller forwards and for which there is a new command, at most
+    /// [`MACHINES_WITH_COMMANDS_MAX`]. Each is returned once.
+    pub fn take_machines_with_commands(&mut self, controller: &str) -> Vec<MachineId> {
+        let is_forwarded = |id: &&MachineId| {
+            self.machines.get(*id).is_some_and(|m| m.forwarded_by.as_deref() == Some(controller))
         };
         let found: Vec<MachineId> = self
             .machines_with_commands
             .iter()
-            .filter(its)
+            .filter(is_forwarded)
             .take(MACHINES_WITH_COMMANDS_MAX)
             .cloned()
             .collect();
-        let ClusterState { machines_with_commands: look, machines, .. } = self;
-        look.retain(|id| {
+        let ClusterState { machines_with_commands, machines, .. } = self;
+        machines_with_commands.retain(|id| {
             !found.contains(id) && machines.get(id).is_some_and(|m| m.forwarded_by.is_some())
         });
         found
     }
 
-    /// Wants an attempt stopped; a gang then leaves whole. Proof of its end is still awaited.
-    pub fn request_stop(&mut self, id: &JobId, task: u32, now: Time) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        let gang = job.spec.kind == JobKind::Gang;
-        if let Some(attempt) = job.attempts.get_mut(&task).filter(|a| a.occupies_resources()) {
-            attempt.stop_requested.get_or_insert(StopRequest::unsent(now));
-            if gang {
-                job.set_gang_state(GangState::Stopping);
+    /// A machine is gone, proved by the cloud's 200 to its return: so are all attempts on it.
+    pub fn on_machine_gone(&mut self, id: &MachineId, now: Time) {
+        let Some(machine) = self.machines.get(id) else { return };
+        let tasks: Vec<(JobId, u32)> = machine.tasks.keys().cloned().collect();
+        for (job, task) in tasks {
+            let attempt = self.jobs.get(&job).and_then(|job| job.attempts.get(&task));
+            if !attempt.is_some_and(Attempt::is_completed) {
+                self.release_lost_task(&job, task, now);
             }
         }
+        self.run_queues.remove_machine(id);
+        self.machines.remove(id);
+        self.needs_scheduling = true;
+        self.events.note("machine", "gone", id, None);
+        tracing::debug!(machine = %id, "machine removed");
     }
 
-    /// Jobs of which something has ended since the last call.
-    pub fn take_maybe_finished(&mut self) -> BTreeSet<JobId> {
-        std::mem::take(&mut self.maybe_finished)
-    }
-
-    /// Takes a job that is over off the tables.
-    pub fn remove_job(&mut self, id: &JobId, now: Time) -> Option<Job> {
-        let job = self.jobs.remove(id)?;
-        for (task, attempt) in &job.attempts {
-            self.binding_log.forget(id, *task, Some(attempt.number));
-            if let Some(machine) = self.machines.get_mut(&attempt.machine) {
-                machine.remove_task(id, *task, now);
+    /// Applies a page of the cloud's machine list. Returns the machines that it lists as failed.
+    pub fn apply_machine_list(&mut self, page: &MachinePage, now: Time) -> Vec<MachineId> {
+        let mut failed = Vec::new();
+        for listed in &page.machines {
+            let id = MachineId::from(listed.name.as_str());
+            if self.provisioning.was_returned(&id) {
+                continue;
+            }
+            self.machine_entry(&id, now).apply_listing(listed, now);
+            if listed.status == ListedMachineStatus::Failed {
+                failed.push(id);
             }
         }
-        let what = if job.is_cancelled() { "cancelled" } else { "done" };
-        self.events.note("job", what, id, None);
-        self.run_queues.remove_job(id);
-        self.run_time_history.remove_job(id);
-        self.preempting.remove(id);
-        self.gpu_loans.remove_lender(id);
-        self.dependencies.remove_job(id);
-        Some(job)
+        failed
     }
 
-    /// Counts for display, for the other controllers: (job, done, running).
-    pub fn task_counts(&self) -> Vec<(String, u32, u32)> {
-        let counts = self.jobs.iter().map(|(id, j)| (id.to_string(), j.task_counts()));
-        let held = counts.filter(|(_, c)| c.0 + c.1 > 0).map(|(id, (d, r))| (id, d, r));
-        held.take(TASK_COUNTS_MAX).collect()
+    /// A machine by name. One that was not known is from now on.
+    pub fn machine_entry(&mut self, id: &MachineId, now: Time) -> &mut Machine {
+        self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id.clone(), now))
     }
 }
