--- a/crates/controller/src/cluster_state/status_reports.rs
+++ b/crates/controller/src/cluster_state/status_reports.rs
@@ -51,9 +51,7 @@
         response
     }
 
-    /// Notes the arrival of a message. Returns whether it is news. A copy of a report, however late, proves no life: who
-    /// shows this leader's token has been answered by it, and who answers a probe of this controller lives; anything else
-    /// may have been sent at any time.
+    /// Notes the arrival of a message. Returns whether it is news.
     fn accept_message(
         &mut self,
         id: &MachineId,
@@ -65,7 +63,7 @@
         let acknowledged = report.fencing_token == self.token;
         if !self.machines.contains_key(id) {
             // A network partition may hold a report back until its machine is long returned. A worker that lives shows
-            // this leader's token in its next report, since the response tells it.
+            // this leader's token in its next report, since the response carries it.
             if self.provisioning.was_returned(id) || is_report && !acknowledged {
                 return false;
             }
@@ -81,12 +79,28 @@
             return false;
         }
         machine.highest_token = report.fencing_token;
-        let was_unheard = machine.last_heard_at.is_none();
         if is_report && acknowledged {
             let evidence = machine.on_answered_report(report.session, lease_ms, now);
             self.on_reachability_evidence(id, evidence.filter(|_| lease_ms > 0.0), now);
         }
-        let Some(machine) = self.machines.get_mut(id) else { return false };
+        self.note_message(id, report, source, now);
+        true
+    }
+
+    /// A message is its machine's newest. A copy of a report, however late, proves no life: a worker that shows this
+    /// leader's token has been answered by it, and one that answers a probe of this controller lives; anything else may
+    /// have been sent at any time.
+    fn note_message(
+        &mut self,
+        id: &MachineId,
+        report: &StatusReport,
+        source: ReportSource,
+        now: Time,
+    ) {
+        let is_report = source == ReportSource::StatusReport;
+        let acknowledged = report.fencing_token == self.token;
+        let Some(machine) = self.machines.get_mut(id) else { return };
+        let is_first = machine.last_heard_at.is_none();
         machine.last_message = MessageOrder::of(report);
         if acknowledged || !is_report {
             machine.last_heard_at = Some(now);
@@ -98,12 +112,11 @@
         if is_report {
             machine.last_report = MessageOrder::of(report);
         }
+        let is_up = is_first && machine.last_heard_at.is_some();
         self.advance_registration(id, report, now);
-        let is_heard = self.machines.get(id).is_some_and(|m| m.last_heard_at.is_some());
-        if was_unheard && is_heard {
+        if is_up {
             tracing::debug!(machine = %id, "machine up");
         }
-        true
     }
 
     /// A machine that reports becomes ready once it shows this leader's token.
--- a/crates/controller/src/job/record.rs
+++ b/crates/controller/src/job/record.rs
@@ -78,7 +78,7 @@
     pub accepted_wall: u64,
     /// Tasks that a chunk covers: fixed at acceptance, so that no change of settings moves a task to another chunk.
     pub chunk_tasks: u32,
-    /// Random number by which this write is told from any other.
+    /// Number by which a write of the record is known again when its outcome was lost.
     #[serde(rename = "nonce")]
     pub write_number: u64,
     /// Name of the tier that it was accepted into, where tiers are held in the state service.
