--- a/crates/controller/src/controller/report_forwarding.rs
+++ b/crates/controller/src/controller/report_forwarding.rs
@@ -232,7 +232,12 @@
         while told.len() < most
             && let Some((berth, (watch, tick, shown))) = self.self_answered.pop_first()
         {
-            told.push((berth, watch, tick, shown));
+            told.push(LocallyAnsweredReport {
+                machine: berth,
+                session: watch,
+                sequence: tick,
+                content_hash: shown,
+            });
         }
         if self.self_answered.is_empty() {
             self.summary_sent_at = now;
@@ -395,9 +400,10 @@
             .into_iter()
             .map(|id| id.to_string())
             .collect();
-        for (berth, watch, tick, shown) in &batch.locally_answered {
-            if !leader.on_unchanged_report(berth, (*watch, *tick), *shown, now) {
-                look.insert(berth.clone());
+        for seen in &batch.locally_answered {
+            let message = (seen.session, seen.sequence);
+            if !leader.on_unchanged_report(&seen.machine, message, seen.content_hash, now) {
+                look.insert(seen.machine.clone());
             }
         }
         for (n, passed) in batch.reports.iter().enumerate() {
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -1,146 +1,143 @@
-//! The controllers and the cloud.
+//! Messages between the controllers and the cloud that rents machines: MessagePack maps of
+//! the protocol's section "Controller nodes -> cloud". Types only.
 
 use serde::{Deserialize, Serialize};
 
-/// Paths of this interface.
+/// Paths of this interface, below the cloud's address.
 pub mod path {
-    /// Machine types.
+    /// `GET`: all machine types ([`MachineTypes`](super::MachineTypes)).
     pub const MACHINE_TYPES: &str = "/machine_types";
-    /// Rental and list.
+    /// `POST` rents machines ([`ProvisionMachinesRequest`](super::ProvisionMachinesRequest)); `GET`
+    /// lists them by pages ([`MachinePage`](super::MachinePage)).
     pub const MACHINES: &str = "/machines";
-    /// Return.
+    /// `POST`: returns machines ([`MachineNames`](super::MachineNames)). Its 200 proves that
+    /// nothing runs on them any more.
     pub const RELEASE_MACHINES: &str = "/machines/return";
 }
 
-/// All machine types.
+/// Every machine type that the cloud offers.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// One each.
+    /// The types, each name once. Wire: `hulls`.
     #[serde(rename = "hulls")]
     pub machine_types: Vec<ListedMachineType>,
 }
 
-/// A machine type.
+/// A machine type: its resources, its prices and where it is offered.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachineType {
-    /// Its name.
+    /// Name of the type, unique. Wire: `sku`.
     #[serde(rename = "sku")]
     pub name: String,
-    /// CPUs.
+    /// CPUs of a machine.
     pub cpus: f64,
-    /// Accelerators.
-    #[serde(default)]
-    #[serde(rename = "accelerators")]
+    /// GPUs of a machine. Wire: `accelerators`.
+    #[serde(default, rename = "accelerators")]
     pub gpus: f64,
-    /// Memory, GB.
+    /// Memory of a machine, GB.
     pub memory_gb: f64,
-    /// Image cache, GB.
+    /// Size of a machine's image cache, GB.
     #[serde(default)]
     pub cache_gb: f64,
-    /// Rate of image fetches.
-    #[serde(default)]
-    #[serde(rename = "fetch_gb_per_s")]
+    /// Rate at which a machine fetches images, GB per second. Wire: `fetch_gb_per_s`.
+    #[serde(default, rename = "fetch_gb_per_s")]
     pub image_fetch_gb_per_s: f64,
-    /// Price an hour.
+    /// On-demand price per hour.
     #[serde(default)]
     pub price: f64,
-    /// Spot price an hour.
-    #[serde(default)]
-    #[serde(rename = "market_price")]
+    /// Current spot price per hour. Wire: `market_price`.
+    #[serde(default, rename = "market_price")]
     pub spot_price: f64,
-    /// Usual boot time, s.
+    /// Usual time from the rental request to the first report, seconds.
     #[serde(default)]
     pub boot_s: f64,
-    /// Zones that have it.
-    #[serde(default)]
-    #[serde(rename = "docks")]
+    /// Zones in which the type is offered. Wire: `docks`.
+    #[serde(default, rename = "docks")]
     pub zones: Vec<String>,
 }
 
-/// Rental request.
+/// Request to rent machines of one type in one zone.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ProvisionMachinesRequest {
-    /// Name of the request, never used twice.
+    /// Idempotency key: a repeat with the same key rents nothing more. Never used for two requests.
+    /// Wire: `charter`.
     #[serde(rename = "charter")]
     pub request_id: String,
-    /// Machine type.
+    /// Name of the machine type. Wire: `hull`.
     #[serde(rename = "hull")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone in which to rent. Wire: `dock`.
     #[serde(rename = "dock")]
     pub zone: String,
-    /// Spot.
+    /// Whether spot machines are rented, which the cloud may reclaim. Wire: `driftwood`.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// Machines wanted.
+    /// Most machines to rent; the cloud may rent fewer. Wire: `number`.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// Names of machines: rented, or to return.
+/// Machines by name: those just rented (response), or those to return (request).
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// Names of the machines. Wire: `berths`.
     #[serde(rename = "berths")]
     pub machines: Vec<String>,
 }
 
-/// A page of the machine list.
+/// A page of the list of rented machines.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct MachinePage {
-    /// Machines in name order.
-    #[serde(default)]
-    #[serde(rename = "berths")]
+    /// Machines in the order of their names. Wire: `berths`.
+    #[serde(default, rename = "berths")]
     pub machines: Vec<ListedMachine>,
-    /// Whether more follow.
+    /// Whether another page follows after the last name of this one.
     #[serde(default)]
     pub has_next: bool,
 }
 
-/// A machine in the list.
+/// A rented machine as the cloud lists it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Name of the machine, never used for another. Wire: `name_id`.
     #[serde(rename = "name_id")]
     pub name: String,
-    /// Its worker's address.
-    #[serde(default)]
-    #[serde(rename = "addr")]
+    /// Address of its worker; empty while it boots. Wire: `addr`.
+    #[serde(default, rename = "addr")]
     pub address: String,
-    /// Machine type.
+    /// Name of its machine type. Wire: `hull`.
     #[serde(rename = "hull")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone it stands in. Wire: `dock`.
     #[serde(rename = "dock")]
     pub zone: String,
-    /// Spot.
-    #[serde(default)]
-    #[serde(rename = "driftwood")]
+    /// Whether it is a spot machine. Wire: `driftwood`.
+    #[serde(default, rename = "driftwood")]
     pub spot: bool,
-    /// State.
+    /// Its state.
     pub status: ListedMachineStatus,
-    /// Age since the rental request, s.
-    #[serde(default)]
-    #[serde(rename = "held_s")]
+    /// Time since the rental request, seconds. Wire: `held_s`.
+    #[serde(default, rename = "held_s")]
     pub age_s: f64,
 }
 
-/// State of a machine in the list.
+/// State of a rented machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListedMachineStatus {
-    /// Boots.
+    /// It boots, as far as the list knows: the list lags. Wire: `starting`.
     #[serde(rename = "starting")]
     Booting,
-    /// Is up.
+    /// It is up, or died less than about 30 s ago. Wire: `running`.
     #[serde(rename = "running")]
     Running,
-    /// Stopped by itself.
+    /// It stopped by itself: no longer charged, and listed until it is returned. Wire: `failed`.
     #[serde(rename = "failed")]
     Failed,
-    /// A state this version does not know.
+    /// A state that this version does not know. Wire: `unknown`.
     #[serde(other, rename = "unknown")]
     Unknown,
 }
 
-/// What the cloud says when none of the machines asked for are to be had.
+/// Text of the cloud's error when it has none of the machines asked for: to be retried later or
+/// elsewhere.
 pub const NO_CAPACITY: &str = "no capacity";
--- a/crates/protocol/src/controllers.rs
+++ b/crates/protocol/src/controllers.rs
@@ -1,163 +1,179 @@
-//! Between controllers.
+//! Messages between controllers: heartbeats, and workers' reports that followers forward to the leader.
+//! Types only. Controllers of two versions exchange them during a rolling restart, so new fields have defaults.
 
 use crate::workers::{Command, StatusReport};
-use serde::{Deserialize, Serialize};
+use serde::{Deserialize, Serialize, Serializer};
 
 /// Paths of this interface.
 pub mod path {
-    /// Heartbeats.
+    /// `POST`: a [`Heartbeat`](super::Heartbeat).
     pub const HEARTBEAT: &str = "/beat";
-    /// Workers' reports passed on to the leader; its answers go back as they are.
+    /// `POST`: workers' reports that a follower forwards to the leader
+    /// ([`ForwardedReports`](super::ForwardedReports)), answered by
+    /// [`ForwardedAnswers`](super::ForwardedAnswers).
     pub const FORWARDED_REPORTS: &str = "/relay";
 }
 
-/// Heartbeat: what a controller knows of the term and of the state service.
+/// Heartbeat between controllers: what the sender knows of the leadership, of the state service and
+/// of cancellations.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Who sends it.
+    /// Name of the sender. Wire: `node`.
     #[serde(rename = "node")]
     pub controller: String,
-    /// Highest token it has seen.
+    /// Highest fencing token that it has seen. Wire: `token`.
     #[serde(rename = "token")]
     pub fencing_token: u64,
-    /// Whether it leads under that token.
+    /// Whether it leads under that token. Wire: `leads`.
     #[serde(rename = "leads")]
     pub is_leader: bool,
-    /// Time since the state service last answered it, ms.
+    /// Time since the state service last answered it, ms. Wire: `store_age_ms`.
     #[serde(rename = "store_age_ms")]
     pub since_store_response_ms: u64,
-    /// Of the leader: others are to serve workers for good, passing their reports on.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    #[serde(rename = "shares")]
+    /// From the leader: followers serve workers for good and forward their reports. Wire: `shares`.
+    #[serde(default, skip_serializing_if = "std::ops::Not::not", rename = "shares")]
     pub distributes_workers: bool,
-    /// Share of its processor that it used lately, in thousandths; none while it is not known.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[serde(rename = "load")]
+    /// Smoothed processor load, in thousandths; none while it is not known. Wire: `load`.
+    #[serde(default, skip_serializing_if = "Option::is_none", rename = "load")]
     pub cpu_load_permille: Option<u32>,
-    /// The part of it that machines cost, whatever is placed.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[serde(rename = "upkeep")]
+    /// The part of the load that machines cost, whatever is placed, in thousandths. Wire: `upkeep`.
+    #[serde(default, skip_serializing_if = "Option::is_none", rename = "upkeep")]
     pub machine_cpu_load_permille: Option<u32>,
-    /// Of the leader: counts for display, as (job, done, running).
-    #[serde(default)]
-    #[serde(rename = "counts")]
+    /// From the leader: (job id, tasks done, tasks running), for display. Wire: `counts`.
+    #[serde(default, rename = "counts")]
     pub job_counts: Vec<(String, u32, u32)>,
-    /// Of the leader, where plug-ins advise on admission: attributes of the cluster, in the order in
-    /// which they are documented.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    #[serde(rename = "cluster")]
+    /// From the leader, where plug-ins advise on admission: attributes of the cluster, in the order
+    /// in which they are documented. Wire: `cluster`.
+    #[serde(default, skip_serializing_if = "Vec::is_empty", rename = "cluster")]
     pub cluster_attributes: Vec<f64>,
-    /// Number of the process that sends it; 0: a version that tells nothing of the following.
-    #[serde(default)]
-    #[serde(rename = "process")]
+    /// Random number of the sender's process; 0: a version that sends none of the following fields.
+    /// Wire: `process`.
+    #[serde(default, rename = "process")]
     pub incarnation: u64,
-    /// Which of that process's heartbeats this is.
-    #[serde(default)]
-    #[serde(rename = "number")]
+    /// Sequence number of the heartbeat within the incarnation. Wire: `number`.
+    #[serde(default, rename = "number")]
     pub sequence: u64,
-    /// Revision up to which it holds no cancellations: a leader has to have read as far. None: it has not
-    /// read the state service yet.
-    #[serde(default)]
-    #[serde(rename = "floor")]
+    /// Revision up to which the sender holds no pending cancellations: it endorses only a leader
+    /// that has read as far. None: it has not read the state service yet. Wire: `floor`.
+    #[serde(default, rename = "floor")]
     pub required_leader_revision: Option<u64>,
-    /// Of the leader: the revision up to which it has taken in all changes of jobs.
-    #[serde(default)]
-    #[serde(rename = "read")]
+    /// From the leader: the revision up to which it has applied all changes of jobs. Wire: `read`.
+    #[serde(default, rename = "read")]
     pub applied_through: u64,
-    /// All cancellations held beyond the floor: job, revision, time of day in ms.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    #[serde(rename = "cancelled")]
+    /// All cancellations committed after `required_leader_revision` that the sender holds: (job id,
+    /// revision, time of day of the cancellation in ms). Wire: `cancelled`.
+    #[serde(default, skip_serializing_if = "Vec::is_empty", rename = "cancelled")]
     pub pending_cancellations: Vec<(String, u64, u64)>,
-    /// Of the leader: machines on which a cancelled task is not proved gone, with the time of day of the cancellation, ms.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    #[serde(rename = "owed")]
+    /// From the leader: machines on which a cancelled task is not proved gone: (machine name, time
+    /// of day of the cancellation in ms). Wire: `owed`.
+    #[serde(default, skip_serializing_if = "Vec::is_empty", rename = "owed")]
     pub pending_terminations: Vec<(String, u64)>,
-    /// The latest heartbeat taken in of each other controller: its name, process, number.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    #[serde(rename = "taken")]
+    /// The latest heartbeat applied of each other controller: (its name, incarnation, sequence
+    /// number). Wire: `taken`.
+    #[serde(default, skip_serializing_if = "Vec::is_empty", rename = "taken")]
     pub acknowledged_heartbeats: Vec<(String, u64, u64)>,
-    /// The form of records that its version reads; 0: it knows of no jobs that await others.
-    #[serde(default)]
-    #[serde(rename = "form")]
+    /// The record format that the sender reads; 0: it knows of no dependencies between jobs.
+    /// Wire: `form`.
+    #[serde(default, rename = "form")]
     pub format_version: u32,
-    /// Without counts and attributes, which stay as they were told last.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    #[serde(rename = "brief")]
+    /// Sent without counts and attributes: the receiver keeps those it has. Wire: `brief`.
+    #[serde(default, skip_serializing_if = "std::ops::Not::not", rename = "brief")]
     pub is_abridged: bool,
 }
 
-/// Workers' reports passed on together.
+/// Workers' reports that a follower forwards to the leader in one message.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedReports {
-    /// Who passes them on.
+    /// Name of the follower. Wire: `node`.
     #[serde(rename = "node")]
     pub controller: String,
     /// The reports, in the order in which they came.
     pub reports: Vec<ForwardedReport>,
-    /// Machines whose unchanged reports this controller has answered itself under its duty, each at most
-    /// once.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    #[serde(rename = "well")]
+    /// Unchanged reports that the follower has answered itself by delegation, each machine at most
+    /// once. Wire: `well`.
+    #[serde(default, skip_serializing_if = "Vec::is_empty", rename = "well")]
     pub locally_answered: Vec<LocallyAnsweredReport>,
 }
 
-/// A machine that showed the same as before: name, session, message number, number of what it shows.
-pub type LocallyAnsweredReport = (String, u64, u64, u64);
+/// A machine whose unchanged report a follower has answered by delegation. On the wire it is a sequence of the four
+/// values in the order of the fields.
+#[derive(Debug, Clone, PartialEq, Deserialize)]
+#[serde(from = "(String, u64, u64, u64)")]
+pub struct LocallyAnsweredReport {
+    /// Name of the machine.
+    pub machine: String,
+    /// Number of the worker's session.
+    pub session: u64,
+    /// Sequence number of the report.
+    pub sequence: u64,
+    /// Hash of its content without the sequence number.
+    pub content_hash: u64,
+}
+
+impl Serialize for LocallyAnsweredReport {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (&self.machine, self.session, self.sequence, self.content_hash).serialize(serializer)
+    }
+}
+
+impl From<(String, u64, u64, u64)> for LocallyAnsweredReport {
+    fn from((machine, session, sequence, content_hash): (String, u64, u64, u64)) -> Self {
+        LocallyAnsweredReport { machine, session, sequence, content_hash }
+    }
+}
 
-/// A report passed on: whole, or as one that shows the same as the machine's last.
+/// A forwarded report: in full, or as a hash if the machine's report is unchanged.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum ForwardedReport {
-    /// Whole.
+    /// In full.
     Full {
         /// The report.
         report: Box<StatusReport>,
-        /// Number of what it shows.
+        /// Hash of its content without the sequence number. Wire: `shown`.
         #[serde(rename = "shown")]
         content_hash: u64,
     },
-    /// The same as the last that the leader answered.
+    /// With the same content as the last report of the machine that the leader answered.
     Unchanged {
-        /// The machine's name.
+        /// Name of the machine. Wire: `berth`.
         #[serde(rename = "berth")]
         machine: String,
-        /// Session.
+        /// Number of the worker's session. Wire: `watch`.
         #[serde(rename = "watch")]
         session: u64,
-        /// Message number.
+        /// Sequence number of the message. Wire: `tick`.
         #[serde(rename = "tick")]
         sequence: u64,
-        /// Number of what it shows.
+        /// Hash of its content without the sequence number. Wire: `shown`.
         #[serde(rename = "shown")]
         content_hash: u64,
     },
 }
 
-/// The leader's answers, in the order of the reports.
+/// The leader's answers to [`ForwardedReports`].
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedAnswers {
-    /// Token.
+    /// The leader's fencing token. Wire: `helm`.
     #[serde(rename = "helm")]
     pub fencing_token: u64,
-    /// One for each report; none: it must be passed on whole.
+    /// Commands for each report, in the order of the reports; none: that report must be forwarded
+    /// in full. Wire: `orders`.
     #[serde(rename = "orders")]
     pub commands: Vec<Option<Vec<Command>>>,
-    /// Numbers of the reports after which nothing is left to be said to their machines: while these show
-    /// the same, they may be answered without the leader.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    #[serde(rename = "calm")]
+    /// Ascending indices of the reports whose machines need no commands: while their content stays
+    /// the same, the follower may answer them by delegation. Wire: `calm`.
+    #[serde(default, skip_serializing_if = "Vec::is_empty", rename = "calm")]
     pub delegable_reports: Vec<usize>,
-    /// Machines whose next report must come to the leader, whatever it shows.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    #[serde(rename = "look")]
+    /// Machines whose next report must be forwarded, whatever its content. Wire: `look`.
+    #[serde(default, skip_serializing_if = "Vec::is_empty", rename = "look")]
     pub must_forward_machines: Vec<String>,
-    /// Time for which the controller may answer unchanged reports itself, counted from when it sent the
-    /// message answered here, ms.
-    #[serde(default, skip_serializing_if = "is_none")]
-    #[serde(rename = "duty_ms")]
+    /// Time for which the follower may answer unchanged reports itself, ms, counted from when it
+    /// sent the message answered here; 0: not at all. Wire: `duty_ms`.
+    #[serde(default, skip_serializing_if = "is_zero", rename = "duty_ms")]
     pub delegation_ms: u64,
 }
 
-fn is_none(ms: &u64) -> bool {
-    *ms == 0
+fn is_zero(number: &u64) -> bool {
+    *number == 0
 }
--- a/tests/recorded_bytes/messages.rs
+++ b/tests/recorded_bytes/messages.rs
@@ -131,8 +131,10 @@
         reports: vec![whole, same],
         locally_answered: Vec::new(),
     };
-    let well =
-        ForwardedReports { locally_answered: vec![("m-000232".into(), 1, 90, 7)], ..batch.clone() };
+    let well = ForwardedReports {
+        locally_answered: vec![("m-000232".to_string(), 1, 90, 7).into()],
+        ..batch.clone()
+    };
     let orders = vec![Some(commands()), Some(Vec::new()), None];
     let answers = ForwardedAnswers {
         fencing_token: 41,
