--- a/crates/controller/src/controller/deadline_planning.rs
+++ b/crates/controller/src/controller/deadline_planning.rs
@@ -1,14 +1,16 @@
 //! Arrivals in the state service: what the board is told of jobs, what it makes of that, and its records.
 
+use super::dependency_lookup::JobLocation;
 use super::plugins::plugin_error_reply;
 use super::{CallContext, Controller, Reply, RequestId};
 use crate::cluster_state::{ClusterState, facts_of};
 use crate::constants::{BOOT_UNKNOWN_MS, DISPATCH_MS, STORE_TIMEOUT_MS};
-use crate::job::{AttemptPhase, FinalState, Job, JobId, JobState, StoredJob, keys};
+use crate::job::{AttemptPhase, FinalState, Job, JobId, JobState, keys};
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::rc::Rc;
+use swiftsail_dag::VisitedJob;
 use swiftsail_deadline_planning::constants::DURATION_QUANTILE;
 use swiftsail_deadline_planning::tracker::StepDurations;
 use swiftsail_deadline_planning::{
@@ -153,29 +155,17 @@
         self.store.push(StoreCall::Get(key), purpose, CallPriority::Low, until);
     }
 
-    /// What became of a job has been read.
+    /// The read of an occurrence's job has ended; what is over is remembered. The last place was read first, so a job
+    /// that is not there may still stand in its first place.
     pub(super) fn on_occurrence_job_read(
         &mut self,
         id: &JobId,
         last_place: bool,
-        outcome: StoreOutcome,
+        outcome: &StoreOutcome,
     ) {
-        match outcome {
-            StoreOutcome::Found(pair) if last_place => {
-                if let Ok(record) = serde_json::from_value(pair.value) {
-                    self.remember_final(id, record);
-                }
-            }
-            StoreOutcome::Found(pair) => {
-                if let Some(StoredJob::Finished(record)) = StoredJob::read(&pair.value) {
-                    self.remember_final(id, record);
-                }
-            }
-            // It may stand in its first place yet.
-            StoreOutcome::Missing { .. } if last_place => {
-                self.read_occurrence_job(id.clone(), false)
-            }
-            _ => {}
+        let location = self.locate_job(id, last_place, outcome);
+        if let JobLocation::Found(VisitedJob::NeverAccepted) = location {
+            self.read_occurrence_job(id.clone(), false);
         }
     }
 
--- a/crates/controller/src/controller/dependency_lookup.rs
+++ b/crates/controller/src/controller/dependency_lookup.rs
@@ -1,104 +1,157 @@
-//! Jobs that await others: accepted once those are known, and answered about by what comes before them. Whether such a
-//! job is called off follows from the records before it, so any controller can tell, by reads of its own that began
-//! after the question; the leader writes the end down later.
+//! DAG dependencies of jobs, looked up in the records of the jobs before them.
+//!
+//! A job with dependencies is accepted once all of them are known, and a question about it is answered by what became
+//! of them. Whether such a job is cancelled by dependency follows from the records alone, so any controller can tell
+//! by reads of its own that began after the question; the leader writes the end down later.
+//!
+//! Owns [`DependencyLookups`], the look-ups under way. Calls the state service for what neither the final records in
+//! memory nor the job cache show; the traversal itself is [`swiftsail_dag::DependencyTraversal`].
 
 use super::requests::PendingRequest;
-use super::{CallContext, Controller, Reply, RequestId};
+use super::requests::replies::{error_reply, http_status, store_unavailable_reply};
+use super::{CallContext, Controller, RequestId};
 use crate::cluster_state::ClusterState;
 use crate::constants::{DEPENDENCY_LOOKUPS_MAX, USER_STORE_TIMEOUT_MS};
 use crate::job::{FinalRecord, JobId, JobRecord, StoredJob, keys};
-use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
+use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreClient, StoreOutcome};
 use std::collections::HashMap;
 use swiftsail_dag::{DependencyTraversal, DependencyVerdict, JobOutcome, VisitedJob};
+use swiftsail_protocol::state::KeyValue;
 use swiftsail_protocol::users::{JobStatus, is_valid_job_id};
 
-/// Whom a walk serves.
+/// How the read that the job cache shows relates in time to a user's request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum CacheFreshness {
+    /// It began after the request came: what it shows of live jobs may be told.
+    ReadAfterRequest,
+    /// It may be older than the request: only what is final may be taken from it.
+    MayPredateRequest,
+}
+
+/// Whom a look-up serves.
 #[derive(Debug)]
 enum LookupRequester {
-    /// A submission, whose job is accepted if those that it awaits are known.
+    /// A submission, whose job is accepted if all its dependencies are known.
     Accept(RequestId, Box<JobRecord>),
-    /// Somebody who asks about a job that was read and found neither over nor cancelled.
+    /// A question about a job that was read and found neither over nor cancelled.
     Answer(PendingRequest),
 }
 
+impl LookupRequester {
+    fn request(&self) -> RequestId {
+        match self {
+            LookupRequester::Accept(request, _) => *request,
+            LookupRequester::Answer(pending) => pending.request,
+        }
+    }
+}
+
 #[derive(Debug)]
 struct DependencyLookup {
     job: JobId,
-    walk: DependencyTraversal,
-    asker: LookupRequester,
-    /// The question waited for the reading of what has changed that is kept: it tells what is open, too. Else only what
-    /// is final may be taken from it, for it may be older than the question.
-    kept: bool,
+    traversal: DependencyTraversal,
+    requester: LookupRequester,
+    freshness: CacheFreshness,
 }
 
-/// Questions under way.
+/// Look-ups that wait for a store read, by their number.
 #[derive(Debug, Default)]
 pub(super) struct DependencyLookups {
     open: HashMap<u64, DependencyLookup>,
-    next: u64,
+    last_number: u64,
+}
+
+/// What a read of one of a job's two keys shows.
+pub(super) enum JobLocation {
+    Found(VisitedJob),
+    /// The job is not live: it is over and moved, or was never accepted.
+    NotLive,
+    /// The read failed, or its result is unreadable.
+    Unread,
 }
 
 impl Controller {
-    /// A job that awaits others is submitted, and not known so far. Those must have been accepted, by whomever.
+    /// Accepts a job with dependencies that was not known when it was looked up. The jobs that it names must have been
+    /// accepted, at any controller.
     pub(super) fn accept_dependent_job(
         &mut self,
         id: &JobId,
         request: RequestId,
         record: Box<JobRecord>,
-        kept: bool,
+        freshness: CacheFreshness,
     ) {
-        let walk = DependencyTraversal::new(&record.depends_on);
-        self.start_dependency_lookup(DependencyLookup {
-            job: id.clone(),
-            walk,
-            asker: LookupRequester::Accept(request, record),
-            kept,
-        });
+        let traversal = DependencyTraversal::new(&record.depends_on);
+        let requester = LookupRequester::Accept(request, record);
+        let job = id.clone();
+        self.continue_lookup(DependencyLookup { job, traversal, requester, freshness });
     }
 
-    /// Somebody asks about a job that awaits others, and that a read begun since has found to be open: the one of what is
-    /// `kept`, or one of its own.
+    /// Answers about a job with dependencies that a read begun after the request has found to be live.
     pub(super) fn answer_dependent_job(
         &mut self,
         id: &JobId,
-        awaits: &[JobId],
-        waiter: PendingRequest,
-        kept: bool,
+        depends_on: &[JobId],
+        pending: PendingRequest,
+        freshness: CacheFreshness,
     ) {
-        let (walk, asker) = (DependencyTraversal::new(awaits), LookupRequester::Answer(waiter));
-        self.start_dependency_lookup(DependencyLookup { job: id.clone(), walk, asker, kept });
+        let traversal = DependencyTraversal::new(depends_on);
+        let requester = LookupRequester::Answer(pending);
+        let job = id.clone();
+        self.continue_lookup(DependencyLookup { job, traversal, requester, freshness });
     }
 
-    /// Goes on with a question, as far as what is known answers it; then a job is read.
-    fn start_dependency_lookup(&mut self, mut walker: DependencyLookup) {
-        while let Some(id) = walker.walk.next_job().cloned() {
-            let seen = if is_valid_job_id(&id) {
-                self.dependency_seen_here(&id, walker.kept)
+    /// Continues a look-up as far as memory goes; then one job is read, or the look-up ends.
+    fn continue_lookup(&mut self, mut lookup: DependencyLookup) {
+        while let Some(id) = lookup.traversal.next_job().cloned() {
+            let known = if is_valid_job_id(&id) {
+                self.known_dependency(&id, lookup.freshness)
             } else {
                 Some(VisitedJob::NeverAccepted)
             };
-            match seen {
-                Some(seen) => walker.walk.on_job_state(&seen),
-                None if !self.has_lookup_room() => {
-                    let reply = Reply::retry_later("the state service does not answer");
-                    return self.finish_dependency_lookup(walker, reply);
-                }
-                None => {
-                    self.dependency_lookups.next += 1;
-                    let number = self.dependency_lookups.next;
-                    self.dependency_lookups.open.insert(number, walker);
-                    return self.read_dependency_for_lookup(number, id, false);
-                }
+            match known {
+                Some(state) => lookup.traversal.on_job_state(&state),
+                None if self.has_lookup_room() => return self.wait_for_dependency(lookup, id),
+                None => return self.answer(lookup.requester.request(), store_unavailable_reply()),
             }
         }
-        let verdict = walker.walk.verdict().unwrap_or(DependencyVerdict::NotCancelled);
-        let DependencyLookup { job, asker, .. } = walker;
-        match (asker, verdict) {
+        self.finish_lookup(lookup);
+    }
+
+    /// What is known of a job without a read.
+    fn known_dependency(&self, id: &JobId, freshness: CacheFreshness) -> Option<VisitedJob> {
+        let wall = self.now.wall_clock;
+        let known = match self.final_records.get(id) {
+            Some(record) => Some(VisitedJob::Ended(record.fate(wall))),
+            None => self.job_cache.dependency_state(id, wall),
+        };
+        known.filter(|state| {
+            freshness == CacheFreshness::ReadAfterRequest || matches!(state, VisitedJob::Ended(_))
+        })
+    }
+
+    /// Whether another look-up may wait for a read (memory, and requests to the state service).
+    fn has_lookup_room(&self) -> bool {
+        self.dependency_lookups.open.len() < DEPENDENCY_LOOKUPS_MAX
+            && self.store.has_room(self.budget.waiting_store_calls)
+            && !self.store.is_unavailable()
+    }
+
+    fn wait_for_dependency(&mut self, lookup: DependencyLookup, dependency: JobId) {
+        self.dependency_lookups.last_number += 1;
+        let number = self.dependency_lookups.last_number;
+        self.dependency_lookups.open.insert(number, lookup);
+        self.read_dependency_for_lookup(number, dependency, false);
+    }
+
+    fn finish_lookup(&mut self, lookup: DependencyLookup) {
+        let verdict = lookup.traversal.verdict().unwrap_or(DependencyVerdict::NotCancelled);
+        let DependencyLookup { job, requester, .. } = lookup;
+        match (requester, verdict) {
             (LookupRequester::Accept(request, _), DependencyVerdict::UnknownDependency(id)) => {
                 let error =
                     format!("it awaits `{id}`, which was never accepted; submit that first");
-                let reply = super::requests::error_reply(422, error);
-                self.refuse_unless_known(job, request, reply);
+                let refusal = error_reply(http_status::UNPROCESSABLE, error);
+                self.refuse_unless_known(job, request, refusal);
             }
             (LookupRequester::Accept(request, record), verdict) => {
                 let status = match verdict {
@@ -107,159 +160,132 @@
                 };
                 self.create_job(&job, request, &record, status);
             }
-            (LookupRequester::Answer(waiter), DependencyVerdict::CancelledByDependency) => {
-                self.answer_cancelled_by_dependency(&job, waiter)
+            (LookupRequester::Answer(pending), DependencyVerdict::CancelledByDependency) => {
+                self.answer_cancelled_by_dependency(&job, &pending)
             }
-            (LookupRequester::Answer(waiter), _) => self.answer_live(&job, waiter),
+            (LookupRequester::Answer(pending), _) => self.answer_live(&job, &pending),
         }
     }
 
-    /// Whether another read for a question may wait.
-    fn has_lookup_room(&self) -> bool {
-        let room = self.dependency_lookups.open.len() < DEPENDENCY_LOOKUPS_MAX
-            && self.store.has_room(self.budget.waiting_store_calls);
-        room && !self.store.is_unavailable()
-    }
-
-    fn finish_dependency_lookup(&mut self, walker: DependencyLookup, reply: Reply) {
-        let request = match walker.asker {
-            LookupRequester::Accept(request, _) => request,
-            LookupRequester::Answer(waiter) => waiter.request,
-        };
-        self.reply(request, reply);
-    }
-
-    /// What this controller knows of a job without a read: what is over or cancelled stays so, and what is open may be
-    /// told by a reading that began after the question.
-    fn dependency_seen_here(&self, id: &JobId, kept: bool) -> Option<VisitedJob> {
-        let seen = match self.final_records.get(id) {
-            Some(record) => Some(VisitedJob::Ended(record.fate(self.now.wall_clock))),
-            None => self.job_cache.dependency_state(id, self.now.wall_clock),
-        };
-        seen.filter(|seen| kept || matches!(seen, VisitedJob::Ended(_)))
-    }
-
-    fn read_dependency_for_lookup(&mut self, walk: u64, job: JobId, last_place: bool) {
+    fn read_dependency_for_lookup(&mut self, lookup: u64, job: JobId, last_place: bool) {
         let key = keys::place(&job, last_place);
-        let until = RetryPolicy::OnceBefore(self.now.monotonic + USER_STORE_TIMEOUT_MS);
-        let purpose = CallContext::LookUpDependency { lookup: walk, job, last_place };
-        self.store.push(StoreCall::Get(key), purpose, CallPriority::Normal, until);
+        let policy = RetryPolicy::OnceBefore(self.now.monotonic + USER_STORE_TIMEOUT_MS);
+        let context = CallContext::LookUpDependency { lookup, job, last_place };
+        self.store.push(StoreCall::Get(key), context, CallPriority::Normal, policy);
     }
 
-    /// A job before another has been read.
+    /// The read of a dependency for a look-up has ended.
     pub(super) fn on_dependency_read(
         &mut self,
-        walk: u64,
+        number: u64,
         id: &JobId,
         last_place: bool,
         outcome: &StoreOutcome,
     ) {
-        let seen = match self.parse_job_location(id, last_place, outcome) {
-            Place::Is(seen) => seen,
-            Place::Elsewhere => return self.read_dependency_for_lookup(walk, id.clone(), true),
-            Place::Unread => {
-                if let Some(walker) = self.dependency_lookups.open.remove(&walk) {
-                    let reply = Reply::retry_later("the state service does not answer");
-                    self.finish_dependency_lookup(walker, reply);
-                }
-                return;
+        let location = self.locate_job(id, last_place, outcome);
+        if let JobLocation::NotLive = location {
+            return self.read_dependency_for_lookup(number, id.clone(), true);
+        }
+        let Some(mut lookup) = self.dependency_lookups.open.remove(&number) else { return };
+        match location {
+            JobLocation::Found(state) => {
+                lookup.traversal.on_job_state(&state);
+                self.continue_lookup(lookup);
+            }
+            JobLocation::NotLive | JobLocation::Unread => {
+                self.answer(lookup.requester.request(), store_unavailable_reply())
             }
-        };
-        if let Some(mut walker) = self.dependency_lookups.open.remove(&walk) {
-            walker.walk.on_job_state(&seen);
-            self.start_dependency_lookup(walker);
         }
     }
 
-    /// What a read of one of a job's two places says of it. A job goes from the first to the last in one transaction and
-    /// never back, so reading them in this order misses none.
-    fn parse_job_location(
+    /// What a read of one of a job's two keys shows of it; `last_place`: it was the key of the final record. A final
+    /// record is remembered. A job's record moves from the first key to the last in one transaction and never back, so
+    /// reading them in this order misses none.
+    pub(super) fn locate_job(
         &mut self,
         id: &JobId,
         last_place: bool,
         outcome: &StoreOutcome,
-    ) -> Place {
-        let over = |record: FinalRecord, wall| Place::Is(VisitedJob::Ended(record.fate(wall)));
-        let wall = self.now.wall_clock;
+    ) -> JobLocation {
         match outcome {
-            StoreOutcome::Found(pair) if last_place => {
-                match serde_json::from_value(pair.value.clone()) {
-                    Ok(record) => {
-                        self.remember_final(id, record);
-                        over(record, wall)
-                    }
-                    Err(_) => Place::Unread,
-                }
-            }
+            StoreOutcome::Found(pair) if last_place => self.locate_finished(id, pair),
             StoreOutcome::Found(pair) => match StoredJob::read(&pair.value) {
-                Some(StoredJob::Finished(record)) => {
-                    self.remember_final(id, record);
-                    over(record, wall)
-                }
+                Some(StoredJob::Finished(record)) => self.remember_located(id, record),
                 Some(StoredJob::Live(record)) if record.cancelled => {
-                    Place::Is(VisitedJob::Ended(JobOutcome::Cancelled))
+                    JobLocation::Found(VisitedJob::Ended(JobOutcome::Cancelled))
                 }
-                Some(StoredJob::Live(record)) => Place::Is(VisitedJob::Live(record.depends_on)),
-                None => Place::Unread,
+                Some(StoredJob::Live(record)) => {
+                    JobLocation::Found(VisitedJob::Live(record.depends_on))
+                }
+                None => JobLocation::Unread,
             },
-            StoreOutcome::Missing { .. } if last_place => Place::Is(VisitedJob::NeverAccepted),
-            StoreOutcome::Missing { .. } => Place::Elsewhere,
-            _ => Place::Unread,
+            StoreOutcome::Missing { .. } if last_place => {
+                JobLocation::Found(VisitedJob::NeverAccepted)
+            }
+            StoreOutcome::Missing { .. } => JobLocation::NotLive,
+            _ => JobLocation::Unread,
+        }
+    }
+
+    fn locate_finished(&mut self, id: &JobId, pair: &KeyValue) -> JobLocation {
+        match serde_json::from_value(pair.value.clone()) {
+            Ok(record) => self.remember_located(id, record),
+            Err(_) => JobLocation::Unread,
         }
     }
 
-    /// A leader's part: reads the ends of jobs that others await and that it knows nothing of, and works out what
-    /// pipelines need.
+    fn remember_located(&mut self, id: &JobId, record: FinalRecord) -> JobLocation {
+        self.remember_final(id, record);
+        JobLocation::Found(VisitedJob::Ended(record.fate(self.now.wall_clock)))
+    }
+
+    /// The leader's part: works out effective deadlines, and looks up dependencies of which it knows nothing because
+    /// they ended before it led.
     pub(super) fn update_dependencies(&mut self) {
         let types = self.machine_types.clone().unwrap_or_default();
         let (now, wall) = (self.now.monotonic, self.now.wall_clock);
-        let Some(leader) = &mut self.cluster_state else { return };
-        leader.propagate_deadlines(&types, now);
-        for id in leader.unknown_dependencies(now) {
+        let Some(state) = &mut self.cluster_state else { return };
+        state.propagate_deadlines(&types, now);
+        for id in state.unknown_dependencies(now) {
             match self.final_records.get(&id) {
-                Some(record) => leader.on_dependency_finished(&id, record.fate(wall), now, wall),
-                None => read_awaited_job(&mut self.store, leader, id, false),
+                Some(record) => state.on_dependency_finished(&id, record.fate(wall), now, wall),
+                None => read_dependency_as_leader(&mut self.store, state, id, false),
             }
         }
     }
 
-    /// The end of a job that others await has been read, by a leader.
+    /// The leader's read of a dependency has ended.
     pub(super) fn on_awaited_job_read(
         &mut self,
         id: &JobId,
         last_place: bool,
         outcome: &StoreOutcome,
     ) {
-        let place = self.parse_job_location(id, last_place, outcome);
+        let location = self.locate_job(id, last_place, outcome);
         let (now, wall) = (self.now.monotonic, self.now.wall_clock);
-        let Some(leader) = &mut self.cluster_state else { return };
-        match place {
-            Place::Is(VisitedJob::Ended(fate)) => {
-                leader.on_dependency_finished(id, fate, now, wall)
+        let Some(state) = &mut self.cluster_state else { return };
+        match location {
+            JobLocation::Found(VisitedJob::Ended(outcome)) => {
+                state.on_dependency_finished(id, outcome, now, wall)
+            }
+            JobLocation::NotLive => {
+                read_dependency_as_leader(&mut self.store, state, id.clone(), true)
+            }
+            // The leader's watch has brought it meanwhile, or it cannot be read for now.
+            JobLocation::Found(_) | JobLocation::Unread => {
+                state.retry_unknown_dependencies(id, now)
             }
-            Place::Elsewhere => read_awaited_job(&mut self.store, leader, id.clone(), true),
-            // It is known meanwhile, or not readable for now.
-            Place::Is(_) | Place::Unread => leader.retry_unknown_dependencies(id, now),
         }
     }
 }
 
-/// What a read says of a job.
-enum Place {
-    Is(VisitedJob),
-    /// It is not in its first place.
-    Elsewhere,
-    /// Nothing.
-    Unread,
-}
-
-fn read_awaited_job(
-    store: &mut crate::store::StoreClient<CallContext>,
-    leader: &ClusterState,
+fn read_dependency_as_leader(
+    store: &mut StoreClient<CallContext>,
+    state: &ClusterState,
     job: JobId,
     last_place: bool,
 ) {
     let key = keys::place(&job, last_place);
-    let purpose = CallContext::ReadDependency { generation: leader.generation, job, last_place };
-    store.push(StoreCall::Get(key), purpose, CallPriority::Normal, RetryPolicy::UntilDefinite);
+    let context = CallContext::ReadDependency { generation: state.generation, job, last_place };
+    store.push(StoreCall::Get(key), context, CallPriority::Normal, RetryPolicy::UntilDefinite);
 }
--- a/crates/controller/src/controller/job_cache.rs
+++ b/crates/controller/src/controller/job_cache.rs
@@ -1,8 +1,13 @@
-//! What every controller keeps of the jobs in the state service, so that polls cost it little: one read of
-//! what has changed answers all that asked before it began. A poll storm then costs the state service a
-//! few requests a second, however many ask, and submissions keep their part.
+//! Cache of all jobs in the state service, kept by every controller so that polls cost the store little: one
+//! incremental read of the changes answers everybody who asked before it began. A storm of polls then costs the state
+//! service a few requests a second, however many ask, and submissions keep their part.
+//!
+//! Owns [`JobCache`]: each job's state as of one revision, and who waits for the next read. It is filled by a listing
+//! and kept fresh by incremental reads, not by a watch. Calls the state service; answers go through
+//! [`super::requests`].
 
 use super::requests::PendingRequest;
+use super::requests::replies::store_unavailable_reply;
 use super::{CallContext, Controller, Reply};
 use crate::Time;
 use crate::constants::{
@@ -14,46 +19,50 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 use swiftsail_dag::{JobOutcome, VisitedJob};
-use swiftsail_protocol::state::{KeyPage, WatchEvent};
+use swiftsail_protocol::state::{KeyPage, WatchEvent, WatchResponse};
 
-/// How much of the jobs is known.
+/// Of which jobs the cache knows the state. Revisions are the store's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CacheCoverage {
-    /// Nothing: polls read their job's own key.
+    /// Of none: each poll reads its job's own key.
     Nothing,
-    /// They are being listed; what has changed since this revision is still to be read.
+    /// A listing is under way; the changes since this revision are still to be read.
     Listing(u64),
-    /// All of them, as they were at this revision.
+    /// Of all jobs, as of this revision.
     Complete(u64),
 }
 
 /// A job as its key shows it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum CachedJob {
-    /// Accepted, and not over.
+    /// Accepted, and neither over nor cancelled.
     Live,
-    /// Cancelled, and not over: seen at that revision, cancelled at that time of day.
+    /// Cancelled by its user and not over: the revision at which that was read, and the time of day of the
+    /// cancellation, ms.
     Cancelled(u64, u64),
     /// Over.
     Finished(FinalRecord),
-    /// There, and not to be read by this version: its key is read whenever somebody asks.
+    /// There, and unreadable for this version: its own key is read whenever somebody asks.
     Unreadable,
 }
 
-/// The jobs, and who waits for the next read.
+/// A request that waits for a cache read to show this job.
+type WaitingRequest = (JobId, PendingRequest);
+
+/// The jobs as of the latest read, and who waits for the next.
 #[derive(Debug)]
 pub(super) struct JobCache {
     coverage: CacheCoverage,
     jobs: HashMap<JobId, CachedJob>,
-    /// What those that are not over await.
-    awaits: HashMap<JobId, Arc<[JobId]>>,
-    /// Jobs that were seen to be over, for the cache of final answers.
+    /// The dependencies of live and of cancelled jobs that have any.
+    dependencies: HashMap<JobId, Arc<[JobId]>>,
+    /// Jobs found to be over since they were last handed to the memory of final records.
     newly_finished: Vec<(JobId, FinalRecord)>,
     max_jobs: usize,
-    /// Whom the read under way serves.
-    serving: Option<Vec<(JobId, PendingRequest)>>,
+    /// Whom the read under way serves; none: no read is under way.
+    serving: Option<Vec<WaitingRequest>>,
     /// Who came later and needs a fresh one.
-    waiting: Vec<(JobId, PendingRequest)>,
+    waiting: Vec<WaitingRequest>,
     requested_at: Time,
     read_at: Time,
     /// No listing before that: there were more jobs than it holds.
@@ -61,12 +70,12 @@
 }
 
 impl JobCache {
-    /// A mirror that holds so many jobs at most.
+    /// An empty cache that holds at most so many jobs.
     pub fn new(max_jobs: usize) -> JobCache {
         JobCache {
             coverage: CacheCoverage::Nothing,
             jobs: HashMap::new(),
-            awaits: HashMap::new(),
+            dependencies: HashMap::new(),
             newly_finished: Vec::new(),
             max_jobs,
             serving: None,
@@ -77,30 +86,31 @@
         }
     }
 
-    /// The one function that changes how much is known. Everything is known only from a listing on, and
-    /// a revision never goes back.
+    /// The one function that changes the coverage; returns whether the change is allowed. Coverage is complete only
+    /// after a listing, and its revision never goes back.
     fn advance(&mut self, to: CacheCoverage) -> bool {
         let allowed = match (self.coverage, to) {
             (_, CacheCoverage::Nothing) | (CacheCoverage::Nothing, CacheCoverage::Listing(_)) => {
                 true
             }
             (
-                CacheCoverage::Listing(from) | CacheCoverage::Complete(from),
-                CacheCoverage::Complete(to),
-            ) => to >= from,
+                CacheCoverage::Listing(before) | CacheCoverage::Complete(before),
+                CacheCoverage::Complete(after),
+            ) => after >= before,
             _ => false,
         };
-        if allowed {
-            if to == CacheCoverage::Nothing {
-                self.jobs.clear();
-                self.awaits.clear();
-            }
-            self.coverage = to;
+        if !allowed {
+            return false;
+        }
+        if to == CacheCoverage::Nothing {
+            self.jobs.clear();
+            self.dependencies.clear();
         }
-        allowed
+        self.coverage = to;
+        true
     }
 
-    /// Whether polls may wait for the next read.
+    /// Whether requests may wait for the next read.
     pub fn is_complete(&self) -> bool {
         matches!(self.coverage, CacheCoverage::Complete(_))
     }
@@ -110,12 +120,13 @@
         self.is_complete() && self.jobs.contains_key(id)
     }
 
-    /// What a job that is not over awaits, if it awaits any.
+    /// The dependencies of a job that is not over, if it has any.
     pub fn dependencies_of(&self, id: &str) -> Option<Arc<[JobId]>> {
-        self.awaits.get(id).cloned()
+        self.dependencies.get(id).cloned()
     }
 
-    /// What the latest read says of a job, for what comes after it; none: nothing.
+    /// What the latest read shows of a job for those that depend on it; none: it is not known here. `wall`: time of
+    /// day now, ms.
     pub fn dependency_state(&self, id: &str, wall: u64) -> Option<VisitedJob> {
         match self.jobs.get(id).filter(|_| self.is_complete())? {
             CachedJob::Live => Some(VisitedJob::Live(
@@ -127,10 +138,10 @@
         }
     }
 
-    /// Submissions that wait for a look whether they are repeats.
+    /// Number of submissions that wait for a read to tell whether they are repeats.
     pub fn pending_submissions(&self) -> usize {
-        let waiting = self.waiting.iter().chain(self.serving.iter().flatten());
-        waiting.filter(|(_, waiter)| waiter.is_submission()).count()
+        let requests = self.waiting.iter().chain(self.serving.iter().flatten());
+        requests.filter(|(_, pending)| pending.is_submission()).count()
     }
 
     /// Takes over a page of the listing.
@@ -138,8 +149,8 @@
         if self.coverage == CacheCoverage::Nothing {
             self.advance(CacheCoverage::Listing(page.revision));
         }
-        for pair in &page.entries {
-            self.record(&pair.key, &pair.value, pair.mod_revision);
+        for entry in &page.entries {
+            self.record(&entry.key, &entry.value, entry.mod_revision);
         }
         if self.jobs.len() > self.max_jobs {
             self.invalidate_for_size();
@@ -150,45 +161,46 @@
         }
     }
 
-    /// Takes over what has changed up to a revision.
-    fn apply_changes(&mut self, news: &[WatchEvent], epoch: u64) {
-        for item in news {
-            match (&item.put_key, &item.deleted_key) {
-                (Some(key), _) => self.record(key, &item.value, item.mod_revision),
+    /// Takes over the changes up to a revision.
+    fn apply_changes(&mut self, events: &[WatchEvent], revision: u64) {
+        for event in events {
+            match (&event.put_key, &event.deleted_key) {
+                (Some(key), _) => self.record(key, &event.value, event.mod_revision),
                 (None, Some(key)) => {
                     let id = key.strip_prefix(keys::JOBS).unwrap_or(key);
                     self.jobs.remove(id);
-                    self.awaits.remove(id);
+                    self.dependencies.remove(id);
                 }
                 (None, None) => {}
             }
         }
         if self.jobs.len() > self.max_jobs {
             self.invalidate_for_size();
-        } else if !self.advance(CacheCoverage::Complete(epoch)) {
+        } else if !self.advance(CacheCoverage::Complete(revision)) {
+            // The store's revision went back: nothing known holds any more.
             self.advance(CacheCoverage::Nothing);
         }
     }
 
-    /// There are more than it holds: a listing in vain is as many requests as one that is of use, and how many jobs
-    /// there are changes slowly.
+    /// There are more jobs than it holds. The next listing waits: one in vain costs as many requests as a useful one,
+    /// and the number of jobs changes slowly.
     fn invalidate_for_size(&mut self) {
         self.advance(CacheCoverage::Nothing);
         self.next_listing_at = self.read_at + JOB_CACHE_FULL_MS;
     }
 
-    fn record(&mut self, key: &str, value: &serde_json::Value, stamp: u64) {
+    fn record(&mut self, key: &str, value: &serde_json::Value, mod_revision: u64) {
         let Some(id) = key.strip_prefix(keys::JOBS) else { return };
-        let read = StoredJob::read(value);
-        match &read {
+        let stored = StoredJob::read(value);
+        match &stored {
             Some(StoredJob::Live(record)) if !record.depends_on.is_empty() => {
-                self.awaits.insert(JobId::from(id), record.depends_on.as_slice().into());
+                self.dependencies.insert(JobId::from(id), record.depends_on.as_slice().into());
             }
-            _ => drop(self.awaits.remove(id)),
+            _ => drop(self.dependencies.remove(id)),
         }
-        let shown = match read {
+        let cached = match stored {
             Some(StoredJob::Live(record)) if record.cancelled => {
-                CachedJob::Cancelled(stamp, record.cancelled_wall)
+                CachedJob::Cancelled(mod_revision, record.cancelled_wall)
             }
             Some(StoredJob::Live(_)) => CachedJob::Live,
             Some(StoredJob::Finished(record)) => {
@@ -197,165 +209,170 @@
             }
             None => CachedJob::Unreadable,
         };
-        self.jobs.insert(JobId::from(id), shown);
+        self.jobs.insert(JobId::from(id), cached);
+    }
+
+    /// Takes out the poll that gives way to a retried one: of the latest that yield, first one whose job is asked
+    /// about by another that waits.
+    fn take_yielding_poll(&mut self) -> Option<PendingRequest> {
+        let waiting = &mut self.waiting;
+        let yields = |index: &usize| waiting[*index].1.yields_to_retried_poll();
+        let is_duplicate =
+            |index: &usize| waiting[..*index].iter().any(|(id, _)| *id == waiting[*index].0);
+        // Of very many, only the latest are looked at (processor).
+        let first = waiting.len().saturating_sub(DISPLACED_OF);
+        let yielding = (first..waiting.len()).rev().filter(yields);
+        let index = yielding.clone().find(is_duplicate).or_else(|| yielding.clone().next())?;
+        Some(waiting.remove(index).1)
     }
 }
 
 impl Controller {
-    /// A poll waits for the next read of what has changed.
-    pub(super) fn wait_for_cache_read(&mut self, id: JobId, waiter: PendingRequest) {
-        self.job_cache.waiting.push((id, waiter));
+    /// Lets a request wait for the next read of the changes.
+    pub(super) fn wait_for_cache_read(&mut self, id: JobId, pending: PendingRequest) {
+        self.job_cache.waiting.push((id, pending));
         self.refresh_job_cache();
     }
 
-    /// Makes room for a poll that presses, in place of the latest that does not; of those first one whose
-    /// job is asked about by another that waits.
+    /// Makes room for a retried poll in place of a first one, which is rejected. False: none gives way.
     pub(super) fn evict_poll_for_retry(&mut self) -> bool {
-        let next = &mut self.job_cache.waiting;
-        let idle = |n: &usize| next[*n].1.yields_to_retried_poll();
-        let twice = |n: &usize| next[..*n].iter().any(|(id, _)| *id == next[*n].0);
-        // Of very many, the latest are looked at (processor).
-        let from = next.len().saturating_sub(DISPLACED_OF);
-        let last = (from..next.len()).rev().filter(idle);
-        let place = last.clone().find(twice).or_else(|| last.clone().next());
-        let Some((_, waiter)) = place.map(|n| next.remove(n)) else { return false };
-        self.reply(
-            waiter.request,
-            Reply::retry_later("others have waited longer for the state service"),
-        );
+        let Some(evicted) = self.job_cache.take_yielding_poll() else { return false };
+        let reply = Reply::retry_later("others have waited longer for the state service");
+        self.answer(evicted.request, reply);
         true
     }
 
-    /// Polls that wait for the mirror.
+    /// Number of requests that wait for a read, or for the response to one.
     pub(super) fn pending_cache_requests(&self) -> usize {
         self.job_cache.waiting.len() + self.job_cache.serving.as_ref().map_or(0, Vec::len)
     }
 
-    /// Reads what has changed, if somebody waits for it or it has not been read for a while; begins the
-    /// listing where nothing is known.
+    /// Starts the next read if none is under way and it is due: of the changes if the cache is complete, else the
+    /// listing.
     pub(super) fn refresh_job_cache(&mut self) {
         let now = self.now.monotonic;
-        let mirror = &mut self.job_cache;
-        if mirror.serving.is_some() {
+        let cache = &mut self.job_cache;
+        if cache.serving.is_some() {
             return;
         }
         if self.store.is_unavailable() {
-            // Who asked before that was known has waited for long enough: another controller may reach it.
-            if now >= mirror.requested_at + USER_STORE_TIMEOUT_MS {
-                for (_, waiter) in std::mem::take(&mut mirror.waiting) {
-                    self.reply(
-                        waiter.request,
-                        Reply::retry_later("the state service does not answer"),
-                    );
-                }
-            }
-            return;
+            return self.reject_overdue_cache_requests();
         }
-        let until = RetryPolicy::OnceBefore(now + USER_STORE_TIMEOUT_MS);
-        match mirror.coverage {
-            // Who has been long away would be told of very much at once: the pages of a listing are bounded.
-            CacheCoverage::Complete(_) if now >= mirror.read_at + JOB_CACHE_STALE_MS => {
-                mirror.advance(CacheCoverage::Nothing);
+        match cache.coverage {
+            // After a long time without reads the changes could be very many in one response; the pages of a listing
+            // are bounded.
+            CacheCoverage::Complete(_) if now >= cache.read_at + JOB_CACHE_STALE_MS => {
+                cache.advance(CacheCoverage::Nothing);
                 self.fall_back_to_key_reads(Vec::new());
             }
-            CacheCoverage::Complete(from) => {
-                let pause =
-                    if mirror.waiting.is_empty() { JOB_CACHE_IDLE_MS } else { JOB_CACHE_MS };
-                if now < mirror.requested_at + pause {
-                    return;
-                }
-                mirror.requested_at = now;
-                mirror.serving = Some(std::mem::take(&mut mirror.waiting));
-                let call = StoreCall::ReadChanges { prefix: keys::JOBS.into(), from };
-                // Before single keys: it serves all who wait, and without it each would read a key of its own.
-                self.store.push(call, CallContext::ReadCacheChanges, CallPriority::High, until);
-            }
+            CacheCoverage::Complete(from) => self.read_cache_changes(from),
             CacheCoverage::Nothing
-                if now >= mirror.next_listing_at.max(mirror.requested_at + JOB_CACHE_IDLE_MS) =>
+                if now >= cache.next_listing_at.max(cache.requested_at + JOB_CACHE_IDLE_MS) =>
             {
-                mirror.requested_at = now;
+                cache.requested_at = now;
                 self.list_job_cache(None);
             }
             CacheCoverage::Nothing | CacheCoverage::Listing(_) => {}
         }
     }
 
+    /// The store became unavailable after these requests came. Once they have waited for as long as a user's call may
+    /// take they are rejected, since another controller may reach the store.
+    fn reject_overdue_cache_requests(&mut self) {
+        if self.now.monotonic < self.job_cache.requested_at + USER_STORE_TIMEOUT_MS {
+            return;
+        }
+        for (_, pending) in std::mem::take(&mut self.job_cache.waiting) {
+            self.answer(pending.request, store_unavailable_reply());
+        }
+    }
+
+    /// Reads the changes after a revision, if somebody waits for them or it has been a while.
+    fn read_cache_changes(&mut self, from: u64) {
+        let now = self.now.monotonic;
+        let cache = &mut self.job_cache;
+        let interval = if cache.waiting.is_empty() { JOB_CACHE_IDLE_MS } else { JOB_CACHE_MS };
+        if now < cache.requested_at + interval {
+            return;
+        }
+        cache.requested_at = now;
+        cache.serving = Some(std::mem::take(&mut cache.waiting));
+        let call = StoreCall::ReadChanges { prefix: keys::JOBS.into(), from };
+        let policy = RetryPolicy::OnceBefore(now + USER_STORE_TIMEOUT_MS);
+        // Before reads of single keys: it serves all who wait, and without it each would read a key of its own.
+        self.store.push(call, CallContext::ReadCacheChanges, CallPriority::High, policy);
+    }
+
+    /// Reads the next page of the listing, after the key `from`.
     fn list_job_cache(&mut self, from: Option<String>) {
         self.job_cache.serving = Some(Vec::new());
         let call = StoreCall::List { prefix: keys::JOBS.into(), from };
-        let until = self.now.monotonic + STORE_TIMEOUT_MS;
+        let policy = RetryPolicy::OnceBefore(self.now.monotonic + STORE_TIMEOUT_MS);
         // While it lasts polls read single keys, as many as there are: behind those it would never end.
-        self.store.push(
-            call,
-            CallContext::ListJobCache,
-            CallPriority::High,
-            RetryPolicy::OnceBefore(until),
-        );
+        self.store.push(call, CallContext::ListJobCache, CallPriority::High, policy);
     }
 
-    /// What came of a read for the mirror.
+    /// A read for the cache has ended.
     pub(super) fn on_cache_response(&mut self, outcome: &StoreOutcome) {
-        let waiting = self.job_cache.serving.take().unwrap_or_default();
-        self.serve_cache_requests(outcome, waiting);
-        // What is over stays as it is: later questions cost nothing, also once the record has moved.
+        let served = self.job_cache.serving.take().unwrap_or_default();
+        self.serve_cache_requests(outcome, served);
+        // Final records never change: later questions cost nothing, also once the record has moved.
         for (id, record) in std::mem::take(&mut self.job_cache.newly_finished) {
             self.remember_final(&id, record);
         }
         self.refresh_job_cache();
     }
 
-    fn serve_cache_requests(
-        &mut self,
-        outcome: &StoreOutcome,
-        waiting: Vec<(JobId, PendingRequest)>,
-    ) {
+    fn serve_cache_requests(&mut self, outcome: &StoreOutcome, served: Vec<WaitingRequest>) {
         match outcome {
-            StoreOutcome::Page(page) => {
-                self.job_cache.read_at = self.now.monotonic;
-                self.job_cache.on_listing_page(page);
-                let more = page.entries.last().filter(|_| page.has_next).map(|p| p.key.clone());
-                if let (CacheCoverage::Listing(_), Some(from)) = (self.job_cache.coverage, more) {
-                    self.list_job_cache(Some(from));
-                }
-            }
-            StoreOutcome::Changes(news) => {
-                self.job_cache.read_at = self.now.monotonic;
-                self.job_cache.apply_changes(&news.events, news.revision);
-                // What is not kept may well be accepted: only of all jobs does absence say anything.
-                if !self.job_cache.is_complete() {
-                    return self.fall_back_to_key_reads(waiting);
-                }
-                for (id, waiter) in waiting {
-                    match self.job_cache.jobs.get(&id).copied() {
-                        Some(shown) => self.answer_from_cache(&id, shown, waiter),
-                        None => self.on_not_live(&id, waiter),
-                    }
-                }
-            }
-            // Too much has changed since: each reads its own key, and the jobs are listed anew.
+            StoreOutcome::Page(page) => self.on_cache_page(page),
+            StoreOutcome::Changes(changes) => self.on_cache_changes(changes, served),
+            // The store no longer retains all changes since the last read: the jobs are listed anew, and each request
+            // reads its own key.
             StoreOutcome::Compacted => {
                 self.job_cache.advance(CacheCoverage::Nothing);
-                self.fall_back_to_key_reads(waiting);
+                self.fall_back_to_key_reads(served);
             }
             _ => {
                 if matches!(self.job_cache.coverage, CacheCoverage::Listing(_)) {
                     self.job_cache.advance(CacheCoverage::Nothing);
                 }
-                for (_, waiter) in waiting {
-                    self.reply(
-                        waiter.request,
-                        Reply::retry_later("the state service does not answer"),
-                    );
+                for (_, pending) in served {
+                    self.answer(pending.request, store_unavailable_reply());
                 }
             }
         }
     }
 
-    /// Who waits for a mirror that knows nothing reads its job's own key.
-    fn fall_back_to_key_reads(&mut self, waiting: Vec<(JobId, PendingRequest)>) {
-        let later = std::mem::take(&mut self.job_cache.waiting);
-        for (id, waiter) in waiting.into_iter().chain(later) {
-            self.read_job(&id, waiter);
+    fn on_cache_page(&mut self, page: &KeyPage) {
+        self.job_cache.read_at = self.now.monotonic;
+        self.job_cache.on_listing_page(page);
+        let last = page.entries.last().filter(|_| page.has_next).map(|entry| entry.key.clone());
+        if let (CacheCoverage::Listing(_), Some(last)) = (self.job_cache.coverage, last) {
+            self.list_job_cache(Some(last));
+        }
+    }
+
+    fn on_cache_changes(&mut self, changes: &WatchResponse, served: Vec<WaitingRequest>) {
+        self.job_cache.read_at = self.now.monotonic;
+        self.job_cache.apply_changes(&changes.events, changes.revision);
+        // Only of a complete cache does absence say that a job is not live.
+        if !self.job_cache.is_complete() {
+            return self.fall_back_to_key_reads(served);
+        }
+        for (id, pending) in served {
+            match self.job_cache.jobs.get(&id).copied() {
+                Some(cached) => self.answer_from_cache(&id, cached, pending),
+                None => self.on_not_live(&id, pending),
+            }
+        }
+    }
+
+    /// The cache knows nothing: each request, served or waiting, reads its job's own key.
+    fn fall_back_to_key_reads(&mut self, served: Vec<WaitingRequest>) {
+        let waiting = std::mem::take(&mut self.job_cache.waiting);
+        for (id, pending) in served.into_iter().chain(waiting) {
+            self.read_job(&id, pending);
         }
     }
 }
--- /dev/null
+++ b/crates/controller/src/controller/requests/reads.rs
@@ -0,0 +1,224 @@
+//! Reads of a job's record for users. At most one read of a job is under way; a request that comes meanwhile waits for
+//! the next, because what the first one finds may be older than the request.
+//!
+//! A job's record moves from `job/` to `end/` in one transaction and never back, so reading the two keys in this order
+//! misses none.
+
+use super::cancellations::PendingCancelReply;
+use super::replies::{
+    TaskCounts, final_reply, status_reply, store_unavailable_reply, unknown_job_reply,
+};
+use super::{CacheFreshness, CancelRequest, PendingRequest, RequestIntent};
+use crate::controller::job_cache::CachedJob;
+use crate::controller::{CallContext, Controller};
+use crate::job::{FinalRecord, JobId, JobRecord, StoredJob, keys};
+use crate::store::{CallPriority, StoreCall, StoreOutcome};
+use swiftsail_protocol::users::JobStatus;
+
+/// The reads of one job's record.
+#[derive(Debug, Default)]
+pub(super) struct PendingRead {
+    /// Whom the read under way serves.
+    serving: Vec<PendingRequest>,
+    /// Who came later and needs a fresh one.
+    waiting: Vec<PendingRequest>,
+}
+
+/// Whether a request that waits for a job's record needs a read to be started.
+enum ReadNeeded {
+    Yes,
+    /// One is under way, and the next starts when it ends.
+    No,
+}
+
+impl Controller {
+    /// Serves a request by the next cache read, or, without a complete cache, by a read of the job's own key.
+    pub(super) fn look_up(&mut self, id: JobId, pending: PendingRequest) {
+        if self.job_cache.is_complete()
+            && !self.store.is_unavailable()
+            && self.pending_cache_requests() < self.budget.waiting_polls
+        {
+            return self.wait_for_cache_read(id, pending);
+        }
+        self.read_job(&id, pending);
+    }
+
+    /// Serves a request by a read of the job's own key. A submission needs none: its transaction compares.
+    pub(in crate::controller) fn read_job(&mut self, id: &JobId, pending: PendingRequest) {
+        if let RequestIntent::Create(record) = pending.intent {
+            let freshness = CacheFreshness::MayPredateRequest;
+            return self.accept_job(id, pending.request, record, freshness);
+        }
+        if self.store.is_unavailable() || !self.store.has_room(self.budget.waiting_store_calls) {
+            return self.answer(pending.request, store_unavailable_reply());
+        }
+        if let ReadNeeded::Yes = self.join_read(id, pending) {
+            self.start_read(id);
+        }
+    }
+
+    /// A cache read shows that no such job is live: it is over and moved, or was never accepted.
+    pub(in crate::controller) fn on_not_live(&mut self, id: &JobId, pending: PendingRequest) {
+        if let RequestIntent::Create(record) = pending.intent {
+            let freshness = CacheFreshness::ReadAfterRequest;
+            return self.accept_job(id, pending.request, record, freshness);
+        }
+        if let ReadNeeded::Yes = self.join_read(id, pending) {
+            self.start_final_read(id.clone());
+        }
+    }
+
+    fn join_read(&mut self, id: &JobId, pending: PendingRequest) -> ReadNeeded {
+        if let Some(read) = self.requests.reads.get_mut(id) {
+            read.waiting.push(pending);
+            return ReadNeeded::No;
+        }
+        let read = PendingRead { serving: vec![pending], waiting: Vec::new() };
+        self.requests.reads.insert(id.clone(), read);
+        ReadNeeded::Yes
+    }
+
+    fn start_read(&mut self, id: &JobId) {
+        let call = StoreCall::Get(keys::job(id));
+        let policy = self.user_retry_policy();
+        self.store.push(call, CallContext::ReadJob(id.clone()), CallPriority::Normal, policy);
+    }
+
+    fn start_final_read(&mut self, id: JobId) {
+        let call = StoreCall::Get(keys::end(&id));
+        let policy = self.user_retry_policy();
+        self.store.push(call, CallContext::ReadFinalRecord(id), CallPriority::Normal, policy);
+    }
+
+    /// Ends a read: returns those it served, and starts the next for those who came later.
+    fn finish_read(&mut self, id: &JobId) -> Vec<PendingRequest> {
+        let Some(read) = self.requests.reads.get_mut(id) else { return Vec::new() };
+        let served = std::mem::take(&mut read.serving);
+        if read.waiting.is_empty() {
+            self.requests.reads.remove(id);
+        } else {
+            read.serving = std::mem::take(&mut read.waiting);
+            self.start_read(id);
+        }
+        served
+    }
+
+    pub(super) fn on_job_read(&mut self, id: JobId, outcome: &StoreOutcome) {
+        match outcome {
+            StoreOutcome::Found(pair) => match StoredJob::read(&pair.value) {
+                Some(StoredJob::Live(record)) => self.on_live_job(&id, *record, pair.mod_revision),
+                Some(StoredJob::Finished(record)) => self.on_finished_job(&id, record),
+                None => self.on_read_failed(&id),
+            },
+            // Over, or never accepted.
+            StoreOutcome::Missing { .. } => self.start_final_read(id),
+            _ => self.on_read_failed(&id),
+        }
+    }
+
+    pub(super) fn on_final_record_read(&mut self, id: &JobId, outcome: StoreOutcome) {
+        match outcome {
+            StoreOutcome::Found(pair) => match serde_json::from_value(pair.value) {
+                Ok(record) => self.on_finished_job(id, record),
+                Err(_) => self.on_read_failed(id),
+            },
+            StoreOutcome::Missing { .. } => self.on_unknown_job(id),
+            _ => self.on_read_failed(id),
+        }
+    }
+
+    fn on_live_job(&mut self, id: &JobId, record: JobRecord, mod_revision: u64) {
+        let counts = TaskCounts::from(self.task_counts_of(id));
+        let mut cancels = Vec::new();
+        for pending in self.finish_read(id) {
+            match pending.intent {
+                RequestIntent::Cancel { conflicts } if !record.cancelled => {
+                    cancels.push(CancelRequest { request: pending.request, conflicts });
+                }
+                _ if record.cancelled => {
+                    let reply =
+                        PendingCancelReply::new(id, mod_revision, pending.request, Some(counts));
+                    self.answer_when_cancellation_replicated(reply, record.cancelled_wall);
+                }
+                _ if record.depends_on.is_empty() => self.answer_live(id, &pending),
+                _ => {
+                    let freshness = CacheFreshness::MayPredateRequest;
+                    self.answer_dependent_job(id, &record.depends_on, pending, freshness);
+                }
+            }
+        }
+        if !cancels.is_empty() {
+            self.cancel_job(id, record, mod_revision, cancels);
+        }
+    }
+
+    fn on_finished_job(&mut self, id: &JobId, record: FinalRecord) {
+        self.remember_final(id, record);
+        for pending in self.finish_read(id) {
+            self.answer(pending.request, final_reply(id, &record));
+        }
+    }
+
+    fn on_unknown_job(&mut self, id: &JobId) {
+        for pending in self.finish_read(id) {
+            let reply = match pending.intent {
+                RequestIntent::AnswerOr(otherwise) => otherwise,
+                _ => unknown_job_reply(id),
+            };
+            self.answer(pending.request, reply);
+        }
+    }
+
+    fn on_read_failed(&mut self, id: &JobId) {
+        for pending in self.finish_read(id) {
+            self.answer(pending.request, store_unavailable_reply());
+        }
+    }
+
+    /// Answers a request from what a cache read that began after it shows of its job.
+    pub(in crate::controller) fn answer_from_cache(
+        &mut self,
+        id: &JobId,
+        cached: CachedJob,
+        pending: PendingRequest,
+    ) {
+        match cached {
+            CachedJob::Finished(record) => {
+                self.remember_final(id, record);
+                self.answer(pending.request, final_reply(id, &record));
+            }
+            CachedJob::Cancelled(revision, wall) => {
+                let counts = TaskCounts::from(self.task_counts_of(id));
+                let reply = PendingCancelReply::new(id, revision, pending.request, Some(counts));
+                self.answer_when_cancellation_replicated(reply, wall);
+            }
+            CachedJob::Live => match self.job_cache.dependencies_of(id) {
+                None => self.answer_live(id, &pending),
+                Some(depends_on) => {
+                    let freshness = CacheFreshness::ReadAfterRequest;
+                    self.answer_dependent_job(id, &depends_on, pending, freshness);
+                }
+            },
+            CachedJob::Unreadable => self.read_job(id, pending),
+        }
+    }
+
+    /// Answers about a job that is neither over nor cancelled, by its user or by dependency.
+    pub(in crate::controller) fn answer_live(&mut self, id: &JobId, pending: &PendingRequest) {
+        let counts = TaskCounts::from(self.task_counts_of(id));
+        let status = if counts.running > 0 { JobStatus::Running } else { JobStatus::Pending };
+        self.answer(pending.request, status_reply(id, status, Some(counts)));
+    }
+
+    /// Answers about a job that is cancelled by dependency. No task of it has ever run or will, so unlike with a
+    /// user's cancellation no quorum of controllers has to hold it.
+    pub(in crate::controller) fn answer_cancelled_by_dependency(
+        &mut self,
+        id: &JobId,
+        pending: &PendingRequest,
+    ) {
+        let counts = TaskCounts { done: 0, running: 0 };
+        let reply = status_reply(id, JobStatus::Cancelled, Some(counts));
+        self.answer(pending.request, reply);
+    }
+}
--- a/crates/controller/src/controller/store_calls.rs
+++ b/crates/controller/src/controller/store_calls.rs
@@ -208,7 +208,7 @@
                 self.on_records_response(&end.context, end.outcome);
             }
             CallContext::ReadOccurrenceJob { job, last_place } => {
-                self.on_occurrence_job_read(&job, last_place, end.outcome);
+                self.on_occurrence_job_read(&job, last_place, &end.outcome);
             }
             CallContext::ReadDependency { job, last_place, .. } => {
                 self.on_awaited_job_read(&job, last_place, &end.outcome);
