--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -1,15 +1,17 @@
-//! What operators ask of a controller: jobs, plug-ins, and why a job is steered as it is. Answers are
-//! JSON.
+//! Operators' requests: jobs, plug-ins, tiers, the dispatch plan, GPU loans, and why a job is scheduled as it is.
+//! Routes each request to the module that owns the state, and itself lists jobs. Replies are JSON. Only the leader
+//! knows what waits and what is lent, so others name the leader (421).
 
 use super::plugins::plugin_error_reply;
+use super::requests::replies::http_status;
 use super::{Action, CallContext, Controller, Reply, RequestId};
 use crate::constants::{MS_PER_S, USER_STORE_TIMEOUT_MS};
-use crate::job::{JobId, StoredJob, keys};
+use crate::job::{JobRecord, StoredJob, keys};
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
 use serde_json::json;
 use swiftsail_policy::plugin::{PluginOffer, PluginTransition};
 
-/// What an operator asks.
+/// A request of an operator.
 #[derive(Debug)]
 pub enum AdminRequest {
     /// A page of the jobs that are not over, after this id.
@@ -18,159 +20,173 @@
     Plugins,
     /// Offer a plug-in: its name, and the offer as JSON.
     Offer(String, Vec<u8>),
-    /// Switch a plug-in on or off, or remove it.
+    /// Switch the named plug-in on or off, or remove it.
     Change(String, PluginTransition),
-    /// Who said what of a job, and what was taken.
+    /// What policy and plug-ins decided for the job of this id, and what was applied.
     Explain(String),
     /// The table of tiers in force, and what waits in each.
     Tiers,
-    /// Another table of tiers, as JSON.
+    /// Replace the table of tiers, as JSON.
     SetTiers(Vec<u8>),
-    /// Why a job is of its tier, and where in the line it stands.
+    /// Why the job of this id is in its tier, and its position in the tier's queue.
     TierOf(String),
-    /// Arrivals; one if it is named.
+    /// All occurrences of recurring deadlines, or those of the named one.
     Dispatch(Option<String>),
-    /// Another plan of arrivals and chains, as JSON.
+    /// Replace the dispatch plan (occurrences and chains), as JSON.
     SetDispatch(Vec<u8>),
-    /// One arrival, as JSON.
+    /// Add one occurrence, as JSON.
     AddArrival(Vec<u8>),
-    /// The jobs before and after one that are not over.
+    /// The jobs before and after the job of this id that are not over.
     Pipeline(String),
-    /// Accelerators lent; of one job if it is named.
+    /// GPU loans: all, or those in which the job of this id lends or borrows.
     Loans(Option<String>),
 }
 
 impl Reply {
-    /// An answer in JSON.
+    /// A reply with a JSON body.
     pub fn json<T: serde::Serialize>(status: u16, body: &T) -> Reply {
         Reply { status, body: serde_json::to_vec(body).unwrap_or_default(), retry_after: None }
     }
 }
 
 impl Controller {
+    /// Replies to a request, of whomever.
     pub(super) fn answer(&mut self, request: RequestId, reply: Reply) {
         self.actions.push(Action::Reply(request, reply));
     }
 
     pub(super) fn on_admin(&mut self, request: RequestId, ask: AdminRequest) {
-        let plugins = matches!(
-            ask,
-            AdminRequest::Plugins | AdminRequest::Offer(..) | AdminRequest::Change(..)
-        );
-        if plugins && !self.plugins.enabled() {
-            let why = "plug-ins are switched off; set `enabled = true` under [plugins] in the \
-                       operators' file";
-            return self.answer(request, plugin_error_reply(409, why));
-        }
         match ask {
-            AdminRequest::Jobs(after) => {
-                let from = after.map(|id| keys::job(&id));
-                let call = StoreCall::List { prefix: keys::JOBS.into(), from };
-                let until = self.now.monotonic + USER_STORE_TIMEOUT_MS;
-                let purpose = CallContext::ListJobs { request };
-                self.store.push(call, purpose, CallPriority::Low, RetryPolicy::OnceBefore(until));
-            }
-            AdminRequest::Plugins => {
-                let shown = json!({ "node": self.settings.host_name, "plugins": self.plugin_host.statuses() });
-                self.answer(request, Reply::json(200, &shown));
+            AdminRequest::Plugins | AdminRequest::Offer(..) | AdminRequest::Change(..) => {
+                self.on_plugin_request(request, ask)
             }
-            AdminRequest::Offer(name, body) => match serde_json::from_slice::<PluginOffer>(&body) {
-                Ok(offer) => self.offer_plugin(request, &name, &offer),
-                Err(e) => {
-                    let why =
-                        format!("the offer cannot be read: {e}; send JSON with kind and source");
-                    self.answer(request, plugin_error_reply(400, why));
-                }
-            },
-            AdminRequest::Change(name, step) => self.change_plugin(request, &name, step),
+            AdminRequest::Jobs(after) => self.list_jobs(request, after.as_deref()),
+            AdminRequest::SetDispatch(body) => self.set_plan(request, &body),
+            AdminRequest::AddArrival(body) => self.add_occurrence(request, &body),
+            AdminRequest::SetTiers(body) => self.set_tiers(request, &body),
             AdminRequest::Tiers => {
-                // What waits is known to the leader alone.
-                let reply = match self.is_leader() {
-                    true => Reply::json(200, &self.show_tiers()),
-                    false => self.reply_not_leader(),
-                };
+                let reply = self.leader_reply(|controller| controller.show_tiers());
                 self.answer(request, reply);
             }
-            AdminRequest::Loans(of) => {
-                let reply = match self.is_leader() {
-                    true => Reply::json(200, &self.show_loans(of.as_deref())),
-                    false => self.reply_not_leader(),
-                };
+            AdminRequest::Loans(lender) => {
+                let reply =
+                    self.leader_reply(|controller| controller.show_loans(lender.as_deref()));
                 self.answer(request, reply);
             }
             AdminRequest::Pipeline(id) => {
-                let reply = match (&self.cluster_state, self.now.monotonic) {
-                    (Some(leader), now) => match leader.describe_dependencies(&id, now) {
-                        Some(shown) => Reply::json(200, &shown),
-                        None => {
-                            plugin_error_reply(404, format!("job `{id}` is not alive; poll it"))
-                        }
-                    },
-                    (None, _) => self.reply_not_leader(),
-                };
+                let reply = self.pipeline_reply(&id);
                 self.answer(request, reply);
             }
-            AdminRequest::Dispatch(of) => {
-                let reply = self.show_dispatch(of.as_deref());
+            AdminRequest::Dispatch(name) => {
+                let reply = self.show_dispatch(name.as_deref());
                 self.answer(request, reply);
             }
-            AdminRequest::SetDispatch(body) => self.set_plan(request, &body),
-            AdminRequest::AddArrival(body) => self.add_occurrence(request, &body),
-            AdminRequest::SetTiers(body) => self.set_tiers(request, &body),
             AdminRequest::TierOf(id) => {
                 let reply = self.explain_tier(&id);
                 self.answer(request, reply);
             }
             AdminRequest::Explain(id) => {
-                let reply = match (self.is_leader(), self.explained(&id)) {
-                    (_, Some(found)) => Reply::json(200, &found),
-                    (true, None) => {
-                        plugin_error_reply(404, format!("job `{id}` is not alive; poll it"))
-                    }
-                    (false, None) => {
-                        let leader = self.leadership.known_leader.clone();
-                        let why = "this controller does not lead; ask the leader";
-                        Reply::json(421, &json!({ "error": why, "leader": leader }))
-                    }
-                };
+                let reply = self.explain_reply(&id);
                 self.answer(request, reply);
             }
         }
     }
 
+    fn on_plugin_request(&mut self, request: RequestId, ask: AdminRequest) {
+        if !self.plugins.enabled() {
+            let error = "plug-ins are switched off; set `enabled = true` under [plugins] in the \
+                         operators' file";
+            return self.answer(request, plugin_error_reply(http_status::CONFLICT, error));
+        }
+        match ask {
+            AdminRequest::Offer(name, body) => match serde_json::from_slice::<PluginOffer>(&body) {
+                Ok(offer) => self.offer_plugin(request, &name, &offer),
+                Err(e) => {
+                    let error =
+                        format!("the offer cannot be read: {e}; send JSON with kind and source");
+                    self.answer(request, plugin_error_reply(http_status::BAD_REQUEST, error));
+                }
+            },
+            AdminRequest::Change(name, step) => self.change_plugin(request, &name, step),
+            _ => {
+                let statuses = self.plugin_host.statuses();
+                let body = json!({ "node": self.settings.host_name, "plugins": statuses });
+                self.answer(request, Reply::json(http_status::OK, &body));
+            }
+        }
+    }
+
+    /// A reply that only the leader can give; from others, who leads.
+    fn leader_reply<T: serde::Serialize>(&self, body: impl FnOnce(&Controller) -> T) -> Reply {
+        if !self.is_leader() {
+            return self.reply_not_leader();
+        }
+        Reply::json(http_status::OK, &body(self))
+    }
+
+    fn pipeline_reply(&self, id: &str) -> Reply {
+        let Some(state) = &self.cluster_state else { return self.reply_not_leader() };
+        match state.describe_dependencies(id, self.now.monotonic) {
+            Some(shown) => Reply::json(http_status::OK, &shown),
+            None => not_alive_reply(id),
+        }
+    }
+
+    fn explain_reply(&mut self, id: &str) -> Reply {
+        match self.explained(id) {
+            Some(found) => Reply::json(http_status::OK, &found),
+            None if self.is_leader() => not_alive_reply(id),
+            None => self.reply_not_leader(),
+        }
+    }
+
+    fn list_jobs(&mut self, request: RequestId, after: Option<&str>) {
+        let from = after.map(keys::job);
+        let call = StoreCall::List { prefix: keys::JOBS.into(), from };
+        let policy = RetryPolicy::OnceBefore(self.now.monotonic + USER_STORE_TIMEOUT_MS);
+        self.store.push(call, CallContext::ListJobs { request }, CallPriority::Low, policy);
+    }
+
     /// A page of jobs has been read for an operator.
     pub(super) fn jobs_listed(&mut self, request: RequestId, outcome: &StoreOutcome) {
         let StoreOutcome::Page(page) = outcome else {
-            return self.answer(
-                request,
-                plugin_error_reply(503, "the state service does not answer; try again"),
-            );
+            let error = "the state service does not answer; try again";
+            return self.answer(request, plugin_error_reply(http_status::UNAVAILABLE, error));
         };
-        let mut jobs = Vec::new();
-        for pair in &page.entries {
-            let Some(id) = pair.key.strip_prefix(keys::JOBS) else { continue };
-            let Some(StoredJob::Live(record)) = StoredJob::read(&pair.value) else {
-                continue;
-            };
-            let (done, running) = self.task_counts_of(&JobId::from(id));
-            let age = self.now.wall_clock.saturating_sub(record.accepted_wall) as f64 / MS_PER_S;
-            jobs.push(json!({
-                "job": id,
-                "class": record.spec.class,
-                "awaits": record.depends_on.iter().map(|id| id.to_string()).collect::<Vec<_>>(),
-                "team": record.spec.team,
-                "kind": record.spec.kind,
-                "priority": record.spec.priority,
-                "tasks": record.spec.tasks,
-                "done": done,
-                "running": running,
-                "cancelled": record.cancelled,
-                "age_s": age,
-                "deadline_s": record.spec.deadline_s,
-            }));
-        }
-        let next = page.entries.last().filter(|_| page.has_next);
-        let next = next.and_then(|p| p.key.strip_prefix(keys::JOBS));
-        self.answer(request, Reply::json(200, &json!({ "jobs": jobs, "next": next })));
+        let live_jobs = page.entries.iter().filter_map(|entry| {
+            let id = entry.key.strip_prefix(keys::JOBS)?;
+            match StoredJob::read(&entry.value) {
+                Some(StoredJob::Live(record)) => Some(self.describe_job(id, &record)),
+                _ => None,
+            }
+        });
+        let jobs: Vec<serde_json::Value> = live_jobs.collect();
+        let last = page.entries.last().filter(|_| page.has_next);
+        let next = last.and_then(|entry| entry.key.strip_prefix(keys::JOBS));
+        let body = json!({ "jobs": jobs, "next": next });
+        self.answer(request, Reply::json(http_status::OK, &body));
+    }
+
+    fn describe_job(&self, id: &str, record: &JobRecord) -> serde_json::Value {
+        let (done, running) = self.task_counts_of(id);
+        let age = self.now.wall_clock.saturating_sub(record.accepted_wall) as f64 / MS_PER_S;
+        json!({
+            "job": id,
+            "class": record.spec.class,
+            "awaits": record.depends_on.iter().map(|id| id.to_string()).collect::<Vec<_>>(),
+            "team": record.spec.team,
+            "kind": record.spec.kind,
+            "priority": record.spec.priority,
+            "tasks": record.spec.tasks,
+            "done": done,
+            "running": running,
+            "cancelled": record.cancelled,
+            "age_s": age,
+            "deadline_s": record.spec.deadline_s,
+        })
     }
 }
+
+fn not_alive_reply(id: &str) -> Reply {
+    plugin_error_reply(http_status::NOT_FOUND, format!("job `{id}` is not alive; poll it"))
+}
--- a/crates/controller/src/controller/plugins.rs
+++ b/crates/controller/src/controller/plugins.rs
@@ -1,6 +1,12 @@
-//! Plug-ins in the state service: read and watched by every controller, so that all run the same set
-//! and a new leader has it; written by compare-and-set on the plug-in's record.
+//! Plug-ins in the state service: read and watched by every controller, so that all run the same set and a new leader
+//! has it; written by compare-and-swap on the plug-in's record, by any controller.
+//!
+//! Owns [`Plugins`], the records as last read and the suspensions still to be written. Calls the state service, and
+//! [`swiftsail_policy::plugin_host::PluginHost`], which runs the plug-ins and suspends failing ones locally. A plug-in
+//! is one record (`plug/NAME`) and its source in chunks (`plug/NAME/VERSION/NNN`).
 
+use super::chunks::put_change;
+use super::requests::replies::http_status;
 use super::{Action, CallContext, Controller, Reply, RequestId};
 use crate::Time;
 use crate::constants::{PLUGINS_RETRY_MS, STORE_TIMEOUT_MS, USER_STORE_TIMEOUT_MS};
@@ -8,38 +14,53 @@
 use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
 use std::collections::BTreeMap;
 use swiftsail_policy::constants::MAX_PLUGINS;
+use swiftsail_policy::hooks::Hook;
 use swiftsail_policy::outbox::ReportedEvent;
 use swiftsail_policy::plugin::{
     PluginOffer, PluginRecord, PluginState, PluginTransition, is_valid_name, source_hash,
     split_into_chunks,
 };
-use swiftsail_protocol::state::{KeyValue, Mutation, Precondition, Transaction};
+use swiftsail_protocol::state::{KeyPage, KeyValue, Mutation, Precondition, Transaction};
 use swiftsail_protocol::users::ErrorResponse;
 
-/// Where this controller stands with the plug-ins of the state service.
+/// How this controller follows the plug-ins in the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PluginSync {
-    /// Not switched on.
+    /// Plug-ins are switched off in the operators' file.
     Off,
     /// To be read at this time.
     Due(Time),
     /// Being read.
     Reading,
-    /// Known, and watched.
+    /// Read, and watched for changes.
     Watching,
 }
 
-/// What this controller knows of the plug-ins in the state service.
+/// A plug-in's record as it was read.
+#[derive(Debug, Clone, PartialEq)]
+struct KnownPlugin {
+    record: PluginRecord,
+    mod_revision: u64,
+}
+
+/// A suspension by this controller that is to be written for all.
+#[derive(Debug)]
+struct PendingSuspension {
+    reason: String,
+    is_being_written: bool,
+}
+
+/// The plug-ins in the state service as this controller knows them.
 #[derive(Debug)]
 pub(super) struct Plugins {
     sync: PluginSync,
-    /// Pages read so far, and the revision from which to watch.
+    /// Entries of the pages read so far.
     pages: Vec<KeyValue>,
-    from: u64,
-    /// Records with the stamps of their keys, removed ones included.
-    known: BTreeMap<String, (PluginRecord, u64)>,
-    /// Suspended here, to be recorded for all; and whether a write is under way.
-    to_record: BTreeMap<String, (String, bool)>,
+    /// Revision of the first page, from which to watch; 0: no page is read yet.
+    watch_from: u64,
+    /// Every record, removed ones included, by name.
+    known: BTreeMap<String, KnownPlugin>,
+    pending_suspensions: BTreeMap<String, PendingSuspension>,
 }
 
 impl Plugins {
@@ -47,13 +68,13 @@
         Plugins {
             sync: if enabled { PluginSync::Due(0) } else { PluginSync::Off },
             pages: Vec::new(),
-            from: 0,
+            watch_from: 0,
             known: BTreeMap::new(),
-            to_record: BTreeMap::new(),
+            pending_suspensions: BTreeMap::new(),
         }
     }
 
-    /// The one function that changes where it stands.
+    /// The one function that changes the state of following; `Off` is final.
     fn advance(&mut self, to: PluginSync) {
         if self.sync != PluginSync::Off {
             self.sync = to;
@@ -63,6 +84,16 @@
     pub fn enabled(&self) -> bool {
         self.sync != PluginSync::Off
     }
+
+    fn installed_count(&self) -> usize {
+        self.known.values().filter(|known| known.is_installed()).count()
+    }
+}
+
+impl KnownPlugin {
+    fn is_installed(&self) -> bool {
+        self.record.state != PluginState::Removed
+    }
 }
 
 fn record_key(name: &str) -> String {
@@ -73,12 +104,48 @@
     format!("{}{name}/{version}/{chunk:03}", keys::PLUGINS)
 }
 
+/// A refusal in JSON with its cause and remedy.
 pub(super) fn plugin_error_reply(status: u16, error: impl Into<String>) -> Reply {
     Reply::json(status, &ErrorResponse { error: error.into() })
 }
 
+/// What a read of all plug-ins showed.
+struct LoadedPlugins {
+    known: BTreeMap<String, KnownPlugin>,
+    /// Those not removed, with their sources.
+    installed: Vec<(PluginRecord, String)>,
+}
+
+/// Puts the records and their sources together. `entries` come in the order of their keys.
+fn parse_plugins(entries: &[KeyValue]) -> LoadedPlugins {
+    let mut sources: BTreeMap<&str, String> = BTreeMap::new();
+    let mut known = BTreeMap::new();
+    for entry in entries {
+        let Some(rest) = entry.key.strip_prefix(keys::PLUGINS) else { continue };
+        if let Some((name_and_version, _)) = rest.rsplit_once('/') {
+            let text = entry.value.as_str().unwrap_or_default();
+            sources.entry(name_and_version).or_default().push_str(text);
+            continue;
+        }
+        match serde_json::from_value::<PluginRecord>(entry.value.clone()) {
+            Ok(record) => {
+                let mod_revision = entry.mod_revision;
+                known.insert(rest.to_string(), KnownPlugin { record, mod_revision });
+            }
+            Err(_) => tracing::error!(key = %entry.key, "unreadable plug-in record"),
+        }
+    }
+    let installed = known.values().filter(|plugin| plugin.is_installed()).map(|plugin| {
+        let PluginRecord { name, version, .. } = &plugin.record;
+        let source = sources.get(format!("{name}/{version}").as_str()).cloned();
+        (plugin.record.clone(), source.unwrap_or_default())
+    });
+    let installed = installed.collect();
+    LoadedPlugins { known, installed }
+}
+
 impl Controller {
-    /// With every timer step: reads what is due, records suspensions, sends deliveries.
+    /// Periodic work: reads the plug-ins if that is due, writes suspensions, sends events to receivers.
     pub(super) fn update_plugins(&mut self) {
         let now = self.now.monotonic;
         if let PluginSync::Due(at) = self.plugins.sync
@@ -86,57 +153,52 @@
         {
             self.plugins.advance(PluginSync::Reading);
             self.plugins.pages.clear();
-            self.plugins.from = 0;
+            self.plugins.watch_from = 0;
             self.list_plugins(None);
         }
         for (name, reason) in self.plugin_host.take_newly_suspended() {
             tracing::warn!(plugin = %name, reason = %reason, "plug-in suspended");
-            self.plugins.to_record.insert(name, (reason, false));
+            let suspension = PendingSuspension { reason, is_being_written: false };
+            self.plugins.pending_suspensions.insert(name, suspension);
         }
-        let due = self.plugins.to_record.iter().filter(|(_, (_, under_way))| !under_way);
-        let due: Vec<String> = due.map(|(name, _)| name.clone()).collect();
-        for name in due {
+        let pending = self.plugins.pending_suspensions.iter();
+        let unwritten = pending.filter(|(_, suspension)| !suspension.is_being_written);
+        let unwritten: Vec<String> = unwritten.map(|(name, _)| name.clone()).collect();
+        for name in unwritten {
             self.record_suspension(&name);
         }
-        let out = self.plugin_host.due_deliveries(now);
-        self.actions.extend(out.into_iter().map(Action::DeliverEvents));
+        let deliveries = self.plugin_host.due_deliveries(now);
+        self.actions.extend(deliveries.into_iter().map(Action::DeliverEvents));
     }
 
+    /// Reads the next page of plug-ins, after the key `from`.
     fn list_plugins(&mut self, from: Option<String>) {
         let call = StoreCall::List { prefix: keys::PLUGINS.into(), from };
-        let until = self.now.monotonic + STORE_TIMEOUT_MS;
-        self.store.push(
-            call,
-            CallContext::ReadPlugins,
-            CallPriority::Normal,
-            RetryPolicy::OnceBefore(until),
-        );
+        let policy = RetryPolicy::OnceBefore(self.now.monotonic + STORE_TIMEOUT_MS);
+        self.store.push(call, CallContext::ReadPlugins, CallPriority::Normal, policy);
+    }
+
+    fn watch_plugins(&mut self, from: u64) {
+        let call = StoreCall::Watch { prefix: keys::PLUGINS.into(), from };
+        let policy = RetryPolicy::OnceBefore(self.now.monotonic + STORE_TIMEOUT_MS);
+        self.store.push(call, CallContext::WatchPlugins, CallPriority::Low, policy);
     }
 
-    /// What came of a call about plug-ins, or for an operator.
+    /// A store call about plug-ins, or an operator's listing of jobs, has ended.
     pub(super) fn on_plugin_store(&mut self, end: FinishedCall<CallContext>) {
-        let again = PluginSync::Due(self.now.monotonic + PLUGINS_RETRY_MS);
+        let retry = PluginSync::Due(self.now.monotonic + PLUGINS_RETRY_MS);
         match (end.context, end.outcome) {
-            (CallContext::ReadPlugins, StoreOutcome::Page(page)) => {
-                if self.plugins.from == 0 {
-                    self.plugins.from = page.revision;
-                }
-                let last = page.entries.last().map(|p| p.key.clone());
-                self.plugins.pages.extend(page.entries);
-                match last.filter(|_| page.has_next) {
-                    Some(last) => self.list_plugins(Some(last)),
-                    None => self.on_plugins_read(),
-                }
-            }
-            (CallContext::ReadPlugins, _) => self.plugins.advance(again),
-            (CallContext::WatchPlugins, StoreOutcome::Changes(news)) => {
-                if news.events.is_empty() {
-                    self.follow_plugins(news.revision);
+            (CallContext::ReadPlugins, StoreOutcome::Page(page)) => self.on_plugin_page(page),
+            (CallContext::WatchPlugins, StoreOutcome::Changes(changes)) => {
+                if changes.events.is_empty() {
+                    self.watch_plugins(changes.revision);
                 } else {
                     self.plugins.advance(PluginSync::Due(self.now.monotonic));
                 }
             }
-            (CallContext::WatchPlugins, _) => self.plugins.advance(again),
+            (CallContext::ReadPlugins | CallContext::WatchPlugins, _) => {
+                self.plugins.advance(retry)
+            }
             (CallContext::WritePlugin { request, name }, outcome) => {
                 self.on_plugin_written(request, &name, &outcome);
             }
@@ -145,90 +207,86 @@
         }
     }
 
-    fn follow_plugins(&mut self, from: u64) {
-        let call = StoreCall::Watch { prefix: keys::PLUGINS.into(), from };
-        let until = self.now.monotonic + STORE_TIMEOUT_MS;
-        self.store.push(
-            call,
-            CallContext::WatchPlugins,
-            CallPriority::Low,
-            RetryPolicy::OnceBefore(until),
-        );
+    fn on_plugin_page(&mut self, page: KeyPage) {
+        if self.plugins.watch_from == 0 {
+            self.plugins.watch_from = page.revision;
+        }
+        let last = page.entries.last().map(|entry| entry.key.clone());
+        self.plugins.pages.extend(page.entries);
+        match last.filter(|_| page.has_next) {
+            Some(last) => self.list_plugins(Some(last)),
+            None => self.on_plugins_read(),
+        }
     }
 
-    /// All of them are known: the set is put in force, between two passes.
+    /// All plug-ins are read: the set is installed, between two scheduling cycles.
     fn on_plugins_read(&mut self) {
-        let pairs = std::mem::take(&mut self.plugins.pages);
-        let mut sources: BTreeMap<&str, String> = BTreeMap::new();
-        let mut known = BTreeMap::new();
-        for pair in &pairs {
-            let Some(rest) = pair.key.strip_prefix(keys::PLUGINS) else { continue };
-            if let Some((version, _)) = rest.rsplit_once('/') {
-                // Chunks come in the order of their keys.
-                let text = pair.value.as_str().unwrap_or_default();
-                sources.entry(version).or_default().push_str(text);
-            } else {
-                match serde_json::from_value::<PluginRecord>(pair.value.clone()) {
-                    Ok(record) => {
-                        known.insert(rest.to_string(), (record, pair.mod_revision));
-                    }
-                    Err(_) => tracing::error!(key = %pair.key, "unreadable plug-in record"),
-                }
-            }
-        }
-        let set = known.values().filter(|(r, _)| r.state != PluginState::Removed).map(|(r, _)| {
-            let key = format!("{}/{}", r.name, r.version);
-            (r.clone(), sources.get(key.as_str()).cloned().unwrap_or_default())
-        });
-        let set: Vec<(PluginRecord, String)> = set.collect();
+        let entries = std::mem::take(&mut self.plugins.pages);
+        let LoadedPlugins { known, installed } = parse_plugins(&entries);
         // What an operator has changed meanwhile is no longer to be suspended for its past.
-        let active =
-            |name: &String| known.get(name).is_some_and(|(r, _)| r.state == PluginState::Active);
-        self.plugins.to_record.retain(|name, _| active(name));
+        self.plugins.pending_suspensions.retain(|name, _| {
+            known.get(name).is_some_and(|plugin| plugin.record.state == PluginState::Active)
+        });
         if self.plugins.known != known {
-            tracing::info!(plugins = set.len(), "plug-ins loaded");
+            tracing::info!(plugins = installed.len(), "plug-ins loaded");
         }
-        self.plugin_host.install(set);
+        self.plugin_host.install(installed);
         self.plugins.known = known;
         self.plugins.advance(PluginSync::Watching);
-        self.follow_plugins(self.plugins.from);
-        // Jobs are asked about anew.
+        self.watch_plugins(self.plugins.watch_from);
+        // The new set is asked about every job.
         self.job_policies.job_overrides.clear();
-        if let Some(leader) = &mut self.cluster_state {
-            leader.needs_scheduling = true;
+        if let Some(state) = &mut self.cluster_state {
+            state.needs_scheduling = true;
         }
     }
 
     /// An operator offers a plug-in, new or in place of another of its name.
     pub(super) fn offer_plugin(&mut self, request: RequestId, name: &str, offer: &PluginOffer) {
+        match self.check_offer(name, offer) {
+            Ok(checked) => self.write_offer(request, name, offer, checked),
+            Err(error) => self
+                .answer(request, plugin_error_reply(http_status::UNPROCESSABLE, error.to_string())),
+        }
+    }
+
+    fn check_offer<'a>(
+        &self,
+        name: &str,
+        offer: &'a PluginOffer,
+    ) -> Result<CheckedOffer<'a>, OfferError> {
         if !is_valid_name(name) {
-            let why = "a name has 1 to 40 lower-case letters, digits and dashes";
-            return self
-                .answer(request, plugin_error_reply(422, format!("plug-in `{name}`: {why}")));
+            return Err(OfferError::InvalidName(name.to_string()));
         }
-        let hooks = match self.plugin_host.validate_source(offer.kind, &offer.source) {
-            Ok(hooks) => hooks,
-            Err(flaw) => {
-                return self
-                    .answer(request, plugin_error_reply(422, format!("plug-in {name}: {flaw}")));
-            }
-        };
-        let held = self.plugins.known.get(name).cloned();
-        let alive =
-            self.plugins.known.values().filter(|(r, _)| r.state != PluginState::Removed).count();
-        if held.is_none() && alive >= MAX_PLUGINS {
-            let why = format!("{MAX_PLUGINS} plug-ins are kept at most; remove one first");
-            return self.answer(request, plugin_error_reply(422, why));
+        let hooks = self
+            .plugin_host
+            .validate_source(offer.kind, &offer.source)
+            .map_err(|flaw| OfferError::InvalidSource(format!("plug-in {name}: {flaw}")))?;
+        let is_new = !self.plugins.known.contains_key(name);
+        if is_new && self.plugins.installed_count() >= MAX_PLUGINS {
+            return Err(OfferError::TooMany);
         }
         let state = &self.settings.settings.state;
         // Half of a value, since a text's JSON form may be longer than the text.
-        let parts = split_into_chunks(&offer.source, (state.value_kb * 512.0) as usize - 64);
-        if parts.len() + 1 > state.txn_ops {
-            let most = (state.txn_ops - 1) * ((state.value_kb * 512.0) as usize - 64);
-            let why = format!("the source is too long for the state service; {most} bytes at most");
-            return self.answer(request, plugin_error_reply(422, why));
+        let chunk_bytes = (state.value_kb * 512.0) as usize - 64;
+        let chunks = split_into_chunks(&offer.source, chunk_bytes);
+        // One transaction writes the record and all chunks.
+        if chunks.len() + 1 > state.txn_ops {
+            return Err(OfferError::TooLong { max_bytes: (state.txn_ops - 1) * chunk_bytes });
         }
-        let (version, stamp) = held.as_ref().map_or((1, 0), |(r, s)| (r.version + 1, *s));
+        Ok(CheckedOffer { hooks, chunks })
+    }
+
+    fn write_offer(
+        &mut self,
+        request: RequestId,
+        name: &str,
+        offer: &PluginOffer,
+        CheckedOffer { hooks, chunks }: CheckedOffer<'_>,
+    ) {
+        let replaced = self.plugins.known.get(name).cloned();
+        let version = replaced.as_ref().map_or(1, |plugin| plugin.record.version + 1);
+        let mod_revision = replaced.as_ref().map_or(0, |plugin| plugin.mod_revision);
         let mut record = PluginRecord {
             name: name.into(),
             kind: offer.kind,
@@ -236,7 +294,7 @@
             version,
             hash: source_hash(&offer.source),
             precedence: offer.precedence,
-            chunks: parts.len() as u32,
+            chunks: chunks.len() as u32,
             hooks,
             reason: None,
             changed_wall: self.now.wall_clock,
@@ -245,100 +303,114 @@
         if offer.enable {
             record.apply_transition(PluginTransition::Enable, self.now.wall_clock);
         }
-        let mut apply: Vec<Mutation> = parts
+        let mut mutations: Vec<Mutation> = chunks
             .iter()
             .enumerate()
-            .map(|(n, part)| super::chunks::put_change(chunk_key(name, version, n as u32), part))
+            .map(|(index, chunk)| put_change(chunk_key(name, version, index as u32), chunk))
             .collect();
-        let room = state.txn_ops - 1 - apply.len();
-        apply.extend(held.iter().flat_map(|(r, _)| source_gone(r)).take(room));
-        self.write_plugin(Some(request), record, stamp, apply);
+        // As much of the replaced source is deleted as the transaction has room for.
+        let room = self.settings.settings.state.txn_ops - 1 - mutations.len();
+        let deletions = replaced.iter().flat_map(|plugin| source_deletions(&plugin.record));
+        mutations.extend(deletions.take(room));
+        let requester = WriteRequester::Operator(request);
+        self.write_plugin(requester, KnownPlugin { record, mod_revision }, mutations);
     }
 
     /// An operator switches a plug-in on or off, or removes it.
     pub(super) fn change_plugin(&mut self, request: RequestId, name: &str, step: PluginTransition) {
-        let held = self.plugins.known.get(name).cloned();
-        let Some((mut record, stamp)) = held.filter(|(r, _)| r.state != PluginState::Removed)
-        else {
-            return self.answer(
-                request,
-                plugin_error_reply(404, format!("no plug-in `{name}`; see the list")),
-            );
+        let known = self.plugins.known.get(name).filter(|plugin| plugin.is_installed()).cloned();
+        let Some(mut plugin) = known else {
+            let error = format!("no plug-in `{name}`; see the list");
+            return self.answer(request, plugin_error_reply(http_status::NOT_FOUND, error));
         };
-        let before = record.state;
-        if !record.apply_transition(step, self.now.wall_clock) {
-            let why =
+        let before = plugin.record.state;
+        if !plugin.record.apply_transition(step, self.now.wall_clock) {
+            let error =
                 format!("plug-in {name} is {before:?}: {step:?} does not apply").to_lowercase();
-            return self.answer(request, plugin_error_reply(409, why));
+            return self.answer(request, plugin_error_reply(http_status::CONFLICT, error));
         }
-        let gone = step == PluginTransition::Remove;
-        let apply = if gone { source_gone(&record).collect() } else { Vec::new() };
-        self.write_plugin(Some(request), record, stamp, apply);
+        let mutations = match step {
+            PluginTransition::Remove => source_deletions(&plugin.record).collect(),
+            _ => Vec::new(),
+        };
+        self.write_plugin(WriteRequester::Operator(request), plugin, mutations);
     }
 
-    /// Records a suspension for all controllers. The leader's write is conditional on its term.
+    /// Writes a suspension for all controllers.
     fn record_suspension(&mut self, name: &str) {
-        let Some((reason, under_way)) = self.plugins.to_record.get_mut(name) else { return };
-        let Some((mut record, stamp)) = self.plugins.known.get(name).cloned() else {
-            self.plugins.to_record.remove(name);
+        let Some(suspension) = self.plugins.pending_suspensions.get_mut(name) else { return };
+        let Some(mut plugin) = self.plugins.known.get(name).cloned() else {
+            self.plugins.pending_suspensions.remove(name);
             return;
         };
-        if !record.apply_transition(PluginTransition::Suspend, self.now.wall_clock) {
-            self.plugins.to_record.remove(name);
+        if !plugin.record.apply_transition(PluginTransition::Suspend, self.now.wall_clock) {
+            self.plugins.pending_suspensions.remove(name);
             return;
         }
-        record.reason = Some(reason.clone());
-        *under_way = true;
-        self.write_plugin(None, record, stamp, Vec::new());
+        plugin.record.reason = Some(suspension.reason.clone());
+        suspension.is_being_written = true;
+        self.write_plugin(WriteRequester::Suspension, plugin, Vec::new());
     }
 
+    /// Writes a record, provided that it is unchanged since it was read. A leader's suspension is also conditional on
+    /// its fencing token.
     fn write_plugin(
         &mut self,
-        request: Option<RequestId>,
-        record: PluginRecord,
-        stamp: u64,
-        mut apply: Vec<Mutation>,
+        requester: WriteRequester,
+        KnownPlugin { record, mod_revision }: KnownPlugin,
+        mut mutations: Vec<Mutation>,
     ) {
         let key = record_key(&record.name);
-        let mut when = vec![Precondition { key: key.clone(), mod_revision: stamp }];
-        if let Some(leader) = self.cluster_state.as_ref().filter(|_| request.is_none()) {
-            when.push(Precondition { key: keys::LEADER.into(), mod_revision: leader.token });
-        }
-        apply.push(super::chunks::put_change(key, &record));
-        let until = self.now.monotonic + USER_STORE_TIMEOUT_MS;
-        let purpose = CallContext::WritePlugin { request, name: record.name.clone() };
-        let call = StoreCall::Commit(Transaction { preconditions: when, mutations: apply });
-        self.store.push(call, purpose, CallPriority::Normal, RetryPolicy::OnceBefore(until));
+        let mut preconditions = vec![Precondition { key: key.clone(), mod_revision }];
+        let request =
+            match requester {
+                WriteRequester::Operator(request) => Some(request),
+                WriteRequester::Suspension => {
+                    let token = self.cluster_state.as_ref().map(|state| state.token);
+                    preconditions.extend(token.map(|token| Precondition {
+                        key: keys::LEADER.into(),
+                        mod_revision: token,
+                    }));
+                    None
+                }
+            };
+        mutations.push(put_change(key, &record));
+        let call = StoreCall::Commit(Transaction { preconditions, mutations });
+        let context = CallContext::WritePlugin { request, name: record.name };
+        let policy = RetryPolicy::OnceBefore(self.now.monotonic + USER_STORE_TIMEOUT_MS);
+        self.store.push(call, context, CallPriority::Normal, policy);
     }
 
+    /// The write of a plug-in has ended. `request`: the operator's; none for a suspension.
     fn on_plugin_written(
         &mut self,
         request: Option<RequestId>,
         name: &str,
         outcome: &StoreOutcome,
     ) {
-        if let Some((_, under_way)) = self.plugins.to_record.get_mut(name) {
-            *under_way = false;
+        if let Some(suspension) = self.plugins.pending_suspensions.get_mut(name) {
+            suspension.is_being_written = false;
         }
         let reply = match outcome {
             StoreOutcome::Committed(_) => {
-                // The watch brings it; until then nothing more is recorded of it.
-                self.plugins.to_record.remove(name);
-                Reply::json(200, &serde_json::json!({ "plugin": name, "status": "committed" }))
+                // The watch brings the new record; until then no further suspension is written.
+                self.plugins.pending_suspensions.remove(name);
+                let body = serde_json::json!({ "plugin": name, "status": "committed" });
+                Reply::json(http_status::OK, &body)
             }
             StoreOutcome::Conflict(_) => plugin_error_reply(
-                409,
+                http_status::CONFLICT,
                 format!("plug-in {name} was changed meanwhile; look, then repeat"),
             ),
             _ => plugin_error_reply(
-                503,
+                http_status::UNAVAILABLE,
                 format!("the state service did not confirm; look at {name} first"),
             ),
         };
         if self.plugins.sync == PluginSync::Watching
             && !matches!(outcome, StoreOutcome::Committed(_))
         {
-            // Whatever stands there now: read it rather than guess.
+            // The record may have changed or not: it is read rather than guessed.
             self.plugins.advance(PluginSync::Due(self.now.monotonic));
         }
         if let Some(request) = request {
@@ -346,23 +418,23 @@
         }
     }
 
-    /// Tells report hooks what has happened in the tables.
+    /// Queues what has happened in the cluster state for event receivers (plug-ins of kind report).
     pub(super) fn deliver_cluster_events(&mut self) {
-        let listens = self.plugin_host.has_event_receivers();
-        let Some(leader) = &mut self.cluster_state else { return };
-        for it in leader.events.take(listens) {
+        let has_receivers = self.plugin_host.has_event_receivers();
+        let Some(state) = &mut self.cluster_state else { return };
+        for event in state.events.take(has_receivers) {
             let event = ReportedEvent {
-                kind: it.kind.into(),
-                what: it.what,
-                of: it.of,
-                detail: it.detail,
+                kind: event.kind.into(),
+                what: event.what,
+                of: event.of,
+                detail: event.detail,
                 at_ms: self.now.wall_clock,
             };
             self.plugin_host.enqueue_event(&event);
         }
     }
 
-    /// Tells report hooks of a term.
+    /// Queues an event of leadership for event receivers.
     pub(super) fn record_leadership_event(&mut self, what: &str, detail: &str) {
         let of = self.leadership.token.to_string();
         let (what, detail) = (what.to_string(), Some(detail.to_string()));
@@ -372,8 +444,37 @@
     }
 }
 
-/// Changes that remove a plug-in's source.
-fn source_gone(record: &PluginRecord) -> impl Iterator<Item = Mutation> {
+/// Who wants a plug-in's record written.
+#[derive(Debug, Clone, Copy)]
+enum WriteRequester {
+    /// An operator, by this request.
+    Operator(RequestId),
+    /// This controller, to suspend a failing plug-in for all.
+    Suspension,
+}
+
+/// An offered plug-in that may be written.
+struct CheckedOffer<'a> {
+    hooks: Vec<Hook>,
+    /// Its source, divided into values that the state service takes.
+    chunks: Vec<&'a str>,
+}
+
+/// Why an offered plug-in is refused; the text is for the operator.
+#[derive(Debug, thiserror::Error)]
+enum OfferError {
+    #[error("plug-in `{0}`: a name has 1 to 40 lower-case letters, digits and dashes")]
+    InvalidName(String),
+    #[error("{0}")]
+    InvalidSource(String),
+    #[error("{} plug-ins are kept at most; remove one first", MAX_PLUGINS)]
+    TooMany,
+    #[error("the source is too long for the state service; {max_bytes} bytes at most")]
+    TooLong { max_bytes: usize },
+}
+
+/// Mutations that delete a plug-in's source.
+fn source_deletions(record: &PluginRecord) -> impl Iterator<Item = Mutation> {
     let (name, version) = (record.name.clone(), record.version);
-    (0..record.chunks).map(move |n| Mutation::Delete { key: chunk_key(&name, version, n) })
+    (0..record.chunks).map(move |index| Mutation::Delete { key: chunk_key(&name, version, index) })
 }
