--- a/crates/dag/src/dependency_graph.rs
+++ b/crates/dag/src/dependency_graph.rs
@@ -1,30 +1,31 @@
-//! A leader's jobs that await others, and what becomes of them as those end.
+//! The leader's jobs with dependencies, and what becomes of them as those end. Owns [`DependencyGraph`]; the caller
+//! reports jobs and their committed ends, and acts on the changes of state that come back.
 
 use crate::{JobId, JobOutcome};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where a job stands with those that it awaits.
+/// State of a job by its dependencies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum DependencyState {
-    /// One of them is not done.
+    /// At least one is not known to be done.
     Waiting,
-    /// All are done, the last at that time of day, ms: it may begin.
+    /// All are done, the last at that time of day, ms: the job may begin.
     Ready(u64),
-    /// One of them is cancelled or called off: it never begins.
+    /// One is cancelled, by its user or by dependency: the job never begins.
     CancelledByDependency,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct DependentJob {
     state: DependencyState,
-    /// Those not known to be done.
+    /// Dependencies that are not known to be done.
     unfinished: BTreeSet<JobId>,
-    /// When the last of the others was done, ms.
+    /// When the last of the other dependencies was done, time of day in ms.
     last_done_wall: u64,
 }
 
 impl DependentJob {
-    /// The one function that changes where a job stands. Both ends are final.
+    /// The one function that changes the state; returns whether it did. `Ready` and `CancelledByDependency` are final.
     fn advance_state(&mut self, to: DependencyState) -> bool {
         let allowed = self.state == DependencyState::Waiting && to != DependencyState::Waiting;
         if allowed {
@@ -34,32 +35,36 @@
     }
 }
 
-/// Jobs that await others, by both ends.
+/// Jobs with dependencies, by both ends of each edge.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct DependencyGraph {
     dependents: BTreeMap<JobId, DependentJob>,
-    /// Who awaits a job that is not known to be done.
+    /// The dependents of each job that is not known to be done.
     dependents_of: BTreeMap<JobId, BTreeSet<JobId>>,
 }
 
 impl DependencyGraph {
-    /// A job is known that awaits these. Known already, it stays as it is.
-    pub fn add_job(&mut self, job: &JobId, awaits: &[JobId]) {
-        if awaits.is_empty() || self.dependents.contains_key(job) {
+    /// Adds a job with its dependencies. A job that is known already stays as it is.
+    pub fn add_job(&mut self, job: &JobId, depends_on: &[JobId]) {
+        if depends_on.is_empty() || self.dependents.contains_key(job) {
             return;
         }
-        let open: BTreeSet<JobId> = awaits.iter().cloned().collect();
-        for awaited in &open {
-            self.dependents_of.entry(awaited.clone()).or_default().insert(job.clone());
+        let unfinished: BTreeSet<JobId> = depends_on.iter().cloned().collect();
+        for dependency in &unfinished {
+            self.dependents_of.entry(dependency.clone()).or_default().insert(job.clone());
         }
-        let waiter =
-            DependentJob { state: DependencyState::Waiting, unfinished: open, last_done_wall: 0 };
-        self.dependents.insert(job.clone(), waiter);
+        let dependent =
+            DependentJob { state: DependencyState::Waiting, unfinished, last_done_wall: 0 };
+        self.dependents.insert(job.clone(), dependent);
     }
 
-    /// A job has come to its end. Gives back whose standing has changed by that, directly or through others.
-    pub fn on_job_ended(&mut self, job: &JobId, fate: JobOutcome) -> Vec<(JobId, DependencyState)> {
-        match fate {
+    /// A job has ended. Returns the jobs whose state changed by that, directly or through others, with the new state.
+    pub fn on_job_ended(
+        &mut self,
+        job: &JobId,
+        outcome: JobOutcome,
+    ) -> Vec<(JobId, DependencyState)> {
+        match outcome {
             JobOutcome::Done(at_wall) => self.on_job_done(job, at_wall),
             JobOutcome::Cancelled => self.cancel_dependents(job),
         }
@@ -68,11 +73,11 @@
     fn on_job_done(&mut self, job: &JobId, at_wall: u64) -> Vec<(JobId, DependencyState)> {
         let mut changed = Vec::new();
         for id in self.dependents_of.remove(job).unwrap_or_default() {
-            let Some(waiter) = self.dependents.get_mut(&id) else { continue };
-            waiter.unfinished.remove(job);
-            waiter.last_done_wall = waiter.last_done_wall.max(at_wall);
-            let ready = DependencyState::Ready(waiter.last_done_wall);
-            if waiter.unfinished.is_empty() && waiter.advance_state(ready) {
+            let Some(dependent) = self.dependents.get_mut(&id) else { continue };
+            dependent.unfinished.remove(job);
+            dependent.last_done_wall = dependent.last_done_wall.max(at_wall);
+            let ready = DependencyState::Ready(dependent.last_done_wall);
+            if dependent.unfinished.is_empty() && dependent.advance_state(ready) {
                 changed.push((id, ready));
             }
         }
@@ -81,55 +86,55 @@
 
     fn cancel_dependents(&mut self, job: &JobId) -> Vec<(JobId, DependencyState)> {
         let mut changed = Vec::new();
-        let mut next = vec![job.clone()];
-        while let Some(off) = next.pop() {
-            for id in self.dependents_of.get(&off).into_iter().flatten() {
-                if let Some(waiter) = self.dependents.get_mut(id)
-                    && waiter.advance_state(DependencyState::CancelledByDependency)
+        let mut pending = vec![job.clone()];
+        while let Some(cancelled) = pending.pop() {
+            for id in self.dependents_of.get(&cancelled).into_iter().flatten() {
+                if let Some(dependent) = self.dependents.get_mut(id)
+                    && dependent.advance_state(DependencyState::CancelledByDependency)
                 {
                     changed.push((id.clone(), DependencyState::CancelledByDependency));
-                    next.push(id.clone());
+                    pending.push(id.clone());
                 }
             }
         }
         changed
     }
 
-    /// A job is over and leaves: it awaits nobody any more. Those that await it are told by [`Graph::ended`].
+    /// Removes a job that is over, as a dependent. Its own dependents are updated by
+    /// [`on_job_ended`](DependencyGraph::on_job_ended).
     pub fn remove_job(&mut self, job: &JobId) {
-        let Some(waiter) = self.dependents.remove(job) else { return };
-        for awaited in waiter.unfinished {
-            if let Some(after) = self.dependents_of.get_mut(&awaited) {
-                after.remove(job);
-                if after.is_empty() {
-                    self.dependents_of.remove(&awaited);
-                }
+        let Some(removed) = self.dependents.remove(job) else { return };
+        for dependency in removed.unfinished {
+            let Some(dependents) = self.dependents_of.get_mut(&dependency) else { continue };
+            dependents.remove(job);
+            if dependents.is_empty() {
+                self.dependents_of.remove(&dependency);
             }
         }
     }
 
-    /// Where a job stands; none: it awaits nobody.
+    /// State of a job; none: it has no dependencies, or is not known.
     pub fn state_of(&self, job: &str) -> Option<DependencyState> {
-        self.dependents.get(job).map(|w| w.state)
+        self.dependents.get(job).map(|dependent| dependent.state)
     }
 
-    /// Those that a job awaits and that are not known to be done.
+    /// Dependencies of a job that are not known to be done.
     pub fn unfinished_dependencies(&self, job: &str) -> impl Iterator<Item = &JobId> {
-        self.dependents.get(job).into_iter().flat_map(|w| &w.unfinished)
+        self.dependents.get(job).into_iter().flat_map(|dependent| &dependent.unfinished)
     }
 
-    /// Those that await a job which is not known to be done, and may still begin.
+    /// Dependents of a job that still wait; none if the job is known to be done.
     pub fn waiting_dependents(&self, job: &str) -> impl Iterator<Item = &JobId> {
-        let waits = |id: &&JobId| self.state_of(id) == Some(DependencyState::Waiting);
-        self.dependents_of.get(job).into_iter().flatten().filter(waits)
+        let is_waiting = |id: &&JobId| self.state_of(id) == Some(DependencyState::Waiting);
+        self.dependents_of.get(job).into_iter().flatten().filter(is_waiting)
     }
 
-    /// Jobs that others wait for, whether or not anything else is known of them.
+    /// Jobs that others wait for, whether or not they are known here themselves.
     pub fn unfinished_jobs_with_dependents(&self) -> impl Iterator<Item = &JobId> {
         self.dependents_of.keys().filter(|job| self.waiting_dependents(job).next().is_some())
     }
 
-    /// Whether no job awaits another.
+    /// Whether no job depends on one that is not known to be done.
     pub fn is_empty(&self) -> bool {
         self.dependents_of.is_empty()
     }
--- a/crates/dag/src/dependency_traversal.rs
+++ b/crates/dag/src/dependency_traversal.rs
@@ -1,91 +1,93 @@
-//! What becomes of one job by what comes before it, worked out by whoever is asked, from reads of its own.
+//! What becomes of one job by the jobs before it, worked out by the controller that is asked, from reads of its own:
+//! a breadth-first traversal of the dependencies. Does no reads itself: it names the next job, and the caller passes
+//! its state.
 
 use crate::constants::MAX_TRAVERSED_JOBS;
 use crate::{JobId, JobOutcome};
 use std::collections::{BTreeSet, VecDeque};
 
-/// What a read has shown of a job.
+/// State of a job as a read shows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum VisitedJob {
-    /// It is over, or cancelled and about to be.
+    /// It is over, or cancelled by its user and about to be over.
     Ended(JobOutcome),
-    /// It is not over, and awaits these itself.
+    /// It is not over; these are its own dependencies.
     Live(Vec<JobId>),
-    /// Nobody has ever accepted it.
+    /// It was never accepted.
     NeverAccepted,
 }
 
-/// What follows for the job that was asked about.
+/// What follows for the job that the traversal is about.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum DependencyVerdict {
-    /// Nothing before it is cancelled.
+    /// No job before it is cancelled.
     NotCancelled,
-    /// Something before it is.
+    /// A job before it is cancelled.
     CancelledByDependency,
-    /// It names a job that was never accepted.
+    /// It names this job, which was never accepted.
     UnknownDependency(JobId),
 }
 
-/// One question under way: whose state is to be told next, until something follows.
+/// A traversal under way: pass the state of [`next_job`](DependencyTraversal::next_job) until there is none, then ask for
+/// the [`verdict`](DependencyTraversal::verdict).
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct DependencyTraversal {
     pending: VecDeque<JobId>,
     visited: BTreeSet<JobId>,
-    /// Of those named by the job itself, how many are still to be told: each must have been accepted, whatever has
-    /// become of the others.
+    /// Number of the job's own dependencies still to be visited: each must have been accepted, whatever became of the
+    /// others, so they are all visited even after one was found cancelled.
     direct_remaining: usize,
     verdict: Option<DependencyVerdict>,
 }
 
 impl DependencyTraversal {
-    /// A question about a job that awaits these.
-    pub fn new(awaits: &[JobId]) -> DependencyTraversal {
-        let (next, seen) = (VecDeque::new(), BTreeSet::new());
-        let mut walk = DependencyTraversal {
-            pending: next,
-            visited: seen,
+    /// A traversal for a job with these dependencies.
+    pub fn new(depends_on: &[JobId]) -> DependencyTraversal {
+        let mut traversal = DependencyTraversal {
+            pending: VecDeque::new(),
+            visited: BTreeSet::new(),
             direct_remaining: 0,
             verdict: None,
         };
-        walk.enqueue(awaits);
-        walk.direct_remaining = walk.pending.len();
-        walk
+        traversal.enqueue(depends_on);
+        traversal.direct_remaining = traversal.pending.len();
+        traversal
     }
 
-    fn enqueue(&mut self, awaits: &[JobId]) {
-        for id in awaits {
-            // Whatever comes twice, and whatever a record claims to come before itself, is looked at once.
+    fn enqueue(&mut self, depends_on: &[JobId]) {
+        for id in depends_on {
+            // A job on several paths, and one that a record claims to depend on itself, is visited once.
             if self.visited.len() < MAX_TRAVERSED_JOBS && self.visited.insert(id.clone()) {
                 self.pending.push_back(id.clone());
             }
         }
     }
 
-    /// Whose state is to be told.
+    /// The job to visit next; none: the verdict is known.
     pub fn next_job(&self) -> Option<&JobId> {
         self.pending.front().filter(|_| self.direct_remaining > 0 || self.verdict.is_none())
     }
 
-    /// Tells the state of the one that was next.
-    pub fn on_job_state(&mut self, seen: &VisitedJob) {
+    /// Visits the next job, which is in this state.
+    pub fn on_job_state(&mut self, state: &VisitedJob) {
         let Some(id) = self.pending.pop_front() else { return };
-        let named = self.direct_remaining > 0;
+        let is_direct = self.direct_remaining > 0;
         self.direct_remaining = self.direct_remaining.saturating_sub(1);
-        match seen {
+        match state {
             VisitedJob::Ended(JobOutcome::Done(_)) => {}
             VisitedJob::Ended(JobOutcome::Cancelled) => {
                 self.verdict.get_or_insert(DependencyVerdict::CancelledByDependency);
             }
-            VisitedJob::Live(awaits) => self.enqueue(awaits),
-            VisitedJob::NeverAccepted if named => {
+            VisitedJob::Live(depends_on) => self.enqueue(depends_on),
+            VisitedJob::NeverAccepted if is_direct => {
                 self.verdict = Some(DependencyVerdict::UnknownDependency(id))
             }
-            // What comes before an accepted job was accepted: whatever hides it, it is not known to be cancelled.
+            // Jobs before an accepted job were accepted: whatever hides this one, it is not known to be cancelled.
             VisitedJob::NeverAccepted => {}
         }
     }
 
-    /// What follows, once it does.
+    /// The verdict; none while a job is still to be visited.
     pub fn verdict(&self) -> Option<DependencyVerdict> {
         match self.next_job() {
             Some(_) => None,
--- a/crates/dag/src/effective_deadlines.rs
+++ b/crates/dag/src/effective_deadlines.rs
@@ -1,115 +1,153 @@
-//! By when a job has to be done for what needs it, and how urgent it is for that.
+//! Effective deadlines and priorities: by when a job has to be done for the jobs that depend on it, and how urgent it is
+//! for their sake. Computed backward along the dependencies, from run-time distributions. Pure.
 
 use crate::constants::{DOWNSTREAM_PROBABILITY, MAX_DEPENDENCY_DEPTH};
 use crate::{DependencyGraph, JobId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long something takes, by chance.
+/// Distribution of how long something takes.
 pub trait DurationDistribution: Clone {
-    /// This, and then that.
+    /// The distribution of this and then `next` (convolution).
     fn followed_by(&self, next: &Self) -> Self;
-    /// The time within which it is over with that chance, ms.
-    fn quantile(&self, chance: f64) -> f64;
+    /// The time within which it is over with this probability, ms.
+    fn quantile(&self, probability: f64) -> f64;
 }
 
-/// What a job asks for itself: its deadline, its priority, and how long it takes from when it may begin.
+/// What a job requires by itself.
 #[derive(Debug, Clone)]
 pub struct JobRequirements<P, S> {
-    /// Its own deadline, ms of whatever clock the caller goes by.
+    /// Its own deadline, ms of whatever clock the caller uses throughout.
     pub deadline: Option<u64>,
     /// Its own priority.
     pub priority: P,
-    /// How long it takes, by chance.
+    /// How long it takes from when it may begin.
     pub duration: S,
 }
 
-/// What follows for a job from those that need it.
+/// What the jobs that depend on a job require of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EffectiveRequirements<P> {
-    /// By when it has to be done for the rest to end in time; none: nothing that needs it has a deadline.
+    /// By when it has to be done for the others to meet their deadlines; none: nothing that depends on it has one.
     pub effective_deadline: Option<u64>,
-    /// The highest priority of what needs it, its own among them.
+    /// The highest priority of what depends on it, its own included.
     pub priority: P,
 }
 
-/// What comes after a job on the way that leaves it least time: the deadline there, and how long all of it takes.
+/// A deadline, and how long everything takes that has to be done until then.
+#[derive(Debug, Clone)]
+struct DeadlineAhead<S> {
+    deadline: u64,
+    duration: S,
+}
+
+impl<S: DurationDistribution> DeadlineAhead<S> {
+    /// When the job before must be done for the rest to meet the deadline.
+    fn latest_end(&self) -> u64 {
+        self.deadline.saturating_sub(self.duration.quantile(DOWNSTREAM_PROBABILITY) as u64)
+    }
+
+    /// The same for a job that itself takes `own`. Where too little time is left for all, it is divided in proportion to
+    /// the durations: were the first job simply overdue, it would be served after everybody else, and the rest could
+    /// only be late.
+    fn latest_end_sharing_slack(&self, own: Option<&S>, now: u64) -> u64 {
+        let own_ms = own.map_or(0.0, |own| own.quantile(DOWNSTREAM_PROBABILITY));
+        let share = own_ms / (own_ms + self.duration.quantile(DOWNSTREAM_PROBABILITY)).max(1.0);
+        let shared = now + (self.deadline.saturating_sub(now) as f64 * share) as u64;
+        self.latest_end().max(shared).min(self.deadline)
+    }
+}
+
+/// What comes after a job, on the path that leaves it the least time.
 #[derive(Debug, Clone)]
 struct DownstreamPath<P, S> {
-    deadline_and_duration: Option<(u64, S)>,
+    /// None: no path ends in a deadline.
+    tightest: Option<DeadlineAhead<S>>,
     priority: P,
 }
 
 impl<P: Ord + Copy, S: DurationDistribution> DownstreamPath<P, S> {
-    fn latest_end(&self) -> Option<u64> {
-        self.deadline_and_duration
-            .as_ref()
-            .map(|(due, takes)| due.saturating_sub(takes.quantile(DOWNSTREAM_PROBABILITY) as u64))
-    }
-
-    /// The same for a job that takes so long itself. Where what is left is too short for all, each stage has its part
-    /// of it: called overdue, a stage would be served after everybody else, and the rest could not but be late.
-    fn latest_end_sharing_slack(&self, own: Option<&S>, now: u64) -> Option<u64> {
-        let (end, after) = self.deadline_and_duration.as_ref()?;
-        let own = own.map_or(0.0, |own| own.quantile(DOWNSTREAM_PROBABILITY));
-        let part = own / (own + after.quantile(DOWNSTREAM_PROBABILITY)).max(1.0);
-        let shared = now + (end.saturating_sub(now) as f64 * part) as u64;
-        self.latest_end().map(|due| due.max(shared).min(*end))
+    fn tighten(&mut self, path: DeadlineAhead<S>) {
+        let is_tighter = match &self.tightest {
+            Some(tightest) => path.latest_end() < tightest.latest_end(),
+            None => true,
+        };
+        if is_tighter {
+            self.tightest = Some(path);
+        }
     }
 }
 
-/// For each job that others wait for: by when it has to be done, by the run times of all that comes after it,
-/// convolved along the chain, and how urgent it is. `now` is of the clock of the deadlines. A job of which `asked` knows nothing asks for nothing.
+/// For each job with waiting dependents, what those require of it. Deadlines are propagated backward by the run times of
+/// the jobs in between, convolved along each path. `now` is of the clock of the deadlines. A job of which `required`
+/// knows nothing requires nothing.
 pub fn effective_requirements<P: Ord + Copy, S: DurationDistribution>(
     graph: &DependencyGraph,
     now: u64,
-    asked: impl Fn(&JobId) -> Option<JobRequirements<P, S>>,
+    required: impl Fn(&JobId) -> Option<JobRequirements<P, S>>,
 ) -> BTreeMap<JobId, EffectiveRequirements<P>> {
-    let mut known: BTreeMap<JobId, Option<DownstreamPath<P, S>>> = BTreeMap::new();
+    let mut search = DownstreamSearch {
+        graph,
+        required: &required,
+        known: BTreeMap::new(),
+        ancestors: BTreeSet::new(),
+    };
     for job in graph.unfinished_jobs_with_dependents() {
-        downstream_path(graph, job, &asked, &mut known, &mut BTreeSet::new());
+        search.path_after(job);
     }
-    let needed = |(id, rest): (JobId, Option<DownstreamPath<P, S>>)| {
-        let rest = rest.filter(|_| graph.waiting_dependents(&id).next().is_some())?;
-        let own = asked(&id);
-        let due = rest.latest_end_sharing_slack(own.as_ref().map(|own| &own.duration), now);
-        Some((id, EffectiveRequirements { effective_deadline: due, priority: rest.priority }))
+    let effective = |(id, path): (JobId, Option<DownstreamPath<P, S>>)| {
+        let path = path.filter(|_| graph.waiting_dependents(&id).next().is_some())?;
+        let own = required(&id);
+        let own_duration = own.as_ref().map(|own| &own.duration);
+        let effective_deadline =
+            path.tightest.map(|tightest| tightest.latest_end_sharing_slack(own_duration, now));
+        Some((id, EffectiveRequirements { effective_deadline, priority: path.priority }))
     };
-    known.into_iter().filter_map(needed).collect()
+    search.known.into_iter().filter_map(effective).collect()
 }
 
-fn downstream_path<P: Ord + Copy, S: DurationDistribution>(
-    graph: &DependencyGraph,
-    job: &JobId,
-    asked: &impl Fn(&JobId) -> Option<JobRequirements<P, S>>,
-    known: &mut BTreeMap<JobId, Option<DownstreamPath<P, S>>>,
-    above: &mut BTreeSet<JobId>,
-) -> Option<DownstreamPath<P, S>> {
-    if let Some(found) = known.get(job) {
-        return found.clone();
-    }
-    // A circle that a record claims ends here.
-    if above.len() >= MAX_DEPENDENCY_DEPTH || !above.insert(job.clone()) {
-        return None;
-    }
-    let mut found = asked(job)
-        .map(|own| DownstreamPath { deadline_and_duration: None, priority: own.priority });
-    for next in graph.waiting_dependents(job) {
-        let Some(own) = asked(next) else { continue };
-        let behind = downstream_path(graph, next, asked, known, above);
-        let mut ways = vec![own.deadline.map(|due| (due, own.duration.clone()))];
-        let further = behind.as_ref().and_then(|b| b.deadline_and_duration.as_ref());
-        ways.push(further.map(|(due, takes)| (*due, own.duration.followed_by(takes))));
-        let priority = behind.map_or(own.priority, |b| b.priority.max(own.priority));
-        let it = found.get_or_insert(DownstreamPath { deadline_and_duration: None, priority });
-        it.priority = it.priority.max(priority);
-        for way in ways.into_iter().flatten() {
-            let way = DownstreamPath { deadline_and_duration: Some(way), priority };
-            if it.latest_end().is_none_or(|due| way.latest_end().is_some_and(|d| d < due)) {
-                it.deadline_and_duration = way.deadline_and_duration;
+/// A depth-first search from jobs to what depends on them. Each job is worked out once.
+struct DownstreamSearch<'a, P, S, F> {
+    graph: &'a DependencyGraph,
+    required: &'a F,
+    /// What was worked out; none: the job is not known and nothing known depends on it.
+    known: BTreeMap<JobId, Option<DownstreamPath<P, S>>>,
+    /// The jobs on the path that is being searched.
+    ancestors: BTreeSet<JobId>,
+}
+
+impl<P, S, F> DownstreamSearch<'_, P, S, F>
+where
+    P: Ord + Copy,
+    S: DurationDistribution,
+    F: Fn(&JobId) -> Option<JobRequirements<P, S>>,
+{
+    fn path_after(&mut self, job: &JobId) -> Option<DownstreamPath<P, S>> {
+        if let Some(path) = self.known.get(job) {
+            return path.clone();
+        }
+        // A cycle that a record claims ends here.
+        if self.ancestors.len() >= MAX_DEPENDENCY_DEPTH || !self.ancestors.insert(job.clone()) {
+            return None;
+        }
+        let mut path = (self.required)(job)
+            .map(|own| DownstreamPath { tightest: None, priority: own.priority });
+        let graph = self.graph;
+        for dependent in graph.waiting_dependents(job) {
+            let Some(own) = (self.required)(dependent) else { continue };
+            let after = self.path_after(dependent);
+            let priority = after.as_ref().map_or(own.priority, |p| p.priority.max(own.priority));
+            let path = path.get_or_insert(DownstreamPath { tightest: None, priority });
+            path.priority = path.priority.max(priority);
+            if let Some(deadline) = own.deadline {
+                path.tighten(DeadlineAhead { deadline, duration: own.duration.clone() });
+            }
+            if let Some(ahead) = after.and_then(|path| path.tightest) {
+                let duration = own.duration.followed_by(&ahead.duration);
+                path.tighten(DeadlineAhead { deadline: ahead.deadline, duration });
             }
         }
+        self.ancestors.remove(job);
+        self.known.insert(job.clone(), path.clone());
+        path
     }
-    above.remove(job);
-    known.insert(job.clone(), found.clone());
-    found
 }
--- a/crates/overload-control/src/admission.rs
+++ b/crates/overload-control/src/admission.rs
@@ -1,25 +1,25 @@
-//! Which requests are taken, before their bodies are read. Each urgency may fill a part of the bodies'
-//! memory, so that what is least urgent is refused first, and a lease is never lost for a poll.
+//! Admission control: which requests are admitted, before their bodies are read. Each priority may fill a part of the
+//! memory for bodies, so that the least urgent requests are rejected first and no worker's lease is lost for a poll.
 
 use crate::constants::{ADMISSION_SHARES, REQUEST_BYTES, UNKNOWN_BODY_BYTES};
 use crate::load_level::LoadLevel;
 
-/// How urgent a request is, the most urgent first.
+/// Priority of a request, the most urgent first. The order indexes [`ADMISSION_SHARES`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPriority {
-    /// Between controllers: the term, vouchers, reports passed on.
+    /// Between controllers: heartbeats with endorsements, forwarded reports.
     Controllers,
-    /// Workers' reports: their leases, ends and stops.
+    /// Workers' reports: they renew leases, and carry exits and stops.
     Reports,
     /// Cancellations and health checks.
     Cancellations,
     /// Polls.
     Polls,
-    /// Submissions: their users try again for a minute.
+    /// Submissions: their users retry for a minute.
     Submissions,
 }
 
-/// What is under way, against what may be.
+/// Memory that admitted requests hold, bounded by a share of the budget for each priority.
 #[derive(Debug)]
 pub struct AdmissionGate {
     max_bytes: usize,
@@ -27,36 +27,37 @@
 }
 
 impl AdmissionGate {
-    /// A gate for that many bytes.
+    /// An empty gate; all admitted requests together may hold `max_bytes`.
     pub fn new(max_bytes: usize) -> AdmissionGate {
         AdmissionGate { max_bytes, held_bytes: 0 }
     }
 
-    /// Lets a request in, and says how many bytes it holds until it [leaves](Gate::leave). `length`:
-    /// what it says of its body. None: it is refused now. A poll that is [pressing](crate::turned) enters
-    /// like a cancellation.
+    /// Admits a request and returns how many bytes it holds until it is [released](AdmissionGate::release), or rejects
+    /// it (none). `content_length`: the length of its body in bytes, if the request states it. A retried poll that
+    /// [takes precedence](crate::rejected_polls) is admitted like a cancellation: the caller passes that priority.
     pub fn try_admit(
         &mut self,
-        urgency: RequestPriority,
-        length: Option<usize>,
+        priority: RequestPriority,
+        content_length: Option<usize>,
         level: LoadLevel,
     ) -> Option<usize> {
-        let bytes = REQUEST_BYTES + length.unwrap_or(UNKNOWN_BODY_BYTES).min(UNKNOWN_BODY_BYTES);
-        let part = (self.max_bytes as f64 * ADMISSION_SHARES[urgency as usize]) as usize;
-        let shed = level == LoadLevel::Overloaded && urgency >= RequestPriority::Polls;
-        if shed || self.held_bytes + bytes > part {
+        let body_bytes = content_length.unwrap_or(UNKNOWN_BODY_BYTES).min(UNKNOWN_BODY_BYTES);
+        let bytes = REQUEST_BYTES + body_bytes;
+        let limit = (self.max_bytes as f64 * ADMISSION_SHARES[priority as usize]) as usize;
+        let is_shed = level == LoadLevel::Overloaded && priority >= RequestPriority::Polls;
+        if is_shed || self.held_bytes + bytes > limit {
             return None;
         }
         self.held_bytes += bytes;
         Some(bytes)
     }
 
-    /// A request has been answered or has gone.
+    /// Gives back the bytes of a request that was answered or whose connection is gone.
     pub fn release(&mut self, bytes: usize) {
         self.held_bytes = self.held_bytes.saturating_sub(bytes);
     }
 
-    /// Bytes under way.
+    /// Bytes that admitted requests hold.
     pub fn held_bytes(&self) -> usize {
         self.held_bytes
     }
--- a/crates/overload-control/src/delegated_answering.rs
+++ b/crates/overload-control/src/delegated_answering.rs
@@ -1,41 +1,41 @@
-//! The duty of answering: for how long a controller may answer unchanged reports for the leader.
+//! Delegated answering: for how long a follower may answer unchanged reports for the leader.
 //!
-//! The leader grants it with each answer to a message of the controller, for a time that counts from
-//! when that message *was sent*: a grant that the network held back is worth nothing. It ends at once
-//! when a message finds no answer, when another leader or a higher token is seen, or by itself.
+//! The leader grants it with each answer to a message of the follower, for a time that counts from when that message
+//! *was sent*: a grant that the network held back is worth nothing. It ends at once when a message finds no answer or
+//! when another leader or a higher token is seen, and by itself when the time is over.
 
 use crate::Time;
 
-/// Where the duty stands.
+/// State of the delegation at a follower.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum DelegatedAnswering {
-    /// Everything goes to the leader.
+    /// Every report goes to the leader.
     #[default]
     NotDelegated,
     /// Unchanged reports may be answered with this token.
     Delegated {
-        /// The leader's token.
+        /// The leader's fencing token.
         fencing_token: u64,
-        /// Until when, on this controller's own clock.
+        /// End of the delegation by the follower's own clock.
         expires_at: Time,
     },
-    /// The leader was not heard in time, or a message to it was lost.
+    /// The leader did not answer in time, or a message to it was lost.
     Lapsed,
 }
 
-/// What happens to a duty.
+/// What changes the delegation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DelegationEvent {
-    /// The leader answered a message sent at `sent`, and grants so much time from then.
+    /// The leader answered a message and delegates answering.
     Granted {
-        /// Its token.
+        /// The leader's fencing token.
         fencing_token: u64,
-        /// When the message left.
+        /// When the answered message was sent.
         sent_at: Time,
-        /// Time granted, ms.
+        /// For how long from then, ms.
         duration_ms: u64,
     },
-    /// The leader answered, and grants nothing.
+    /// The leader answered and delegates nothing.
     Refused,
     /// A message found no answer, or another token was seen.
     LeaderUnheard,
@@ -44,54 +44,48 @@
 }
 
 impl DelegatedAnswering {
-    /// The one function that changes the duty.
-    pub fn apply_event(&mut self, turn: DelegationEvent) {
-        *self = match (*self, turn) {
-            (
-                DelegatedAnswering::Delegated { fencing_token: held, expires_at: until },
-                DelegationEvent::Granted {
-                    fencing_token: token,
-                    sent_at: sent,
-                    duration_ms: for_ms,
-                },
-            ) if held == token => {
-                // Answers may overtake each other.
-                DelegatedAnswering::Delegated {
-                    fencing_token: token,
-                    expires_at: until.max(sent + for_ms),
-                }
+    /// The one function that changes the delegation.
+    pub fn apply_event(&mut self, event: DelegationEvent) {
+        *self = match event {
+            DelegationEvent::Granted { fencing_token, sent_at, duration_ms } => {
+                self.extended(fencing_token, sent_at + duration_ms)
             }
-            // An older leader's late word ends nothing that a newer one has granted.
-            (
-                DelegatedAnswering::Delegated { fencing_token: held, .. },
-                DelegationEvent::Granted { fencing_token: token, .. },
-            ) if token < held => *self,
-            (
-                _,
-                DelegationEvent::Granted {
-                    fencing_token: token,
-                    sent_at: sent,
-                    duration_ms: for_ms,
-                },
-            ) => DelegatedAnswering::Delegated { fencing_token: token, expires_at: sent + for_ms },
-            (
-                DelegatedAnswering::Delegated { expires_at: until, .. },
-                DelegationEvent::TimePassed(now),
-            ) if now >= until => DelegatedAnswering::Lapsed,
-            (_, DelegationEvent::TimePassed(_)) => *self,
-            (DelegatedAnswering::NotDelegated, _) => DelegatedAnswering::NotDelegated,
-            (_, DelegationEvent::Refused) => DelegatedAnswering::NotDelegated,
-            (_, DelegationEvent::LeaderUnheard) => DelegatedAnswering::Lapsed,
+            DelegationEvent::TimePassed(now) => match *self {
+                DelegatedAnswering::Delegated { expires_at, .. } if now >= expires_at => {
+                    DelegatedAnswering::Lapsed
+                }
+                unchanged => unchanged,
+            },
+            DelegationEvent::Refused => DelegatedAnswering::NotDelegated,
+            DelegationEvent::LeaderUnheard => match *self {
+                DelegatedAnswering::NotDelegated => DelegatedAnswering::NotDelegated,
+                _ => DelegatedAnswering::Lapsed,
+            },
         };
     }
 
-    /// The token with which an unchanged report may be answered now.
-    pub fn valid_fencing_token(&self, now: Time) -> Option<u64> {
+    fn extended(self, fencing_token: u64, expires_at: Time) -> DelegatedAnswering {
         match self {
-            DelegatedAnswering::Delegated { fencing_token: token, expires_at: until }
-                if now < *until =>
+            // An older leader's late grant ends nothing that a newer one has granted.
+            DelegatedAnswering::Delegated { fencing_token: held, .. } if fencing_token < held => {
+                self
+            }
+            // Answers may overtake each other.
+            DelegatedAnswering::Delegated { fencing_token: held, expires_at: until }
+                if fencing_token == held =>
             {
-                Some(*token)
+                let expires_at = until.max(expires_at);
+                DelegatedAnswering::Delegated { fencing_token, expires_at }
+            }
+            _ => DelegatedAnswering::Delegated { fencing_token, expires_at },
+        }
+    }
+
+    /// The token with which an unchanged report may be answered now; none: it must go to the leader.
+    pub fn valid_fencing_token(&self, now: Time) -> Option<u64> {
+        match *self {
+            DelegatedAnswering::Delegated { fencing_token, expires_at } if now < expires_at => {
+                Some(fencing_token)
             }
             _ => None,
         }
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -1,13 +1,13 @@
-//! What keeps a controller from collapsing, as pure values and state machines: nothing here reads a
-//! clock, does I/O or knows what is scheduled.
+//! What keeps a controller from collapsing under load, as pure values and state machines: nothing here reads a clock,
+//! does I/O or knows what is scheduled. The runtime and the controller ask before they take work in.
 //!
-//! - [`budget`]: the memory that the platform gives, divided among the parts that hold it
-//! - [`pressure`]: how far behind a controller is, by the time that work waits
-//! - [`gate`]: which requests are taken, by urgency, before their bodies are read
-//! - [`headroom`]: how many machines these controllers can hear and lead
-//! - [`duty`]: the time for which a controller may answer for the leader
-//! - [`retry`]: repeats that don't feed the fire
-//! - [`turned`]: questions turned away, which come first when they come again
+//! - [`memory_budget`]: the memory that the platform gives, divided among the parts that hold it
+//! - [`load_level`]: how far behind a controller is, measured by how long work waits
+//! - [`admission`]: which requests are admitted, by priority, before their bodies are read
+//! - [`fleet_limit`]: how many machines the controllers can lead
+//! - [`delegated_answering`]: for how long a follower may answer unchanged reports for the leader
+//! - [`retry_budget`]: how many calls may be retried, and after which backoff
+//! - [`rejected_polls`]: polls that were rejected, whose retries take precedence
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -21,5 +21,5 @@
 pub mod rejected_polls;
 pub mod retry_budget;
 
-/// Steady time in ms.
+/// Monotonic time of one process, ms.
 pub type Time = u64;
--- a/crates/overload-control/src/memory_budget.rs
+++ b/crates/overload-control/src/memory_budget.rs
@@ -1,5 +1,5 @@
-//! The memory that the platform gives, divided among connections, bodies, queues, calls, caches and
-//! tables. What is beyond a part's share is refused or shed where it comes in.
+//! The memory that the platform gives, divided among connections, bodies, queues, calls, caches and the cluster state.
+//! Whoever holds a part rejects or sheds what is beyond its share.
 
 use crate::constants::{
     BASE_MEMORY_MB, BODIES_SHARE, CACHED_JOB_BYTES, CACHES_SHARE, CLUSTER_STATE_SHARE,
@@ -8,37 +8,40 @@
     SCHEDULING_CYCLE_SHARE, SOCKETS_SHARE, STORE_CALL_BYTES, STORE_CALLS_SHARE,
 };
 
-/// What each part may hold.
+/// The most that each part of a controller may hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemoryBudget {
     /// Connections of one listener at once.
     pub connections: usize,
-    /// Bytes of bodies and requests under way at once.
+    /// Bytes of admitted requests with their bodies.
     pub body_bytes: usize,
-    /// Reports that wait to be passed on, or for a new leader.
+    /// Reports that wait to be forwarded, or for a new leader that still reads the store.
     pub waiting_reports: usize,
-    /// Calls to the state service that wait.
+    /// Queued calls to the state service.
     pub waiting_store_calls: usize,
-    /// Polls that wait for a read.
+    /// Requests that wait for a read of the job cache.
     pub waiting_polls: usize,
-    /// Jobs whose state is kept for polls.
+    /// Jobs in the job cache.
     pub cached_jobs: usize,
-    /// Final answers in the cache.
+    /// Final records in memory.
     pub cached_final_answers: usize,
-    /// Machines that a leader's tables can hold with what runs on them.
+    /// Machines in a leader's cluster state, with what runs on them.
     pub machines: usize,
-    /// Bytes that a pass of placement may work with.
+    /// Working memory of a scheduling cycle, bytes.
     pub scheduling_cycle_bytes: usize,
 }
 
 impl MemoryBudget {
-    /// Divides `mem_mb` MB; connections are bounded by `sockets` too.
+    /// Divides `mem_mb` MB of memory; connections are also bounded by the number of `sockets`.
     pub fn divide(mem_mb: f64, sockets: usize) -> MemoryBudget {
-        let all = ((mem_mb - BASE_MEMORY_MB).max(1.0) * MB as f64) as usize;
-        let part = |share: f64, each: usize| ((all as f64 * share) as usize / each).max(MIN_PART);
-        let listener = (sockets as f64 * SOCKETS_SHARE) as usize;
+        let total = ((mem_mb - BASE_MEMORY_MB).max(1.0) * MB as f64) as usize;
+        let part = |share: f64, item_bytes: usize| {
+            ((total as f64 * share) as usize / item_bytes).max(MIN_PART)
+        };
+        let listener_sockets = (sockets as f64 * SOCKETS_SHARE) as usize;
         MemoryBudget {
-            connections: part(CONNECTIONS_SHARE, CONNECTION_KB * KB).min(listener.max(MIN_PART)),
+            connections: part(CONNECTIONS_SHARE, CONNECTION_KB * KB)
+                .min(listener_sockets.max(MIN_PART)),
             body_bytes: part(BODIES_SHARE, 1).max(MIN_PART * REQUEST_BYTES),
             waiting_reports: part(FORWARDED_REPORTS_SHARE, REPORT_BYTES),
             waiting_store_calls: part(STORE_CALLS_SHARE, STORE_CALL_BYTES),
@@ -50,7 +53,7 @@
         }
     }
 
-    /// The most that all parts hold together, bytes.
+    /// The most that all parts together hold, bytes.
     pub fn total_bytes(&self) -> usize {
         self.connections * CONNECTION_KB * KB
             + self.body_bytes
--- a/crates/overload-control/src/rejected_polls.rs
+++ b/crates/overload-control/src/rejected_polls.rs
@@ -1,5 +1,5 @@
-//! Questions that were turned away here, and since when. Where not all can be answered, who has waited longest
-//! comes before who asks for the first time: else the same job may be turned away again and again while
+//! Polls that this controller rejected for overload, and since when. Where not all can be answered, the retry of a
+//! rejected poll takes precedence over a first one: else polls for the same job may be rejected again and again while
 //! others are answered twice.
 
 use crate::Time;
@@ -10,13 +10,24 @@
 use std::collections::{HashMap, VecDeque};
 use std::hash::{Hash, Hasher};
 
-/// Jobs whose last question found no answer here, as numbers of their ids.
+/// Jobs whose last poll was rejected here. Ids are kept as hashes (memory); a collision only lets a poll take
+/// precedence that has no right to.
 #[derive(Debug, Default)]
 pub struct RejectedPolls {
+    /// When the first of the rejected polls of a job came, by the hash of its id.
     rejected_at: HashMap<u64, Time>,
+    /// The same, oldest first. Entries of jobs that were answered since are dropped later.
     order: VecDeque<(u64, Time)>,
-    /// Second in which questions were let past the others, and how many.
-    prioritized_in_second: (Time, u32),
+    /// How many polls took precedence in the second that is under way.
+    precedence: PrecedenceCount,
+}
+
+/// Polls that took precedence within one second.
+#[derive(Debug, Default)]
+struct PrecedenceCount {
+    /// The second, counted from the start of the clock.
+    second: Time,
+    polls: u32,
 }
 
 fn id_hash(id: &str) -> u64 {
@@ -26,16 +37,16 @@
 }
 
 impl RejectedPolls {
-    /// A question about a job was turned away.
+    /// A poll was rejected. The time of the first rejection counts.
     pub fn on_rejected(&mut self, id: &str, now: Time) {
         self.remove_expired(now);
-        let number = id_hash(id);
-        if self.rejected_at.contains_key(&number) {
+        let hash = id_hash(id);
+        if self.rejected_at.contains_key(&hash) {
             return;
         }
-        self.rejected_at.insert(number, now);
-        self.order.push_back((number, now));
-        // The oldest are kept: whoever comes when it is full has waited least.
+        self.rejected_at.insert(hash, now);
+        self.order.push_back((hash, now));
+        // When it is full the oldest stay: who comes last has waited least.
         while self.rejected_at.len() > MAX_REJECTED_POLLS
             && let Some((last, at)) = self.order.pop_back()
         {
@@ -45,29 +56,29 @@
         }
     }
 
-    /// One was answered.
+    /// A poll was answered: the next one about the job is a first one again.
     pub fn on_answered(&mut self, id: &str) {
         if !self.rejected_at.is_empty() {
             self.rejected_at.remove(&id_hash(id));
         }
     }
 
-    /// What has been answered leaves the order from its front; what has long not been asked again, too.
+    /// Drops from the front of the order what was answered, and what was not retried for long.
     fn remove_expired(&mut self, now: Time) {
-        while let Some((number, at)) = self.order.front().copied() {
-            let answered = self.rejected_at.get(&number) != Some(&at);
-            if !answered && now < at + REJECTED_POLL_RETENTION_MS {
+        while let Some((hash, at)) = self.order.front().copied() {
+            let is_answered = self.rejected_at.get(&hash) != Some(&at);
+            if !is_answered && now < at + REJECTED_POLL_RETENTION_MS {
                 break;
             }
-            if !answered {
-                self.rejected_at.remove(&number);
+            if !is_answered {
+                self.rejected_at.remove(&hash);
             }
             self.order.pop_front();
         }
     }
 
-    /// Whether a question comes before others: one about the job was turned away a while ago. So many a
-    /// second are let past whatever else is turned away.
+    /// Whether a poll takes precedence over first ones, because one about the same job was rejected a while ago. At most
+    /// [`RETRIED_POLLS_PER_S`] do in each second; a poll that does is counted.
     pub fn take_priority(&mut self, id: &str, now: Time) -> bool {
         if self.rejected_at.is_empty() {
             return false;
@@ -75,22 +86,22 @@
         let waited =
             self.rejected_at.get(&id_hash(id)).is_some_and(|at| now >= at + RETRIED_POLL_DELAY_MS);
         let second = now / 1_000;
-        if self.prioritized_in_second.0 != second {
-            self.prioritized_in_second = (second, 0);
+        if self.precedence.second != second {
+            self.precedence = PrecedenceCount { second, polls: 0 };
         }
-        if waited && self.prioritized_in_second.1 < RETRIED_POLLS_PER_S {
-            self.prioritized_in_second.1 += 1;
+        if waited && self.precedence.polls < RETRIED_POLLS_PER_S {
+            self.precedence.polls += 1;
             return true;
         }
         false
     }
 
-    /// Jobs with a question turned away.
+    /// Number of jobs whose last poll was rejected.
     pub fn len(&self) -> usize {
         self.rejected_at.len()
     }
 
-    /// Whether there are none.
+    /// Whether no job's last poll was rejected.
     pub fn is_empty(&self) -> bool {
         self.rejected_at.is_empty()
     }
