--- a/crates/controller/src/controller/peers.rs
+++ b/crates/controller/src/controller/peers.rs
@@ -1,129 +1,164 @@
-//! The other controllers: heartbeats, and what they vouch for.
+//! Heartbeats between controllers: what this controller's own contains, and what those of its peers change here.
+//!
+//! Owns the latest state of each peer ([`Peer`]). A received heartbeat feeds `leadership` (fencing tokens, who leads),
+//! the cancellation quorum, the pending terminations and, from the leader, the counts for display.
 
 use super::Controller;
-use crate::cluster_state::ClusterState;
 use crate::constants::{FORMAT_VERSION, HEARTBEAT_FRESH_MS};
-use crate::leadership::{LeaderProgress, PeerHealth};
+use crate::leadership::{LeaderProgress, PeerHealth, ReportedCancellation};
 use swiftsail_protocol::controllers::Heartbeat;
 
-/// What is known of another controller.
+/// State of another controller, from its latest heartbeat that was not stale.
 pub(super) struct Peer {
     pub health: PeerHealth,
+    /// Whether it leads, by its own word.
     pub is_leader: bool,
+    /// Whether it, leading, has workers served by all controllers.
     pub distributes_workers: bool,
-    /// Share of its processor that it uses, and that machines cost it.
+    /// Share of its processor that it uses; none if it does not know.
     pub load: Option<f64>,
-    /// See `load`.
+    /// The part of `load` that machines cost, whatever is placed on them.
     pub baseline_load: Option<f64>,
 }
 
 impl Controller {
-    /// This node's heartbeat. A brief one leaves out what is for display.
-    pub fn build_heartbeat(&mut self, brief: bool) -> Heartbeat {
-        let ok = self.store.last_success_at.unwrap_or(0);
-        let away = self.store.is_unavailable() || self.store.last_success_at.is_none();
-        // A leader of an earlier version would take this for "nothing was cancelled".
-        let leader = self.leadership.known_leader.as_ref();
-        let away = away && !leader.is_some_and(|l| self.cancellations.is_legacy_peer(l));
-        let counts = self.cluster_state.as_ref().filter(|_| !brief).map(ClusterState::task_counts);
-        let mut beat = Heartbeat {
+    /// This controller's heartbeat. An abridged one leaves out what is for display.
+    pub fn build_heartbeat(&mut self, abridged: bool) -> Heartbeat {
+        let cluster_attributes =
+            if abridged { Vec::new() } else { self.cluster_attributes_for_peers() };
+        let job_counts = match &self.cluster_state {
+            Some(state) if !abridged => state.task_counts(),
+            _ => Vec::new(),
+        };
+        let mut heartbeat = Heartbeat {
             controller: self.settings.host_name.clone(),
             fencing_token: self.leadership.highest_token,
             is_leader: self.is_leader(),
-            since_store_response_ms: if away { self.now.monotonic.saturating_sub(ok) } else { 0 },
+            since_store_response_ms: self.store_age_for_peers(),
             distributes_workers: self.distributes_workers(),
-            cpu_load_permille: self.cpu_load.share().map(thousandths),
-            machine_cpu_load_permille: self.baseline_cpu_load.share().map(thousandths),
-            cluster_attributes: if brief {
-                Vec::new()
-            } else {
-                self.cluster_attributes_for_peers()
-            },
-            job_counts: counts.unwrap_or_default(),
+            cpu_load_permille: self.cpu_load.share().map(permille),
+            machine_cpu_load_permille: self.baseline_cpu_load.share().map(permille),
+            cluster_attributes,
+            job_counts,
             incarnation: self.incarnation,
-            applied_through: self.cluster_state.as_ref().map_or(0, |l| l.watched_revision),
-            is_abridged: brief,
+            applied_through: self.cluster_state.as_ref().map_or(0, |state| state.watched_revision),
+            is_abridged: abridged,
             pending_terminations: self.pending_terminations_for_peers(),
             format_version: FORMAT_VERSION,
             ..Heartbeat::default()
         };
-        self.cancellations.fill_heartbeat(&mut beat, self.now.monotonic);
-        beat
+        self.cancellations.fill_heartbeat(&mut heartbeat, self.now.monotonic);
+        heartbeat
     }
 
-    pub(super) fn on_heartbeat(&mut self, beat: &Heartbeat) {
-        if !self.settings.others.iter().any(|o| o.host_name == beat.controller) {
-            return;
+    /// Time since the state service last answered, ms; 0 while it is available. Also 0 if the known leader is of an
+    /// earlier version: it would take any other age for an endorsement that no user was told of a cancellation.
+    fn store_age_for_peers(&self) -> u64 {
+        let is_available = !self.store.is_unavailable() && self.store.last_success_at.is_some();
+        let leader = self.leadership.known_leader.as_ref();
+        let is_legacy_leader = leader.is_some_and(|name| self.cancellations.is_legacy_peer(name));
+        if is_available || is_legacy_leader {
+            return 0;
         }
-        self.format_upgrade.on_peer_version(&beat.controller, beat.format_version);
-        let from = self.endorsements_valid_from();
-        let lead = self.cluster_state.as_ref().map(|l| LeaderProgress {
-            token: l.token,
-            read_revision: l.watched_revision,
-            endorsements_from: from,
-        });
-        let heard =
-            self.cancellations.on_heartbeat(&self.settings.host_name, self.incarnation, beat, lead);
-        let now = self.now;
-        for (id, wall) in &heard.cancelled {
-            match &mut self.cluster_state {
-                Some(leader) => {
-                    leader.on_remote_cancellation(id, *wall, now.monotonic, now.wall_clock)
-                }
-                None => self.add_pending_termination(id, *wall),
-            }
+        self.now.monotonic.saturating_sub(self.store.last_success_at.unwrap_or(0))
+    }
+
+    /// Applies a peer's heartbeat. One of a controller that the settings do not name is ignored.
+    pub(super) fn on_heartbeat(&mut self, heartbeat: &Heartbeat) {
+        let sender = &heartbeat.controller;
+        if !self.settings.others.iter().any(|other| other.host_name == *sender) {
+            return;
         }
-        // Only then: what it has just learnt is owed too.
-        if self.leadership.observe_token(beat.fencing_token) {
+        self.format_upgrade.on_peer_version(sender, heartbeat.format_version);
+        let is_stale = self.apply_cancellations(heartbeat);
+        // Only now: stepping down records which terminations are pending, those just learnt of included.
+        if self.leadership.observe_token(heartbeat.fencing_token) {
             self.step_down("another controller knows a newer token");
         }
-        // What was held up on its way tells of cancellations, and of nothing as it is now.
-        if heard.is_stale {
+        // A delayed heartbeat still reports cancellations, but not the present state of its sender.
+        if is_stale {
             return;
         }
-        if beat.is_leader && beat.fencing_token >= self.leadership.highest_token {
-            self.leadership.observe_leader(&beat.controller, beat.fencing_token);
-            self.cancellations.advance_required_revision(beat.applied_through);
-            self.adopt_pending_terminations(beat);
-            if !beat.is_abridged {
-                self.cluster_attributes.clone_from(&beat.cluster_attributes);
-                self.task_counts =
-                    beat.job_counts.iter().map(|(id, d, r)| (id.clone(), (*d, *r))).collect();
-            }
+        if heartbeat.is_leader && heartbeat.fencing_token >= self.leadership.highest_token {
+            self.follow_leader(heartbeat);
         }
-        let voucher = PeerHealth {
-            heard_at: self.now.monotonic,
-            store_age_ms: beat.since_store_response_ms,
-            highest_token: beat.fencing_token,
-        };
-        let share = |told: Option<u32>| told.map(|l| f64::from(l) / 1_000.0);
-        let (load, upkeep) = (share(beat.cpu_load_permille), share(beat.machine_cpu_load_permille));
+        let share = |permille: Option<u32>| permille.map(|value| f64::from(value) / 1_000.0);
         let peer = Peer {
-            health: voucher,
-            is_leader: beat.is_leader,
-            distributes_workers: beat.distributes_workers,
-            load,
-            baseline_load: upkeep,
+            health: PeerHealth {
+                heard_at: self.now.monotonic,
+                store_age_ms: heartbeat.since_store_response_ms,
+                highest_token: heartbeat.fencing_token,
+            },
+            is_leader: heartbeat.is_leader,
+            distributes_workers: heartbeat.distributes_workers,
+            load: share(heartbeat.cpu_load_permille),
+            baseline_load: share(heartbeat.machine_cpu_load_permille),
         };
-        self.peers.insert(beat.controller.clone(), peer);
+        self.peers.insert(sender.clone(), peer);
     }
 
-    /// Whether users should be sent here: not while this node alone is without the store. Without the other
-    /// controllers too it cannot know, and one that reaches nobody is no use to users: in an outage of the
-    /// store the others are heard, and nobody is turned away for it.
+    /// Applies the cancellations and the endorsement in a heartbeat. True if the heartbeat is stale.
+    fn apply_cancellations(&mut self, heartbeat: &Heartbeat) -> bool {
+        let endorsements_from = self.endorsements_valid_from();
+        let progress = self.cluster_state.as_ref().map(|state| LeaderProgress {
+            token: state.token,
+            read_revision: state.watched_revision,
+            endorsements_from,
+        });
+        let outcome = self.cancellations.on_heartbeat(
+            &self.settings.host_name,
+            self.incarnation,
+            heartbeat,
+            progress,
+        );
+        let now = self.now;
+        for ReportedCancellation { job, cancelled_wall } in &outcome.cancelled {
+            match &mut self.cluster_state {
+                Some(state) => state.on_remote_cancellation(
+                    job,
+                    *cancelled_wall,
+                    now.monotonic,
+                    now.wall_clock,
+                ),
+                None => self.add_pending_termination(job, *cancelled_wall),
+            }
+        }
+        outcome.is_stale
+    }
+
+    /// Takes over what the leader's heartbeat says of itself and the cluster.
+    fn follow_leader(&mut self, heartbeat: &Heartbeat) {
+        self.leadership.observe_leader(&heartbeat.controller, heartbeat.fencing_token);
+        self.cancellations.advance_required_revision(heartbeat.applied_through);
+        self.adopt_pending_terminations(heartbeat);
+        if !heartbeat.is_abridged {
+            self.cluster_attributes.clone_from(&heartbeat.cluster_attributes);
+            let counts = heartbeat.job_counts.iter();
+            self.task_counts =
+                counts.map(|(job, done, running)| (job.clone(), (*done, *running))).collect();
+        }
+    }
+
+    /// Whether the load balancer should send users here: not while this controller alone lacks the state service, as
+    /// its heartbeats tell. A controller that reaches neither the state service nor a peer cannot know that, and is of
+    /// no use to users. In an outage of the state service the peers are heard, and every controller stays healthy.
     pub fn is_healthy(&self) -> bool {
         if self.store.last_success_at.is_none() {
             return false;
         }
+        if !self.store.is_unavailable() {
+            return true;
+        }
         let now = self.now.monotonic;
-        let mut heard = self.peers.values().map(|p| p.health);
-        let fresh = |v: &PeerHealth| now.saturating_sub(v.heard_at) <= HEARTBEAT_FRESH_MS;
-        let others_have_it = heard.clone().any(|v| fresh(&v) && v.store_age_ms == 0);
-        let lone = self.settings.controllers() > 1 && !heard.any(|v| fresh(&v));
-        !(self.store.is_unavailable() && (others_have_it || lone))
+        let is_recent =
+            |health: &PeerHealth| now.saturating_sub(health.heard_at) <= HEARTBEAT_FRESH_MS;
+        let mut recent = self.peers.values().map(|peer| peer.health).filter(is_recent).peekable();
+        let is_alone = self.settings.controllers() > 1 && recent.peek().is_none();
+        let peers_reach_store = recent.any(|health| health.store_age_ms == 0);
+        !(peers_reach_store || is_alone)
     }
 }
 
-fn thousandths(share: f64) -> u32 {
+fn permille(share: f64) -> u32 {
     (share * 1_000.0) as u32
 }
--- a/crates/controller/src/leadership/answer_authority.rs
+++ b/crates/controller/src/leadership/answer_authority.rs
@@ -1,33 +1,38 @@
-//! By what a leader answers its workers, for those on call: told when it changes.
+//! On what grounds a leader answers its workers. A leader may answer only while it knows every cancellation that
+//! users were told of; when that ends, it stops, and
+//! their leases run out. Pure; it calls nobody.
 
 use crate::Time;
 
-/// By what a leader answers its workers.
+/// On what grounds a leader answers its workers. Its `Debug` form is written to the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum AnswerAuthority {
-    /// By what it has read of the state service itself.
+    /// It has itself read all changes of jobs from the state service recently enough.
     #[default]
     OwnReads,
-    /// It has not read for too long; enough other controllers vouch that it knows what users were told.
+    /// It has not, but enough controllers endorse that it knows every cancellation that users were told of.
     Endorsed,
-    /// By nothing: it answers no worker, and leases end.
+    /// On none: it answers no worker, and their leases end.
     Lost,
 }
 
 impl AnswerAuthority {
-    /// What a leader has that read then, and knows what users were told as of then, if for so long at most it may
-    /// go on.
+    /// The authority of a leader whose latest successful read of the jobs began at `read_at`, and which knows all
+    /// cancellations that users were told of before `known_as_of`, by that read or by endorsements. Either counts
+    /// for `validity_ms`.
     pub fn of(
-        read: Option<Time>,
-        known: Option<Time>,
-        limit_ms: u64,
+        read_at: Option<Time>,
+        known_as_of: Option<Time>,
+        validity_ms: u64,
         now: Time,
     ) -> AnswerAuthority {
-        let counts = |at: Option<Time>| at.is_some_and(|at| now < at + limit_ms);
-        match (counts(read), counts(known)) {
-            (true, _) => AnswerAuthority::OwnReads,
-            (false, true) => AnswerAuthority::Endorsed,
-            (false, false) => AnswerAuthority::Lost,
+        let is_valid = |since: Option<Time>| since.is_some_and(|since| now < since + validity_ms);
+        if is_valid(read_at) {
+            AnswerAuthority::OwnReads
+        } else if is_valid(known_as_of) {
+            AnswerAuthority::Endorsed
+        } else {
+            AnswerAuthority::Lost
         }
     }
 
--- a/crates/controller/src/leadership/cancellation_quorum.rs
+++ b/crates/controller/src/leadership/cancellation_quorum.rs
@@ -1,17 +1,32 @@
-//! Which cancellations whoever answers workers must know, stated once.
+//! Which cancellations a controller must know before it answers workers: the quorum argument, and this controller's
+//! part of it.
 //!
-//! *Whoever answers a report under a token knows every cancellation that any user was told of more than
-//! `cancel_s - lease_s` less a margin ago.* Two counts see to it, whose sum is above the number of controllers:
+//! The invariant: *whoever answers a worker's report under a fencing token knows every cancellation that any user was
+//! told of more than `cancel_s - lease_s`, less a margin, ago.* A worker whose lease is renewed by such an answer is
+//! commanded to stop a cancelled task, or its lease ends, within `cancel_s`. A leader that reads the state service
+//! knows all cancellations as of its read. Without the state service, two quorums uphold the invariant:
 //!
-//! - a user is told only once [`holders_needed`] controllers *hold* the cancellation;
-//! - a leader that cannot read the state service goes on only on the word of [`vouchers_needed`] controllers,
-//!   itself among them, each given after the leader asked for it, and each with all that it holds.
+//! - a user is told of a cancellation only once [`replicas_needed`] controllers *hold* it;
+//! - a leader that cannot read the state service answers workers only with the *endorsement* of
+//!   [`endorsements_needed`] controllers, itself included. A peer endorses with a heartbeat that acknowledges a
+//!   heartbeat of the leader, and which carries all cancellations that the peer holds. The endorsement counts from
+//!   when the acknowledged heartbeat was made, not from when its acknowledgement arrived.
 //!
-//! So one of those that vouch holds what was told, and says so. A controller holds a cancellation as a *note*,
-//! or by its *floor*: the revision up to which it leaves the leader to have read for itself. It vouches only
-//! for a leader that has read up to its floor. A process that begins anew has lost its notes; its floor is the
-//! first revision that it reads, and whatever its predecessor held is older. Notes may therefore be dropped at
-//! any time by raising the floor: that costs a leader its vouchers, never a user the promise.
+//! The sum of the two numbers is above the number of controllers, so they share a controller: one that endorses also
+//! holds the cancellation, and the endorsement carries it to the leader.
+//!
+//! A controller holds a cancellation either as a [`PendingCancellation`], or by its *required leader revision*: the
+//! revision up to which it holds none and instead requires a leader to have read for itself. It endorses only a leader
+//! that has read up to that revision. A restarted process has lost its pending cancellations; its required leader
+//! revision is the first store revision that it reads, and whatever the previous process held is older than that.
+//! Pending cancellations may therefore be dropped at any time by raising the required leader revision. That can cost a
+//! leader its endorsements, but never a user the promise.
+//!
+//! A peer is known by its host name and not by its incarnation: a process that replaces another requires a revision
+//! above all that the other held.
+//!
+//! Pure: it owns what this controller holds and what its peers acknowledged; `controller::peers` passes heartbeats in
+//! and out.
 
 use crate::Time;
 use crate::constants::{HEARTBEATS_REMEMBERED, PENDING_CANCELLATIONS_MAX, STORE_TIMEOUT_MS};
@@ -20,237 +35,298 @@
 use swiftsail_protocol::controllers::Heartbeat;
 use swiftsail_protocol::users::is_valid_job_id;
 
-/// Controllers, the leader among them, on whose word it may go on.
+/// Number of controllers, the leader included, that must endorse a leader which cannot read the state service.
 pub fn endorsements_needed(controllers: usize) -> usize {
     controllers / 2 + 1
 }
 
-/// Controllers that hold a cancellation before its user is told.
+/// Number of controllers that must hold a cancellation before its user is told.
 pub fn replicas_needed(controllers: usize) -> usize {
     controllers - controllers / 2
 }
 
-/// A cancellation that is held.
+/// A committed cancellation that this controller holds for a leader that may not have read it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct PendingCancellation {
-    /// Revision at which it was committed, or a later one at which it was read.
+    /// Store revision at which it was committed, or a later one at which it was read.
     pub revision: u64,
-    /// Time of day of it, ms.
+    /// Time of day of the cancellation, ms.
     pub cancelled_wall: u64,
-    /// Heartbeats made before it came: each later one carries it.
+    /// Sequence number of the last heartbeat made before it was recorded: every later one carries it.
     heartbeats_before: u64,
 }
 
-/// What this node, leading, has read.
+/// How far this controller, while it leads, has read the state service, and which endorsements count for it.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaderProgress {
-    /// Its token.
+    /// Its fencing token.
     pub token: u64,
-    /// The revision up to which it has taken in all changes of jobs.
+    /// Store revision up to which it has applied all changes of jobs.
     pub read_revision: u64,
-    /// Words asked for before that time do not count.
+    /// Endorsements requested, by a heartbeat made, before this time do not count.
     pub endorsements_from: Time,
 }
 
-/// What is known of another controller.
+/// A heartbeat by the process that made it and its sequence number in that process. All 0: none.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
+struct HeartbeatNumber {
+    incarnation: u64,
+    sequence: u64,
+}
+
+/// A heartbeat made by this process.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct SentHeartbeat {
+    sequence: u64,
+    sent_at: Time,
+}
+
+/// What a peer's heartbeats have said.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct PeerCancellations {
-    /// The highest floor it has told of.
+    /// The highest of its required leader revisions.
     required_leader_revision: u64,
-    /// The latest of our heartbeats that it has taken in.
+    /// Sequence number of the latest heartbeat of this process that it has acknowledged.
     acknowledged: u64,
-    /// The latest of its own that was taken in: of which process, and its number.
-    latest: (u64, u64),
-    /// When the latest word was asked for that counts for this node's lead.
+    /// Its latest heartbeat all of whose cancellations are held here; acknowledged to it.
+    latest: HeartbeatNumber,
+    /// When the heartbeat of this leader was made that its latest endorsement acknowledges.
     endorsed_at: Option<Time>,
-    /// Its version tells what it holds. One that does not could have told a user of anything.
+    /// Whether its program version reports the cancellations that it holds. One that does not may have told users of
+    /// any.
     reports_cancellations: bool,
 }
 
-/// A heartbeat, once taken in.
+/// A cancellation that a peer's heartbeat reports.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ReportedCancellation {
+    /// The cancelled job.
+    pub job: JobId,
+    /// Time of day of the cancellation, ms.
+    pub cancelled_wall: u64,
+}
+
+/// What a received heartbeat means.
 #[derive(Debug, Default)]
 pub struct HeartbeatOutcome {
-    /// The cancellations in it, with their times of day.
-    pub cancelled: Vec<(JobId, u64)>,
-    /// A later one of the same process came before.
+    /// The cancellations that it reports.
+    pub cancelled: Vec<ReportedCancellation>,
+    /// A later heartbeat of the same process was received before it: only its cancellations are news.
     pub is_stale: bool,
 }
 
-/// The cancellations that this controller holds, and what the others do.
+/// The cancellations that this controller holds, and what its peers hold and endorse.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct CancellationQuorum {
+    /// None until this process has read the state service.
     required_leader_revision: Option<u64>,
     pending: BTreeMap<JobId, PendingCancellation>,
     heartbeats_made: u64,
-    sent: VecDeque<(u64, Time)>,
+    /// The latest heartbeats made, oldest first; at most [`HEARTBEATS_REMEMBERED`].
+    sent: VecDeque<SentHeartbeat>,
+    /// By host name.
     peers: BTreeMap<String, PeerCancellations>,
 }
 
 impl CancellationQuorum {
-    /// The state service was read at this revision: whatever an earlier process here held is older.
+    /// The state service was read at this revision. The first one becomes the required leader revision: whatever an
+    /// earlier process on this host held is older.
     pub fn on_store_read(&mut self, revision: u64) {
         self.required_leader_revision.get_or_insert(revision);
     }
 
-    /// The leader has read up to this revision: what is older need not be held for it.
+    /// Requires leaders to have read up to this revision from now on, and drops the pending cancellations that they
+    /// then know. Does nothing if the requirement is already as high, or before the state service was read.
     pub fn advance_required_revision(&mut self, revision: u64) {
-        if let Some(floor) = self.required_leader_revision.as_mut().filter(|f| **f < revision) {
-            *floor = revision;
-            self.pending.retain(|_, note| note.revision > revision);
+        if let Some(required) = self.required_leader_revision.as_mut().filter(|r| **r < revision) {
+            *required = revision;
+            self.pending.retain(|_, cancellation| cancellation.revision > revision);
         }
     }
 
-    /// Holds a committed cancellation. False if there is no room, which only a process that has not read the
-    /// state service runs out of.
-    pub fn record_cancellation(&mut self, job: &JobId, revision: u64, wall: u64) -> bool {
-        if self.required_leader_revision.is_some_and(|f| f >= revision)
-            || self.pending.contains_key(job)
-        {
+    /// Whether the required leader revision covers what was committed at this revision.
+    fn requires_leader_to_have_read(&self, revision: u64) -> bool {
+        self.required_leader_revision.is_some_and(|required| required >= revision)
+    }
+
+    /// Holds a committed cancellation. False if there is no room for it, which happens only to a process that has not
+    /// read the state service: any other makes room by raising its required leader revision.
+    pub fn record_cancellation(&mut self, job: &JobId, revision: u64, cancelled_wall: u64) -> bool {
+        if self.requires_leader_to_have_read(revision) || self.pending.contains_key(job) {
             return true;
         }
-        if self.pending.len() >= PENDING_CANCELLATIONS_MAX {
-            let Some(oldest) = self.pending.values().map(|n| n.revision).min() else {
-                return false;
-            };
-            if self.required_leader_revision.is_none() {
-                return false;
-            }
-            self.advance_required_revision(oldest);
+        if self.pending.len() >= PENDING_CANCELLATIONS_MAX && !self.drop_oldest() {
+            return false;
         }
+        let heartbeats_before = self.heartbeats_made;
         self.pending.insert(
             job.clone(),
-            PendingCancellation {
-                revision,
-                cancelled_wall: wall,
-                heartbeats_before: self.heartbeats_made,
-            },
+            PendingCancellation { revision, cancelled_wall, heartbeats_before },
         );
         true
     }
 
-    /// The cancellations held as notes.
+    /// Drops the oldest pending cancellations by requiring leaders to have read them. False if this process has not
+    /// read the state service, and so may not require anything yet.
+    fn drop_oldest(&mut self) -> bool {
+        let oldest = self.pending.values().map(|cancellation| cancellation.revision).min();
+        let Some(oldest) = oldest.filter(|_| self.required_leader_revision.is_some()) else {
+            return false;
+        };
+        self.advance_required_revision(oldest);
+        true
+    }
+
+    /// The pending cancellations, by job.
     pub fn pending(&self) -> impl Iterator<Item = (&JobId, &PendingCancellation)> {
         self.pending.iter()
     }
 
-    /// Whether so many controllers hold a cancellation, seen at this revision, that its user may be told.
+    /// Whether enough controllers, this one among them, hold the cancellation of the job for its user to be told.
+    /// `revision` is the store revision at which the caller saw it, and counts if it is no longer pending.
     pub fn is_replicated(&self, job: &str, revision: u64, controllers: usize) -> bool {
-        let note = self.pending.get(job);
-        let revision = note.map_or(revision, |n| n.revision);
-        let own = note.is_some() || self.required_leader_revision.is_some_and(|f| f >= revision);
-        let holds = |o: &&PeerCancellations| {
-            o.required_leader_revision >= revision
-                || note.is_some_and(|n| n.heartbeats_before < o.acknowledged)
+        let pending = self.pending.get(job);
+        let revision = pending.map_or(revision, |cancellation| cancellation.revision);
+        let held_here = pending.is_some() || self.requires_leader_to_have_read(revision);
+        let holds = |peer: &&PeerCancellations| {
+            peer.required_leader_revision >= revision
+                || pending.is_some_and(|c| c.heartbeats_before < peer.acknowledged)
         };
-        let others = self.peers.values().filter(holds).count();
-        own && others + 1 >= replicas_needed(controllers)
+        let peers = self.peers.values().filter(holds).count();
+        held_here && peers + 1 >= replicas_needed(controllers)
     }
 
-    /// Whether no heartbeat has carried this cancellation yet.
+    /// Whether the cancellation of the job is pending and no heartbeat has carried it yet.
     pub fn awaits_first_heartbeat(&self, job: &str) -> bool {
-        self.pending.get(job).is_some_and(|n| n.heartbeats_before == self.heartbeats_made)
+        self.pending.get(job).is_some_and(|c| c.heartbeats_before == self.heartbeats_made)
     }
 
-    /// Numbers a heartbeat that is made now, and puts in what is held.
-    pub fn fill_heartbeat(&mut self, beat: &mut Heartbeat, now: Time) {
+    /// Numbers a heartbeat made at `now`, and fills in all that is held and what is acknowledged.
+    pub fn fill_heartbeat(&mut self, heartbeat: &mut Heartbeat, now: Time) {
         self.heartbeats_made += 1;
-        self.sent.push_back((self.heartbeats_made, now));
+        self.sent.push_back(SentHeartbeat { sequence: self.heartbeats_made, sent_at: now });
         if self.sent.len() > HEARTBEATS_REMEMBERED {
             self.sent.pop_front();
         }
-        beat.sequence = self.heartbeats_made;
-        beat.required_leader_revision = self.required_leader_revision;
-        let told = |(job, n): (&JobId, &PendingCancellation)| {
-            (job.to_string(), n.revision, n.cancelled_wall)
-        };
-        beat.pending_cancellations = self.pending.iter().map(told).collect();
-        let taken = self.peers.iter().filter(|(_, o)| o.latest.0 != 0);
-        beat.acknowledged_heartbeats =
-            taken.map(|(node, o)| (node.clone(), o.latest.0, o.latest.1)).collect();
+        heartbeat.sequence = self.heartbeats_made;
+        heartbeat.required_leader_revision = self.required_leader_revision;
+        heartbeat.pending_cancellations = self
+            .pending
+            .iter()
+            .map(|(job, c)| (job.to_string(), c.revision, c.cancelled_wall))
+            .collect();
+        heartbeat.acknowledged_heartbeats = self
+            .peers
+            .iter()
+            .filter(|(_, peer)| peer.latest.incarnation != 0)
+            .map(|(name, peer)| (name.clone(), peer.latest.incarnation, peer.latest.sequence))
+            .collect();
     }
 
-    /// Takes in a heartbeat of another controller; `lead`, if this node leads.
+    /// Applies a heartbeat of a peer. `host_name` and `incarnation` are this controller's own; `progress` is set
+    /// while it leads, and only then can the heartbeat endorse it.
     pub fn on_heartbeat(
         &mut self,
-        me: &str,
-        process: u64,
-        beat: &Heartbeat,
-        lead: Option<LeaderProgress>,
+        host_name: &str,
+        incarnation: u64,
+        heartbeat: &Heartbeat,
+        progress: Option<LeaderProgress>,
     ) -> HeartbeatOutcome {
-        let mut heard = HeartbeatOutcome::default();
-        // More than a controller holds is not taken in as if it were all.
-        let mut whole = beat.pending_cancellations.len() <= PENDING_CANCELLATIONS_MAX;
-        for (id, revision, wall) in
-            beat.pending_cancellations.iter().take(PENDING_CANCELLATIONS_MAX)
-        {
-            if is_valid_job_id(id) {
-                let job = JobId::from(id.as_str());
-                whole &= self.record_cancellation(&job, *revision, *wall);
-                heard.cancelled.push((job, *wall));
-            }
+        let (cancelled, all_held) = self.record_reported_cancellations(heartbeat);
+        let mut outcome = HeartbeatOutcome { cancelled, is_stale: false };
+        let peer = self.peers.entry(heartbeat.controller.clone()).or_default();
+        peer.reports_cancellations = heartbeat.incarnation != 0;
+        if !peer.reports_cancellations {
+            return outcome;
         }
-        let CancellationQuorum { peers: others, sent, .. } = self;
-        let other = others.entry(beat.controller.clone()).or_default();
-        other.reports_cancellations = beat.incarnation != 0;
-        if !other.reports_cancellations {
-            return heard;
+        outcome.is_stale = peer.latest.incarnation == heartbeat.incarnation
+            && heartbeat.sequence < peer.latest.sequence;
+        if all_held && !outcome.is_stale {
+            let Heartbeat { incarnation, sequence, .. } = *heartbeat;
+            peer.latest = HeartbeatNumber { incarnation, sequence };
         }
-        heard.is_stale = other.latest.0 == beat.incarnation && beat.sequence < other.latest.1;
-        if whole && !heard.is_stale {
-            other.latest = (beat.incarnation, beat.sequence);
+        // Over all incarnations: a new process requires a revision above all that the old one held.
+        peer.required_leader_revision =
+            peer.required_leader_revision.max(heartbeat.required_leader_revision.unwrap_or(0));
+        let acknowledged = heartbeat
+            .acknowledged_heartbeats
+            .iter()
+            .find(|(name, of, _)| name == host_name && *of == incarnation)
+            .map(|(.., sequence)| *sequence);
+        let Some(acknowledged) = acknowledged else { return outcome };
+        peer.acknowledged = peer.acknowledged.max(acknowledged);
+        let requested_at =
+            self.sent.iter().find(|sent| sent.sequence == acknowledged).map(|sent| sent.sent_at);
+        if let Some(progress) = progress.filter(|p| all_held && endorses(heartbeat, p)) {
+            let counts = requested_at.filter(|at| *at >= progress.endorsements_from);
+            peer.endorsed_at = peer.endorsed_at.max(counts);
         }
-        // By name and not by process: whoever begins anew has a floor above all that was held before.
-        other.required_leader_revision =
-            other.required_leader_revision.max(beat.required_leader_revision.unwrap_or(0));
-        let ours = |(node, of, _): &&(String, u64, u64)| node == me && *of == process;
-        let Some((_, _, number)) = beat.acknowledged_heartbeats.iter().find(ours) else {
-            return heard;
-        };
-        other.acknowledged = other.acknowledged.max(*number);
-        let asked = sent.iter().find(|(n, _)| n == number).map(|(_, at)| *at);
-        let vouches = |lead: &LeaderProgress| {
-            whole
-                && beat.required_leader_revision.is_some_and(|floor| floor <= lead.read_revision)
-                && beat.fencing_token <= lead.token
-                // While it has the state service others are led by whoever has it too.
-                && beat.since_store_response_ms > STORE_TIMEOUT_MS
-        };
-        if let Some(lead) = lead.filter(vouches) {
-            other.endorsed_at =
-                other.endorsed_at.max(asked.filter(|at| *at >= lead.endorsements_from));
+        outcome
+    }
+
+    /// Holds the cancellations that a heartbeat reports: those with a valid job id, and whether all are now held. More
+    /// than any controller holds are cut off, and then not all are held: such a heartbeat is never acknowledged.
+    fn record_reported_cancellations(
+        &mut self,
+        heartbeat: &Heartbeat,
+    ) -> (Vec<ReportedCancellation>, bool) {
+        let mut all_held = heartbeat.pending_cancellations.len() <= PENDING_CANCELLATIONS_MAX;
+        let mut reported = Vec::new();
+        let bounded = heartbeat.pending_cancellations.iter().take(PENDING_CANCELLATIONS_MAX);
+        for (id, revision, cancelled_wall) in bounded {
+            if is_valid_job_id(id) {
+                let job = JobId::from(id.as_str());
+                all_held &= self.record_cancellation(&job, *revision, *cancelled_wall);
+                reported.push(ReportedCancellation { job, cancelled_wall: *cancelled_wall });
+            }
         }
-        heard
+        (reported, all_held)
     }
 
-    /// Whether that controller was heard, and its version tells nothing of what it holds.
-    pub fn is_legacy_peer(&self, node: &str) -> bool {
-        self.peers.get(node).is_some_and(|o| !o.reports_cancellations)
+    /// Whether the peer's latest heartbeat was of a program version that does not report what the peer holds.
+    pub fn is_legacy_peer(&self, host_name: &str) -> bool {
+        self.peers.get(host_name).is_some_and(|peer| !peer.reports_cancellations)
     }
 
-    /// The lead is over, or begins: nobody has vouched for it.
+    /// A term of this controller begins: no endorsement of an earlier one counts for it.
     pub fn clear_endorsements(&mut self) {
-        for other in self.peers.values_mut() {
-            other.endorsed_at = None;
+        for peer in self.peers.values_mut() {
+            peer.endorsed_at = None;
         }
     }
 
-    /// As of when this node, leading, knows every cancellation that any user was told of: it had read up to
-    /// then, or enough others vouched then.
+    /// As of when this controller, while it leads, knows every cancellation that any user was told of: the later of
+    /// `read_at`, when its latest successful read began, and the time of the weakest of the endorsements it needs.
+    /// Endorsements requested before `endorsements_from` do not count. `now` if there are no other controllers.
     pub fn known_as_of(
         &self,
-        read: Option<Time>,
-        from: Time,
+        read_at: Option<Time>,
+        endorsements_from: Time,
         controllers: usize,
         now: Time,
     ) -> Option<Time> {
-        let needed = endorsements_needed(controllers) - 1;
-        let Some(place) = needed.checked_sub(1) else { return Some(now) };
-        // One that is not heard of, or whose version tells nothing, may have told a user alone.
-        let all_tell =
-            self.peers.values().filter(|o| o.reports_cancellations).count() + 1 >= controllers;
-        let vouched = self.peers.values().filter_map(|o| o.endorsed_at).filter(|at| *at >= from);
-        let mut vouched: Vec<Time> = vouched.filter(|_| all_tell).collect();
-        vouched.sort_unstable_by(|a, b| b.cmp(a));
-        read.max(vouched.get(place).copied())
+        let needed_of_peers = endorsements_needed(controllers) - 1;
+        let Some(weakest_needed) = needed_of_peers.checked_sub(1) else { return Some(now) };
+        // A peer that was never heard, or that does not report what it holds, may have told a user by itself.
+        let reporting = self.peers.values().filter(|peer| peer.reports_cancellations).count();
+        if reporting + 1 < controllers {
+            return read_at;
+        }
+        let mut endorsed: Vec<Time> = self
+            .peers
+            .values()
+            .filter_map(|peer| peer.endorsed_at)
+            .filter(|at| *at >= endorsements_from)
+            .collect();
+        endorsed.sort_unstable_by(|left, right| right.cmp(left));
+        read_at.max(endorsed.get(weakest_needed).copied())
     }
 }
+
+/// Whether a peer's heartbeat, all of whose cancellations are held here, endorses this leader.
+fn endorses(heartbeat: &Heartbeat, leader: &LeaderProgress) -> bool {
+    heartbeat.required_leader_revision.is_some_and(|required| required <= leader.read_revision)
+        && heartbeat.fencing_token <= leader.token
+        // A peer that reaches the state service may follow a newer leader, which reaches it too.
+        && heartbeat.since_store_response_ms > STORE_TIMEOUT_MS
+}
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -1,83 +1,97 @@
-//! Leadership: one key attached to a lease; its stamp is the token.
+//! Leadership of this controller: which phase of an election it is in, under which lease and fencing token it
+//! leads, and the highest token it has seen.
+//!
+//! The leader is whoever wrote the key `term/leader`, which is attached to a lease of the state service. The mod
+//! revision of that key is the *fencing token*: it rises with every election, so that workers and the state
+//! service can refuse a deposed leader. This module owns the state and its transitions and calls nobody; the
+//! calls to the state service are made by `controller::leadership` and `controller::pause_detection`.
+//!
+//! Below it: [`CancellationQuorum`], which cancellations a leader must know before it answers workers, and
+//! [`AnswerAuthority`], on what grounds it answers them.
 
 mod answer_authority;
 mod cancellation_quorum;
 
 pub use answer_authority::AnswerAuthority;
 pub use cancellation_quorum::{
-    CancellationQuorum, HeartbeatOutcome, LeaderProgress, PendingCancellation, endorsements_needed,
-    replicas_needed,
+    CancellationQuorum, HeartbeatOutcome, LeaderProgress, PendingCancellation,
+    ReportedCancellation, endorsements_needed, replicas_needed,
 };
 
 use crate::Time;
 use crate::constants::{LEASE_MARGIN_MS, LEASE_TTL_MS};
 use serde::{Deserialize, Serialize};
 
-/// Value of the leader's key.
+/// Value of the leader's key, `term/leader`. Stored: its field names are part of the record format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// Name of the leading node.
+    /// Host name of the leading controller.
     pub node: String,
-    /// Number of its process, so that it knows its own writing.
+    /// Incarnation of its process, by which a controller tells its own key from that of a process that ran on
+    /// the same host before it.
     #[serde(rename = "process")]
     pub incarnation: u64,
-    /// The grant to which it is attached: which of a process's campaigns wrote it.
+    /// Lease to which the key is attached. Each campaign has its own, so it tells which campaign of a process
+    /// wrote the key.
     #[serde(default)]
     #[serde(rename = "grant")]
     pub lease: u64,
 }
 
-/// Where this node stands.
+/// Phase of leadership and election. Changed only by [`Leadership::advance`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeadershipPhase {
-    /// Does not know the leader's key yet.
+    /// The leader's key has not been read, or has to be read again.
     Unknown,
-    /// Another node holds the key.
+    /// Another controller holds the key.
     Following,
-    /// Nobody holds it; campaigns at this time.
+    /// Nobody holds the key; this controller campaigns at this time.
     Vacant(Time),
-    /// Asked for a lease.
+    /// Campaigning: it has requested a lease.
     GrantingLease,
-    /// Tries to write the key under this lease.
+    /// Campaigning: it tries to create the key, attached to this lease.
     Acquiring(u64),
-    /// Holds the key; reads the store.
+    /// Holds the key; loads the cluster state from the state service.
     Loading,
-    /// Leads.
+    /// Holds the key, has loaded the cluster state, and commands workers.
     Leading,
 }
 
-/// Whether the grant of a node that holds the key is known to live.
+/// Whether the lease of a controller that holds the key is known to be alive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseValidity {
-    /// As far as anybody can tell.
+    /// Nothing suggests that it has ended.
     Confirmed,
-    /// The process stood still for longer than the grant lasts, and woke then: whatever it believes of its
-    /// lead is older than that.
+    /// The process was paused for so long that the lease may have ended, and resumed at this time. Another
+    /// controller may lead by now. Only a renewal requested at this time or later confirms the lease again.
     Unconfirmed(Time),
 }
 
-/// This node's view of the term.
+/// This controller's view of who leads, and its own leadership.
 #[derive(Debug)]
 pub struct Leadership {
     phase: LeadershipPhase,
-    /// Highest token seen anywhere.
+    /// Highest fencing token seen: in the leader's key, in heartbeats and in reports of workers.
     pub highest_token: u64,
-    /// Leader of the newest term known, if it is held.
+    /// Host name of the controller that leads under [`highest_token`](Self::highest_token); none if unknown, or
+    /// if nobody does.
     pub known_leader: Option<String>,
-    /// This node's own token while it holds the key.
+    /// This controller's own fencing token while it holds the key, else 0.
     pub token: u64,
-    /// Its lease.
+    /// Lease to which its key is attached. Meaningful only while it holds the key.
     pub lease: u64,
-    /// When the lease was last known to be extended (time the request was sent).
+    /// When the latest request was sent that granted or renewed the lease.
     renewed_at: Time,
     lease_validity: LeaseValidity,
-    /// The term was read since this process began.
+    /// Whether the leader's key has been read since this process began.
     pub leader_key_known: bool,
-    /// Stamp of the key that a campaign replaces: of this process's own predecessor, which has ended. 0: none.
+    /// Mod revision of the key that a campaign replaces, which was written by an earlier process on this host.
+    /// 0: the campaign creates the key, on condition that there is none.
     pub replaced_revision: u64,
-    /// When the next extension is due.
+    /// When the next renewal of the lease is due.
     pub renew_at: Time,
-    /// Counts changes of who leads, so that stale answers are known.
+    /// Counts this controller's changes of phase, the last step to [`LeadershipPhase::Leading`] excepted. A
+    /// response of the state service to a call of an earlier generation is stale and is dropped.
     pub generation: u64,
 }
 
@@ -100,42 +114,53 @@
 }
 
 impl Leadership {
-    /// Where this node stands.
+    /// The current phase.
     pub fn phase(&self) -> LeadershipPhase {
         self.phase
     }
 
-    /// Holds the key, as far as it knows.
+    /// Whether this controller holds the leader's key, as far as it knows.
     pub fn holds_key(&self) -> bool {
         matches!(self.phase, LeadershipPhase::Loading | LeadershipPhase::Leading)
     }
 
-    /// The one function that changes the phase. Refuses to lead under a token that is not the
-    /// highest seen.
+    /// The one function that changes the phase. False, and nothing changes, if the transition is not allowed:
+    /// phases of a campaign come in their order, and nobody leads under a token below the highest seen.
     pub fn advance(&mut self, to: LeadershipPhase) -> bool {
-        use LeadershipPhase::*;
-        let allowed = match (self.phase, to) {
+        if !self.allows(to) {
+            return false;
+        }
+        if self.phase == to {
+            return true;
+        }
+        // What a new leader requested while it was loading is still its own when it leads.
+        if to != LeadershipPhase::Leading {
+            self.generation += 1;
+        }
+        if !matches!(to, LeadershipPhase::Loading | LeadershipPhase::Leading) {
+            self.token = 0;
+            self.lease_validity = LeaseValidity::Confirmed;
+        }
+        self.phase = to;
+        true
+    }
+
+    fn allows(&self, to: LeadershipPhase) -> bool {
+        use LeadershipPhase::{
+            Acquiring, Following, GrantingLease, Leading, Loading, Unknown, Vacant,
+        };
+        match (self.phase, to) {
             (Acquiring(_), Loading) => self.token >= self.highest_token && self.token > 0,
             (Loading, Leading) => self.token >= self.highest_token,
             (_, Loading | Leading) => false,
             (Vacant(_), GrantingLease) | (GrantingLease, Acquiring(_)) => true,
             (_, GrantingLease | Acquiring(_)) => false,
             (_, Unknown | Following | Vacant(_)) => true,
-        };
-        if allowed && self.phase != to {
-            if !matches!(to, Leading) {
-                self.generation += 1;
-            }
-            if !matches!(to, Loading | Leading) {
-                self.token = 0;
-                self.lease_validity = LeaseValidity::Confirmed;
-            }
-            self.phase = to;
         }
-        allowed
     }
 
-    /// Notes a token seen. True if this node must step down.
+    /// Records a fencing token seen anywhere. True if it is above the token of this controller, which holds the
+    /// key: another has been elected since, and this one must step down.
     pub fn observe_token(&mut self, token: u64) -> bool {
         if token > self.highest_token {
             self.highest_token = token;
@@ -146,47 +171,50 @@
         self.holds_key() && self.highest_token > self.token
     }
 
-    /// The key is held by that node under that token.
-    pub fn observe_leader(&mut self, node: &str, token: u64) {
+    /// Records that this controller leads under this token, unless a higher token has been seen.
+    pub fn observe_leader(&mut self, controller: &str, token: u64) {
         if token >= self.highest_token {
             self.highest_token = token;
-            self.known_leader = Some(node.to_string());
+            self.known_leader = Some(controller.to_string());
         }
     }
 
-    /// Whether the grant is known to live.
+    /// Whether the lease is known to be alive. [`LeaseValidity::Confirmed`] while the key is not held.
     pub fn lease_validity(&self) -> LeaseValidity {
         self.lease_validity
     }
 
-    /// The process has stood still: what was in flight when it began may be from another time. Doubts the
-    /// grant if it may have ended meanwhile; a shorter standstill costs nothing. True if it does.
+    /// The process was paused until now, or the lease's age is otherwise in question. If this controller holds the
+    /// key and its lease may have ended meanwhile, the lease is unconfirmed from now on. True if it is so.
     pub fn on_resume(&mut self, now: Time) -> bool {
-        let ended = now.saturating_sub(self.renewed_at) + LEASE_MARGIN_MS >= LEASE_TTL_MS;
-        if self.holds_key() && ended {
+        let may_have_ended = now.saturating_sub(self.renewed_at) + LEASE_MARGIN_MS >= LEASE_TTL_MS;
+        let must_confirm = self.holds_key() && may_have_ended;
+        if must_confirm {
             self.lease_validity = LeaseValidity::Unconfirmed(now);
         }
-        self.holds_key() && ended
+        must_confirm
     }
 
-    /// The grant was extended, or given, by a request sent then. Only one sent after the doubt began ends it.
-    pub fn on_lease_renewed(&mut self, asked: Time) {
-        self.renewed_at = self.renewed_at.max(asked);
-        if let LeaseValidity::Unconfirmed(since) = self.lease_validity
-            && asked >= since
+    /// The lease was granted or renewed by a request sent at `requested_at`. A request sent before the pause may
+    /// have been served before it too, and confirms nothing.
+    pub fn on_lease_renewed(&mut self, requested_at: Time) {
+        self.renewed_at = self.renewed_at.max(requested_at);
+        if let LeaseValidity::Unconfirmed(resumed_at) = self.lease_validity
+            && requested_at >= resumed_at
         {
             self.lease_validity = LeaseValidity::Confirmed;
         }
     }
 }
 
-/// What another controller last said of itself.
+/// What another controller's latest heartbeat said about the state service and the leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerHealth {
-    /// When it was heard.
+    /// When the heartbeat was received.
     pub heard_at: Time,
-    /// Age of that node's last store success when it was sent, ms.
+    /// Time between the state service's last answer to that controller and the sending of the heartbeat, ms; 0 if
+    /// it reaches the state service.
     pub store_age_ms: u64,
-    /// Highest token that node knew.
+    /// Highest fencing token that the controller had seen.
     pub highest_token: u64,
 }
