--- a/crates/simulation/src/simulation/mod.rs
+++ b/crates/simulation/src/simulation/mod.rs
@@ -103,7 +103,7 @@
     Operator(u64),
 }
 
-/// How rough the weather is.
+/// How often random faults happen in a run.
 #[derive(Debug, Clone, Copy)]
 pub struct FaultRates {
     /// Chance that a message or its answer is lost.
@@ -116,6 +116,15 @@
     pub outages_and_hangs: u32,
 }
 
+impl FaultRates {
+    /// No random fault: only what a test injects.
+    pub const NONE: FaultRates =
+        FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
+    /// Every kind of random fault, several times in a run.
+    pub const MANY: FaultRates =
+        FaultRates { message_loss: 0.03, message_delay: 0.01, crashes: 4, outages_and_hangs: 2 };
+}
+
 /// A part of the network that is gone for a controller, for a time.
 #[derive(Debug, Clone, Copy)]
 pub struct NetworkPartition {
--- a/examples/trace/scenarios.rs
+++ b/examples/trace/scenarios.rs
@@ -12,8 +12,6 @@
 /// Seeds under which every scenario is played.
 pub const SEEDS: [u64; 3] = [1, 2, 3];
 
-const CALM: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
 const CHAIN: &str = r#"
 [dispatch]
 version = 1
@@ -79,7 +77,7 @@
 // ---- worlds --------------------------------------------------------------------------------------
 
 fn calm(seed: u64) -> Simulation {
-    Simulation::new(seed, CALM, 150_000)
+    Simulation::new(seed, FaultRates::NONE, 150_000)
 }
 
 fn weather(seed: u64, loss: f64, late: f64, crashes: u32, outages: u32) -> Simulation {
@@ -113,7 +111,7 @@
 }
 
 fn gpus(seed: u64) -> Simulation {
-    let mut world = Simulation::with_offers(seed, CALM, 400_000, gpu_machine_offers(1));
+    let mut world = Simulation::with_offers(seed, FaultRates::NONE, 400_000, gpu_machine_offers(1));
     world.operator =
         OperatorSettings::parse("trace", "[loans]\ndurable = true\n").expect("it is sound");
     world
--- a/tests/answer_linearizability/cases.rs
+++ b/tests/answer_linearizability/cases.rs
@@ -1,6 +1,7 @@
 //! What is asked of the smallest world.
 
 use super::*;
+use crate::common::seeds::seeds_from_environment;
 
 /// A day of some seconds on which so many jobs come and go.
 fn run_day(seed: u64, jobs: u64, stages: u64, ways: StoreFaults, memory_mb: f64) -> AnswerModel {
@@ -26,13 +27,6 @@
     small
 }
 
-fn seed_range(default: std::ops::Range<u64>) -> std::ops::Range<u64> {
-    let range = std::env::var("ANSWERS").ok();
-    let range = range.as_deref().and_then(|r| r.split_once(".."));
-    let range = range.and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
-    range.unwrap_or(default)
-}
-
 /// Whatever the order in which the state service carries out and answers calls, and whatever is lost or late: all
 /// answers about a job, of all controllers, follow one order.
 #[test]
@@ -57,7 +51,7 @@
 fn check_one_order(memory_mb: f64, stages: u64, days: std::ops::Range<u64>) {
     let least = days.end;
     let mut met: BTreeMap<&str, u64> = BTreeMap::new();
-    for seed in seed_range(days) {
+    for seed in seeds_from_environment("ANSWERS").unwrap_or(days) {
         let ways = match seed % 3 {
             0 => StoreFaults {
                 max_delay_ms: 200,
@@ -397,7 +391,7 @@
         let key = keys::job(&self.ids[job]);
         let last = FinalRecord { state: FinalState::Done, done: 1, at_wall: None };
         let value = serde_json::to_value(last).expect("our own record");
-        let apply = vec![Mutation::Put { key: key, value, lease: None }];
+        let apply = vec![Mutation::Put { key, value, lease: None }];
         self.store.apply_transaction(&Transaction { preconditions: Vec::new(), mutations: apply });
     }
 
--- a/tests/answer_linearizability/main.rs
+++ b/tests/answer_linearizability/main.rs
@@ -4,6 +4,8 @@
 //! question was asked.
 
 mod cases;
+#[path = "../common/mod.rs"]
+mod common;
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/tests/completion_probability.rs
+++ b/tests/completion_probability.rs
@@ -1,7 +1,9 @@
 //! The chance arithmetic against direct enumeration, on generated inputs.
 
+mod common;
+
+use common::property_tests::test_runner;
 use proptest::prelude::*;
-use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use swiftsail_controller::completion_time::{Pmf, RunTimeHistory};
 use swiftsail_controller::job::{JobKind, JobSpec};
 use swiftsail_simulation::simulation::job_spec;
@@ -15,12 +17,6 @@
     }
 }
 
-fn test_runner() -> TestRunner {
-    let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
-    // A fixed seed: the same verdict each time.
-    TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]))
-}
-
 fn distribution_points() -> impl Strategy<Value = Vec<(f64, f64)>> {
     prop::collection::vec((0.0..100_000.0f64, 0.01..5.0f64), 1..12)
 }
@@ -33,7 +29,7 @@
 fn mass_is_conserved() {
     let strategy =
         (distribution_points(), distribution_points(), 0.0..200_000.0f64, 0.0..100_000.0f64);
-    test_runner()
+    test_runner(7, 256)
         .run(&strategy, |(a, b, deadline, elapsed)| {
             let (a, b) = (Pmf::from_points(&a), Pmf::from_points(&b));
             for pmf in [a.convolve(&b), a.clone().clamp_to_deadline(deadline), a.remaining(elapsed)]
@@ -51,7 +47,7 @@
 
 #[test]
 fn chance_grows_with_the_deadline() {
-    test_runner()
+    test_runner(7, 256)
         .run(
             &(distribution_points(), 0.0..150_000.0f64, 0.0..50_000.0f64),
             |(a, deadline, more)| {
@@ -68,7 +64,7 @@
 
 #[test]
 fn a_sum_is_what_enumeration_says() {
-    test_runner()
+    test_runner(7, 256)
         .run(&(distribution_points(), distribution_points()), |(a, b)| {
             let (pa, pb) = (Pmf::from_points(&a), Pmf::from_points(&b));
             let sum = pa.convolve(&pb);
@@ -84,7 +80,7 @@
 
 #[test]
 fn mass_past_a_deadline_moves_onto_it() {
-    test_runner()
+    test_runner(7, 256)
         .run(&(distribution_points(), 1.0..100_000.0f64), |(a, deadline)| {
             let whole = Pmf::from_points(&a);
             let cut = whole.clone().clamp_to_deadline(deadline);
--- a/tests/concurrent_faults.rs
+++ b/tests/concurrent_faults.rs
@@ -1,6 +1,11 @@
 //! Two troubles at once: what a leader must know that the state service refuses, on the real cores against the
 //! stand-in, and every order of steps of a small world of what controllers hold for each other.
 
+mod common;
+
+use common::busy_cluster::{BusyCluster, LongJobs};
+use common::cluster::{assert_ends_well, leader_index, tasks_killed};
+use common::seeds::seeds_from_environment;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeSet;
@@ -22,35 +27,20 @@
     job_body,
 };
 
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
-const JOB: &str = "wk-000001";
+/// All are cancelled within some seconds of the 41st.
+const LONG_JOBS: LongJobs = LongJobs {
+    id_prefix: "wk-a",
+    run_time_s: 150.0,
+    first_cancel_ms: 40_500,
+    cancel_interval_ms: 150,
+};
 
-fn leader_index(world: &Simulation) -> Option<usize> {
-    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
-}
+const JOB: &str = "wk-000001";
 
 fn store_partition(node: usize, from_ms: u64, for_ms: u64) -> NetworkPartition {
     NetworkPartition { store: true, ..NetworkPartition::of(node, from_ms, for_ms) }
 }
 
-/// A world with many long tasks on their machines, its leader, and the time.
-fn run_until_busy(seed: u64) -> (Simulation, usize, u64) {
-    let mut world = Simulation::new(seed, NO_FAULTS, 1_000);
-    for n in 0..24 {
-        let id = format!("wk-a{n}");
-        // All are cancelled within some seconds of the 41st.
-        world.submit(
-            500 + n * 100,
-            Some(40_500 + n * 150),
-            job_body(&id, "array", "blue", 2, 1.0, 150.0),
-        );
-    }
-    world.run_until(40_000);
-    let leads = leader_index(&world).expect("somebody leads");
-    (world, leads, 40_000)
-}
-
 /// Jobs whose users were told between these times.
 fn cancellations_told(world: &Simulation, from_ms: u64, to_ms: u64) -> usize {
     let times = world.jobs.iter().filter_map(|j| j.cancellation_told_at);
@@ -63,23 +53,24 @@
 fn what_others_confirmed_ends_in_time_though_the_leader_cannot_read_it() {
     let mut met = 0;
     for seed in 0..6 {
-        let (mut world, leads, at) = run_until_busy(seed);
-        world.partitions.push(store_partition(leads, at, 14_000));
-        world.schedule_store_outage(at + 2_000, 59_000);
-        world.run_until(at + 2_000);
-        let before = cancellations_told(&world, at, at + 2_000);
+        let BusyCluster { mut world, leader, now_ms } =
+            BusyCluster::run_until_busy(seed, &LONG_JOBS);
+        world.partitions.push(store_partition(leader, now_ms, 14_000));
+        world.schedule_store_outage(now_ms + 2_000, 59_000);
+        world.run_until(now_ms + 2_000);
+        let before = cancellations_told(&world, now_ms, now_ms + 2_000);
         met += before;
-        assert_eq!(leader_index(&world), Some(leads), "its grant has not ended yet");
-        world.run_until(at + 60_000);
-        let voice = world.controllers[leads].as_ref().and_then(Controller::answer_authority);
+        assert_eq!(leader_index(&world), Some(leader), "its grant has not ended yet");
+        world.run_until(now_ms + 60_000);
+        let voice = world.controllers[leader].as_ref().and_then(Controller::answer_authority);
         assert_eq!(
             voice,
             Some(AnswerAuthority::Endorsed),
             "it has not read for longer than a leader may go on"
         );
-        let killed: u64 = world.cluster.workers.values().map(|w| w.tasks_killed).sum();
+        let killed = tasks_killed(&world);
         assert_eq!(killed, 0, "seed {seed}: with a majority's word no lease ends");
-        world.run_until(at + 200_000);
+        world.run_until(now_ms + 200_000);
         assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
     }
     assert!(met >= 20, "{met} cancellations were confirmed in the gap");
@@ -90,21 +81,22 @@
 #[test]
 fn a_leader_that_learns_nothing_falls_silent() {
     for seed in 0..4 {
-        let (mut world, leads, at) = run_until_busy(seed);
+        let BusyCluster { mut world, leader, now_ms } =
+            BusyCluster::run_until_busy(seed, &LONG_JOBS);
         world
             .partitions
-            .push(NetworkPartition { peers: true, ..store_partition(leads, at, 60_000) });
-        world.schedule_store_outage(at + 2_000, 58_000);
+            .push(NetworkPartition { peers: true, ..store_partition(leader, now_ms, 60_000) });
+        world.schedule_store_outage(now_ms + 2_000, 58_000);
         let voice = |world: &Simulation| {
-            world.controllers[leads].as_ref().and_then(Controller::answer_authority)
+            world.controllers[leader].as_ref().and_then(Controller::answer_authority)
         };
-        world.run_until(at + 18_000);
+        world.run_until(now_ms + 18_000);
         assert_eq!(voice(&world), Some(AnswerAuthority::OwnReads), "19 s are left to it");
-        world.run_until(at + 21_000);
+        world.run_until(now_ms + 21_000);
         assert_eq!(voice(&world), Some(AnswerAuthority::Lost));
-        world.run_until(at + 200_000);
+        world.run_until(now_ms + 200_000);
         assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
-        assert_eq!(cancellations_told(&world, at, at + 200_000), 24);
+        assert_eq!(cancellations_told(&world, now_ms, now_ms + 200_000), 24);
     }
 }
 
@@ -114,31 +106,32 @@
 fn the_gap_holds_with_crashes_and_second_refusals() {
     let mut met = 0;
     for seed in 0..24u64 {
-        let (mut world, leads, at) = run_until_busy(seed);
+        let BusyCluster { mut world, leader, now_ms } =
+            BusyCluster::run_until_busy(seed, &LONG_JOBS);
         let mut rng = StdRng::seed_from_u64(seed);
-        let other = |n: usize| (leads + 1 + n) % 3;
+        let other = |n: usize| (leader + 1 + n) % 3;
         world.restart_delay_ms = Some([100, 1_000, 4_000][seed as usize % 3]);
-        world.partitions.push(store_partition(leads, at, rng.random_range(1_500..20_000)));
+        world.partitions.push(store_partition(leader, now_ms, rng.random_range(1_500..20_000)));
         let gap = rng.random_range(800..2_200);
-        world.schedule_store_outage(at + gap, 59_000);
+        world.schedule_store_outage(now_ms + gap, 59_000);
         for n in 0..2 {
             match rng.random_range(0..4) {
-                0 => world.schedule_crash(at + rng.random_range(300..gap), other(n)),
-                1 => world.schedule_crash(at + rng.random_range(gap..20_000), other(n)),
+                0 => world.schedule_crash(now_ms + rng.random_range(300..gap), other(n)),
+                1 => world.schedule_crash(now_ms + rng.random_range(gap..20_000), other(n)),
                 2 => world.partitions.push(store_partition(
                     other(n),
-                    at + rng.random_range(0..gap),
+                    now_ms + rng.random_range(0..gap),
                     3_000,
                 )),
                 _ => {
-                    let cut = store_partition(other(n), at + rng.random_range(0..gap), 30_000);
+                    let cut = store_partition(other(n), now_ms + rng.random_range(0..gap), 30_000);
                     world.partitions.push(NetworkPartition { peers: true, store: false, ..cut });
                 }
             }
         }
-        world.run_until(at + gap);
-        met += cancellations_told(&world, at, at + gap);
-        world.run_until(at + 250_000);
+        world.run_until(now_ms + gap);
+        met += cancellations_told(&world, now_ms, now_ms + gap);
+        world.run_until(now_ms + 250_000);
         assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
     }
     assert!(met >= 30, "{met} cancellations were confirmed in the gap");
@@ -148,16 +141,16 @@
 /// the job's last record, which the leader writes when nothing is left, needs no other's word.
 #[test]
 fn nobody_is_told_of_a_cancellation_that_one_controller_holds_alone() {
-    let (mut world, leads, at) = run_until_busy(3);
+    let BusyCluster { mut world, leader, now_ms } = BusyCluster::run_until_busy(3, &LONG_JOBS);
     for n in 0..3 {
         world.partitions.push(NetworkPartition {
             peers: true,
             store: false,
-            ..store_partition(n, at, 20_000)
+            ..store_partition(n, now_ms, 20_000)
         });
     }
     for step in 1..200 {
-        world.run_until(at + step * 100);
+        world.run_until(now_ms + step * 100);
         for job in world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()) {
             let workers = world.cluster.workers.values().filter(|w| !w.is_terminated);
             let mut tasks = workers.flat_map(|w| &w.tasks).filter(|t| t.is_on_machine());
@@ -167,8 +160,8 @@
             assert!(!tasks.any(its), "{} was told of and is there", job.id);
         }
     }
-    assert_eq!(cancellations_told(&world, at, at + 20_000), 24);
-    assert_eq!(leader_index(&world), Some(leads));
+    assert_eq!(cancellations_told(&world, now_ms, now_ms + 20_000), 24);
+    assert_eq!(leader_index(&world), Some(leader));
     assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
@@ -644,27 +637,11 @@
 /// Whatever two troubles meet: no rule is broken, and in the end every job is over.
 #[test]
 fn meetings_of_two_troubles_break_no_rule() {
-    let (from, days) = match std::env::var("MEETINGS") {
-        Ok(range) => {
-            range.split_once("..").and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)))
-        }
-        Err(_) => None,
-    }
-    .unwrap_or((0, 48));
     let mut told = 0;
-    for seed in from..days {
+    for seed in seeds_from_environment("MEETINGS").unwrap_or(0..48) {
         let world = run_with_two_faults(seed);
-        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
+        assert_ends_well(&world, &format!("seed {seed}"));
         told += world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
-        for job in &world.jobs {
-            assert!(
-                job.is_over(),
-                "seed {seed}: {} ended as {:?}: {}",
-                job.id,
-                job.last_status,
-                world.describe_job(&job.id)
-            );
-        }
     }
     assert!(told > 0);
 }
--- a/tests/consistent_answers.rs
+++ b/tests/consistent_answers.rs
@@ -1,12 +1,15 @@
 //! Answers to users on whole days: looks at all controllers within milliseconds, transactions of which only the
 //! answer is lost, cancellations that meet the end, one-task jobs several a second, odd requests.
 
+mod common;
+
+use common::cluster::leader_index;
+use common::seeds::seeds_from_environment;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use swiftsail_controller::controller::Controller;
 use swiftsail_controller::job::keys;
 use swiftsail_protocol::state::{Mutation, Transaction};
 use swiftsail_simulation::simulation::{
@@ -14,23 +17,9 @@
     job_body,
 };
 
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
-const MANY_FAULTS: FaultRates =
+const SOME_FAULTS: FaultRates =
     FaultRates { message_loss: 0.02, message_delay: 0.01, crashes: 2, outages_and_hangs: 1 };
 
-fn leader_index(world: &Simulation) -> Option<usize> {
-    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
-}
-
-/// Seeds: a few, or as many as `ANSWERS=0..1000` says.
-fn seed_range(default: std::ops::Range<u64>) -> std::ops::Range<u64> {
-    let range = std::env::var("ANSWERS").ok();
-    let range = range.as_deref().and_then(|r| r.split_once(".."));
-    let range = range.and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
-    range.unwrap_or(default)
-}
-
 /// What a transaction is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum TransactionKind {
@@ -92,8 +81,8 @@
 #[test]
 fn looks_at_all_nodes_within_milliseconds_find_nothing_older() {
     let mut met: BTreeMap<&str, u64> = BTreeMap::new();
-    for seed in seed_range(0..10) {
-        let weather = if seed.is_multiple_of(2) { NO_FAULTS } else { MANY_FAULTS };
+    for seed in seeds_from_environment("ANSWERS").unwrap_or(0..10) {
+        let weather = if seed.is_multiple_of(2) { FaultRates::NONE } else { SOME_FAULTS };
         let mut world = Simulation::new(seed, weather, 100_000);
         let mut rng = StdRng::seed_from_u64(seed);
         submit_short_jobs(&mut world, &mut rng, 40);
@@ -118,7 +107,7 @@
 /// One kind of transaction is carried out at once, and only its answer is lost, the first two times that it is sent,
 /// while users look at all nodes; every third time the leader ends right then.
 fn run_with_lost_answers(kind: TransactionKind, seed: u64) -> (Simulation, u64) {
-    let weather = if seed.is_multiple_of(2) { NO_FAULTS } else { MANY_FAULTS };
+    let weather = if seed.is_multiple_of(2) { FaultRates::NONE } else { SOME_FAULTS };
     let mut world = Simulation::new(seed, weather, 90_000);
     let mut rng = StdRng::seed_from_u64(seed);
     submit_short_jobs(&mut world, &mut rng, 30);
@@ -161,7 +150,7 @@
 
 fn check_each_lost_answer(kind: TransactionKind, least: u64) {
     let mut lost = 0;
-    for seed in seed_range(0..12) {
+    for seed in seeds_from_environment("ANSWERS").unwrap_or(0..12) {
         let (world, times) = run_with_lost_answers(kind, seed);
         assert_all_jobs_over(&world, &format!("{kind:?}, seed {seed}"));
         lost += times;
@@ -212,8 +201,8 @@
 fn a_cancellation_that_meets_the_end_of_the_last_task() {
     let mut met: BTreeMap<&str, u64> = BTreeMap::new();
     let (mut done, mut cancelled) = (0, 0);
-    for seed in seed_range(0..16) {
-        let weather = if seed.is_multiple_of(2) { NO_FAULTS } else { MANY_FAULTS };
+    for seed in seeds_from_environment("ANSWERS").unwrap_or(0..16) {
+        let weather = if seed.is_multiple_of(2) { FaultRates::NONE } else { SOME_FAULTS };
         let mut world = Simulation::with_capacity(seed, weather, 100_000, 20);
         for n in 0..24u64 {
             // An array of three chunks among them.
@@ -269,8 +258,8 @@
 #[test]
 fn a_cancellation_read_by_others_while_the_leader_cannot() {
     let mut met = (0, 0);
-    for seed in seed_range(0..14) {
-        let mut world = Simulation::new(seed, NO_FAULTS, 1_000);
+    for seed in seeds_from_environment("ANSWERS").unwrap_or(0..14) {
+        let mut world = Simulation::new(seed, FaultRates::NONE, 1_000);
         for n in 0..24u64 {
             let id = format!("wk-a{n}");
             let cancel = Some(40_020 + n * 60);
@@ -344,7 +333,7 @@
     trouble: &[Fault],
 ) -> (Simulation, FloodResult) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut world = Simulation::with_capacity(seed, NO_FAULTS, 1_000, 25);
+    let mut world = Simulation::with_capacity(seed, FaultRates::NONE, 1_000, 25);
     world.limit_store(rps, write_rps);
     world.routes_to_healthy = true;
     for n in 0..for_s * 4 {
@@ -392,7 +381,7 @@
     let worse =
         vec![Fault::ConsistencyProbes, Fault::AnswersLost(0.1), Fault::CancelAtCompletion(0.2)];
     let (mut looks, mut put_off) = (0, 0);
-    for seed in seed_range(0..2) {
+    for seed in seeds_from_environment("ANSWERS").unwrap_or(0..2) {
         for (rps, write_rps) in [(150.0, 40.0), (120.0, 20.0), (120.0, 15.0)] {
             for trouble in [&close, &worse] {
                 let (world, flood) =
@@ -507,7 +496,7 @@
 fn troubles_in_pairs_under_close_looks_break_no_rule() {
     let mut met: BTreeMap<&str, u64> = BTreeMap::new();
     let mut days = 0;
-    for seed in seed_range(0..32) {
+    for seed in seeds_from_environment("ANSWERS").unwrap_or(0..32) {
         let world = run_with_paired_faults(seed);
         assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
         for job in &world.jobs {
--- a/tests/dispatch_deadlines.rs
+++ b/tests/dispatch_deadlines.rs
@@ -1,13 +1,16 @@
 //! Dispatch deadlines: calendars across daylight saving, chains planned backward, and arrivals that no failure of
 //! controllers forgets.
 
+mod common;
+
+use common::cluster::leader_index;
+use common::property_tests::test_runner;
 use proptest::prelude::*;
-use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use swiftsail_controller::controller::{AdminRequest, Controller};
+use swiftsail_controller::controller::AdminRequest;
 use swiftsail_deadline_planning::backward_planning::{plan_backward, quantile};
 use swiftsail_deadline_planning::tracker::StepDurations;
 use swiftsail_deadline_planning::{
@@ -21,11 +24,6 @@
 
 const HOUR_MS: u64 = 3_600_000;
 
-fn test_runner(cases: u32) -> TestRunner {
-    let config = Config { cases, failure_persistence: None, ..Config::default() };
-    TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[36; 32]))
-}
-
 fn parse_plan(text: &str) -> Result<DeadlineSchedule, String> {
     let table: toml::Table = toml::from_str(text).expect("it is TOML");
     swiftsail_controller::controller::plan_of_file(table)
@@ -124,7 +122,7 @@
 #[test]
 fn a_chain_is_planned_backward() {
     let steps = prop::collection::vec((0u8..255, 0u32..900, 1u64..5_000_000), 1..10);
-    test_runner(200)
+    test_runner(36, 200)
         .run(&steps, |steps| {
             let line = |(n, (bits, margin, _)): (usize, &(u8, u32, u64))| StepDefinition {
                 name: format!("s{n}"),
@@ -323,22 +321,16 @@
 /// deadlines are what they were, and it is ready in the end.
 #[test]
 fn no_failure_of_controllers_forgets_a_deadline() {
-    const NO_FAULTS: FaultRates =
-        FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
     let text = CHAIN
         .replace("[[chain", "[[dispatch.chain")
         .replace("version = 1", "[dispatch]\nversion = 1");
     let operator = OperatorSettings::parse("dispatch", &text).expect("it is sound");
     for seed in 0..5u64 {
-        let mut world = Simulation::new(seed, NO_FAULTS, 200_000);
+        let mut world = Simulation::new(seed, FaultRates::NONE, 200_000);
         world.operator = operator.clone();
         world.restart_delay_ms = (seed % 2 == 0).then_some(100);
         world.run_until(8_000);
-        let leads = |world: &Simulation| {
-            (0..3)
-                .find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
-                .expect("somebody leads")
-        };
+        let leads = |world: &Simulation| leader_index(world).expect("somebody leads");
         let at_ms = 1_700_000_000_000 + world.now + 240_000;
         let body = json!({"name": "north", "chain": "lists", "at_ms": at_ms}).to_string();
         let node = leads(&world);
--- a/tests/failovers.rs
+++ b/tests/failovers.rs
@@ -2,6 +2,9 @@
 //! times in two minutes and in an outage, while a zone or everybody is away for longer than a lease, and while each
 //! kind of transaction comes late. On the real cores against the stand-in.
 
+mod common;
+
+use common::cluster::{leader_index, tasks_killed};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::Value;
@@ -17,21 +20,10 @@
     assert_all_jobs_over, gpu_job_body, gpu_machine_offers, job_body,
 };
 
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
-
-fn leader_index(world: &Simulation) -> Option<usize> {
-    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
-}
-
 fn fault_count(world: &Simulation, what: &str) -> u64 {
     world.fault_counts.get(what).copied().unwrap_or(0)
 }
 
-fn tasks_killed(world: &Simulation) -> u64 {
-    world.cluster.workers.values().map(|w| w.tasks_killed).sum()
-}
-
 /// Arrays, gangs and services, long and short, some of them cancelled.
 fn submit_load(world: &mut Simulation, number: u64, until_ms: u64) {
     for n in 0..number {
@@ -83,7 +75,7 @@
 fn copies_kept_for_the_next_leader_prove_nothing() {
     let (mut copies, mut first) = (0, 0);
     for seed in 0..10u64 {
-        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 200_000, 4);
+        let mut world = Simulation::with_capacity(seed, FaultRates::NONE, 200_000, 4);
         world.memory_mb = if seed.is_multiple_of(3) { 0.2 } else { 40.0 };
         world.restart_delay_ms = [Some(100), None, Some(1_000)][seed as usize % 3];
         world.add_fault_window(5_000, 130_000, Fault::DuplicatesForNextLeader(0.5));
@@ -139,7 +131,7 @@
     let (mut young, mut unlisted, mut unanswered) = (0, 0, 0);
     for seed in 0..30u64 {
         let late = [0.0, 0.03][seed as usize / 2 % 2];
-        let weather = FaultRates { message_loss: late, message_delay: late, ..NO_FAULTS };
+        let weather = FaultRates { message_loss: late, message_delay: late, ..FaultRates::NONE };
         let mut world = Simulation::with_capacity(seed, weather, 120_000, 8);
         world.cluster.cloud.fixed_boot_ms = Some(2_000);
         world.restart_delay_ms = [Some(200), None][seed as usize % 2];
@@ -205,7 +197,7 @@
 fn reports_held_back_until_the_new_leader_has_acted() {
     let (mut held, mut acted) = (0, 0);
     for seed in 0..10u64 {
-        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 200_000, 4);
+        let mut world = Simulation::with_capacity(seed, FaultRates::NONE, 200_000, 4);
         world.restart_delay_ms = Some(3_500);
         submit_load(&mut world, 18, 60_000);
         let mut leads = LeadershipHistory::default();
@@ -285,8 +277,8 @@
     for seed in 0..9u64 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut world = match seed % 3 {
-            0 => Simulation::with_offers(seed, NO_FAULTS, 300_000, gpu_machine_offers(1)),
-            _ => Simulation::with_capacity(seed, NO_FAULTS, 300_000, 4),
+            0 => Simulation::with_offers(seed, FaultRates::NONE, 300_000, gpu_machine_offers(1)),
+            _ => Simulation::with_capacity(seed, FaultRates::NONE, 300_000, 4),
         };
         world.operator = operator_with_records();
         world.restart_delay_ms = [Some(100), Some(200), None][(seed / 3) as usize];
@@ -348,7 +340,7 @@
 fn a_zone_or_everybody_away_for_longer_than_a_lease() {
     let (mut zone_cuts, mut ended, mut silent) = (0, 0, 0);
     for seed in 0..12u64 {
-        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 300_000, 5);
+        let mut world = Simulation::with_capacity(seed, FaultRates::NONE, 300_000, 5);
         world.restart_delay_ms = [Some(200), Some(16_000), None][seed as usize % 3];
         submit_load(&mut world, 18, 90_000);
         world.run_until(45_000);
@@ -460,7 +452,7 @@
 fn each_kind_of_transaction_comes_late() {
     let mut late: BTreeMap<&str, u64> = BTreeMap::new();
     for seed in 0..72u64 {
-        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 300_000, 4);
+        let mut world = Simulation::with_capacity(seed, FaultRates::NONE, 300_000, 4);
         world.restart_delay_ms = [Some(100), None][(seed / 6) as usize % 2];
         let judged =
             delay_transactions(&mut world, TRANSACTION_KINDS[seed as usize % 6], seed, 130_000);
@@ -493,7 +485,8 @@
 fn records_written_late_stay_whole() {
     let mut late: BTreeMap<&str, u64> = BTreeMap::new();
     for seed in 0..8u64 {
-        let mut world = Simulation::with_offers(seed, NO_FAULTS, 300_000, gpu_machine_offers(1));
+        let mut world =
+            Simulation::with_offers(seed, FaultRates::NONE, 300_000, gpu_machine_offers(1));
         world.operator = operator_with_records();
         world.restart_delay_ms = [Some(100), None][seed as usize % 2];
         const ALL_KINDS: &[&str] = &["loan", "tiers and arrivals", "amounts"];
@@ -536,7 +529,7 @@
     let (mut apart, mut written) = (0, 0);
     for seed in 0..24u64 {
         // Six machines that hold one task each: the tasks of a job come one after another.
-        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 300_000, 1);
+        let mut world = Simulation::with_capacity(seed, FaultRates::NONE, 300_000, 1);
         world.restart_delay_ms = [Some(100), Some(1_000), None][seed as usize % 3];
         let late = delay_transactions(&mut world, &["binding", "chunk", "end"], seed, 200_000);
         for n in 0..7u64 {
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -2,9 +2,6 @@
 
 use swiftsail_simulation::simulation::{FaultRates, Simulation, job_body};
 
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
-
 fn gang_body(id: &str, tasks: u32, eta_s: f64) -> serde_json::Value {
     let mut gang = job_body(id, "gang", "blue", tasks, 8.0, eta_s);
     (gang["hulls"], gang["dock"]) = (vec!["m8"].into(), "a".into());
@@ -18,7 +15,7 @@
 /// on simulated machines a gang went on so for 631 s, until its machines were needed elsewhere.
 #[test]
 fn a_gang_does_not_give_up_the_fetch_that_it_waits_for() {
-    let mut world = Simulation::with_capacity(1, NO_FAULTS, 1_000, 1);
+    let mut world = Simulation::with_capacity(1, FaultRates::NONE, 1_000, 1);
     world.submit(500, None, gang_body("wk-1", 1, 4.0));
     world.submit(48_000, None, gang_body("wk-2", 2, 10.0));
     world.run_until(160_000);
@@ -34,7 +31,7 @@
 fn gangs_go_back_to_their_own_machines() {
     let mut days = 0;
     for seed in 0..16 {
-        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 1_000, 2);
+        let mut world = Simulation::with_capacity(seed, FaultRates::NONE, 1_000, 2);
         // The first by its id comes second, and so holds the later machines.
         let ids = ["wk-9", "wk-1"];
         for (n, id) in ids.iter().enumerate() {
@@ -76,7 +73,7 @@
 /// Zones cost the same, and the first was always taken: all gangs stood in the zone that was cut off.
 #[test]
 fn what_is_rented_is_spread_over_the_zones() {
-    let mut world = Simulation::with_capacity(3, NO_FAULTS, 1_000, 6);
+    let mut world = Simulation::with_capacity(3, FaultRates::NONE, 1_000, 6);
     for n in 0..6 {
         let mut gang = gang_body(&format!("wk-{n}"), 1, 200.0);
         (gang["dock"], gang["pull_gb"]) = (serde_json::Value::Null, 0.5.into());
--- a/tests/gpu_lending.rs
+++ b/tests/gpu_lending.rs
@@ -1,6 +1,9 @@
 //! Accelerators taken for others and given back: the state machine of a loan, every order of steps of a small one,
 //! and controllers that fail in the midst of many.
 
+mod common;
+
+use common::cluster::leader_index;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rand::rngs::StdRng;
@@ -18,13 +21,6 @@
     FaultRates, START_MS, Simulation, gpu_job_body, gpu_machine_offers,
 };
 
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
-
-fn leader_index(world: &Simulation) -> Option<usize> {
-    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
-}
-
 fn loan_facts(bits: u8) -> LoanObservation {
     let bit = |n: u8| bits & (1 << n) != 0;
     LoanObservation {
@@ -305,7 +301,8 @@
     tasks.filter(|t| t.is_on_machine() && t.name.starts_with(&format!("{id}/"))).count()
 }
 
-fn first_started_ms(world: &Simulation, id: &str) -> Option<u64> {
+/// When the last of a job's tasks started for the first time, ms from the beginning.
+fn last_task_started_ms(world: &Simulation, id: &str) -> Option<u64> {
     let own = world
         .cluster
         .first_started_at
@@ -319,7 +316,8 @@
 #[test]
 fn fine_tuning_takes_its_guarantee_from_batches() {
     for seed in 0..3 {
-        let mut world = Simulation::with_offers(seed, NO_FAULTS, 400_000, gpu_machine_offers(1));
+        let mut world =
+            Simulation::with_offers(seed, FaultRates::NONE, 400_000, gpu_machine_offers(1));
         for n in 0..4 {
             let id = format!("wk-b{n}");
             world.submit(500 + n * 500, None, gpu_job_body(&id, "array", "lab", 8, 1.0, 400.0));
@@ -334,7 +332,7 @@
         }
         world.run_until(130_000);
         for id in ["wk-t1", "wk-t2"] {
-            let at = first_started_ms(&world, id);
+            let at = last_task_started_ms(&world, id);
             assert!(at.is_some_and(|at| at < 115_000), "seed {seed}: {id}: {at:?}");
         }
         assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
@@ -355,7 +353,7 @@
             crashes: 0,
             outages_and_hangs: 0,
         };
-        let weather = if seed < 2 { NO_FAULTS } else { weather };
+        let weather = if seed < 2 { FaultRates::NONE } else { weather };
         let mut world = Simulation::with_offers(seed, weather, 400_000, gpu_machine_offers(1));
         world.operator = operator_with_loans();
         world.restart_delay_ms = (seed % 3 == 0).then_some(100);
@@ -409,7 +407,7 @@
 /// Operators see what is lent, and by whom.
 #[test]
 fn operators_see_what_is_lent() {
-    let mut world = Simulation::with_offers(1, NO_FAULTS, 400_000, gpu_machine_offers(1));
+    let mut world = Simulation::with_offers(1, FaultRates::NONE, 400_000, gpu_machine_offers(1));
     world.operator = operator_with_loans();
     let id = world.schedule_admin_request(20_000, 0, AdminRequest::Loans(None));
     world.run_until(21_000);
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -1,6 +1,10 @@
 //! Jobs that await others: who may begin, what is called off, deadlines along the chain; as pure values against plain
 //! re-statements, and on the real cores under crashes, outages and lost answers.
 
+mod common;
+
+use common::cluster::leader_index;
+use common::seeds::seeds_from_environment;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -24,9 +28,6 @@
     job_spec,
 };
 
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
-
 fn job_id(n: usize) -> JobId {
     format!("wk-{n}").into()
 }
@@ -425,7 +426,7 @@
 #[test]
 fn pipelines_are_put_off_while_versions_mix() {
     for seed in 0..6 {
-        let mut world = Simulation::new(seed, NO_FAULTS, 1_000);
+        let mut world = Simulation::new(seed, FaultRates::NONE, 1_000);
         world.old_version_until_ms[seed as usize % 3] = 70_000;
         world.schedule_crash(40_000, (seed as usize + 1) % 3);
         submit_pipeline(&mut world, "a", 20_000, None);
@@ -448,7 +449,7 @@
 /// Stages run one after the other, and the next begins soon after the one before it.
 #[test]
 fn a_pipeline_runs_in_order_and_without_delay() {
-    let mut world = Simulation::new(1, NO_FAULTS, 1_000);
+    let mut world = Simulation::new(1, FaultRates::NONE, 1_000);
     world.submit(500, None, job_body("wk-s", "array", "blue", 30, 1.0, 60.0));
     submit_pipeline(&mut world, "a", 30_000, None);
     world.run_until(120_000);
@@ -466,7 +467,7 @@
 fn a_cancellation_takes_with_it_what_needs_the_job() {
     let (mut off, mut done) = (0, 0);
     for seed in 0..24 {
-        let mut world = Simulation::new(seed, NO_FAULTS, 1_000);
+        let mut world = Simulation::new(seed, FaultRates::NONE, 1_000);
         let which = seed as usize % 5;
         submit_pipeline(&mut world, "a", 15_000, Some((which, 15_500 + seed * 1_500)));
         submit_pipeline(&mut world, "b", 16_000, None);
@@ -500,7 +501,7 @@
 #[test]
 fn a_hundred_jobs_after_a_cancelled_one() {
     for seed in 0..3 {
-        let mut world = Simulation::new(seed, NO_FAULTS, 1_000);
+        let mut world = Simulation::new(seed, FaultRates::NONE, 1_000);
         world.submit(500, Some(60_000), job_body("wk-1", "array", "blue", 2, 1.0, 300.0));
         for n in 0..100 {
             let before = if n % 4 == 3 { format!("wk-x{}", n - 1) } else { "wk-1".to_string() };
@@ -511,9 +512,7 @@
             );
         }
         world.run_until(60_000);
-        if let Some(node) =
-            (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
-        {
+        if let Some(node) = leader_index(&world) {
             world.schedule_crash(60_020, node);
         }
         world.run_until(160_000);
@@ -532,7 +531,7 @@
 /// from its record whatever it names.
 #[test]
 fn only_what_was_accepted_may_be_awaited() {
-    let mut world = Simulation::new(4, NO_FAULTS, 1_000);
+    let mut world = Simulation::new(4, FaultRates::NONE, 1_000);
     world.submit(500, None, job_body("wk-1", "array", "blue", 1, 1.0, 5.0));
     for n in 0..6 {
         let name = format!("wk-n{n}");
@@ -560,7 +559,7 @@
 /// While it waits a job holds no part of its team's limit, however much it will take.
 #[test]
 fn what_waits_holds_nothing_of_a_limit() {
-    let mut world = Simulation::new(6, NO_FAULTS, 1_000);
+    let mut world = Simulation::new(6, FaultRates::NONE, 1_000);
     let mut long = job_body("wk-1", "array", "red", 1, 1.0, 100.0);
     long["due_s"] = Value::Null;
     world.submit(500, None, long);
@@ -586,13 +585,8 @@
 /// jobs submitted when the others are long over and moved to their last place, under other leaders.
 #[test]
 fn pipelines_hold_in_rough_weather() {
-    let range = std::env::var("PIPELINES").ok();
-    let range = range.and_then(|r| {
-        let (from, to) = r.split_once("..")?;
-        Some(from.parse::<u64>().ok()?..to.parse::<u64>().ok()?)
-    });
     let mut called_off = 0;
-    for seed in range.unwrap_or(0..12) {
+    for seed in seeds_from_environment("PIPELINES").unwrap_or(0..12) {
         let mut rng = StdRng::seed_from_u64(seed ^ 0xa7);
         let rough = seed % 2 == 0;
         let weather = FaultRates {
@@ -629,7 +623,7 @@
 /// Machines for what is about to begin are booted by then, and not long before; nothing of it is bound meanwhile.
 #[test]
 fn machines_are_up_when_the_next_stage_begins() {
-    let mut world = Simulation::with_capacity(8, NO_FAULTS, 1_000, 40);
+    let mut world = Simulation::with_capacity(8, FaultRates::NONE, 1_000, 40);
     // From these it learns how far its class keeps to its estimates.
     for n in 0..4 {
         world.submit(300, None, job_body(&format!("wk-t{n}"), "array", "blue", 10, 0.5, 4.0));
--- a/tests/machine_hangs.rs
+++ b/tests/machine_hangs.rs
@@ -2,70 +2,33 @@
 //! while the state service is away. On the real cores against the stand-in, in simulated time. `MEETINGS=0..300` plays
 //! other days of the last kind.
 
+mod common;
+
+use common::busy_cluster::{BusyCluster, LongJobs};
+use common::cluster::{assert_ends_well, hang_machines, leader_index, machines_with_tasks};
+use common::seeds::seeds_from_environment;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use swiftsail_controller::cluster_state::ClusterState;
-use swiftsail_controller::controller::Controller;
 use swiftsail_controller::job::MachineId;
 use swiftsail_simulation::simulation::{
     Fault, FaultRates, InboundFailure, NetworkPartition, Simulation, gpu_job_body,
     gpu_machine_offers, job_body,
 };
 
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
-
-fn leader_index(world: &Simulation) -> Option<usize> {
-    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
-}
-
-fn assert_ends_well(world: &Simulation, what: &str) {
-    assert!(world.violations.is_empty(), "{what}: {:?}", world.violations);
-    for job in &world.jobs {
-        let end = job.last_status.as_deref().unwrap_or("no answer");
-        assert!(
-            job.is_over(),
-            "{what}: {} ended as {end}: {}",
-            job.id,
-            world.describe_job(&job.id)
-        );
-    }
-}
-
-/// Machines that hold tasks, as the stand-in knows them.
-fn machines_with_tasks(world: &Simulation) -> Vec<String> {
-    let workers = world.cluster.workers.iter().filter(|(_, w)| !w.is_terminated);
-    let held = workers.filter(|(_, w)| w.tasks.iter().any(|t| t.is_on_machine()));
-    held.map(|(name, _)| name.clone()).collect()
-}
-
-fn hang_machines(world: &mut Simulation, names: &[String], for_ms: u64) {
-    let until = world.now + for_ms;
-    for name in names {
-        if let Some(worker) = world.cluster.workers.get_mut(name) {
-            worker.hang_until = until;
-        }
-    }
-}
-
 // ---- refused, then away ------------------------------------------------------------------------
 
-/// Many long tasks on their machines, the leader, and the time.
-fn run_until_busy(seed: u64) -> (Simulation, usize, u64) {
-    let mut world = Simulation::new(seed, NO_FAULTS, 1_000);
-    for n in 0..24 {
-        let id = format!("wk-b{n}");
-        let late = 140_000 + n * 500;
-        world.submit(500 + n * 100, Some(late), job_body(&id, "array", "blue", 2, 1.0, 400.0));
-    }
-    world.run_until(40_000);
-    let leads = leader_index(&world).expect("somebody leads");
-    (world, leads, 40_000)
-}
-
 /// Jobs are cancelled at the very moment at which the state service refuses the leader alone; soon after it is out for
 /// longer than `cancel_s`. Some of their machines hang, for less than a lease or for longer than the outage, and then go
 /// on. Before the leader's grant ends, as it ends, while the next one reads, and after.
+/// Long jobs that are cancelled late, unless a test cancels them itself.
+const LONG_JOBS: LongJobs = LongJobs {
+    id_prefix: "wk-b",
+    run_time_s: 400.0,
+    first_cancel_ms: 140_000,
+    cancel_interval_ms: 500,
+};
+
 #[test]
 fn cancelled_as_the_leader_is_refused_and_machines_hang() {
     let (mut told, mut hung, mut loading) = (0, 0, 0);
@@ -73,18 +36,20 @@
         [300, 1_000, 2_000, 2_450, 2_520, 2_600, 2_700, 3_000, 4_500].into_iter().enumerate()
     {
         for (m, hang_ms) in [None, Some(8_000), Some(50_000)].into_iter().enumerate() {
-            let (mut world, leads, at) = run_until_busy(n as u64 * 3 + m as u64);
-            world
-                .partitions
-                .push(NetworkPartition { store: true, ..NetworkPartition::of(leads, at, 30_000) });
-            world.schedule_store_outage(at + gap, 58_000);
-            world.schedule_running_cancellations(at, 12, hang_ms);
-            world.run_until(at + gap + 1_000);
+            let BusyCluster { mut world, leader, now_ms } =
+                BusyCluster::run_until_busy(n as u64 * 3 + m as u64, &LONG_JOBS);
+            world.partitions.push(NetworkPartition {
+                store: true,
+                ..NetworkPartition::of(leader, now_ms, 30_000)
+            });
+            world.schedule_store_outage(now_ms + gap, 58_000);
+            world.schedule_running_cancellations(now_ms, 12, hang_ms);
+            world.run_until(now_ms + gap + 1_000);
             loading += usize::from(leader_index(&world).is_none());
-            world.run_until(at + gap + 56_000);
+            world.run_until(now_ms + gap + 56_000);
             told += world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
             hung += world.fault_counts.get("hung").copied().unwrap_or(0);
-            world.run_until(at + 260_000);
+            world.run_until(now_ms + 260_000);
             assert_ends_well(&world, &format!("gap {gap}, hang {hang_ms:?}"));
         }
     }
@@ -98,29 +63,30 @@
 fn cancelled_while_cloud_and_state_service_are_slow_or_away() {
     let (mut told, mut met) = (0, 0);
     for seed in 0..12u64 {
-        let (mut world, leads, at) = run_until_busy(seed);
+        let BusyCluster { mut world, leader, now_ms } =
+            BusyCluster::run_until_busy(seed, &LONG_JOBS);
         let mut rng = StdRng::seed_from_u64(seed ^ 0xc1);
         match seed % 3 {
-            0 => world.schedule_store_slowdown(at, 40_000),
-            1 => world.schedule_store_outage(at + 1_500, 45_000),
+            0 => world.schedule_store_slowdown(now_ms, 40_000),
+            1 => world.schedule_store_outage(now_ms + 1_500, 45_000),
             _ => {
                 world.partitions.push(NetworkPartition {
                     store: true,
-                    ..NetworkPartition::of(leads, at, 20_000)
+                    ..NetworkPartition::of(leader, now_ms, 20_000)
                 });
-                world.schedule_store_outage(at + 1_000, 50_000);
+                world.schedule_store_outage(now_ms + 1_000, 50_000);
             }
         }
         match seed % 2 {
-            0 => world.add_fault_window(at, 60_000, Fault::SlowCloud(5_500)),
-            _ => world.add_fault_window(at + 21_000, 8_000, Fault::CloudUnavailable),
+            0 => world.add_fault_window(now_ms, 60_000, Fault::SlowCloud(5_500)),
+            _ => world.add_fault_window(now_ms + 21_000, 8_000, Fault::CloudUnavailable),
         }
         let hang_ms = [2_500, 9_000, 30_000, 90_000][rng.random_range(0..4)];
-        world.schedule_running_cancellations(at, 14, Some(hang_ms));
-        world.run_until(at + 70_000);
+        world.schedule_running_cancellations(now_ms, 14, Some(hang_ms));
+        world.run_until(now_ms + 70_000);
         told += world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
         met += world.fault_counts.get("cloud trouble").copied().unwrap_or(0);
-        world.run_until(at + 260_000);
+        world.run_until(now_ms + 260_000);
         assert_ends_well(&world, &format!("seed {seed}"));
     }
     assert!(told >= 60, "{told} were told");
@@ -133,32 +99,33 @@
 fn while_nobody_leads_machines_that_hang_are_returned() {
     let (mut told, mut hung, mut nobody) = (0, 0, 0);
     for seed in 0..24u64 {
-        let (mut world, leads, at) = run_until_busy(seed);
+        let BusyCluster { mut world, leader, now_ms } =
+            BusyCluster::run_until_busy(seed, &LONG_JOBS);
         world.restart_delay_ms = Some([100, 5_000][seed as usize % 2]);
-        world.schedule_running_cancellations(at, 8, Some(70_000));
+        world.schedule_running_cancellations(now_ms, 8, Some(70_000));
         let mut gap = 2_000;
         match seed % 3 {
             // It ends: the others know from its heartbeats.
-            0 => world.schedule_crash(at + 1_800, leads),
+            0 => world.schedule_crash(now_ms + 1_800, leader),
             // It stands still, and cannot prove its lead anew.
-            1 => world.schedule_pause(at + 1_800, leads, [24_000, 12_000][seed as usize % 2]),
+            1 => world.schedule_pause(now_ms + 1_800, leader, [24_000, 12_000][seed as usize % 2]),
             // It hears no other until its lead has ended and the next one has begun to read, which it never ends.
             _ => {
                 gap = 2_340 + seed * 20;
                 world.partitions.push(NetworkPartition {
                     store: true,
                     peers: true,
-                    ..NetworkPartition::of(leads, at, 10_000)
+                    ..NetworkPartition::of(leader, now_ms, 10_000)
                 });
             }
         }
-        world.schedule_store_outage(at + gap, 60_000);
-        world.run_until(at + 15_000);
+        world.schedule_store_outage(now_ms + gap, 60_000);
+        world.run_until(now_ms + 15_000);
         nobody += usize::from(leader_index(&world).is_none());
-        world.run_until(at + 60_000);
+        world.run_until(now_ms + 60_000);
         told += world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
         hung += world.fault_counts.get("hung").copied().unwrap_or(0);
-        world.run_until(at + 260_000);
+        world.run_until(now_ms + 260_000);
         assert_ends_well(&world, &format!("seed {seed}"));
     }
     println!("nobody led {nobody} times, {told} told, {hung} hung");
@@ -205,7 +172,7 @@
     for seed in 0..10u64 {
         let mut rng = StdRng::seed_from_u64(seed ^ 0xde);
         // Messages of every kind are late now and then, also the answer that carries a start.
-        let weather = FaultRates { message_loss: 0.01, message_delay: 0.05, ..NO_FAULTS };
+        let weather = FaultRates { message_loss: 0.01, message_delay: 0.05, ..FaultRates::NONE };
         let mut world = Simulation::new(seed, weather, 90_000);
         for n in 0..20 {
             let id = format!("wk-c{n}");
@@ -372,14 +339,11 @@
 /// Whatever two of them meet while jobs are cancelled: no rule is broken, and in the end every job is over.
 #[test]
 fn cancellations_in_the_midst_of_two_troubles_break_no_rule() {
-    let range = std::env::var("MEETINGS").ok();
-    let range = range.as_deref().and_then(|r| r.split_once(".."));
-    let range = range.and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
-    // And those that broke a rule before what this file tests was mended.
-    let (from, to) = range.unwrap_or((0, 32));
-    let once: &[u64] = if range.is_none() { &[83, 194] } else { &[] };
+    let range = seeds_from_environment("MEETINGS");
+    // Seeds that violated an invariant before the defects that this file tests for were fixed.
+    let regressions: &[u64] = if range.is_none() { &[83, 194] } else { &[] };
     let (mut told, mut bad) = (0, Vec::new());
-    for seed in (from..to).chain(once.iter().copied()) {
+    for seed in range.unwrap_or(0..32).chain(regressions.iter().copied()) {
         let world = run_day(seed);
         told += world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
         let open: Vec<&str> =
--- a/tests/out_of_order_reports.rs
+++ b/tests/out_of_order_reports.rs
@@ -2,6 +2,9 @@
 //! of a controller that passes them on. A walk at random over the tables of one leader after another, over workers
 //! that keep to the protocol, and over everything that was ever sent: what a table lets go is gone.
 
+mod common;
+
+use common::seeds::seeds_from_environment;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -481,20 +484,12 @@
     }
 }
 
-/// Seeds of walks: a few, or those that `WALKS=from..to` names.
-fn seed_range() -> std::ops::Range<u64> {
-    let range = std::env::var("WALKS").ok();
-    let ends = range.as_deref().and_then(|r| r.split_once(".."));
-    let ends = ends.and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
-    ends.unwrap_or(0..300)
-}
-
 /// Whatever comes again, in whatever order, to whichever leader: a task that the tables let go is on no machine and
 /// can no longer start there.
 #[test]
 fn no_old_report_proves_what_is_not_so() {
     let mut met = InterleavingCounts::default();
-    for seed in seed_range() {
+    for seed in seeds_from_environment("WALKS").unwrap_or(0..300) {
         let mut walk = ReportWalk::new(seed);
         for step in 0..1_500 {
             walk.random_step();
--- a/tests/overload_control.rs
+++ b/tests/overload_control.rs
@@ -1,7 +1,10 @@
 //! Overload: budgets, pressure, the gate, duties, and whole worlds whose processors are too slow.
 
+mod common;
+
+use common::cluster::tasks_killed;
+use common::property_tests::test_runner;
 use proptest::prelude::*;
-use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use swiftsail_controller::controller::Controller;
@@ -18,11 +21,6 @@
 use swiftsail_overload_control::retry_budget::{RetryBudget, backoff_ms};
 use swiftsail_simulation::simulation::{FaultRates, Simulation, job_body, submit_mixed_load};
 
-fn test_runner() -> TestRunner {
-    let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
-    TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]))
-}
-
 const URGENCIES: [RequestPriority; 5] = [
     RequestPriority::Controllers,
     RequestPriority::Reports,
@@ -33,7 +31,7 @@
 
 #[test]
 fn the_parts_of_a_budget_fit_the_memory() {
-    test_runner()
+    test_runner(9, 256)
         .run(&(12.0..4_000.0f64, 50..100_000usize), |(mem_mb, sockets)| {
             let budget = MemoryBudget::divide(mem_mb, sockets);
             let most = budget.total_bytes() as f64 / MB as f64;
@@ -54,7 +52,7 @@
 #[test]
 fn a_flood_fills_no_more_than_the_gate_allows_and_the_urgent_get_in() {
     let request = (0..5usize, proptest::option::of(0..200_000usize), any::<bool>());
-    test_runner()
+    test_runner(9, 256)
         .run(&prop::collection::vec(request, 1..400), |requests| {
             let most = 40 * UNKNOWN_BODY_BYTES;
             let mut gate = AdmissionGate::new(most);
@@ -116,7 +114,7 @@
 #[test]
 fn a_duty_never_lasts_longer_than_it_was_granted() {
     let step = (0..4u8, 1..4u64, 0..6_000u64, 0..MAX_DELEGATION_MS);
-    test_runner()
+    test_runner(9, 256)
         .run(&prop::collection::vec(step, 1..60), |steps| {
             let (mut duty, mut now, mut granted) =
                 (DelegatedAnswering::default(), 10_000u64, Vec::new());
@@ -191,9 +189,6 @@
     }
 }
 
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
-
 /// Arrays that want some hundreds of machines, and services.
 fn submit_overload(world: &mut Simulation, arrays: u64, tasks: u32) {
     for n in 0..arrays {
@@ -210,10 +205,6 @@
     }
 }
 
-fn tasks_killed(world: &Simulation) -> u64 {
-    world.cluster.workers.values().map(|w| w.tasks_killed).sum()
-}
-
 fn assert_all_served(world: &Simulation, what: &str) {
     assert!(world.violations.is_empty(), "{what}: {:?}", world.violations);
     for job in world.jobs.iter().filter(|j| j.cancel_at.is_none()) {
@@ -227,7 +218,7 @@
 /// loses its lease: no more are rented than can be led, and every job ends all the same.
 #[test]
 fn no_lease_dies_where_more_machines_are_wanted_than_can_be_led() {
-    let mut world = Simulation::with_capacity(1, NO_FAULTS, 1_000, 60);
+    let mut world = Simulation::with_capacity(1, FaultRates::NONE, 1_000, 60);
     world.cores_per_controller = Some(0.003);
     world.memory_mb = 40.0;
     submit_overload(&mut world, 10, 600);
--- a/tests/oversized_workloads.rs
+++ b/tests/oversized_workloads.rs
@@ -5,9 +5,6 @@
 use swiftsail_controller::controller::Controller;
 use swiftsail_simulation::simulation::{FaultRates, Simulation, job_body};
 
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
-
 fn low_priority_job(id: &str, tasks: u32, eta_s: f64) -> serde_json::Value {
     let mut body = job_body(id, "array", "blue", tasks, 0.25, eta_s);
     body["rank"] = "low".into();
@@ -19,7 +16,7 @@
 /// full of it nothing could be bound, and no sheet was ever written again.
 #[test]
 fn ledger_is_never_filled_by_what_is_over() {
-    let mut world = Simulation::with_capacity(1, NO_FAULTS, 600_000, 4);
+    let mut world = Simulation::with_capacity(1, FaultRates::NONE, 600_000, 4);
     world.submit(1_000, None, low_priority_job("wk-g", 6_000, 2.0));
     let mut last = 0;
     for at in 2..24 {
@@ -51,7 +48,7 @@
 /// what is left over. Leaders that crash in the midst of it lose none.
 #[test]
 fn many_jobs_of_one_task_cost_few_changes() {
-    let mut world = Simulation::with_capacity(2, NO_FAULTS, 600_000, 4);
+    let mut world = Simulation::with_capacity(2, FaultRates::NONE, 600_000, 4);
     for n in 0..300 {
         world.submit(5_000 + n * 150, None, low_priority_job(&format!("wk-t{n}"), 1, 20.0));
     }
@@ -74,7 +71,7 @@
 #[test]
 fn polls_share_reads() {
     let reads = |every_ms: u64| {
-        let mut world = Simulation::with_capacity(3, NO_FAULTS, 600_000, 4);
+        let mut world = Simulation::with_capacity(3, FaultRates::NONE, 600_000, 4);
         world.poll_interval_ms = every_ms;
         for n in 0..60 {
             world.submit(
--- a/tests/pauses_and_partitions.rs
+++ b/tests/pauses_and_partitions.rs
@@ -1,6 +1,9 @@
 //! Bad nights: controllers that stand still, that are back at once, that lose a part of the network; users
 //! that ask without end, jobs with a mistake, guests. On the pure cores against the stand-in.
 
+mod common;
+
+use common::cluster::{leader_index, tasks_killed};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use swiftsail_controller::constants::FORWARD_TIMEOUT_MS;
@@ -12,20 +15,13 @@
     job_body, submit_mixed_load,
 };
 
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
-
-fn leader_index(world: &Simulation) -> Option<usize> {
-    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
-}
-
 /// Whoever stands still for 1 to 90 s, at whatever point: it answers no report under a token that it has
 /// lost, and nothing that it did not know is told to anybody.
 #[test]
 fn who_stands_still_proves_its_lead_anew() {
     for seed in 0..10 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut world = Simulation::new(seed, NO_FAULTS, 150_000);
+        let mut world = Simulation::new(seed, FaultRates::NONE, 150_000);
         submit_mixed_load(&mut world, 6);
         for _ in 0..6 {
             let for_ms = [1_000, 2_400, 2_600, 7_000, 25_000, 90_000][rng.random_range(0..6)];
@@ -42,7 +38,7 @@
 #[test]
 fn others_take_over_as_soon_as_after_a_crash() {
     let taken = |for_ms: u64, crash: bool| {
-        let mut world = Simulation::new(5, NO_FAULTS, 60_000);
+        let mut world = Simulation::new(5, FaultRates::NONE, 60_000);
         world.run_until(10_000);
         let before = leader_index(&world).expect("somebody leads");
         match crash {
@@ -71,7 +67,7 @@
 #[test]
 fn back_at_once_it_need_not_wait_for_its_predecessor() {
     for restart_ms in [50, 200, 1_000] {
-        let mut world = Simulation::new(restart_ms, NO_FAULTS, 60_000);
+        let mut world = Simulation::new(restart_ms, FaultRates::NONE, 60_000);
         world.restart_delay_ms = Some(restart_ms);
         world.run_until(10_000);
         let before = leader_index(&world).expect("somebody leads");
@@ -94,7 +90,8 @@
     for restart_ms in [50, 200, 1_000] {
         // One day in rough weather, sixteen in fair: with one alone luck decides whether a lease ends.
         for (seed, late) in [(1, 0.05)].into_iter().chain((0..16).map(|seed| (seed, 0.0))) {
-            let weather = FaultRates { message_loss: late / 2.0, message_delay: late, ..NO_FAULTS };
+            let weather =
+                FaultRates { message_loss: late / 2.0, message_delay: late, ..FaultRates::NONE };
             let mut world = Simulation::new(seed, weather, 90_000);
             world.restart_delay_ms = Some(restart_ms);
             submit_mixed_load(&mut world, 6);
@@ -112,7 +109,7 @@
             }
             world.run_until(300_000);
             assert_all_jobs_over(&world, &format!("{restart_ms} ms, late {late}"));
-            let killed: u64 = world.cluster.workers.values().map(|w| w.tasks_killed).sum();
+            let killed = tasks_killed(&world);
             if late == 0.0 && killed > 0 {
                 lost.push((restart_ms, seed, killed));
             }
@@ -183,7 +180,7 @@
 /// Idle-hours work fills every machine with small tasks; work that others want done finds its room at once.
 #[test]
 fn guests_give_their_room_up_at_once() {
-    let mut world = Simulation::with_capacity(3, NO_FAULTS, 400_000, 1);
+    let mut world = Simulation::with_capacity(3, FaultRates::NONE, 400_000, 1);
     let mut guest = job_body("wk-g1", "array", "blue", 400, 0.25, 300.0);
     guest["rank"] = "low".into();
     guest["due_s"] = serde_json::Value::Null;
@@ -208,7 +205,7 @@
 #[test]
 fn jobs_with_a_mistake_are_told_from_faulty_machines() {
     for seed in 0..6 {
-        let mut world = Simulation::new(seed, NO_FAULTS, 400_000);
+        let mut world = Simulation::new(seed, FaultRates::NONE, 400_000);
         for n in 0..4 {
             let id = format!("wk-m{n}");
             world.cluster.faulty_jobs.insert(id.clone());
@@ -271,7 +268,7 @@
 #[test]
 fn a_leader_that_reaches_nobody_gives_the_lead_away() {
     for seed in 0..4 {
-        let mut world = Simulation::new(seed, NO_FAULTS, 120_000);
+        let mut world = Simulation::new(seed, FaultRates::NONE, 120_000);
         submit_mixed_load(&mut world, 4);
         world.run_until(20_000);
         let before = leader_index(&world).expect("somebody leads");
@@ -283,7 +280,7 @@
         }
         leaders.dedup();
         assert!(leaders.len() <= 2 && leaders.last() != Some(&before), "seed {seed}: {leaders:?}");
-        let killed: u64 = world.cluster.workers.values().map(|w| w.tasks_killed).sum();
+        let killed = tasks_killed(&world);
         assert_eq!(killed, 0, "seed {seed}: tasks lost to their lease");
         world.run_until(300_000);
         assert_all_jobs_over(&world, &format!("seed {seed}"));
@@ -330,7 +327,7 @@
 #[test]
 fn machines_that_come_late_at_once_or_never() {
     for (never, slower) in [(0.5, 1.0), (0.0, 0.02), (0.1, 6.0), (0.4, 0.3)] {
-        let mut world = Simulation::with_capacity(8, NO_FAULTS, 600_000, 8);
+        let mut world = Simulation::with_capacity(8, FaultRates::NONE, 600_000, 8);
         (world.cluster.cloud.never_boots_probability, world.cluster.cloud.slow_boot_probability) =
             (never, slower);
         for n in 0..6 {
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -1,8 +1,10 @@
 //! Plug-ins and policies: whatever they say, loop or leave out, the rules hold and services keep
 //! their timing.
 
+mod common;
+
+use common::property_tests::test_runner;
 use proptest::prelude::*;
-use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
 use swiftsail_controller::controller::AdminRequest;
 use swiftsail_policy::attributes::{AttributeValues, CLUSTER_ATTRIBUTES, JOB_ATTRIBUTES};
@@ -20,11 +22,6 @@
 use swiftsail_policy::plugin_host::{HookContext, PluginHost};
 use swiftsail_simulation::simulation::{FaultRates, Simulation, job_body, submit_mixed_load};
 
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
-const MANY_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.03, message_delay: 0.01, crashes: 4, outages_and_hangs: 2 };
-
 /// It never ends.
 const ENDLESS_LOOP: &str = "fn priority(job, cluster) { let n = 0; while true { n += 1; } n }";
 /// It fails on every call.
@@ -37,11 +34,6 @@
     OperatorSettings::parse("test", &text).expect("the test's file is sound")
 }
 
-fn test_runner(seed: u8, cases: u32) -> TestRunner {
-    let config = Config { cases, failure_persistence: None, ..Config::default() };
-    TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]))
-}
-
 fn offer_plugin(name: &str, source: &str, precedence: u32) -> AdminRequest {
     let offer =
         PluginOffer { kind: PluginKind::Decision, source: source.into(), precedence, enable: true };
@@ -71,7 +63,7 @@
 #[test]
 fn faulty_plugins_are_suspended_and_services_keep_their_timing() {
     let play = |plugins: bool| {
-        let mut world = Simulation::new(8, NO_FAULTS, 1_000);
+        let mut world = Simulation::new(8, FaultRates::NONE, 1_000);
         world.operator = parse_operator("");
         submit_services_and_arrays(&mut world);
         let mut answers = Vec::new();
@@ -123,7 +115,7 @@
 
 #[test]
 fn plugins_outlive_leaders_and_leave_nothing_behind() {
-    let mut world = Simulation::new(21, NO_FAULTS, 1_000);
+    let mut world = Simulation::new(21, FaultRates::NONE, 1_000);
     world.operator = parse_operator("");
     submit_services_and_arrays(&mut world);
     // Longer than one value of the state service holds.
@@ -173,7 +165,7 @@
 /// A plug-in that avoids every machine but the costliest would keep a service waiting for a boot.
 #[test]
 fn where_production_work_goes_is_not_narrowed() {
-    let mut world = Simulation::new(31, NO_FAULTS, 1_000);
+    let mut world = Simulation::new(31, FaultRates::NONE, 1_000);
     world.operator = parse_operator("");
     submit_services_and_arrays(&mut world);
     let mut array = job_body("wk-n1", "array", "blue", 4, 1.0, 60.0);
@@ -238,7 +230,7 @@
     let all = (0..1_000u64, policy_source(), prop::collection::vec(one, 1..5));
     type Plugin = (String, u64, u64, usize, u32);
     let play = |(seed, policy, plugins): (u64, String, Vec<Plugin>)| {
-        let mut world = Simulation::new(seed, MANY_FAULTS, 90_000);
+        let mut world = Simulation::new(seed, FaultRates::MANY, 90_000);
         world.operator = parse_operator(&policy);
         submit_mixed_load(&mut world, 5);
         for (n, (source, add, remove, node, precedence)) in plugins.into_iter().enumerate() {
--- a/tests/protocol_invariants.rs
+++ b/tests/protocol_invariants.rs
@@ -8,14 +8,9 @@
 use swiftsail_protocol::decode;
 use swiftsail_protocol::workers::{Redirect, StatusReport};
 
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
-const MANY_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.03, message_delay: 0.01, crashes: 4, outages_and_hangs: 2 };
-
 #[test]
 fn a_calm_day_runs_everything() {
-    let mut world = Simulation::new(1, NO_FAULTS, 1_000);
+    let mut world = Simulation::new(1, FaultRates::NONE, 1_000);
     submit_mixed_load(&mut world, 6);
     world.run_until(150_000);
     assert_all_jobs_over(&world, "calm");
@@ -25,7 +20,7 @@
 #[test]
 fn rough_days_break_no_rule_and_everything_ends() {
     for seed in (0..16).chain([147]) {
-        let mut world = Simulation::new(seed, MANY_FAULTS, 90_000);
+        let mut world = Simulation::new(seed, FaultRates::MANY, 90_000);
         submit_mixed_load(&mut world, 6);
         world.run_until(300_000);
         assert_all_jobs_over(&world, &format!("seed {seed}"));
@@ -40,7 +35,7 @@
 fn rough_days_with_workers_shared_break_no_rule() {
     let mut passed_on = 0;
     for seed in 0..8 {
-        let mut world = Simulation::new(seed, MANY_FAULTS, 90_000);
+        let mut world = Simulation::new(seed, FaultRates::MANY, 90_000);
         world.memory_mb = 0.2;
         submit_mixed_load(&mut world, 6);
         for at in 1..10 {
@@ -57,7 +52,7 @@
 
 #[test]
 fn the_checks_can_fail() {
-    let mut world = Simulation::new(3, NO_FAULTS, 1_000);
+    let mut world = Simulation::new(3, FaultRates::NONE, 1_000);
     submit_mixed_load(&mut world, 6);
     world.run_until(40_000);
     assert!(world.violations.is_empty());
@@ -68,7 +63,7 @@
 
 #[test]
 fn a_gang_larger_than_a_transaction_starts_whole() {
-    let mut world = Simulation::new(5, NO_FAULTS, 1_000);
+    let mut world = Simulation::new(5, FaultRates::NONE, 1_000);
     let mut gang = job_body("wk-g1", "gang", "blue", 700, 0.05, 4.0);
     gang["memory_gb"] = 0.05.into();
     world.submit(500, None, gang);
--- a/tests/protocol_messages.rs
+++ b/tests/protocol_messages.rs
@@ -1,17 +1,14 @@
 //! Every wire format on generated inputs: round trips, unknown fields, hostile bodies, limits.
 
+mod common;
+
+use common::property_tests::test_runner;
 use proptest::prelude::*;
-use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::{Value, json};
 use swiftsail_protocol::users::{is_valid_job_id, read_submission};
 use swiftsail_protocol::workers::{Command, CommandKind, HeartbeatResponse, StatusReport};
 use swiftsail_protocol::{controllers::Heartbeat, decode, encode, state};
 
-fn test_runner() -> TestRunner {
-    let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
-    TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]))
-}
-
 fn encode_value(value: &Value) -> Vec<u8> {
     rmp_serde::to_vec_named(value).expect("JSON has a MessagePack form")
 }
@@ -74,7 +71,7 @@
 #[test]
 fn hostile_bodies_are_refused_without_a_panic() {
     let bytes = prop::collection::vec(any::<u8>(), 0..400);
-    test_runner()
+    test_runner(9, 256)
         .run(&(bytes, 0..200usize, any::<u8>()), |(noise, at, flip)| {
             let _ = read_submission(&noise);
             let _ = decode::<StatusReport>(&noise);
@@ -93,7 +90,7 @@
 #[test]
 fn messages_survive_the_wire() {
     let orders = prop::collection::vec((0..3u8, "[a-z]{1,9}", any::<u64>(), 0.0..99.0f64), 0..20);
-    test_runner()
+    test_runner(9, 256)
         .run(&(orders, any::<u64>(), 0..u64::MAX), |(orders, helm, age)| {
             let orders = orders.into_iter().map(|(verb, name, launch, ease)| Command {
                 kind: [CommandKind::Start, CommandKind::Stop, CommandKind::Forget][verb as usize],
--- a/tests/random_failovers.rs
+++ b/tests/random_failovers.rs
@@ -1,6 +1,10 @@
 //! Days on which troubles of takeovers meet two at a time, at random: `TAKEOVERS=0..1000 cargo test --test
 //! takeover_days` plays other days.
 
+mod common;
+
+use common::cluster::leader_index;
+use common::seeds::seeds_from_environment;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -11,10 +15,6 @@
     gpu_machine_offers, job_body,
 };
 
-fn leader_index(world: &Simulation) -> Option<usize> {
-    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
-}
-
 const FAULT_KIND_COUNT: usize = 20;
 
 /// A trouble that begins then.
@@ -144,12 +144,9 @@
 /// Whatever troubles meet: no rule is broken, nobody leads twice under a token, and in the end every job is over.
 #[test]
 fn takeovers_among_other_troubles_break_no_rule() {
-    let range = std::env::var("TAKEOVERS").ok();
-    let ends = range.as_deref().and_then(|r| r.split_once(".."));
-    let days = ends.and_then(|(a, b)| Some(a.parse::<u64>().ok()?..b.parse().ok()?));
     let mut met: BTreeMap<&'static str, u64> = BTreeMap::new();
     let mut wrong = Vec::new();
-    for seed in days.unwrap_or(0..60) {
+    for seed in seeds_from_environment("TAKEOVERS").unwrap_or(0..60) {
         let world = run_day(seed);
         wrong.extend(world.violations.iter().map(|b| format!("seed {seed}: {b}")));
         let open = world.jobs.iter().filter(|j| !j.is_over());
--- a/tests/recorded_bytes/main.rs
+++ b/tests/recorded_bytes/main.rs
@@ -5,6 +5,8 @@
 //! in code too, so that the meaning of each field is pinned beside its name. A difference is written to
 //! `CARGO_TARGET_TMPDIR`, to be compared with the file; the file itself is never written by a test.
 
+#[path = "../common/mod.rs"]
+mod common;
 mod files;
 mod keys;
 mod messages;
--- a/tests/recorded_bytes/store.rs
+++ b/tests/recorded_bytes/store.rs
@@ -1,11 +1,12 @@
 //! What controllers themselves keep in the state service: a world in simulated time, with everything switched on that
 //! is stored, beside values that such a world held before.
 
+use crate::common::cluster::leader_index;
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use swiftsail_controller::cluster_state::LogSegmentRecord;
-use swiftsail_controller::controller::{AdminRequest, Controller};
+use swiftsail_controller::controller::AdminRequest;
 use swiftsail_controller::job::{BindingChunk, FinalRecord, JobRecord};
 use swiftsail_controller::leadership::LeaderRecord;
 use swiftsail_deadline_planning::tracker::StepDurations;
@@ -22,8 +23,6 @@
 use swiftsail_tiers::TierTableRecord;
 
 const RECORDED: &str = include_str!("fixtures/store.txt");
-const CALM: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
 const OPERATOR: &str = r#"
 [plugins]
 enabled = true
@@ -132,7 +131,7 @@
 }
 
 fn ask(world: &mut Simulation) {
-    let node = (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader));
+    let node = leader_index(world);
     let node = node.expect("somebody leads");
     let source = "fn priority(job, cluster) { 1 }".to_string();
     let offer = PluginOffer { kind: PluginKind::Decision, source, precedence: 10, enable: true };
@@ -161,13 +160,13 @@
 /// All values of each key that were seen in the state service of two worlds.
 fn seen() -> Seen {
     let mut seen = Seen::new();
-    let mut world = Simulation::with_offers(1, CALM, 400_000, gpu_machine_offers(1));
+    let mut world = Simulation::with_offers(1, FaultRates::NONE, 400_000, gpu_machine_offers(1));
     world.operator = OperatorSettings::parse("test", OPERATOR).expect("the file is sound");
     load(&mut world);
     world.run_until(8_000);
     ask(&mut world);
     watch(&mut world, 90_000, &mut seen);
-    let mut world = Simulation::with_offers(1, CALM, 400_000, gpu_machine_offers(1));
+    let mut world = Simulation::with_offers(1, FaultRates::NONE, 400_000, gpu_machine_offers(1));
     let text = "[loans]\ndurable = true\n";
     world.operator = OperatorSettings::parse("test", text).expect("the file is sound");
     lend(&mut world);
--- a/tests/simulation_checks.rs
+++ b/tests/simulation_checks.rs
@@ -6,16 +6,13 @@
     machine_offers, submit_mixed_load,
 };
 
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
-
 fn has_violation(world: &Simulation, what: &str) -> bool {
     world.violations.iter().any(|b| b.starts_with(what))
 }
 
 /// One array of two tasks, accepted and running at 30 s.
 fn run_one_job(seed: u64, eta_s: f64, cancel_ms: Option<u64>) -> Simulation {
-    let mut world = Simulation::new(seed, NO_FAULTS, 1_000);
+    let mut world = Simulation::new(seed, FaultRates::NONE, 1_000);
     world.submit(500, cancel_ms, job_body("wk-1", "array", "blue", 2, 1.0, eta_s));
     world
 }
@@ -87,7 +84,7 @@
 
 #[test]
 fn what_cannot_run_or_lacks_a_field_is_told_from_what_can() {
-    let mut world = Simulation::new(4, NO_FAULTS, 1_000);
+    let mut world = Simulation::new(4, FaultRates::NONE, 1_000);
     submit_mixed_load(&mut world, 3);
     world.add_fault_window(500, 120_000, Fault::UnusualRequests);
     world.run_until(250_000);
@@ -100,7 +97,7 @@
     // Where there is a machine for it, one of them can run after all.
     let mut large = machine_offers(6);
     (large[0].machine_type.cpus, large[0].machine_type.name) = (20_000.0, "l".into());
-    let mut world = Simulation::with_offers(4, NO_FAULTS, 1_000, large);
+    let mut world = Simulation::with_offers(4, FaultRates::NONE, 1_000, large);
     world.add_fault_window(500, 60_000, Fault::UnusualRequests);
     world.run_until(70_000);
     assert!(has_violation(&world, "accepted: "), "{:?}", world.fault_counts);
@@ -133,7 +130,7 @@
 
 #[test]
 fn classes_teams_and_the_largest_that_are_not_served_are_told() {
-    let mut world = Simulation::new(6, NO_FAULTS, 1_000);
+    let mut world = Simulation::new(6, FaultRates::NONE, 1_000);
     for n in 0..12 {
         let tasks = [20, 10, 1][n.min(2)];
         world.submit(
@@ -176,7 +173,7 @@
 #[test]
 fn each_trouble_comes_about() {
     for seed in 0..3 {
-        let mut world = Simulation::new(seed, NO_FAULTS, 1_000);
+        let mut world = Simulation::new(seed, FaultRates::NONE, 1_000);
         world.cluster.cloud.fixed_boot_ms = Some(1_500);
         submit_mixed_load(&mut world, 4);
         let zone_away = Fault::ZonePartition { zone: "b".into(), controller: 1 };
--- a/tests/state_machines.rs
+++ b/tests/state_machines.rs
@@ -1,7 +1,9 @@
 //! The state machines on generated histories: whatever happens, what must never happen does not.
 
+mod common;
+
+use common::property_tests::test_runner;
 use proptest::prelude::*;
-use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use swiftsail_controller::job::{
     Attempt, AttemptPhase, Binding, BindingChunk, Job, JobKind, JobRecord, JobSpec, JobState,
 };
@@ -11,11 +13,6 @@
 use swiftsail_protocol::workers::ExitCause;
 use swiftsail_simulation::simulation::job_spec;
 
-fn test_runner() -> TestRunner {
-    let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
-    TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]))
-}
-
 fn new_job(tasks: u32) -> Job {
     let spec = JobSpec { spread: true, ..job_spec(JobKind::Array, tasks, 1.0, "i") };
     let record = JobRecord {
@@ -43,7 +40,7 @@
 
 #[test]
 fn an_exited_attempt_never_comes_back() {
-    test_runner()
+    test_runner(5, 256)
         .run(&prop::collection::vec(0..PHASES.len(), 1..20), |steps| {
             let mut attempt = Attempt::new(1, "m-1".into(), 1, 0);
             let mut exited = None;
@@ -64,7 +61,7 @@
 #[test]
 fn a_job_never_goes_back_from_cancelled_or_closed() {
     let states = [JobState::Live, JobState::Cancelling, JobState::Closing, JobState::Closed];
-    test_runner()
+    test_runner(5, 256)
         .run(&prop::collection::vec(0..4usize, 1..20), |steps| {
             let mut job = new_job(3);
             let (mut cancelled, mut closed) = (false, false);
@@ -82,7 +79,7 @@
 
 #[test]
 fn a_task_is_waiting_bound_held_or_done_and_survives_a_new_leader() {
-    test_runner()
+    test_runner(5, 256)
         .run(&prop::collection::vec((0..20u32, 0..4u8), 0..60), |steps| {
             let mut job = new_job(20);
             for (n, (task, what)) in steps.into_iter().enumerate() {
@@ -132,7 +129,7 @@
 fn a_machine_being_returned_is_never_used_again() {
     use MachineState::*;
     let all = [Expected, Registering, Ready, Draining, Terminating];
-    test_runner()
+    test_runner(5, 256)
         .run(&prop::collection::vec(0..5usize, 1..20), |steps| {
             let mut machine = Machine::new("m-1".into(), 0);
             let mut returning = false;
@@ -148,7 +145,7 @@
 
 #[test]
 fn nobody_leads_under_a_token_that_is_not_the_highest_seen() {
-    test_runner()
+    test_runner(5, 256)
         .run(&prop::collection::vec((0..8u8, 1..50u64), 1..40), |steps| {
             let mut term = Leadership::default();
             for (what, n) in steps {
@@ -209,7 +206,7 @@
 #[test]
 fn chunks_and_ledger_together_hold_every_binding() {
     let steps = prop::collection::vec((0..20u32, 0..4u8, any::<bool>(), any::<bool>()), 0..80);
-    test_runner()
+    test_runner(5, 256)
         .run(&steps, |steps| {
             let mut job = new_job(20);
             let (mut launch, mut sheet): (u64, Vec<Binding>) = (0, Vec::new());
--- a/tests/team_limits.rs
+++ b/tests/team_limits.rs
@@ -1,7 +1,10 @@
 //! Teams at their limit: exact amounts, the order in which jobs get them, and one controller's behaviour.
 
+mod common;
+
+use common::cluster::leader_index;
+use common::property_tests::test_runner;
 use proptest::prelude::*;
-use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use swiftsail_controller::controller::{AdminRequest, Controller};
 use swiftsail_controller::job::AttemptPhase;
 use swiftsail_controller::quota_records;
@@ -10,14 +13,6 @@
 use swiftsail_quota::{Quantity, QuotaLimit, ResourceQuantities};
 use swiftsail_simulation::simulation::{FaultRates, Simulation, job_body, submit_mixed_load};
 
-fn test_runner() -> TestRunner {
-    let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
-    TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[23; 32]))
-}
-
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
-
 /// Tasks of 0.1 CPUs that came and went left a limit of 10 a little short when sums were binary.
 #[test]
 fn fractions_do_not_drift() {
@@ -69,7 +64,7 @@
 #[test]
 fn what_is_shared_out_is_never_more_than_is_left() {
     let input = (claim_strategy(), 0..4_000u32);
-    test_runner()
+    test_runner(23, 256)
         .run(&input, |(claims, left)| {
             let left = ResourceQuantities::from_limit(f64::from(left) / 10.0, 0.0);
             let used: ResourceQuantities =
@@ -241,7 +236,7 @@
 /// A replica of a team at its limit used to wait until enough of its team's arrays had ended by themselves.
 #[test]
 fn a_replica_does_not_wait_for_its_own_teams_arrays() {
-    let mut world = Simulation::with_capacity(4, NO_FAULTS, 1_000, 20);
+    let mut world = Simulation::with_capacity(4, FaultRates::NONE, 1_000, 20);
     let mut long = job_body("wk-a1", "array", "red", 60, 2.0, 400.0);
     (long["due_s"], long["driftwood"]) = (serde_json::Value::Null, false.into());
     world.submit(500, None, long);
@@ -270,7 +265,7 @@
 /// Machines that only work over its team's limit could use were kept, and paid for, as long as it waited.
 #[test]
 fn machines_that_nobody_may_use_go_back() {
-    let mut world = Simulation::with_capacity(5, NO_FAULTS, 1_000, 20);
+    let mut world = Simulation::with_capacity(5, FaultRates::NONE, 1_000, 20);
     // Blue's work leaves many machines behind, and red waits at its limit all the while.
     let mut blue = job_body("wk-b1", "array", "blue", 120, 2.0, 10.0);
     blue["driftwood"] = false.into();
@@ -293,7 +288,7 @@
 /// "Why is it waiting?" names the limit, what the team uses of it, and how many more tasks it leaves.
 #[test]
 fn operators_are_told_that_a_limit_holds_work_back() {
-    let mut world = Simulation::with_capacity(6, NO_FAULTS, 1_000, 20);
+    let mut world = Simulation::with_capacity(6, FaultRates::NONE, 1_000, 20);
     let mut long = job_body("wk-a1", "array", "red", 60, 2.0, 400.0);
     long["due_s"] = serde_json::Value::Null;
     world.submit(500, None, long);
@@ -366,7 +361,7 @@
 /// leads, and work that is over it is stopped; it rises again when the last names the higher.
 #[test]
 fn the_lowest_limit_of_all_controllers_counts() {
-    let mut world = simulation_with_durable_records(7, NO_FAULTS, 1_000);
+    let mut world = simulation_with_durable_records(7, FaultRates::NONE, 1_000);
     let mut long = job_body("wk-a1", "array", "red", 90, 2.0, 900.0);
     long["due_s"] = serde_json::Value::Null;
     world.submit(500, None, long);
@@ -383,9 +378,7 @@
     world.run_until(now + 20_000);
     assert_eq!(team_red_usage(&world, |_| true), 24.0, "the leader's own settings still say 40");
     // The leader ends, and another that says 40 leads.
-    let leader = (0..3)
-        .find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
-        .expect("one leads");
+    let leader = leader_index(&world).expect("one leads");
     world.schedule_crash(60_000, leader);
     world.run_until(90_000);
     assert_eq!(team_red_usage(&world, |_| true), 24.0);
--- a/tests/tiers.rs
+++ b/tests/tiers.rs
@@ -1,7 +1,10 @@
 //! Tiers and the line: the table and its checker, records, and an order that no change of leader moves.
 
+mod common;
+
+use common::cluster::leader_index;
+use common::property_tests::test_runner;
 use proptest::prelude::*;
-use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, HashMap};
 use swiftsail_controller::controller::{AdminRequest, Controller};
@@ -17,18 +20,6 @@
     JobPriorityAttribute, TierDefinition, TierTable, TierTableRecord, WaitingJob, queue_order,
 };
 
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
-
-fn test_runner() -> TestRunner {
-    let config = Config { cases: 200, failure_persistence: None, ..Config::default() };
-    TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[34; 32]))
-}
-
-fn leader_index(world: &Simulation) -> Option<usize> {
-    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
-}
-
 fn tier_table(tiers: &[(&str, &str)]) -> TierTableRecord {
     let tier = |(name, when): &(&str, &str)| TierDefinition {
         name: name.to_string(),
@@ -79,7 +70,7 @@
 fn the_line_is_a_function_of_records() {
     let jobs = prop::collection::vec((0..4usize, 0..3u8, 0..5u64, 0..2usize, 1..9u32), 1..30);
     let teams = ["red", "blue"];
-    test_runner()
+    test_runner(34, 200)
         .run(&(jobs, any::<u64>()), |(jobs, seed)| {
             let ids: Vec<String> = (0..jobs.len()).map(|n| format!("wk-{n}")).collect();
             let entry = |n: usize| {
@@ -123,7 +114,7 @@
     let steps = prop::collection::vec((0..4usize, 0..6u8, 0..5u8), 1..60);
     let limits =
         StoreLimits { writes_per_second: 20.0, max_transaction_writes: 16, max_value_bytes: 8_192 };
-    test_runner()
+    test_runner(34, 200)
         .run(&steps, |steps| {
             let (mut now, mut epoch) = (1_000, 1u64);
             let mut book = RecordStore::new("order/", limits, now);
@@ -273,7 +264,7 @@
 /// Controllers with different files: the highest version counts for all, whoever leads, and stays.
 #[test]
 fn the_highest_table_counts_and_stays() {
-    let mut world = Simulation::new(3, NO_FAULTS, 100_000);
+    let mut world = Simulation::new(3, FaultRates::NONE, 100_000);
     let text = include_str!("../deploy/tiers.toml");
     world.operator = OperatorSettings::parse("old", text).expect("it is sound");
     submit_mixed_load(&mut world, 2);
@@ -310,7 +301,7 @@
 fn waiting_core_work_is_not_passed_over() {
     let mut passes = 0;
     for seed in 0..6u64 {
-        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 200_000, 1);
+        let mut world = Simulation::with_capacity(seed, FaultRates::NONE, 200_000, 1);
         world.checks_priority_inversions = true;
         world.restart_delay_ms = (seed % 2 == 0).then_some(100);
         for n in 0..30u64 {
--- a/tests/unreachable_inbound.rs
+++ b/tests/unreachable_inbound.rs
@@ -2,6 +2,9 @@
 //! workers that begin anew, controllers that are left with their workers alone, and questions that must all
 //! find an answer. On the pure cores against the stand-in.
 
+mod common;
+
+use common::cluster::{leader_index, tasks_killed};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rand::rngs::StdRng;
@@ -15,17 +18,6 @@
     job_body, submit_mixed_load,
 };
 
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
-
-fn leader_index(world: &Simulation) -> Option<usize> {
-    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
-}
-
-fn tasks_killed(world: &Simulation) -> u64 {
-    world.cluster.workers.values().map(|w| w.tasks_killed).sum()
-}
-
 fn inbound_failure(from_ms: u64, for_ms: u64, names: Vec<String>) -> InboundFailure {
     InboundFailure { from_ms, for_ms, zone: None, machines: names, delivers_every: 0 }
 }
@@ -102,7 +94,7 @@
 #[test]
 fn machines_that_do_not_hear_are_told_from_others() {
     for seed in 0..6 {
-        let mut world = Simulation::new(seed, NO_FAULTS, 400_000);
+        let mut world = Simulation::new(seed, FaultRates::NONE, 400_000);
         for n in 0..6 {
             world.submit(
                 500 + n * 500,
@@ -147,7 +139,7 @@
 #[test]
 fn a_zone_whose_way_back_is_lost_does_not_empty_the_fleet() {
     for seed in 0..4 {
-        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 400_000, 12);
+        let mut world = Simulation::with_capacity(seed, FaultRates::NONE, 400_000, 12);
         for n in 0..14 {
             let id = format!("wk-s{n}");
             let cancel = (n % 3 == 0).then_some(62_000 + n * 1_000);
@@ -187,7 +179,7 @@
 #[test]
 fn every_second_answer_lost_costs_no_lease() {
     for seed in 0..4 {
-        let mut world = Simulation::new(seed, NO_FAULTS, 400_000);
+        let mut world = Simulation::new(seed, FaultRates::NONE, 400_000);
         submit_mixed_load(&mut world, 5);
         world.run_until(20_000);
         let names = world.running_machines();
@@ -263,7 +255,7 @@
 #[test]
 fn copies_do_not_raise_the_dead() {
     let returned_at = |copies: bool| {
-        let mut world = Simulation::new(11, NO_FAULTS, 300_000);
+        let mut world = Simulation::new(11, FaultRates::NONE, 300_000);
         for n in 0..8 {
             let id = format!("wk-s{n}");
             world.submit(500 + n * 300, None, job_body(&id, "service", "blue", 2, 2.0, 0.0));
@@ -315,7 +307,7 @@
 #[test]
 fn a_worker_that_begins_anew_is_heard() {
     for seed in 0..6 {
-        let mut world = Simulation::new(seed, NO_FAULTS, 150_000);
+        let mut world = Simulation::new(seed, FaultRates::NONE, 150_000);
         world.restart_delay_ms = Some(50);
         world.duplicate_reports = (seed % 2 == 1).then_some((0.1, 30_000));
         submit_mixed_load(&mut world, 6);
@@ -344,7 +336,7 @@
 #[test]
 fn with_its_workers_alone_a_controller_sends_users_away() {
     for seed in 0..6 {
-        let mut world = Simulation::new(seed, NO_FAULTS, 200_000);
+        let mut world = Simulation::new(seed, FaultRates::NONE, 200_000);
         world.routes_to_healthy = true;
         submit_mixed_load(&mut world, 3);
         world.run_until(20_000);
@@ -384,7 +376,7 @@
 #[test]
 fn every_question_is_answered_soon_after_the_troubles() {
     for seed in 0..3 {
-        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 120_000, 12);
+        let mut world = Simulation::with_capacity(seed, FaultRates::NONE, 120_000, 12);
         world.memory_mb = 6.0;
         world.cores_per_controller = Some(0.08);
         world.poll_interval_ms = 700;
@@ -437,7 +429,7 @@
 }
 
 /// When the first task of a job was on its machine, ms from the beginning.
-fn first_started_ms(world: &Simulation, id: &str) -> Option<u64> {
+fn first_task_started_ms(world: &Simulation, id: &str) -> Option<u64> {
     let own = world
         .cluster
         .first_started_at
@@ -451,7 +443,7 @@
 #[test]
 fn the_largest_begin_at_their_teams_limit() {
     for seed in 0..3 {
-        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 400_000, 12);
+        let mut world = Simulation::with_capacity(seed, FaultRates::NONE, 400_000, 12);
         for n in 0..90u64 {
             let id = format!("wk-a{n}");
             world.submit(500 + n * 4_000, None, job_body(&id, "array", "red", 12, 2.0, 9.0));
@@ -468,8 +460,8 @@
         }
         world.run_until(340_000);
         for n in 0..3u64 {
-            let waited =
-                first_started_ms(&world, &format!("wk-z{n}")).map(|at| at - (20_000 + n * 30_000));
+            let waited = first_task_started_ms(&world, &format!("wk-z{n}"))
+                .map(|at| at - (20_000 + n * 30_000));
             assert!(waited.is_some_and(|ms| ms < 240_000), "seed {seed}: wk-z{n}: {waited:?}");
         }
         assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
@@ -481,7 +473,7 @@
 #[test]
 fn room_is_gathered_for_the_largest() {
     for seed in 0..3 {
-        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 400_000, 2);
+        let mut world = Simulation::with_capacity(seed, FaultRates::NONE, 400_000, 2);
         for n in 0..170u64 {
             let id = format!("wk-a{n}");
             let mut body = job_body(&id, "array", "blue", 60, 1.0, 14.0);
@@ -498,7 +490,7 @@
             }
         }
         world.run_until(300_000);
-        let waited = first_started_ms(&world, "wk-g1").map(|at| at - 40_000);
+        let waited = first_task_started_ms(&world, "wk-g1").map(|at| at - 40_000);
         assert!(waited.is_some_and(|ms| ms < 240_000), "seed {seed}: {waited:?}");
         assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
     }
--- a/tests/unreachable_machines.rs
+++ b/tests/unreachable_machines.rs
@@ -1,6 +1,9 @@
 //! Cancellations that meet machines which can't be reached: teams at their limit, work that changes hands, machines that
 //! report to nobody, transactions refused for their size. On the real cores against the stand-in, in simulated time.
 
+mod common;
+
+use common::cluster::{assert_ends_well, hang_machines, leader_index, machines_with_tasks};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeSet;
@@ -15,46 +18,10 @@
     gpu_job_body, gpu_machine_offers, job_body, job_spec,
 };
 
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
-
-fn leader_index(world: &Simulation) -> Option<usize> {
-    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
-}
-
 fn leader_state(world: &Simulation) -> Option<&ClusterState> {
     world.controllers.iter().flatten().find_map(Controller::cluster_state)
 }
 
-fn assert_ends_well(world: &Simulation, what: &str) {
-    assert!(world.violations.is_empty(), "{what}: {:?}", world.violations);
-    for job in &world.jobs {
-        let end = job.last_status.as_deref().unwrap_or("no answer");
-        assert!(
-            job.is_over(),
-            "{what}: {} ended as {end}: {}",
-            job.id,
-            world.describe_job(&job.id)
-        );
-    }
-}
-
-/// Machines that hold tasks, as the stand-in knows them.
-fn machines_with_tasks(world: &Simulation) -> Vec<String> {
-    let workers = world.cluster.workers.iter().filter(|(_, w)| !w.is_terminated);
-    let held = workers.filter(|(_, w)| w.tasks.iter().any(|t| t.is_on_machine()));
-    held.map(|(name, _)| name.clone()).collect()
-}
-
-fn hang_machines(world: &mut Simulation, names: &[String], for_ms: u64) {
-    let until = world.now + for_ms;
-    for name in names {
-        if let Some(worker) = world.cluster.workers.get_mut(name) {
-            worker.hang_until = until;
-        }
-    }
-}
-
 // ---- teams at their limit ----------------------------------------------------------------------
 
 /// Teams whose limit leaves their next task nothing, while a cancelled task of theirs is not proved gone.
@@ -81,7 +48,7 @@
 
 /// A world in which three teams are at their limits and want more.
 fn run_with_full_teams(seed: u64) -> Simulation {
-    let mut world = Simulation::with_offers(seed, NO_FAULTS, 1_000, gpu_machine_offers(8));
+    let mut world = Simulation::with_offers(seed, FaultRates::NONE, 1_000, gpu_machine_offers(8));
     for n in 0..10 {
         let id = format!("wk-r{n}");
         world.submit(500 + n * 100, None, job_body(&id, "array", "red", 8, 2.0, 60.0));
@@ -170,7 +137,7 @@
     let (mut told, mut shared, mut by_duty) = (0, 0, 0);
     for seed in 0..15u64 {
         let mut rng = StdRng::seed_from_u64(seed ^ 0x4a);
-        let mut world = Simulation::new(seed, NO_FAULTS, 1_000);
+        let mut world = Simulation::new(seed, FaultRates::NONE, 1_000);
         world.memory_mb = 0.2;
         world.restart_delay_ms = [None, Some(100), Some(1_000)][seed as usize % 3];
         let at = 40_000;
@@ -238,7 +205,7 @@
 fn what_reports_to_nobody_is_given_nothing() {
     let (mut cancelled, mut asked) = (0, 0);
     for seed in 0..6u64 {
-        let mut world = Simulation::new(seed, NO_FAULTS, 1_000);
+        let mut world = Simulation::new(seed, FaultRates::NONE, 1_000);
         for n in 0..16 {
             let id = format!("wk-m{n}");
             let cancel = (n % 2 == 0).then_some(41_000 + n * 500);
@@ -353,7 +320,7 @@
 fn refused_for_their_size_transactions_keep_nothing_alive() {
     let (mut told, mut refused) = (0, 0);
     for seed in 0..8u64 {
-        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 1_000, 12);
+        let mut world = Simulation::with_capacity(seed, FaultRates::NONE, 1_000, 12);
         for n in 0..30 {
             let id = format!("wk-q{n}");
             let cancel = (n % 2 == 0).then_some(42_000 + n * 1_500);
--- a/tests/work_conservation.rs
+++ b/tests/work_conservation.rs
@@ -1,28 +1,17 @@
 //! Work and room: jobs bound to a zone, a type or the spread of their tasks lose machines; more work than room,
 //! urgent and not, over slow links; and once the troubles are over nobody is left waiting beside room.
 
+mod common;
+
+use common::cluster::leader_index;
+use common::seeds::seeds_from_environment;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
-use swiftsail_controller::controller::Controller;
 use swiftsail_simulation::simulation::{Fault, FaultRates, Simulation, job_body};
 
-const NO_FAULTS: FaultRates =
-    FaultRates { message_loss: 0.0, message_delay: 0.0, crashes: 0, outages_and_hangs: 0 };
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-fn leader_index(world: &Simulation) -> Option<usize> {
-    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
-}
-
-/// Seeds played: of the environment's variable, or these.
-fn seed_range(usual: u64) -> std::ops::Range<u64> {
-    let given = std::env::var("DAYS").ok().and_then(|range| {
-        range.split_once("..").and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?))
-    });
-    given.unwrap_or(0..usual)
-}
-
 fn random_constrained_job(rng: &mut StdRng, n: u64) -> Value {
     let shape = ["array", "gang", "array", "array", "service"][n as usize % 5];
     let (crew, most) = [("red", 8), ("blue", 5)][rng.random_range(0..2)];
@@ -58,7 +47,7 @@
 fn run_day(seed: u64) -> (Simulation, usize) {
     let mut rng = StdRng::seed_from_u64(seed);
     let capacity = [2, 3, 6][seed as usize % 3];
-    let mut world = Simulation::with_capacity(seed, NO_FAULTS, 1_000, capacity);
+    let mut world = Simulation::with_capacity(seed, FaultRates::NONE, 1_000, capacity);
     world.restart_delay_ms = [None, Some(200), Some(1_000)][rng.random_range(0..3)];
     for n in 0..24 {
         let cancel = rng.random_bool(0.2).then(|| rng.random_range(40_000..130_000));
@@ -122,7 +111,7 @@
 #[test]
 fn jobs_bound_to_zones_lose_machines() {
     let mut lost = 0;
-    for seed in seed_range(30) {
+    for seed in seeds_from_environment("DAYS").unwrap_or(0..30) {
         let (world, some) = run_day(seed);
         lost += some;
         assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
@@ -137,9 +126,9 @@
 /// More work than room, urgent and not, over slow links (three times 400 ms are yet less than a user waits): urgent work first, and whoever waits begins.
 #[test]
 fn more_work_than_room_over_slow_links() {
-    for seed in seed_range(8) {
+    for seed in seeds_from_environment("DAYS").unwrap_or(0..8) {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 1_000, 1);
+        let mut world = Simulation::with_capacity(seed, FaultRates::NONE, 1_000, 1);
         world.add_fault_window(0, 300_000, Fault::SlowLinks([100, 250, 400][seed as usize % 3]));
         let mut urgent = Vec::new();
         for n in 0..40u64 {
@@ -179,8 +168,8 @@
 /// team have what it cannot use.
 #[test]
 fn what_is_bound_to_a_full_zone_holds_nobody_up() {
-    for seed in seed_range(6) {
-        let mut world = Simulation::with_capacity(seed, NO_FAULTS, 1_000, 1);
+    for seed in seeds_from_environment("DAYS").unwrap_or(0..6) {
+        let mut world = Simulation::with_capacity(seed, FaultRates::NONE, 1_000, 1);
         // Zone a has 24 CPUs in all, of which other teams take most.
         let mut other = job_body("wk-1", "array", "blue", 10, 2.0, 900.0);
         other["dock"] = json!("a");
