--- a/crates/controller/src/controller/leadership.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -1,121 +1,263 @@
-//! Leadership: the campaign, what a new leader reads, and stepping down.
+//! Leader election: reading and watching the leader's key, the election, and stepping down.
+//!
+//! The leader's key is attached to a lease. Whoever creates it by compare-and-swap leads; its modification revision is
+//! the fencing token. What a new leader then reads is in `state_loading`.
 
 use super::{Action, CallContext, Controller, store_rates};
 use crate::Time;
-use crate::cluster_state::ClusterState;
-use crate::constants::{
-    ELECTION_JITTER_MS, ELECTION_RETRY_MS, LEADER_POLL_MS, MS_PER_S, STORE_TIMEOUT_MS,
-};
+use crate::constants::{ELECTION_JITTER_MS, ELECTION_RETRY_MS, STORE_TIMEOUT_MS};
 use crate::job::keys;
-use crate::leadership::{AnswerAuthority, LeaderRecord, LeadershipPhase};
+use crate::leadership::{LeaderRecord, LeadershipPhase};
 use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
 use rand::Rng;
-use swiftsail_protocol::state::{Mutation, Precondition, Transaction, WatchResponse};
+use swiftsail_protocol::state::{
+    KeyPage, KeyValue, Mutation, Precondition, Transaction, WatchEvent,
+};
+
+/// The leader's key as read from the store.
+pub(super) struct LeaderKey {
+    record: LeaderRecord,
+    /// Revision at which it was written: the fencing token of who wrote it.
+    mod_revision: u64,
+}
+
+impl LeaderKey {
+    /// The leader's key on a page of `term/`; none if it is not there or cannot be read.
+    fn on_page(page: &KeyPage) -> Option<LeaderKey> {
+        let entry = page.entries.iter().find(|entry| entry.key == keys::LEADER)?;
+        let record = serde_json::from_value(entry.value.clone()).ok()?;
+        Some(LeaderKey { record, mod_revision: entry.mod_revision })
+    }
+
+    /// The leader's key as a watch event puts it; none if the event is about another key or cannot be read.
+    fn put_by(event: &WatchEvent) -> Option<LeaderKey> {
+        if event.put_key.as_deref() != Some(keys::LEADER) {
+            return None;
+        }
+        let record = serde_json::from_value(event.value.clone()).ok()?;
+        Some(LeaderKey { record, mod_revision: event.mod_revision })
+    }
+}
 
 impl Controller {
+    /// Reads the keys under `term/`.
     pub(super) fn read_leader_key(&mut self) {
         self.leader_key_read_at = self.now.monotonic;
         let call = StoreCall::List { prefix: keys::TERM.into(), from: None };
-        let until = self.now.monotonic + STORE_TIMEOUT_MS;
-        self.store.push(
-            call,
-            CallContext::ReadLeaderKey,
-            CallPriority::Leadership,
-            RetryPolicy::OnceBefore(until),
-        );
+        self.push_leadership_call(call, CallContext::ReadLeaderKey);
     }
 
-    pub(super) fn watch_leader_key(&mut self, from: u64) {
-        if !self.watching_leader_key {
-            self.watching_leader_key = true;
-            let call = StoreCall::Watch { prefix: keys::TERM.into(), from };
-            let until = self.now.monotonic + STORE_TIMEOUT_MS;
-            self.store.push(
-                call,
-                CallContext::WatchLeaderKey,
-                CallPriority::Leadership,
-                RetryPolicy::OnceBefore(until),
-            );
+    /// Watches the keys under `term/` from this revision on, unless a watch is open.
+    fn watch_leader_key(&mut self, from: u64) {
+        if self.watching_leader_key {
+            return;
         }
+        self.watching_leader_key = true;
+        let call = StoreCall::Watch { prefix: keys::TERM.into(), from };
+        self.push_leadership_call(call, CallContext::WatchLeaderKey);
+    }
+
+    /// Revokes a lease, so that nobody has to wait for its expiry.
+    pub(super) fn revoke_lease(&mut self, lease: u64) {
+        self.push_leadership_call(StoreCall::RevokeLease(lease), CallContext::RevokeLease);
+    }
+
+    /// Queues a call with the highest priority, to be made once and only if it can leave before its timeout.
+    fn push_leadership_call(&mut self, call: StoreCall, context: CallContext) {
+        let until = self.now.monotonic + STORE_TIMEOUT_MS;
+        let retry_policy = RetryPolicy::OnceBefore(until);
+        self.store.push(call, context, CallPriority::Leadership, retry_policy);
     }
 
-    pub(super) fn on_leader_key(&mut self, held: Option<(LeaderRecord, u64)>) {
-        let first = !std::mem::replace(&mut self.leadership.leader_key_known, true);
-        match held {
-            // The first reading of a process that is back at once finds its predecessor's key, alive for as
-            // long as its grant lasts. That process has ended, and this one need not wait for it: it takes
-            // the key's place, under a grant and a token of its own, on condition that nobody else has.
-            Some((record, stamp))
-                if first
-                    && record.node == self.settings.host_name
-                    && record.incarnation != self.incarnation
-                    && self.leadership.phase() == LeadershipPhase::Unknown =>
-            {
-                self.leadership.observe_token(stamp);
-                self.leadership.replaced_revision = stamp;
-                self.leadership.advance(LeadershipPhase::Vacant(self.now.monotonic));
+    /// A call about leadership ended.
+    pub(super) fn on_leadership_response(&mut self, call: FinishedCall<CallContext>) {
+        match (call.context, call.outcome) {
+            (CallContext::ReadLeaderKey, StoreOutcome::Page(page)) => self.on_term_page(&page),
+            (CallContext::WatchLeaderKey, outcome) => self.on_term_watch(outcome),
+            (CallContext::GrantLease { requested_at, .. }, outcome) => {
+                self.on_lease_response(requested_at, outcome);
             }
-            None => {
-                self.leadership.replaced_revision = 0;
-                if self.leadership.holds_key() {
-                    self.step_down("its key is gone");
-                }
-                if matches!(
-                    self.leadership.phase(),
-                    LeadershipPhase::Unknown | LeadershipPhase::Following
-                ) {
-                    let wait = self.rng.random_range(0..=ELECTION_JITTER_MS);
-                    self.leadership.known_leader = None;
-                    let at = (self.now.monotonic + wait).max(self.isolation.campaign_after);
-                    self.leadership.advance(LeadershipPhase::Vacant(at));
+            (CallContext::AcquireLeadership { .. }, outcome) => self.on_election_response(outcome),
+            (CallContext::RenewLease { requested_at, .. }, outcome) => match outcome {
+                StoreOutcome::LeaseGranted(_) => self.on_lease_renewed(requested_at),
+                StoreOutcome::NoSuchLease | StoreOutcome::Missing { .. } => {
+                    self.step_down("its lease has ended");
                 }
+                _ => {}
+            },
+            _ => {}
+        }
+    }
+
+    /// The keys under `term/` were read.
+    fn on_term_page(&mut self, page: &KeyPage) {
+        let held = LeaderKey::on_page(page);
+        let is_format = |entry: &&KeyValue| entry.key == keys::FORM;
+        let format = page.entries.iter().find(is_format).map(|entry| &entry.value);
+        self.format_upgrade.on_format_record(format);
+        self.cancellations.on_store_read(page.revision);
+        // A page older than this controller's own key says nothing of it.
+        let is_current = page.revision >= self.leadership.token;
+        if held.is_some() || !self.leadership.holds_key() || is_current {
+            self.on_leader_key(held);
+        }
+        self.watch_leader_key(page.revision);
+    }
+
+    /// The watch of `term/` returned.
+    fn on_term_watch(&mut self, outcome: StoreOutcome) {
+        self.watching_leader_key = false;
+        let StoreOutcome::Changes(changes) = outcome else { return };
+        for event in &changes.events {
+            if event.put_key.as_deref() == Some(keys::FORM) {
+                self.format_upgrade.on_format_record(Some(&event.value));
             }
-            Some((record, stamp)) => {
-                let mine = record.node == self.settings.host_name
-                    && record.incarnation == self.incarnation;
-                // Only what this campaign has written is a lead: a key of an earlier one, written late or read
-                // late, would be led under a token that workers have seen, or lost with a grant nobody extends.
-                if mine && self.leadership.phase() == LeadershipPhase::Acquiring(record.lease) {
-                    self.on_leadership_acquired(stamp);
-                    return;
-                }
-                // Nobody leads by it: others need not wait for its end.
-                if mine && !(self.leadership.holds_key() && self.leadership.lease == record.lease) {
-                    self.revoke_lease(record.lease);
-                }
-                if self.leadership.observe_token(stamp) {
-                    self.step_down("another leads");
-                }
-                if !self.leadership.holds_key() {
-                    self.leadership.observe_leader(&record.node, stamp);
-                    // A campaign under way ends by itself: its write finds the key.
-                    if !matches!(
-                        self.leadership.phase(),
-                        LeadershipPhase::GrantingLease | LeadershipPhase::Acquiring(_)
-                    ) {
-                        self.leadership.advance(LeadershipPhase::Following);
-                    }
+            if let Some(key) = LeaderKey::put_by(event) {
+                self.on_leader_key(Some(key));
+            } else if event.deleted_key.as_deref() == Some(keys::LEADER) {
+                // The deletion of a key older than this controller's own says nothing of it.
+                let is_newer = event.mod_revision > self.leadership.token;
+                if !self.leadership.holds_key() || is_newer {
+                    self.on_leader_key(None);
                 }
             }
         }
+        self.watch_leader_key(changes.revision);
     }
 
-    /// Ends a grant.
-    pub(super) fn revoke_lease(&mut self, grant: u64) {
-        let until = RetryPolicy::OnceBefore(self.now.monotonic + STORE_TIMEOUT_MS);
-        self.store.push(
-            StoreCall::RevokeLease(grant),
-            CallContext::RevokeLease,
-            CallPriority::Leadership,
-            until,
-        );
+    /// The leader's key was read; none: it does not exist.
+    fn on_leader_key(&mut self, key: Option<LeaderKey>) {
+        let is_first_read = !std::mem::replace(&mut self.leadership.leader_key_known, true);
+        match key {
+            Some(key) if is_first_read && self.is_predecessors_key(&key) => {
+                self.replace_predecessor(key.mod_revision);
+            }
+            Some(key) => self.on_held_key(&key),
+            None => self.on_vacant_key(),
+        }
+    }
+
+    /// Whether the key was written by the predecessor of this process, which has ended.
+    fn is_predecessors_key(&self, key: &LeaderKey) -> bool {
+        key.record.node == self.settings.host_name
+            && key.record.incarnation != self.incarnation
+            && self.leadership.phase() == LeadershipPhase::Unknown
+    }
+
+    /// A process that is back at once finds its predecessor's key, alive until the lease expires. It need not wait for
+    /// that: it replaces the key, under a lease and a token of its own, on condition that nobody else has.
+    fn replace_predecessor(&mut self, mod_revision: u64) {
+        self.leadership.observe_token(mod_revision);
+        self.leadership.replaced_revision = mod_revision;
+        self.leadership.advance(LeadershipPhase::Vacant(self.now.monotonic));
+    }
+
+    /// Nobody holds the leader's key: an election follows after a random delay.
+    fn on_vacant_key(&mut self) {
+        self.leadership.replaced_revision = 0;
+        if self.leadership.holds_key() {
+            self.step_down("its key is gone");
+        }
+        let phase = self.leadership.phase();
+        if matches!(phase, LeadershipPhase::Unknown | LeadershipPhase::Following) {
+            let delay = self.rng.random_range(0..=ELECTION_JITTER_MS);
+            self.leadership.known_leader = None;
+            let campaign_at = (self.now.monotonic + delay).max(self.isolation.campaign_after);
+            self.leadership.advance(LeadershipPhase::Vacant(campaign_at));
+        }
     }
 
-    pub(super) fn on_leadership_acquired(&mut self, token: u64) {
+    /// Somebody holds the leader's key, perhaps this process.
+    fn on_held_key(&mut self, key: &LeaderKey) {
+        let record = &key.record;
+        let is_own =
+            record.node == self.settings.host_name && record.incarnation == self.incarnation;
+        // Only a key written by this election makes this controller the leader. A key of an earlier one, written or read
+        // late, would be led under a token that workers have seen, or lost with a lease that nobody renews.
+        if is_own && self.leadership.phase() == LeadershipPhase::Acquiring(record.lease) {
+            self.on_leadership_acquired(key.mod_revision);
+            return;
+        }
+        // Nobody leads by such a key: others need not wait until its lease expires.
+        let is_current = self.leadership.holds_key() && self.leadership.lease == record.lease;
+        if is_own && !is_current {
+            self.revoke_lease(record.lease);
+        }
+        if self.leadership.observe_token(key.mod_revision) {
+            self.step_down("another leads");
+        }
+        if self.leadership.holds_key() {
+            return;
+        }
+        self.leadership.observe_leader(&record.node, key.mod_revision);
+        // An election under way ends by itself: its write conflicts with this key.
+        if !self.is_campaigning() {
+            self.leadership.advance(LeadershipPhase::Following);
+        }
+    }
+
+    fn is_campaigning(&self) -> bool {
+        let phase = self.leadership.phase();
+        matches!(phase, LeadershipPhase::GrantingLease | LeadershipPhase::Acquiring(_))
+    }
+
+    /// The lease for an election was granted, or not: with it the leader's key is written.
+    fn on_lease_response(&mut self, requested_at: Time, outcome: StoreOutcome) {
+        let StoreOutcome::LeaseGranted(lease) = outcome else {
+            return self.on_election_failed();
+        };
+        self.leadership.on_lease_renewed(requested_at);
+        self.leadership.advance(LeadershipPhase::Acquiring(lease));
+        let record = LeaderRecord {
+            node: self.settings.host_name.clone(),
+            incarnation: self.incarnation,
+            lease,
+        };
+        let is_unchanged = Precondition {
+            key: keys::LEADER.into(),
+            mod_revision: self.leadership.replaced_revision,
+        };
+        let write = Mutation::Put {
+            key: keys::LEADER.into(),
+            value: serde_json::to_value(&record).unwrap_or_default(),
+            lease: Some(lease),
+        };
+        let transaction = Transaction { preconditions: vec![is_unchanged], mutations: vec![write] };
+        let generation = self.leadership.generation;
+        let context = CallContext::AcquireLeadership { generation };
+        self.push_leadership_call(StoreCall::Commit(transaction), context);
+    }
+
+    /// The write of the leader's key ended.
+    fn on_election_response(&mut self, outcome: StoreOutcome) {
+        match outcome {
+            StoreOutcome::Committed(revision) => self.on_leadership_acquired(revision),
+            // It may have been applied: the key tells. If it is not there, the lease is left to expire, and the next
+            // election uses a new one.
+            StoreOutcome::Unknown => {
+                self.read_leader_key();
+                self.on_election_failed();
+            }
+            _ => self.on_election_failed(),
+        }
+    }
+
+    /// Ends an election without success; the next one follows after a pause.
+    fn on_election_failed(&mut self) {
+        self.leadership.replaced_revision = 0;
+        if self.is_campaigning() {
+            let pause = ELECTION_RETRY_MS + self.rng.random_range(0..=ELECTION_JITTER_MS);
+            self.leadership.advance(LeadershipPhase::Vacant(self.now.monotonic + pause));
+            self.read_leader_key();
+        }
+    }
+
+    /// This controller's key was written at this revision: it leads once it has read the state.
+    fn on_leadership_acquired(&mut self, token: u64) {
         let now = self.now.monotonic;
         self.leadership.token = token;
-        if let LeadershipPhase::Acquiring(grant) = self.leadership.phase() {
-            self.leadership.lease = grant;
+        if let LeadershipPhase::Acquiring(lease) = self.leadership.phase() {
+            self.leadership.lease = lease;
         }
         self.leadership.observe_token(token);
         if !self.leadership.advance(LeadershipPhase::Loading) {
@@ -124,46 +266,32 @@
         }
         self.leadership.observe_leader(&self.settings.host_name.clone(), token);
         self.leadership.renew_at = now;
-        // The key was written under a grant that may have ended while the answer waited.
+        // The key was written under a lease that may have expired while the response waited.
         self.leadership.on_resume(now);
-        let (rps, writes) = store_rates(&self.settings, true);
-        self.store.set_rates(rps, writes, now);
+        self.set_store_rates(true);
         tracing::info!(fencing_token = token, "leader elected, loading cluster state");
-        let era = self.leadership.generation;
-        let mut tables = ClusterState::new(token, era, now);
-        tables.read_at = now;
-        self.cancellations.clear_endorsements();
-        self.answer_authority = AnswerAuthority::default();
-        tables.lease_ms = self.settings.settings.workers.lease_s * MS_PER_S;
-        tables.tiers = self.replicated_records.tiers.clone();
-        self.loading_state = Some(tables);
-        self.open_quota_accounts();
-        let call = StoreCall::List { prefix: keys::JOBS.into(), from: None };
-        self.store.push(
-            call,
-            CallContext::LoadJobs { generation: era },
-            CallPriority::Leadership,
-            RetryPolicy::UntilDefinite,
-        );
+        self.start_loading(token);
     }
 
+    /// Gives up leadership and all state that belongs to it. `why` goes into the log and to event receivers.
     pub(super) fn step_down(&mut self, why: &str) {
         tracing::warn!(fencing_token = self.leadership.token, why, "stepping down");
         self.record_leadership_event("ended", why);
         self.record_pending_terminations();
         self.leadership.advance(LeadershipPhase::Unknown);
-        let asked = self.cluster_state.take().into_iter().flat_map(|l| l.machines.into_values());
-        for machine in asked.filter(|m| m.open_probes > 0) {
+        let state = self.cluster_state.take();
+        let machines = state.into_iter().flat_map(|state| state.machines.into_values());
+        for machine in machines.filter(|machine| machine.open_probes > 0) {
             *self.open_probes.entry(machine.id).or_default() += machine.open_probes;
         }
         self.loading_state = None;
         self.task_counts.clear();
         self.close_quota_accounts();
         self.replicated_records.close(self.now.monotonic);
-        let (rps, writes) = store_rates(&self.settings, false);
-        self.store.set_rates(rps, writes, self.now.monotonic);
-        let era = self.leadership.generation;
-        self.store.forget(|p| p.generation().is_none_or(|e| e == era));
+        self.set_store_rates(false);
+        let ended = self.leadership.generation;
+        self.store
+            .forget(|context| context.generation().is_none_or(|generation| generation == ended));
         self.cloud.clear_queue();
         self.pending_commands.clear();
         for (id, _) in std::mem::take(&mut self.deferred_reports) {
@@ -172,252 +300,8 @@
         self.read_leader_key();
     }
 
-    /// What came of a call about the term.
-    pub(super) fn on_leadership_response(&mut self, end: FinishedCall<CallContext>) {
-        let now = self.now.monotonic;
-        match end.context {
-            CallContext::ReadLeaderKey => {
-                if let StoreOutcome::Page(page) = end.outcome {
-                    let held = page.entries.iter().find(|p| p.key == keys::LEADER).and_then(|p| {
-                        Some((serde_json::from_value(p.value.clone()).ok()?, p.mod_revision))
-                    });
-                    self.format_upgrade.on_format_record(
-                        page.entries.iter().find(|p| p.key == keys::FORM).map(|p| &p.value),
-                    );
-                    self.cancellations.on_store_read(page.revision);
-                    // Read before the key was written, it says nothing of it.
-                    if held.is_some()
-                        || !self.leadership.holds_key()
-                        || page.revision >= self.leadership.token
-                    {
-                        self.on_leader_key(held);
-                    }
-                    self.watch_leader_key(page.revision);
-                }
-            }
-            CallContext::WatchLeaderKey => {
-                self.watching_leader_key = false;
-                if let StoreOutcome::Changes(news) = end.outcome {
-                    for item in &news.events {
-                        if item.put_key.as_deref() == Some(keys::FORM) {
-                            self.format_upgrade.on_format_record(Some(&item.value));
-                        }
-                        if item.put_key.as_deref() == Some(keys::LEADER)
-                            && let Ok(record) = serde_json::from_value(item.value.clone())
-                        {
-                            self.on_leader_key(Some((record, item.mod_revision)));
-                        } else if item.deleted_key.as_deref() == Some(keys::LEADER) {
-                            // Of an older term than ours, the removal says nothing.
-                            if !self.leadership.holds_key()
-                                || item.mod_revision > self.leadership.token
-                            {
-                                self.on_leader_key(None);
-                            }
-                        }
-                    }
-                    self.watch_leader_key(news.revision);
-                }
-            }
-            CallContext::GrantLease { requested_at: asked, .. } => match end.outcome {
-                StoreOutcome::LeaseGranted(grant) => {
-                    self.leadership.on_lease_renewed(asked);
-                    self.leadership.advance(LeadershipPhase::Acquiring(grant));
-                    let record = LeaderRecord {
-                        node: self.settings.host_name.clone(),
-                        incarnation: self.incarnation,
-                        lease: grant,
-                    };
-                    let commit = Transaction {
-                        preconditions: vec![Precondition {
-                            key: keys::LEADER.into(),
-                            mod_revision: self.leadership.replaced_revision,
-                        }],
-                        mutations: vec![Mutation::Put {
-                            key: keys::LEADER.into(),
-                            value: serde_json::to_value(&record).unwrap_or_default(),
-                            lease: Some(grant),
-                        }],
-                    };
-                    let purpose =
-                        CallContext::AcquireLeadership { generation: self.leadership.generation };
-                    let until = now + STORE_TIMEOUT_MS;
-                    self.store.push(
-                        StoreCall::Commit(commit),
-                        purpose,
-                        CallPriority::Leadership,
-                        RetryPolicy::OnceBefore(until),
-                    );
-                }
-                _ => self.on_election_failed(),
-            },
-            CallContext::AcquireLeadership { .. } => match end.outcome {
-                StoreOutcome::Committed(epoch) => self.on_leadership_acquired(epoch),
-                // It may have been applied: the key tells. If it shows nothing of ours, the
-                // lease is left to run out and the next campaign takes a new one.
-                StoreOutcome::Unknown => {
-                    self.read_leader_key();
-                    self.on_election_failed();
-                }
-                _ => self.on_election_failed(),
-            },
-            CallContext::RenewLease { requested_at: asked, .. } => match end.outcome {
-                StoreOutcome::LeaseGranted(_) => self.on_lease_renewed(asked),
-                StoreOutcome::NoSuchLease | StoreOutcome::Missing { .. } => {
-                    self.step_down("its lease has ended")
-                }
-                _ => {}
-            },
-            _ => {}
-        }
-    }
-
-    fn on_election_failed(&mut self) {
-        self.leadership.replaced_revision = 0;
-        if matches!(
-            self.leadership.phase(),
-            LeadershipPhase::GrantingLease | LeadershipPhase::Acquiring(_)
-        ) {
-            let wait = ELECTION_RETRY_MS + self.rng.random_range(0..=ELECTION_JITTER_MS);
-            self.leadership.advance(LeadershipPhase::Vacant(self.now.monotonic + wait));
-            self.read_leader_key();
-        }
-    }
-
-    /// A page of what a new leader reads: all jobs, then all chunks, then the ledger.
-    pub(super) fn on_state_page(&mut self, outcome: StoreOutcome, era: u64, load: &CallContext) {
-        let Some(mut leader) = self.loading_state.take() else { return };
-        let StoreOutcome::Page(page) = outcome else {
-            self.loading_state = Some(leader);
-            return;
-        };
-        let (now, wall) = (self.now.monotonic, self.now.wall_clock);
-        let (prefix, next) = match load {
-            CallContext::LoadJobs { .. } => {
-                leader.load_jobs(&page, now, wall);
-                (keys::JOBS, Some((keys::BINDINGS, CallContext::LoadBindings { generation: era })))
-            }
-            CallContext::LoadRecords { .. } => {
-                self.loading_state = Some(leader);
-                if self.on_records_loaded(page, era)
-                    && let Some(leader) = self.loading_state.take()
-                {
-                    self.on_state_loaded(leader, era);
-                }
-                return;
-            }
-            CallContext::LoadBindings { .. } => {
-                leader.load_bindings(&page, now);
-                (
-                    keys::BINDINGS,
-                    Some((keys::SHEETS, CallContext::LoadBindingLog { generation: era })),
-                )
-            }
-            _ => {
-                leader.load_log_segments(&page, now);
-                (keys::SHEETS, None)
-            }
-        };
-        let more = page.entries.last().filter(|_| page.has_next).map(|p| p.key.clone());
-        let (prefix, purpose) = match (&more, next) {
-            (Some(_), _) => (prefix, load.clone()),
-            (None, Some(next)) => next,
-            (None, None) => {
-                self.loading_state = Some(leader);
-                if !self.load_records(era)
-                    && let Some(leader) = self.loading_state.take()
-                {
-                    self.on_state_loaded(leader, era);
-                }
-                return;
-            }
-        };
-        self.loading_state = Some(leader);
-        let call = StoreCall::List { prefix: prefix.into(), from: more };
-        self.store.push(call, purpose, CallPriority::Leadership, RetryPolicy::UntilDefinite);
-    }
-
-    fn on_state_loaded(&mut self, mut leader: ClusterState, era: u64) {
-        if !self.leadership.advance(LeadershipPhase::Leading) {
-            self.step_down("a newer term was seen while reading the store");
-            return;
-        }
-        let now = self.now.monotonic;
-        leader.finish_loading(now, self.now.wall_clock);
-        leader.leading_since = now;
-        for (id, note) in self.cancellations.pending() {
-            leader.on_remote_cancellation(id, note.cancelled_wall, now, self.now.wall_clock);
-        }
-        let from = leader.watched_revision;
-        self.cancellations.advance_required_revision(from);
-        tracing::info!(
-            fencing_token = leader.token,
-            jobs = leader.jobs.len(),
-            machines = leader.machines.len(),
-            "leader ready"
-        );
-        self.cluster_state = Some(leader);
-        self.on_records_changed();
-        self.restore_gpu_loans();
-        self.restore_deadline_plan();
-        self.record_leadership_event("begun", &self.settings.host_name.clone());
-        self.watch_jobs(from, era);
-        self.request_machine_types();
-        for (id, report) in std::mem::take(&mut self.deferred_reports) {
-            self.on_status_report(id, report);
-        }
-    }
-
-    fn watch_jobs(&mut self, from: u64, era: u64) {
-        let asked = self.now.monotonic;
-        let call = StoreCall::Watch { prefix: keys::JOBS.into(), from };
-        self.store.push(
-            call,
-            CallContext::WatchJobs { generation: era, requested_at: asked },
-            CallPriority::Leadership,
-            RetryPolicy::UntilDefinite,
-        );
-    }
-
-    /// Of a leader: reads what has changed of the jobs, if the watch has told nothing for a while. A watch that
-    /// waits, or whose answer is slow, proves nothing of the time since it was opened.
-    pub(super) fn poll_job_changes(&mut self) {
-        let now = self.now.monotonic;
-        let Some(leader) = &mut self.cluster_state else { return };
-        if now < leader.read_at.max(leader.changes_requested_at) + LEADER_POLL_MS {
-            return;
-        }
-        leader.changes_requested_at = now;
-        let purpose =
-            CallContext::ReadJobChanges { generation: leader.generation, requested_at: now };
-        let call =
-            StoreCall::ReadChanges { prefix: keys::JOBS.into(), from: leader.watched_revision };
-        self.store.push(
-            call,
-            purpose,
-            CallPriority::Leadership,
-            RetryPolicy::OnceBefore(now + STORE_TIMEOUT_MS),
-        );
-    }
-
-    /// Takes in what has changed of the jobs, as asked for then.
-    pub(super) fn on_job_changes(&mut self, news: &WatchResponse, asked: Time) {
-        let (now, wall) = (self.now.monotonic, self.now.wall_clock);
-        let Some(leader) = &mut self.cluster_state else { return };
-        leader.apply_job_changes(news, now, wall);
-        leader.read_at = leader.read_at.max(asked);
-        self.cancellations.advance_required_revision(leader.watched_revision);
-    }
-
-    pub(super) fn on_job_watch(&mut self, outcome: StoreOutcome, era: u64, asked: Time) {
-        match outcome {
-            StoreOutcome::Changes(news) => {
-                self.on_job_changes(&news, asked);
-                let from =
-                    self.cluster_state.as_ref().map_or(news.revision, |l| l.watched_revision);
-                self.watch_jobs(from, era);
-            }
-            // Too far behind: a new term reads everything anew.
-            _ => self.step_down("the watch of jobs was lost"),
-        }
+    fn set_store_rates(&mut self, is_leader: bool) {
+        let (requests, writes) = store_rates(&self.settings, is_leader);
+        self.store.set_rates(requests, writes, self.now.monotonic);
     }
 }
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -53,6 +53,7 @@
 mod report_forwarding;
 mod requests;
 mod scheduling_cycle;
+mod state_loading;
 mod status;
 mod store_calls;
 mod worker_reports;
--- /dev/null
+++ b/crates/controller/src/controller/state_loading.rs
@@ -0,0 +1,172 @@
+//! What a new leader reads before it leads, in this order: jobs, binding chunks, binding log segments, replicated
+//! records. Afterwards it follows the jobs by a watch and, beside it, by polling.
+
+use super::{CallContext, Controller};
+use crate::Time;
+use crate::cluster_state::ClusterState;
+use crate::constants::{LEADER_POLL_MS, MS_PER_S, STORE_TIMEOUT_MS};
+use crate::job::keys;
+use crate::leadership::{AnswerAuthority, LeadershipPhase};
+use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
+use swiftsail_protocol::state::{KeyPage, WatchResponse};
+
+impl Controller {
+    /// Begins to read the state of the cluster under a new fencing token.
+    pub(super) fn start_loading(&mut self, token: u64) {
+        let now = self.now.monotonic;
+        let generation = self.leadership.generation;
+        let mut state = ClusterState::new(token, generation, now);
+        state.read_at = now;
+        state.lease_ms = self.settings.settings.workers.lease_s * MS_PER_S;
+        state.tiers = self.replicated_records.tiers.clone();
+        self.cancellations.clear_endorsements();
+        self.answer_authority = AnswerAuthority::default();
+        self.loading_state = Some(state);
+        self.open_quota_accounts();
+        self.list_state(keys::JOBS, None, CallContext::LoadJobs { generation });
+    }
+
+    /// Reads a page of keys, until it is answered.
+    fn list_state(&mut self, prefix: &str, from: Option<String>, context: CallContext) {
+        let call = StoreCall::List { prefix: prefix.into(), from };
+        self.store.push(call, context, CallPriority::Leadership, RetryPolicy::UntilDefinite);
+    }
+
+    /// A page of what a new leader reads has arrived. `load`: what it is a page of.
+    pub(super) fn on_state_page(
+        &mut self,
+        outcome: StoreOutcome,
+        generation: u64,
+        load: &CallContext,
+    ) {
+        let (now, wall) = (self.now.monotonic, self.now.wall_clock);
+        let StoreOutcome::Page(page) = outcome else { return };
+        let Some(state) = &mut self.loading_state else { return };
+        match load {
+            CallContext::LoadJobs { .. } => {
+                state.load_jobs(&page, now, wall);
+                let next = CallContext::LoadBindings { generation };
+                self.read_next(&page, load, keys::JOBS, (keys::BINDINGS, next));
+            }
+            CallContext::LoadBindings { .. } => {
+                state.load_bindings(&page, now);
+                let next = CallContext::LoadBindingLog { generation };
+                self.read_next(&page, load, keys::BINDINGS, (keys::SHEETS, next));
+            }
+            CallContext::LoadRecords { .. } => {
+                if self.on_records_loaded(page, generation) {
+                    self.on_state_loaded(generation);
+                }
+            }
+            _ => {
+                state.load_log_segments(&page, now);
+                if let Some(last) = last_key(&page) {
+                    self.list_state(keys::SHEETS, Some(last), load.clone());
+                } else if !self.load_records(generation) {
+                    self.on_state_loaded(generation);
+                }
+            }
+        }
+    }
+
+    /// Reads the next page under a prefix, or after the last one the first page of what comes next.
+    fn read_next(
+        &mut self,
+        page: &KeyPage,
+        load: &CallContext,
+        prefix: &str,
+        (next_prefix, next): (&str, CallContext),
+    ) {
+        match last_key(page) {
+            Some(last) => self.list_state(prefix, Some(last), load.clone()),
+            None => self.list_state(next_prefix, None, next),
+        }
+    }
+
+    /// All has been read: this controller leads.
+    fn on_state_loaded(&mut self, generation: u64) {
+        let Some(mut state) = self.loading_state.take() else { return };
+        if !self.leadership.advance(LeadershipPhase::Leading) {
+            self.step_down("a newer term was seen while reading the store");
+            return;
+        }
+        let (now, wall) = (self.now.monotonic, self.now.wall_clock);
+        state.finish_loading(now, wall);
+        state.leading_since = now;
+        for (id, pending) in self.cancellations.pending() {
+            state.on_remote_cancellation(id, pending.cancelled_wall, now, wall);
+        }
+        let watched_revision = state.watched_revision;
+        self.cancellations.advance_required_revision(watched_revision);
+        tracing::info!(
+            fencing_token = state.token,
+            jobs = state.jobs.len(),
+            machines = state.machines.len(),
+            "leader ready"
+        );
+        self.cluster_state = Some(state);
+        self.on_records_changed();
+        self.restore_gpu_loans();
+        self.restore_deadline_plan();
+        self.record_leadership_event("begun", &self.settings.host_name.clone());
+        self.watch_jobs(watched_revision, generation);
+        self.request_machine_types();
+        for (id, report) in std::mem::take(&mut self.deferred_reports) {
+            self.on_status_report(id, report);
+        }
+    }
+
+    /// Watches the jobs from this revision on.
+    fn watch_jobs(&mut self, from: u64, generation: u64) {
+        let call = StoreCall::Watch { prefix: keys::JOBS.into(), from };
+        let context = CallContext::WatchJobs { generation, requested_at: self.now.monotonic };
+        self.store.push(call, context, CallPriority::Leadership, RetryPolicy::UntilDefinite);
+    }
+
+    /// Reads what has changed of the jobs if the watch has been silent for a while. A watch that blocks, or whose
+    /// response is slow, proves nothing of the time since it was opened.
+    pub(super) fn poll_job_changes(&mut self) {
+        let now = self.now.monotonic;
+        let Some(state) = &mut self.cluster_state else { return };
+        if now < state.read_at.max(state.changes_requested_at) + LEADER_POLL_MS {
+            return;
+        }
+        state.changes_requested_at = now;
+        let context =
+            CallContext::ReadJobChanges { generation: state.generation, requested_at: now };
+        let call =
+            StoreCall::ReadChanges { prefix: keys::JOBS.into(), from: state.watched_revision };
+        let retry_policy = RetryPolicy::OnceBefore(now + STORE_TIMEOUT_MS);
+        self.store.push(call, context, CallPriority::Leadership, retry_policy);
+    }
+
+    /// Applies changes of jobs that were requested at this time.
+    pub(super) fn on_job_changes(&mut self, changes: &WatchResponse, requested_at: Time) {
+        let (now, wall) = (self.now.monotonic, self.now.wall_clock);
+        let Some(state) = &mut self.cluster_state else { return };
+        state.apply_job_changes(changes, now, wall);
+        state.read_at = state.read_at.max(requested_at);
+        self.cancellations.advance_required_revision(state.watched_revision);
+    }
+
+    /// The watch of the jobs returned. If it is too far behind, the leader steps down: a new one reads everything anew.
+    pub(super) fn on_job_watch(
+        &mut self,
+        outcome: StoreOutcome,
+        generation: u64,
+        requested_at: Time,
+    ) {
+        let StoreOutcome::Changes(changes) = outcome else {
+            return self.step_down("the watch of jobs was lost");
+        };
+        self.on_job_changes(&changes, requested_at);
+        let state = self.cluster_state.as_ref();
+        let from = state.map_or(changes.revision, |state| state.watched_revision);
+        self.watch_jobs(from, generation);
+    }
+}
+
+/// The key after which the next page begins; none: this was the last page.
+fn last_key(page: &KeyPage) -> Option<String> {
+    page.entries.last().filter(|_| page.has_next).map(|entry| entry.key.clone())
+}
