--- a/crates/controller/src/controller/format_upgrade.rs
+++ b/crates/controller/src/controller/format_upgrade.rs
@@ -1,7 +1,7 @@
-//! Whether every controller knows the form of records that this one writes. A version that does not know of jobs which
-//! await others would not start them, since it cannot read their records; but it would take bindings of theirs for
-//! left-overs. So none is accepted until each other controller has said in a heartbeat that its version knows them. That
-//! is noted in the state service, once and for good: whoever begins later need not hear them all again.
+//! The gate for a new record format during a rolling upgrade. A version that does not read jobs with dependencies would not
+//! start them, and would take their bindings for stale ones. So none is accepted until every other controller has
+//! announced in a heartbeat that it reads the format. That is recorded in the state service once and for good, so that a
+//! controller that starts later need not hear all the others again.
 
 use super::{CallContext, Controller};
 use crate::constants::{FORMAT_VERSION, USER_STORE_TIMEOUT_MS};
@@ -12,45 +12,45 @@
 use std::collections::BTreeSet;
 use swiftsail_protocol::state::{Precondition, Transaction};
 
-/// Where the form stands, as this controller knows it.
+/// Progress of the upgrade, as this controller knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 enum UpgradeStage {
-    /// An earlier version may still serve.
+    /// A controller of an earlier version may be running.
     #[default]
     Mixed,
-    /// The note is being written.
+    /// The record is being written.
     Raising,
-    /// Every controller knows it.
+    /// Every controller reads the format.
     Raised,
 }
 
-/// What the state service holds of it.
+/// Value of the key `term/form`.
 #[derive(Debug, Serialize, Deserialize)]
 struct FormatRecord {
-    /// The form that every controller reads.
+    /// Format version that every controller reads.
     form: u32,
 }
 
-/// The form of records in use.
+/// Which record format may be written.
 #[derive(Debug, Default)]
 pub(super) struct FormatUpgrade {
     stage: UpgradeStage,
-    /// Other controllers whose latest heartbeat was of a version that knows it.
+    /// Other controllers whose latest heartbeat announced the format.
     heard: BTreeSet<String>,
 }
 
 impl FormatUpgrade {
-    /// The one function that changes where it stands. What is raised is never lowered.
+    /// The only transition function. A raised format is never lowered.
     fn advance(&mut self, to: UpgradeStage) -> bool {
-        let again = self.stage == UpgradeStage::Raising && to == UpgradeStage::Raising;
-        let allowed = self.stage != UpgradeStage::Raised && !again;
+        let is_repeat = self.stage == UpgradeStage::Raising && to == UpgradeStage::Raising;
+        let allowed = self.stage != UpgradeStage::Raised && !is_repeat;
         if allowed {
             self.stage = to;
         }
         allowed
     }
 
-    /// What the state service holds was read.
+    /// The format record was read; none: there is no such key.
     pub fn on_format_record(&mut self, value: Option<&Value>) {
         let record = value.and_then(|v| FormatRecord::deserialize(v).ok());
         if record.is_some_and(|r| r.form >= FORMAT_VERSION) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Another controller has told the form that its version knows.
+    /// Another controller announced the format that it reads.
     pub fn on_peer_version(&mut self, node: &str, form: u32) {
         if form >= FORMAT_VERSION {
             if !self.heard.contains(node) {
@@ -69,21 +69,24 @@
         }
     }
 
-    /// Whether jobs that await others may be accepted.
+    /// Whether jobs with dependencies may be accepted.
     pub fn is_raised(&self) -> bool {
         self.stage == UpgradeStage::Raised
     }
 }
 
 impl Controller {
-    /// Somebody wants what only the new form can say: it is raised if no earlier version serves any more.
+    /// A request needs the new format: it is raised if every other controller has announced it.
     pub(super) fn request_format_upgrade(&mut self) {
-        let all =
-            self.settings.others.iter().all(|o| self.format_upgrade.heard.contains(&o.host_name));
+        let all = self
+            .settings
+            .others
+            .iter()
+            .all(|other| self.format_upgrade.heard.contains(&other.host_name));
         if !all || !self.format_upgrade.advance(UpgradeStage::Raising) {
             return;
         }
-        let commit = Transaction {
+        let transaction = Transaction {
             preconditions: vec![Precondition { key: keys::FORM.into(), mod_revision: 0 }],
             mutations: vec![super::chunks::put_change(
                 keys::FORM.into(),
@@ -92,18 +95,18 @@
         };
         let until = RetryPolicy::OnceBefore(self.now.monotonic + USER_STORE_TIMEOUT_MS);
         self.store.push(
-            StoreCall::Commit(commit),
+            StoreCall::Commit(transaction),
             CallContext::RaiseFormatVersion,
             CallPriority::High,
             until,
         );
     }
 
-    /// The note was written, by this controller or by another before it; or it is not known.
+    /// The write of the format record ended.
     pub(super) fn on_format_raised(&mut self, outcome: &StoreOutcome) {
         let to = match outcome {
             StoreOutcome::Committed(_) => UpgradeStage::Raised,
-            // Another's: the term is read anew every second, and the note with it.
+            // Another controller's write, if any, is read with `term/` within a second.
             _ => UpgradeStage::Mixed,
         };
         if self.format_upgrade.advance(to) && to == UpgradeStage::Raised {
--- a/crates/controller/src/controller/isolation.rs
+++ b/crates/controller/src/controller/isolation.rs
@@ -1,29 +1,29 @@
-//! A leader that holds its key but reaches nobody: neither a worker nor another controller that could pass
-//! reports on. Its grant would live for as long as the state service hears it, and every worker's lease would
-//! end meanwhile. It gives the lead to whoever reaches more, and does not ask for it back at once.
+//! Isolation of a leader: it holds its key but reaches neither a worker nor another controller that could forward
+//! reports. Its lease would live for as long as it reaches the store, and every worker's lease would expire meanwhile. It
+//! resigns, so that a controller that reaches more takes over, and does not campaign again at once.
 
 use super::Controller;
 use crate::Time;
 use crate::constants::{MS_PER_S, QUIET_SHARE, RESIGN_MACHINES, RESIGN_MAX_MS, RESIGN_MS};
 
-/// What a node has heard as a leader, and what it has given up for hearing nothing.
+/// When a leader last heard a worker, and how long it stays out of elections after resigning.
 #[derive(Debug, Default)]
 pub(super) struct Isolation {
     last_heard_at: Time,
-    /// No campaign before that.
+    /// This controller does not campaign before this time.
     pub campaign_after: Time,
     pause_ms: u64,
 }
 
 impl Isolation {
-    /// A worker was heard, by itself or through another controller.
+    /// A worker was heard, directly or through another controller.
     pub fn on_worker_heard(&mut self, now: Time) {
         self.last_heard_at = now;
         self.pause_ms = 0;
     }
 
-    /// The lead is given up: when to ask for it again. Longer each time, so that controllers none of which
-    /// reaches anybody do not pass it round.
+    /// The leader resigns. The pause doubles each time, so that controllers none of which reaches anybody do not pass
+    /// leadership round.
     fn resign(&mut self, now: Time) {
         self.pause_ms = (self.pause_ms * 2).clamp(RESIGN_MS, RESIGN_MAX_MS);
         self.campaign_after = now + self.pause_ms;
@@ -31,22 +31,25 @@
 }
 
 impl Controller {
-    /// With every timer step of a leader.
+    /// Resigns if this leader is isolated. Called with every tick of the leader. A controller without peers, or one that
+    /// expects few machines, is never held to be isolated.
     pub(super) fn resign_if_isolated(&mut self) {
         let now = self.now.monotonic;
-        let Some(leader) = &self.cluster_state else { return };
+        let Some(state) = &self.cluster_state else { return };
         let workers = &self.settings.settings.workers;
-        let quiet = (workers.lease_s * QUIET_SHARE).max(2.0 * workers.report_s) * MS_PER_S;
-        let silent = now.saturating_sub(self.isolation.last_heard_at.max(leader.leading_since))
-            as f64
-            > quiet;
-        if !silent || self.settings.controllers() < 2 {
+        let limit_ms = (workers.lease_s * QUIET_SHARE).max(2.0 * workers.report_s) * MS_PER_S;
+        let heard_at = self.isolation.last_heard_at.max(state.leading_since);
+        let is_silent = now.saturating_sub(heard_at) as f64 > limit_ms;
+        if !is_silent || self.settings.controllers() < 2 {
             return;
         }
-        let up =
-            leader.machines.values().filter(|m| m.last_heard_at.is_some() || !m.tasks.is_empty());
-        let mut peers = self.peers.values().map(|p| now.saturating_sub(p.health.heard_at));
-        if up.count() < RESIGN_MACHINES || peers.any(|age| (age as f64) < quiet) {
+        let should_report = |machine: &&crate::machine::Machine| {
+            machine.last_heard_at.is_some() || !machine.tasks.is_empty()
+        };
+        let machines = state.machines.values().filter(should_report).count();
+        let mut peer_ages =
+            self.peers.values().map(|peer| now.saturating_sub(peer.health.heard_at));
+        if machines < RESIGN_MACHINES || peer_ages.any(|age| (age as f64) < limit_ms) {
             return;
         }
         self.isolation.resign(now);
--- /dev/null
+++ b/crates/controller/src/controller/machine_types.rs
@@ -0,0 +1,50 @@
+//! The cloud's machine types: learnt from the cloud, and stored for controllers that start while the cloud is down.
+
+use super::{CallContext, Controller, chunks};
+use crate::constants::CLOUD_TYPES_MS;
+use crate::job::keys;
+use crate::machine::MachineType;
+use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
+use std::sync::Arc;
+use swiftsail_protocol::cloud::MachineTypes;
+use swiftsail_protocol::state::{Precondition, Transaction};
+
+impl Controller {
+    /// Machine types were read; an empty list counts as none.
+    pub(super) fn learn_machine_types(&mut self, types: &MachineTypes) {
+        if !types.machine_types.is_empty() {
+            let types = types.machine_types.iter().map(MachineType::from).collect();
+            self.machine_types = Some(Arc::new(types));
+        }
+    }
+
+    /// Asks the cloud for the machine types with the next tick, if they are not known.
+    pub(super) fn request_machine_types(&mut self) {
+        if self.machine_types.is_none() {
+            self.machine_types_requested_at = 0;
+        }
+    }
+
+    /// Stores the machine types, as the leader.
+    pub(super) fn store_machine_types(&mut self, types: &MachineTypes) {
+        let Some(state) = &self.cluster_state else { return };
+        let is_leader = Precondition { key: keys::LEADER.into(), mod_revision: state.token };
+        let transaction = Transaction {
+            preconditions: vec![is_leader],
+            mutations: vec![chunks::put_change(keys::TYPES.into(), types)],
+        };
+        let context = CallContext::WriteMachineTypes { generation: state.generation };
+        let retry_policy = RetryPolicy::OnceBefore(self.now.monotonic + CLOUD_TYPES_MS);
+        self.store.push(StoreCall::Commit(transaction), context, CallPriority::Low, retry_policy);
+    }
+
+    /// The stored machine types were read. They count until the cloud has answered.
+    pub(super) fn on_stored_machine_types(&mut self, outcome: StoreOutcome) {
+        if let StoreOutcome::Found(entry) = outcome
+            && self.machine_types.is_none()
+            && let Ok(types) = serde_json::from_value::<MachineTypes>(entry.value)
+        {
+            self.learn_machine_types(&types);
+        }
+    }
+}
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -15,19 +15,8 @@
 //! - records and operators: `replicated_records`, `plugins`, `admin`, `status`
 //! - `cpu_accounting`: how much a cycle may do
 
-/// The leader's context, borrowed beside its cluster state.
-macro_rules! ctx {
-    ($node:expr) => {
-        LeaderContext {
-            now: $node.now.monotonic,
-            wall_clock: $node.now.wall_clock,
-            settings: &$node.settings,
-            store: &mut $node.store,
-        }
-    };
-}
-
 mod admin;
+mod archiving;
 mod binding_log;
 mod capacity;
 mod chunks;
@@ -41,6 +30,7 @@
 mod isolation;
 mod job_cache;
 mod leadership;
+mod machine_types;
 mod messages;
 mod pause_detection;
 mod peers;
--- a/crates/controller/src/controller/pending_terminations.rs
+++ b/crates/controller/src/controller/pending_terminations.rs
@@ -1,140 +1,169 @@
-//! Returns that a cancellation needs while nobody leads. A leader returns the machines on which a cancelled task is not
-//! proved gone in time; but a lead can end, or be in doubt, while the state service is away or answers slowly, and nobody
-//! can read what is where then. So a leader tells the others which machines these are, and whoever has lost its lead
-//! remembers what was where. They return them while they hear that nobody leads.
+//! Terminations of machines that a cancellation needs while nobody leads. A leader terminates the machines on which a
+//! cancelled task is not confirmed gone in time. Leadership can end, or its lease can be unconfirmed, while the store is
+//! down or slow and nobody can read where tasks run. So the leader names these machines in its heartbeats, and a
+//! controller that has lost leadership remembers where tasks ran. They terminate the machines while they hear no leader.
 //!
-//! A return is the one order that needs no lead: whoever leads later finds the machine gone, as one that the cloud has
-//! taken, and takes nothing but a 200 of its own for proof.
+//! A termination is the only request that needs no leadership: a later leader finds the machine gone, as one that the
+//! cloud has reclaimed, and takes nothing but a 200 to a request of its own for proof.
 
-use super::Controller;
+use super::{Action, Controller, Peer};
 use crate::Time;
 use crate::cloud::CloudCall;
 use crate::cluster_state::ClusterState;
 use crate::constants::{HEARTBEAT_FRESH_MS, RETURN_AGAIN_MS, RETURN_BATCH_MAX};
 use crate::fleet::cancellation_deadline_ms;
-use crate::job::{Attempt, JobId, MachineId};
+use crate::job::{Job, JobId, MachineId};
 use std::collections::BTreeMap;
 use swiftsail_protocol::controllers::Heartbeat;
 
-/// Machines with cancelled tasks that are not proved gone, and when the first of them was cancelled.
+/// Machines with cancelled tasks that are not confirmed gone, with the time of the first cancellation.
+#[derive(Debug, Default)]
+struct CancelledMachines(BTreeMap<MachineId, Time>);
+
+impl CancelledMachines {
+    /// Adds a machine; the earliest cancellation counts.
+    fn add(&mut self, id: MachineId, cancelled_at: Time) {
+        let first = self.0.entry(id).or_insert(cancelled_at);
+        *first = cancelled_at.min(*first);
+    }
+}
+
+impl FromIterator<(MachineId, Time)> for CancelledMachines {
+    fn from_iter<I: IntoIterator<Item = (MachineId, Time)>>(found: I) -> CancelledMachines {
+        let mut machines = CancelledMachines::default();
+        found.into_iter().for_each(|(id, cancelled_at)| machines.add(id, cancelled_at));
+        machines
+    }
+}
+
+/// What a controller that does not lead knows of machines with cancelled tasks.
 #[derive(Debug, Default)]
 pub(super) struct PendingTerminations {
-    machines: BTreeMap<MachineId, Time>,
-    /// Of a lead that is over: what was where.
+    machines: CancelledMachines,
+    /// Where tasks ran when this controller's leadership ended.
     last_placements: Vec<(JobId, MachineId)>,
     requested_at: Time,
 }
 
 impl PendingTerminations {
-    fn add(&mut self, id: MachineId, at: Time) {
-        let known = self.machines.entry(id).or_insert(at);
-        *known = at.min(*known);
+    fn clear(&mut self) {
+        self.machines.0.clear();
+        self.last_placements.clear();
     }
 
-    /// A job was cancelled then: its tasks may be where they were when the lead ended.
-    fn on_job_cancelled(&mut self, job: &JobId, at: Time) {
-        let its = self.last_placements.iter().filter(|(id, _)| id == job);
-        let machines: Vec<MachineId> = its.map(|(_, machine)| machine.clone()).collect();
-        machines.into_iter().for_each(|id| self.add(id, at));
+    /// A job was cancelled at this time: its tasks may be where they were when this controller's leadership ended.
+    fn on_job_cancelled(&mut self, job: &JobId, cancelled_at: Time) {
+        for (_, machine) in self.last_placements.iter().filter(|(id, _)| id == job) {
+            self.machines.add(machine.clone(), cancelled_at);
+        }
     }
 
-    /// The cloud has confirmed that these are gone.
+    /// The cloud confirmed that these machines are gone.
     pub fn on_terminated(&mut self, names: &[String]) {
-        self.machines.retain(|id, _| !names.iter().any(|name| **name == **id));
+        self.machines.0.retain(|id, _| !names.iter().any(|name| **name == **id));
     }
 }
 
 impl ClusterState {
-    /// Every machine that a task not proved gone is on.
+    /// Every machine with a task that is not confirmed gone, by job.
     fn occupied_placements(&self) -> Vec<(JobId, MachineId)> {
-        let its = |job: &crate::job::Job| {
-            let held: Vec<&Attempt> =
-                job.attempts.values().filter(|a| a.occupies_resources()).collect();
-            held.into_iter().map(|a| (job.id.clone(), a.machine.clone())).collect::<Vec<_>>()
+        let placements = |job: &Job| {
+            let attempts = job.attempts.values().filter(|attempt| attempt.occupies_resources());
+            let machines = attempts.map(|attempt| (job.id.clone(), attempt.machine.clone()));
+            machines.collect::<Vec<_>>()
         };
-        self.jobs.values().flat_map(its).collect()
+        self.jobs.values().flat_map(placements).collect()
     }
 }
 
 impl Controller {
-    /// The lead is over.
+    /// Leadership ends: remembers which machines it would have had to terminate, and where tasks run.
     pub(super) fn record_pending_terminations(&mut self) {
-        let Some(leader) = &self.cluster_state else { return };
-        self.pending_terminations.machines.clear();
-        for (id, at) in leader.machines_with_cancelled_tasks() {
-            self.pending_terminations.add(id, at);
-        }
-        self.pending_terminations.last_placements = leader.occupied_placements();
+        let Some(state) = &self.cluster_state else { return };
+        self.pending_terminations.machines = state.machines_with_cancelled_tasks().collect();
+        self.pending_terminations.last_placements = state.occupied_placements();
     }
 
-    /// A job was cancelled at that time of day.
-    pub(super) fn add_pending_termination(&mut self, job: &JobId, wall: u64) {
-        let passed = self.now.wall_clock.saturating_sub(wall);
-        self.pending_terminations.on_job_cancelled(job, self.now.monotonic.saturating_sub(passed));
+    /// A job was cancelled at this wall-clock time, ms.
+    pub(super) fn add_pending_termination(&mut self, job: &JobId, cancelled_wall: u64) {
+        let cancelled_at = self.monotonic_of_wall(cancelled_wall);
+        self.pending_terminations.on_job_cancelled(job, cancelled_at);
     }
 
-    /// What a leader tells the others.
+    /// What a leader's heartbeat names: machines with the wall-clock time of the cancellation, ms.
     pub(super) fn pending_terminations_for_peers(&self) -> Vec<(String, u64)> {
-        let Some(leader) = &self.cluster_state else { return Vec::new() };
-        let mut told: BTreeMap<MachineId, Time> = BTreeMap::new();
-        for (id, at) in leader.machines_with_cancelled_tasks() {
-            let known = told.entry(id).or_insert(at);
-            *known = at.min(*known);
-        }
+        let Some(state) = &self.cluster_state else { return Vec::new() };
+        let machines: CancelledMachines = state.machines_with_cancelled_tasks().collect();
         let (now, wall) = (self.now.monotonic, self.now.wall_clock);
-        let told = told.into_iter().take(RETURN_BATCH_MAX);
-        told.map(|(id, at)| (id.to_string(), wall.saturating_sub(now.saturating_sub(at)))).collect()
+        let wall_of = |cancelled_at: Time| wall.saturating_sub(now.saturating_sub(cancelled_at));
+        let machines = machines.0.into_iter().take(RETURN_BATCH_MAX);
+        machines.map(|(id, cancelled_at)| (id.to_string(), wall_of(cancelled_at))).collect()
     }
 
-    /// Another controller leads, and tells: whatever was owed before is its own now.
-    pub(super) fn adopt_pending_terminations(&mut self, beat: &Heartbeat) {
-        self.pending_terminations.last_placements.clear();
-        self.pending_terminations.machines.clear();
-        for (name, wall) in beat.pending_terminations.iter().take(RETURN_BATCH_MAX) {
-            let passed = self.now.wall_clock.saturating_sub(*wall);
-            self.pending_terminations
-                .add(name.as_str().into(), self.now.monotonic.saturating_sub(passed));
+    /// A leader's heartbeat arrived: what it names replaces what was known.
+    pub(super) fn adopt_pending_terminations(&mut self, heartbeat: &Heartbeat) {
+        self.pending_terminations.clear();
+        for (name, cancelled_wall) in heartbeat.pending_terminations.iter().take(RETURN_BATCH_MAX) {
+            let cancelled_at = self.monotonic_of_wall(*cancelled_wall);
+            self.pending_terminations.machines.add(name.as_str().into(), cancelled_at);
         }
     }
 
-    /// With every timer step of a controller that does not lead, or does not know whether it still does.
+    /// The monotonic time of this process at a wall-clock time in the past.
+    fn monotonic_of_wall(&self, wall: u64) -> Time {
+        self.now.monotonic.saturating_sub(self.now.wall_clock.saturating_sub(wall))
+    }
+
+    /// Whether it is known that nobody leads. A peer that is not heard may lead, unless the store is unavailable too:
+    /// then nobody has been elected since.
+    fn hears_no_leader(&self) -> bool {
+        let now = self.now.monotonic;
+        let from = self.endorsements_valid_from().max(now.saturating_sub(HEARTBEAT_FRESH_MS));
+        let is_fresh = |peer: &&Peer| peer.health.heard_at >= from;
+        let fresh: Vec<&Peer> = self.peers.values().filter(is_fresh).collect();
+        let hears_all = fresh.len() == self.settings.others.len();
+        let is_conclusive = !fresh.is_empty() && (hears_all || self.store.is_unavailable());
+        is_conclusive && !fresh.iter().any(|peer| peer.is_leader)
+    }
+
+    /// Terminates machines whose cancelled tasks are due, while nobody leads. Called with every tick.
     pub(super) fn terminate_pending_machines(&mut self) {
         let now = self.now.monotonic;
         if self.cluster_state.is_some() && self.is_lease_confirmed() {
-            self.pending_terminations.machines.clear();
-            self.pending_terminations.last_placements.clear();
+            self.pending_terminations.clear();
             return;
         }
-        if now < self.pending_terminations.requested_at + RETURN_AGAIN_MS {
+        let may_request = now >= self.pending_terminations.requested_at + RETURN_AGAIN_MS;
+        if !may_request || !self.hears_no_leader() {
             return;
         }
-        let from = self.endorsements_valid_from().max(now.saturating_sub(HEARTBEAT_FRESH_MS));
-        let fresh = |p: &&super::Peer| p.health.heard_at >= from;
-        let fresh: Vec<&super::Peer> = self.peers.values().filter(fresh).collect();
-        // One that is not heard may lead. Where the state service is away too, nobody has begun to since.
-        let all = fresh.len() == self.settings.others.len();
-        let nobody = !fresh.is_empty() && (all || self.store.is_unavailable());
-        if !nobody || fresh.iter().any(|p| p.is_leader) {
+        let names = self.due_terminations();
+        if names.is_empty() {
             return;
         }
-        let limit = cancellation_deadline_ms(self.settings.settings.workers.cancel_s);
-        let own = self.cluster_state.iter().flat_map(ClusterState::machines_with_cancelled_tasks);
-        let owed =
-            self.pending_terminations.machines.iter().map(|(id, at)| (id.clone(), *at)).chain(own);
-        let due = owed.filter(|(_, at)| now >= at + limit).map(|(id, _)| id.to_string());
-        let mut names: Vec<String> = due.collect();
+        tracing::warn!(
+            machines = names.len(),
+            "no leader: terminating machines that hold cancelled tasks"
+        );
+        self.pending_terminations.requested_at = now;
+        self.cloud.count_immediate_call();
+        self.actions.push(Action::CallCloud(CloudCall::Return(names)));
+    }
+
+    /// Names of the machines to terminate now, in order, at most one batch.
+    fn due_terminations(&self) -> Vec<String> {
+        let now = self.now.monotonic;
+        let limit_ms = cancellation_deadline_ms(self.settings.settings.workers.cancel_s);
+        let state = self.cluster_state.iter();
+        let own = state.flat_map(ClusterState::machines_with_cancelled_tasks);
+        let pending = self.pending_terminations.machines.0.iter();
+        let pending = pending.map(|(id, cancelled_at)| (id.clone(), *cancelled_at));
+        let is_due = |(_, cancelled_at): &(MachineId, Time)| now >= cancelled_at + limit_ms;
+        let due = pending.chain(own).filter(is_due);
+        let mut names: Vec<String> = due.map(|(id, _)| id.to_string()).collect();
         names.sort();
         names.dedup();
         names.truncate(RETURN_BATCH_MAX);
-        if !names.is_empty() {
-            tracing::warn!(
-                machines = names.len(),
-                "no leader: terminating machines that hold cancelled tasks"
-            );
-            self.pending_terminations.requested_at = now;
-            let call = CloudCall::Return(names);
-            self.cloud.count_immediate_call();
-            self.actions.push(super::Action::CallCloud(call));
-        }
+        names
     }
 }
--- a/crates/controller/src/controller/store_calls.rs
+++ b/crates/controller/src/controller/store_calls.rs
@@ -1,64 +1,59 @@
-//! What calls to the state service are for, and where their outcomes go.
+//! Why each call to the state service was made, and the routing of its response to the part that made it.
 
-use super::{Controller, LeaderContext, RequestId};
+use super::{Controller, RequestId};
 use crate::Time;
-use crate::cluster_state::ClusterState;
-use crate::constants::{ARCHIVE_BACKLOG, ARCHIVE_BATCH, CLOUD_TYPES_MS};
-use crate::job::{JobId, keys};
-use crate::machine::MachineType;
-use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
-use std::sync::Arc;
-use swiftsail_protocol::cloud::MachineTypes;
-use swiftsail_protocol::state::{Mutation, Precondition, Transaction};
+use crate::job::JobId;
+use crate::store::{FinishedCall, StoreOutcome};
 use swiftsail_protocol::users::JobStatus;
 
-/// What a store call was for; `era` tells answers to an earlier term.
+/// Why a call to the state service was made. `generation` is that of the leadership under which it was made
+/// ([`crate::leadership::Leadership`]); responses under a later one are dropped.
 #[derive(Debug, Clone, PartialEq)]
 #[allow(missing_docs)]
 pub enum CallContext {
-    /// Read who leads.
+    /// Read the keys under `term/`.
     ReadLeaderKey,
-    /// Watch who leads.
+    /// Watch them.
     WatchLeaderKey,
-    /// Get a lease to lead.
+    /// Get a lease for an election.
     GrantLease { generation: u64, requested_at: Time },
     /// Write the leader's key.
     AcquireLeadership { generation: u64 },
-    /// Give the lease back.
+    /// End a lease early.
     RevokeLease,
-    /// Extend the lease.
+    /// Renew the leader's lease.
     RenewLease { generation: u64, requested_at: Time },
-    /// Read the machine types.
+    /// Read the stored machine types.
     ReadMachineTypes,
-    /// Keep the machine types.
+    /// Store the machine types.
     WriteMachineTypes { generation: u64 },
-    /// Read all jobs.
+    /// Read all jobs, as a new leader.
     LoadJobs { generation: u64 },
-    /// Read all bindings.
+    /// Read all binding chunks, as a new leader.
     LoadBindings { generation: u64 },
-    /// Watch the jobs.
+    /// Watch the jobs, as the leader.
     WatchJobs { generation: u64, requested_at: Time },
-    /// Read what has changed of the jobs, as a leader whose watch tells nothing.
+    /// Read what has changed of the jobs, as a leader whose watch is silent.
     ReadJobChanges { generation: u64, requested_at: Time },
-    /// Write a job's chunks.
+    /// Write chunks of a job, or its final record.
     FlushJob { generation: u64, job: JobId },
-    /// Read all sheets of the ledger.
+    /// Read all binding log segments, as a new leader.
     LoadBindingLog { generation: u64 },
-    /// Write new bindings.
+    /// Write new bindings to the log.
     WriteBindingLog { generation: u64 },
-    /// Read a key after a conflict of the ledger.
+    /// Read a key after a conflict of a log write.
     ResolveBindingLog { generation: u64, key: String },
-    /// Read a job after a conflict.
+    /// Read a job after a conflict of its chunks.
     ResolveJob { generation: u64, job: JobId },
     /// Read a chunk after a conflict.
     ResolveChunk { generation: u64, job: JobId, index: usize },
-    /// Remove keys that nothing refers to.
+    /// Delete bindings of finished jobs.
     RemoveStaleBindings { generation: u64 },
-    /// Move the records of so many jobs that are over.
+    /// Move the final records of this many jobs to `end/`.
     ArchiveJobs { generation: u64, jobs: usize },
-    /// Read what has changed of the jobs, for polls.
+    /// Read what has changed of the jobs, for the job cache.
     ReadCacheChanges,
-    /// List the jobs, for polls.
+    /// List the jobs, for the job cache.
     ListJobCache,
     /// Read all plug-ins.
     ReadPlugins,
@@ -68,275 +63,163 @@
     WritePlugin { request: Option<RequestId>, name: String },
     /// Read a page of jobs for an operator.
     ListJobs { request: RequestId },
-    /// Read what is held of limits; asked for under that token, or 0.
+    /// Read the quota accounts; under this fencing token, or 0 as a follower.
     ReadQuotaAccounts { token: u64 },
-    /// Move amounts of a page; of a leader under its term.
+    /// Write a page of the quota accounts; as a leader, under its generation.
     TransferQuota { generation: Option<u64>, page: usize, by: (u64, u64) },
-    /// Read the records that outlive controllers; the number is of the reading.
+    /// Read the replicated records; numbered, since pages of an earlier reading may still arrive.
     ReadRecords { reading: u64 },
-    /// Watch them.
+    /// Watch the replicated records.
     WatchRecords,
-    /// Read what became of a job that serves an arrival.
+    /// Read the outcome of a job that serves an occurrence of the deadline plan.
     ReadOccurrenceJob { job: JobId, last_place: bool },
-    /// Read the end of a job that others await, as a leader.
+    /// Read the outcome of a job that others depend on, as the leader.
     ReadDependency { generation: u64, job: JobId, last_place: bool },
-    /// Read a job that stands before another, for those who asked about that one.
+    /// Read a dependency for a user's request.
     LookUpDependency { lookup: u64, job: JobId, last_place: bool },
-    /// Note that every controller knows the form of records.
+    /// Record that every controller reads the current record format.
     RaiseFormatVersion,
-    /// Read them as a new leader.
+    /// Read the replicated records, as a new leader.
     LoadRecords { generation: u64 },
-    /// Write some of them.
+    /// Write replicated records.
     WriteRecords { generation: u64, nonce: u64 },
     /// Create a job.
     CreateJob { request: RequestId, job: JobId, status: JobStatus },
-    /// Read a job for those who asked.
+    /// Read a job for the requests that wait for it.
     ReadJob(JobId),
-    /// Read a job's final record for those who asked.
+    /// Read a job's final record for the requests that wait for it.
     ReadFinalRecord(JobId),
-    /// Mark a job as cancelled, at that time of day.
+    /// Mark a job as cancelled, at this wall-clock time, ms.
     CancelJob(JobId, u64),
 }
 
 impl CallContext {
+    /// The generation of the leadership under which the call was made; none: it belongs to no leadership.
     pub(super) fn generation(&self) -> Option<u64> {
         use CallContext::*;
         match self {
-            GrantLease { generation: era, .. }
-            | AcquireLeadership { generation: era }
-            | RenewLease { generation: era, .. }
-            | WriteMachineTypes { generation: era }
-            | LoadJobs { generation: era }
-            | LoadBindings { generation: era }
-            | WatchJobs { generation: era, .. }
-            | ReadJobChanges { generation: era, .. }
-            | FlushJob { generation: era, .. }
-            | LoadBindingLog { generation: era }
-            | WriteBindingLog { generation: era }
-            | ResolveBindingLog { generation: era, .. }
-            | ResolveJob { generation: era, .. }
-            | ResolveChunk { generation: era, .. }
-            | RemoveStaleBindings { generation: era }
-            | LoadRecords { generation: era }
-            | ReadDependency { generation: era, .. }
-            | WriteRecords { generation: era, .. }
-            | ArchiveJobs { generation: era, .. } => Some(*era),
-            TransferQuota { generation: era, .. } => *era,
+            GrantLease { generation, .. }
+            | AcquireLeadership { generation }
+            | RenewLease { generation, .. }
+            | WriteMachineTypes { generation }
+            | LoadJobs { generation }
+            | LoadBindings { generation }
+            | WatchJobs { generation, .. }
+            | ReadJobChanges { generation, .. }
+            | FlushJob { generation, .. }
+            | LoadBindingLog { generation }
+            | WriteBindingLog { generation }
+            | ResolveBindingLog { generation, .. }
+            | ResolveJob { generation, .. }
+            | ResolveChunk { generation, .. }
+            | RemoveStaleBindings { generation }
+            | LoadRecords { generation }
+            | ReadDependency { generation, .. }
+            | WriteRecords { generation, .. }
+            | ArchiveJobs { generation, .. } => Some(*generation),
+            TransferQuota { generation, .. } => *generation,
             _ => None,
         }
     }
 }
 
+/// Why a leader steps down when a transaction conditional on its key conflicts. Told to event receivers of plug-ins.
+pub(super) const DEPOSED: &str = "the store knows of another term";
+
 impl Controller {
-    pub(super) fn on_store_response(&mut self, end: FinishedCall<CallContext>) {
-        if end.context.generation().is_some_and(|era| era != self.leadership.generation) {
+    /// Routes the response to a call, or its failure, to whoever made it. Responses to calls of an earlier leadership
+    /// are dropped.
+    pub(super) fn on_store_response(&mut self, call: FinishedCall<CallContext>) {
+        let generation = call.context.generation();
+        if generation.is_some_and(|generation| generation != self.leadership.generation) {
             return;
         }
-        match end.context.clone() {
+        match call.context.clone() {
             CallContext::ReadLeaderKey
             | CallContext::WatchLeaderKey
             | CallContext::GrantLease { .. }
             | CallContext::AcquireLeadership { .. }
-            | CallContext::RenewLease { .. } => self.on_leadership_response(end),
-            CallContext::ReadMachineTypes => {
-                if let StoreOutcome::Found(pair) = end.outcome
-                    && self.machine_types.is_none()
-                    && let Ok(types) = serde_json::from_value::<MachineTypes>(pair.value)
-                {
-                    self.learn_machine_types(&types);
-                }
-            }
+            | CallContext::RenewLease { .. } => self.on_leadership_response(call),
+            CallContext::ReadMachineTypes => self.on_stored_machine_types(call.outcome),
             CallContext::WriteMachineTypes { .. }
             | CallContext::RemoveStaleBindings { .. }
             | CallContext::RevokeLease => {}
-            CallContext::ArchiveJobs { jobs, .. } => self.on_jobs_archived(jobs, &end.outcome),
+            CallContext::ArchiveJobs { jobs, .. } => self.on_jobs_archived(jobs, &call.outcome),
             CallContext::ReadCacheChanges | CallContext::ListJobCache => {
-                self.on_cache_response(&end.outcome)
+                self.on_cache_response(&call.outcome);
             }
-            ref load @ (CallContext::LoadJobs { generation: era }
-            | CallContext::LoadBindings { generation: era }
-            | CallContext::LoadRecords { generation: era }
-            | CallContext::LoadBindingLog { generation: era }) => {
-                self.on_state_page(end.outcome, era, load)
+            ref load @ (CallContext::LoadJobs { generation }
+            | CallContext::LoadBindings { generation }
+            | CallContext::LoadRecords { generation }
+            | CallContext::LoadBindingLog { generation }) => {
+                self.on_state_page(call.outcome, generation, load);
             }
-            CallContext::WatchJobs { generation: era, requested_at: asked } => {
-                self.on_job_watch(end.outcome, era, asked)
+            CallContext::WatchJobs { generation, requested_at } => {
+                self.on_job_watch(call.outcome, generation, requested_at);
             }
-            CallContext::ReadJobChanges { requested_at: asked, .. } => {
-                if let StoreOutcome::Changes(news) = &end.outcome {
-                    self.on_job_changes(news, asked);
-                }
-            }
-            CallContext::FlushJob { ref job, .. } => {
-                let lost = match &mut self.cluster_state {
-                    Some(leader) => leader.on_flushed(job, &end, &mut ctx!(self)),
-                    None => false,
-                };
-                if lost {
-                    self.step_down("the store knows of another term");
-                }
-            }
-            CallContext::WriteBindingLog { .. } => {
-                let lost = match &mut self.cluster_state {
-                    Some(leader) => leader.on_binding_log_written(&end, &mut ctx!(self)),
-                    None => false,
-                };
-                if lost {
-                    self.step_down("the store knows of another term");
-                }
-            }
-            CallContext::ResolveBindingLog { key, .. } => {
-                if let Some(leader) = &mut self.cluster_state {
-                    leader.on_binding_log_conflict_read(&key, &end.outcome, &mut ctx!(self));
-                }
-            }
-            CallContext::ResolveJob { job, .. } => {
-                if let Some(leader) = &mut self.cluster_state {
-                    leader.on_resolve_job(&job, &end.outcome, &mut ctx!(self));
-                }
-            }
-            CallContext::ResolveChunk { job, index, .. } => {
-                if let Some(leader) = &mut self.cluster_state {
-                    leader.on_resolve_chunk(&job, index, &end.outcome, &mut ctx!(self));
+            CallContext::ReadJobChanges { requested_at, .. } => {
+                if let StoreOutcome::Changes(changes) = &call.outcome {
+                    self.on_job_changes(changes, requested_at);
                 }
             }
+            CallContext::FlushJob { .. }
+            | CallContext::WriteBindingLog { .. }
+            | CallContext::ResolveBindingLog { .. }
+            | CallContext::ResolveJob { .. }
+            | CallContext::ResolveChunk { .. } => self.on_binding_response(&call),
             CallContext::ReadPlugins
             | CallContext::WatchPlugins
             | CallContext::WritePlugin { .. }
-            | CallContext::ListJobs { .. } => self.on_plugin_store(end),
+            | CallContext::ListJobs { .. } => self.on_plugin_store(call),
             CallContext::ReadRecords { .. } | CallContext::WatchRecords => {
-                self.on_records_response(&end.context, end.outcome);
+                self.on_records_response(&call.context, call.outcome);
             }
             CallContext::ReadOccurrenceJob { job, last_place } => {
-                self.on_occurrence_job_read(&job, last_place, &end.outcome);
+                self.on_occurrence_job_read(&job, last_place, &call.outcome);
             }
             CallContext::ReadDependency { job, last_place, .. } => {
-                self.on_awaited_job_read(&job, last_place, &end.outcome);
+                self.on_awaited_job_read(&job, last_place, &call.outcome);
+            }
+            CallContext::LookUpDependency { lookup, job, last_place } => {
+                self.on_dependency_read(lookup, &job, last_place, &call.outcome);
             }
-            CallContext::LookUpDependency { lookup: walk, job, last_place } => {
-                self.on_dependency_read(walk, &job, last_place, &end.outcome);
+            CallContext::RaiseFormatVersion => self.on_format_raised(&call.outcome),
+            CallContext::WriteRecords { nonce, .. } => {
+                self.on_records_written(nonce, &call.outcome);
             }
-            CallContext::RaiseFormatVersion => self.on_format_raised(&end.outcome),
-            CallContext::WriteRecords { nonce, .. } => self.on_records_written(nonce, &end.outcome),
-            CallContext::ReadQuotaAccounts { token } => self.on_quota_read(token, &end.outcome),
-            CallContext::TransferQuota { generation: era, page, by } => {
-                self.on_quota_transferred(era.is_some(), page, by, &end.outcome);
+            CallContext::ReadQuotaAccounts { token } => self.on_quota_read(token, &call.outcome),
+            CallContext::TransferQuota { generation, page, by } => {
+                self.on_quota_transferred(generation.is_some(), page, by, &call.outcome);
             }
             CallContext::CreateJob { .. }
             | CallContext::ReadJob(_)
             | CallContext::ReadFinalRecord(_)
-            | CallContext::CancelJob(..) => {
-                self.on_user_store_response(end);
-            }
+            | CallContext::CancelJob(..) => self.on_user_store_response(call),
         }
     }
 
-    pub(super) fn learn_machine_types(&mut self, types: &MachineTypes) {
-        if !types.machine_types.is_empty() {
-            self.machine_types =
-                Some(Arc::new(types.machine_types.iter().map(MachineType::from).collect()));
-        }
-    }
-
-    pub(super) fn request_machine_types(&mut self) {
-        if self.machine_types.is_none() {
-            self.machine_types_requested_at = 0;
-        }
-    }
-
-    /// The leader keeps the machine types in the store, for nodes that start while the cloud is
-    /// away.
-    pub(super) fn store_machine_types(&mut self, types: &MachineTypes) {
-        let Some(leader) = &self.cluster_state else { return };
-        let commit = Transaction {
-            preconditions: vec![Precondition {
-                key: keys::LEADER.into(),
-                mod_revision: leader.token,
-            }],
-            mutations: vec![super::chunks::put_change(keys::TYPES.into(), types)],
-        };
-        let purpose = CallContext::WriteMachineTypes { generation: leader.generation };
-        let until = self.now.monotonic + CLOUD_TYPES_MS;
-        self.store.push(
-            StoreCall::Commit(commit),
-            purpose,
-            CallPriority::Low,
-            RetryPolicy::OnceBefore(until),
-        );
-    }
-
-    /// Moves the records of jobs that are over to their last place, a few at a time, when the state service
-    /// has nothing else to do. New leaders would else list them for ever.
-    pub(super) fn archive_finished_jobs(&mut self) {
-        let Some(leader) = self
-            .cluster_state
-            .as_mut()
-            .filter(|l| !l.is_archiving && !l.unarchived_jobs.is_empty())
-        else {
-            return;
-        };
-        let urgency = match leader.unarchived_jobs.len() {
-            0..ARCHIVE_BACKLOG => CallPriority::Background,
-            _ => CallPriority::Low,
-        };
-        let most = (self.settings.settings.state.txn_ops / 2).clamp(1, ARCHIVE_BATCH);
-        let mut commit = Transaction {
-            preconditions: vec![Precondition {
-                key: keys::LEADER.into(),
-                mod_revision: leader.token,
-            }],
-            mutations: Vec::new(),
-        };
-        let mut jobs = 0;
-        for (id, stamp, record) in leader.unarchived_jobs.iter().take(most) {
-            jobs += 1;
-            commit.preconditions.push(Precondition { key: keys::job(id), mod_revision: *stamp });
-            commit.mutations.push(Mutation::Delete { key: keys::job(id) });
-            commit.mutations.push(super::chunks::put_change(keys::end(id), record));
-        }
-        leader.is_archiving = true;
-        let purpose = CallContext::ArchiveJobs { generation: leader.generation, jobs };
-        self.store.push(StoreCall::Commit(commit), purpose, urgency, RetryPolicy::UntilDefinite);
-    }
-
-    /// Records were moved, or an earlier try without an answer had done so already: only leaders move them,
-    /// and a job that is over never changes. What the state service does not name is still where it was.
-    fn on_jobs_archived(&mut self, jobs: usize, outcome: &StoreOutcome) {
-        let Some(leader) = &mut self.cluster_state else { return };
-        leader.is_archiving = false;
-        let tried: Vec<_> =
-            leader.unarchived_jobs.drain(..jobs.min(leader.unarchived_jobs.len())).collect();
-        let StoreOutcome::Conflict(failed) = outcome else { return };
-        if failed.iter().any(|k| k == keys::LEADER) {
-            return self.step_down("the store knows of another term");
-        }
-        let moved = |id: &JobId| failed.contains(&keys::job(id));
-        if tried.iter().any(|(id, ..)| moved(id)) {
-            leader.unarchived_jobs.extend(tried.into_iter().filter(|(id, ..)| !moved(id)));
+    /// A call about bindings ended: a write of the binding log or of a job's chunks, or a read after a conflict. A write
+    /// that conflicts with the leader's key shows that another controller leads.
+    fn on_binding_response(&mut self, call: &FinishedCall<CallContext>) {
+        let is_deposed = self.with_cluster_state(|state, context| match &call.context {
+            CallContext::FlushJob { job, .. } => state.on_flushed(job, call, context),
+            CallContext::WriteBindingLog { .. } => state.on_binding_log_written(call, context),
+            CallContext::ResolveBindingLog { key, .. } => {
+                state.on_binding_log_conflict_read(key, &call.outcome, context);
+                false
+            }
+            CallContext::ResolveJob { job, .. } => {
+                state.on_resolve_job(job, &call.outcome, context);
+                false
+            }
+            CallContext::ResolveChunk { job, index, .. } => {
+                state.on_resolve_chunk(job, *index, &call.outcome, context);
+                false
+            }
+            _ => false,
+        });
+        if is_deposed == Some(true) {
+            self.step_down(DEPOSED);
         }
     }
-
-    /// Removes records of bindings whose job is over, a few at a time.
-    pub(super) fn collect_stale_bindings(&mut self) {
-        let waits = self.store.queued()[CallPriority::Background as usize] > 0;
-        let some = |l: &&mut ClusterState| !waits && !l.stale_binding_keys.is_empty();
-        let Some(leader) = self.cluster_state.as_mut().filter(some) else { return };
-        let most = self.settings.settings.state.txn_ops.min(2 * ARCHIVE_BATCH);
-        let left = leader.stale_binding_keys.len().saturating_sub(most);
-        let keys = leader.stale_binding_keys.split_off(left);
-        let commit = Transaction {
-            preconditions: vec![Precondition {
-                key: keys::LEADER.into(),
-                mod_revision: leader.token,
-            }],
-            mutations: keys.iter().map(|k| Mutation::Delete { key: k.clone() }).collect(),
-        };
-        let purpose = CallContext::RemoveStaleBindings { generation: leader.generation };
-        self.store.push(
-            StoreCall::Commit(commit),
-            purpose,
-            CallPriority::Background,
-            RetryPolicy::UntilDefinite,
-        );
-    }
 }
