--- a/crates/replicated-records/src/lib.rs
+++ b/crates/replicated-records/src/lib.rs
@@ -1,8 +1,8 @@
-//! Records that outlive controllers: versioned values under one prefix of the state service, followed by every
-//! controller and changed by the leader alone. Pure: pages, news and outcomes come in, transactions go out.
+//! Versioned records in the state service that every controller watches and the leader alone writes. Pure: pages,
+//! watch changes and transaction outcomes come in, transactions go out.
 //!
-//! [`Book`] is the one place where such values are read, batched and written; tiers, dispatch and loans are
-//! values in it, and each reads them through [`Versioned`].
+//! [`RecordStore`] is the only place where such values are read, batched and written. Tier table, dispatch plan,
+//! occurrences and GPU loans are values in it, which their owners decode and encode through [`Versioned`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -14,5 +14,5 @@
 pub use record_store::{LoadPhase, RecordStore, RecordTransaction, StoreLimits, WriteOutcome};
 pub use versioned::{RecordReadError, Versioned};
 
-/// Steady time in ms.
+/// Monotonic time in ms.
 pub type Time = u64;
--- a/crates/replicated-records/src/record_store.rs
+++ b/crates/replicated-records/src/record_store.rs
@@ -1,52 +1,57 @@
-//! The records, as one controller knows them, and what its leader wants changed.
+//! One controller's copy of the records under a prefix of the state service, and the writes that its leader has
+//! requested but that are not committed yet.
+//!
+//! The store owns the committed records (with their mod revisions), the pending writes and the one in-flight
+//! transaction. It calls nobody: its owner feeds it pages, watch changes and transaction outcomes, and sends the
+//! transactions that [`RecordStore::next_transaction`] returns.
 
 use crate::Time;
 use crate::constants::{
-    MAX_BATCH_BYTES, MAX_BATCH_WRITES, MAX_RECORDS, MAX_WRITE_BURST_S, WRITE_RATE_SHARE,
+    MAX_BATCH_BYTES, MAX_BATCH_WRITES, MAX_RECORDS, MAX_WRITE_BURST_S, MS_PER_S, WRITE_RATE_SHARE,
 };
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the state service and the site allow.
+/// Limits that the state service and the settings put on transactions.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StoreLimits {
-    /// Changes a second that the site allows in all.
+    /// Writes per second allowed to this deployment in all; records may use [`WRITE_RATE_SHARE`] of it.
     pub writes_per_second: f64,
-    /// Changes in a transaction.
+    /// Writes in one transaction at most.
     pub max_transaction_writes: usize,
-    /// Bytes of a value.
+    /// Size of one value at most, in bytes of JSON.
     pub max_value_bytes: usize,
 }
 
-/// How much is known.
+/// How far the records have been read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadPhase {
-    /// Nothing: defaults hold.
+    /// No listing has begun since the start or the last reload; readers use defaults or what was read before.
     NotLoaded,
-    /// Pages are coming; this was the first one's revision.
+    /// A listing is under way; its first page was read at this revision.
     Loading(u64),
-    /// All, as of this revision.
+    /// Every change up to this revision is known.
     Loaded(u64),
 }
 
-/// A transaction: conditions on stamps of keys, and what is written (none: removed). Whoever sends it adds the
-/// condition on the leader's key.
+/// A transaction that the leader is to send. The sender adds the condition on the leader's key, so that the
+/// transaction of a deposed leader fails.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RecordTransaction {
-    /// Its number.
+    /// Number under which its outcome is reported to [`RecordStore::on_outcome`]; never used twice.
     pub id: u64,
-    /// Keys and the stamps that they must have; 0: not there.
+    /// Full keys with the mod revision that each must have; 0: the key must not exist.
     pub conditions: Vec<(String, u64)>,
-    /// What is changed.
+    /// Full keys with the value to write; none: the key is deleted.
     pub writes: Vec<(String, Option<Value>)>,
 }
 
-/// What came of a transaction.
+/// How a transaction ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// Committed under this stamp.
+    /// It was committed; its writes have this mod revision.
     Committed(u64),
-    /// A condition failed: what is known is not what is there.
+    /// A condition failed: this copy is out of date and must be read again.
     Conflict,
 }
 
@@ -56,33 +61,50 @@
     mod_revision: u64,
 }
 
-/// The records under a prefix.
+/// Writes that may be made now: a token bucket.
+#[derive(Debug)]
+struct WriteBudget {
+    available: f64,
+    refilled_at: Time,
+}
+
+impl WriteBudget {
+    /// Adds what has accrued since the last call, up to [`MAX_WRITE_BURST_S`] seconds' worth (at least one write).
+    fn refill(&mut self, writes_per_second: f64, now: Time) {
+        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / MS_PER_S;
+        let most = (writes_per_second * MAX_WRITE_BURST_S).max(1.0);
+        self.available = (self.available + elapsed_s * writes_per_second).min(most);
+        self.refilled_at = now;
+    }
+}
+
+/// The records under one prefix, with the leader's pending writes.
 #[derive(Debug)]
 pub struct RecordStore {
     prefix: String,
     limits: StoreLimits,
     phase: LoadPhase,
     committed: BTreeMap<String, StoredRecord>,
-    /// What this leader has removed, and when, until a watch has told as much: it may yet tell of the writing.
+    /// Keys that this leader has deleted, with the revision, until the watch has passed it: the watch may still
+    /// deliver the earlier write and must not bring the record back.
     tombstones: BTreeMap<String, u64>,
-    /// What the leader wants there; none: nothing.
+    /// Requested by the leader, not committed yet; none: the record is to be deleted.
     pending_writes: BTreeMap<String, Option<Value>>,
-    /// Keys in the order in which they came to be wanted.
+    /// Keys of `pending_writes` in the order of their requests.
     write_order: Vec<String>,
     in_flight: Option<RecordTransaction>,
     last_transaction_id: u64,
-    /// Changes that may be made now.
-    write_budget: (f64, Time),
-    /// Changes of what is known so far: readers look again when it differs.
+    write_budget: WriteBudget,
+    /// Rises with every change of committed or pending records: readers compare it to see whether to read again.
     change_count: u64,
-    /// Changes made so far.
+    /// Writes committed since the start.
     written_count: u64,
 }
 
 impl RecordStore {
-    /// A book of which nothing is known.
+    /// A store that has read nothing yet.
     pub fn new(prefix: &str, limits: StoreLimits, now: Time) -> RecordStore {
-        let most = limits.writes_per_second * WRITE_RATE_SHARE * MAX_WRITE_BURST_S;
+        let available = limits.writes_per_second * WRITE_RATE_SHARE * MAX_WRITE_BURST_S;
         RecordStore {
             prefix: prefix.into(),
             limits,
@@ -93,39 +115,39 @@
             write_order: Vec::new(),
             in_flight: None,
             last_transaction_id: 0,
-            write_budget: (most, now),
+            write_budget: WriteBudget { available, refilled_at: now },
             change_count: 0,
             written_count: 0,
         }
     }
 
-    /// How much is known.
+    /// How far the records have been read.
     pub fn phase(&self) -> LoadPhase {
         self.phase
     }
 
-    /// Whether all is known.
+    /// Whether all records have been read.
     pub fn is_loaded(&self) -> bool {
         matches!(self.phase, LoadPhase::Loaded(_))
     }
 
-    /// Number of changes of what is known.
+    /// A counter that rises with every change of committed or pending records.
     pub fn change_count(&self) -> u64 {
         self.change_count
     }
 
-    /// Changes written so far.
+    /// Writes committed since the start.
     pub fn written_count(&self) -> u64 {
         self.written_count
     }
 
-    /// The prefix.
+    /// The prefix of all keys in the state service.
     pub fn prefix(&self) -> &str {
         &self.prefix
     }
 
-    /// The one function that changes how much is known. A revision never goes back.
-    fn advance_phase(&mut self, to: LoadPhase) -> bool {
+    /// The one function that changes the phase. A revision never goes back: other transitions are ignored.
+    fn advance_phase(&mut self, to: LoadPhase) {
         let allowed = match (self.phase, to) {
             (_, LoadPhase::NotLoaded) | (LoadPhase::NotLoaded, LoadPhase::Loading(_)) => true,
             (LoadPhase::Loading(from) | LoadPhase::Loaded(from), LoadPhase::Loaded(to)) => {
@@ -136,120 +158,137 @@
         if allowed {
             self.phase = to;
         }
-        allowed
     }
 
-    /// Begins to read anew. What is known goes on to hold until it has been read.
+    /// Announces that the records will be listed again. Until then what is known stays valid for readers.
     pub fn start_reload(&mut self) {
         self.advance_phase(LoadPhase::NotLoaded);
     }
 
-    /// A term ends: what was wanted under it is no longer this controller's to write.
+    /// Forgets pending writes and the in-flight transaction: to be called when leadership begins or ends, since
+    /// only the leader that requested a write may make it.
     pub fn discard_pending_writes(&mut self) {
         self.pending_writes.clear();
         self.write_order.clear();
         self.in_flight = None;
     }
 
-    /// Takes over a page of records (key without the prefix, value, stamp). Returns the key after which to go on.
+    /// Applies one page of a listing: (key without the prefix, value, mod revision), read at `revision`. Returns
+    /// the key after which to read the next page; none: the listing is complete.
     pub fn on_page(
         &mut self,
         page: Vec<(String, Value, u64)>,
-        epoch: u64,
+        revision: u64,
         has_next: bool,
     ) -> Option<String> {
         if self.phase == LoadPhase::NotLoaded {
-            self.advance_phase(LoadPhase::Loading(epoch));
-            // What was written while this was read is not on it.
-            self.committed.retain(|_, held| held.mod_revision > epoch);
+            self.advance_phase(LoadPhase::Loading(revision));
+            // Records committed after the listing began are not on its pages and must stay.
+            self.committed.retain(|_, record| record.mod_revision > revision);
         }
-        let last = page.last().map(|p| p.0.clone());
-        for (key, value, stamp) in page {
-            if self.committed.len() < MAX_RECORDS && !self.has_seen_revision(&key, stamp) {
-                self.committed.insert(key, StoredRecord { value, mod_revision: stamp });
+        let last_key = page.last().map(|(key, ..)| key.clone());
+        for (key, value, mod_revision) in page {
+            if self.committed.len() < MAX_RECORDS && !self.has_seen_revision(&key, mod_revision) {
+                self.committed.insert(key, StoredRecord { value, mod_revision });
             }
         }
         self.change_count += 1;
-        match (self.phase, last.filter(|_| has_next)) {
-            (_, Some(last)) => Some(last),
-            (LoadPhase::Loading(from), None) => {
-                self.advance_phase(LoadPhase::Loaded(from));
-                self.tombstones.retain(|_, at| *at > from);
-                None
-            }
-            _ => None,
+        if has_next && last_key.is_some() {
+            return last_key;
         }
+        if let LoadPhase::Loading(first_revision) = self.phase {
+            self.advance_phase(LoadPhase::Loaded(first_revision));
+            self.drop_tombstones_through(first_revision);
+        }
+        None
     }
 
-    /// Whether something as late is known of a key: that it was written, or that it was removed.
-    fn has_seen_revision(&self, key: &str, stamp: u64) -> bool {
-        self.committed.get(key).is_some_and(|h| h.mod_revision >= stamp)
-            || self.tombstones.get(key).is_some_and(|at| *at >= stamp)
+    /// Whether a write or deletion of the key at this revision or later is known.
+    fn has_seen_revision(&self, key: &str, mod_revision: u64) -> bool {
+        self.committed.get(key).is_some_and(|record| record.mod_revision >= mod_revision)
+            || self.tombstones.get(key).is_some_and(|deleted_at| *deleted_at >= mod_revision)
     }
 
-    /// Takes over what has changed up to a revision (key without the prefix, value or none, stamp). An older
-    /// change than what is known of a key says nothing; nor does one that a reading has overtaken: what it wrote
-    /// may be removed by now, and the watch goes on behind that.
-    pub fn on_watch_changes(&mut self, news: Vec<(String, Option<Value>, u64)>, epoch: u64) {
-        let known = match self.phase {
+    fn drop_tombstones_through(&mut self, revision: u64) {
+        self.tombstones.retain(|_, deleted_at| *deleted_at > revision);
+    }
+
+    /// Sets a committed record (none: deletes it).
+    fn set_committed(&mut self, key: String, value: Option<Value>, mod_revision: u64) {
+        match value {
+            Some(value) => {
+                self.committed.insert(key, StoredRecord { value, mod_revision });
+            }
+            None => {
+                self.committed.remove(&key);
+            }
+        }
+    }
+
+    /// Applies what a watch has delivered up to `revision`: (key without the prefix, value or none for a deletion,
+    /// mod revision).
+    ///
+    /// A change older than what is known of its key is ignored. So is one at or before the revision of a listing:
+    /// what it wrote may be deleted by now, and since the watch continues after that deletion the record would
+    /// come back for good.
+    pub fn on_watch_changes(&mut self, changes: Vec<(String, Option<Value>, u64)>, revision: u64) {
+        let known_revision = match self.phase {
             LoadPhase::NotLoaded => 0,
-            LoadPhase::Loading(from) | LoadPhase::Loaded(from) => from,
+            LoadPhase::Loading(at) | LoadPhase::Loaded(at) => at,
         };
-        for (key, value, stamp) in news {
-            if stamp <= known || self.has_seen_revision(&key, stamp) {
+        for (key, value, mod_revision) in changes {
+            if mod_revision <= known_revision || self.has_seen_revision(&key, mod_revision) {
                 continue;
             }
             self.change_count += 1;
-            match value {
-                Some(value) => {
-                    self.committed.insert(key, StoredRecord { value, mod_revision: stamp });
-                }
-                None => {
-                    self.committed.remove(&key);
-                }
-            }
+            self.set_committed(key, value, mod_revision);
         }
-        self.advance_phase(LoadPhase::Loaded(epoch));
-        self.tombstones.retain(|_, at| *at > epoch);
+        self.advance_phase(LoadPhase::Loaded(revision));
+        self.drop_tombstones_through(revision);
     }
 
-    /// A record as it stands, or as the leader wants it.
+    /// The value of a record, pending writes included.
     pub fn get(&self, key: &str) -> Option<&Value> {
         match self.pending_writes.get(key) {
-            Some(wanted) => wanted.as_ref(),
-            None => self.committed.get(key).map(|h| &h.value),
+            Some(requested) => requested.as_ref(),
+            None => self.get_committed(key),
         }
     }
 
-    /// A record as it was last committed: what others know.
+    /// The value of a record as last committed, which is what other controllers see.
     pub fn get_committed(&self, key: &str) -> Option<&Value> {
-        self.committed.get(key).map(|h| &h.value)
+        self.committed.get(key).map(|record| &record.value)
     }
 
-    /// Whether a record stands as it is wanted.
+    /// Whether no write of this record is pending.
     pub fn is_committed(&self, key: &str) -> bool {
         !self.pending_writes.contains_key(key)
     }
 
-    /// All records under a part of the prefix, as they stand or are wanted.
-    pub fn get_by_prefix(&self, part: &str) -> BTreeMap<&str, &Value> {
-        let held =
-            self.committed.range(part.to_string()..).take_while(|(k, _)| k.starts_with(part));
-        let mut all: BTreeMap<&str, &Value> = held.map(|(k, h)| (k.as_str(), &h.value)).collect();
-        for (key, value) in self.pending_writes.iter().filter(|(k, _)| k.starts_with(part)) {
+    /// All records whose key (without the store's prefix) begins with `key_prefix`, pending writes included.
+    pub fn get_by_prefix(&self, key_prefix: &str) -> BTreeMap<&str, &Value> {
+        let mut found: BTreeMap<&str, &Value> = self
+            .committed
+            .range(key_prefix.to_string()..)
+            .take_while(|(key, _)| key.starts_with(key_prefix))
+            .map(|(key, record)| (key.as_str(), &record.value))
+            .collect();
+        let pending = self.pending_writes.iter().filter(|(key, _)| key.starts_with(key_prefix));
+        for (key, value) in pending {
             match value {
-                Some(value) => all.insert(key, value),
-                None => all.remove(key.as_str()),
+                Some(value) => found.insert(key, value),
+                None => found.remove(key.as_str()),
             };
         }
-        all
+        found
     }
 
-    /// The leader wants a record to be so. False: it is too large, or there are too many.
+    /// Requests that a record be written. False, and nothing is requested, if the value is too large or there are
+    /// [`MAX_RECORDS`] already.
     pub fn put(&mut self, key: &str, value: Value) -> bool {
-        let new = !self.committed.contains_key(key) && !self.pending_writes.contains_key(key);
+        let is_new = !self.committed.contains_key(key) && !self.pending_writes.contains_key(key);
         if encoded_size(&value) > self.limits.max_value_bytes
-            || new && self.record_count() >= MAX_RECORDS
+            || is_new && self.record_count() >= MAX_RECORDS
         {
             return false;
         }
@@ -257,24 +296,25 @@
         true
     }
 
-    /// The leader wants a record gone.
+    /// Requests that a record be deleted.
     pub fn remove(&mut self, key: &str) {
         self.set_pending_write(key, None);
     }
 
-    /// Records there are or are wanted.
+    /// Number of keys that are committed or pending.
     pub fn record_count(&self) -> usize {
-        self.committed.len()
-            + self.pending_writes.keys().filter(|k| !self.committed.contains_key(*k)).count()
+        let is_new = |key: &&String| !self.committed.contains_key(*key);
+        self.committed.len() + self.pending_writes.keys().filter(is_new).count()
     }
 
     fn set_pending_write(&mut self, key: &str, value: Option<Value>) {
-        let flies = self.in_flight.as_ref().is_some_and(|f| f.writes.iter().any(|(k, _)| k == key));
-        let same = self.committed.get(key).map(|h| &h.value) == value.as_ref();
-        if same && !flies {
-            // Nothing is written while nothing changes.
-            if self.pending_writes.remove(key).is_some() {
-                self.write_order.retain(|k| k != key);
+        let is_in_flight = self
+            .in_flight
+            .as_ref()
+            .is_some_and(|transaction| transaction.writes.iter().any(|(other, _)| other == key));
+        // A write of what is committed already would cost the state service and change nothing.
+        if self.get_committed(key) == value.as_ref() && !is_in_flight {
+            if self.clear_pending_write(key) {
                 self.change_count += 1;
             }
             return;
@@ -288,90 +328,104 @@
         }
     }
 
-    /// The next transaction, if anything is to be written and may be now: one at a time, each with all that has
-    /// come up by then and fits.
+    /// Whether a write of this key was pending; it no longer is.
+    fn clear_pending_write(&mut self, key: &str) -> bool {
+        let was_pending = self.pending_writes.remove(key).is_some();
+        if was_pending {
+            self.write_order.retain(|other| other != key);
+        }
+        was_pending
+    }
+
+    /// The next transaction, or none: nothing is pending, the records are not loaded, one is in flight, or the
+    /// write budget is used up. Each takes as many pending writes, in the order of their requests, as fit.
     pub fn next_transaction(&mut self, now: Time) -> Option<RecordTransaction> {
         if !self.is_loaded() || self.in_flight.is_some() || self.write_order.is_empty() {
             return None;
         }
-        let rate = self.limits.writes_per_second * WRITE_RATE_SHARE;
-        let passed = now.saturating_sub(self.write_budget.1) as f64 / 1_000.0;
-        self.write_budget =
-            ((self.write_budget.0 + passed * rate).min((rate * MAX_WRITE_BURST_S).max(1.0)), now);
-        let most = MAX_BATCH_WRITES
+        self.write_budget.refill(self.limits.writes_per_second * WRITE_RATE_SHARE, now);
+        let keys = self.next_batch();
+        if keys.is_empty() {
+            return None;
+        }
+        self.write_budget.available -= keys.len() as f64;
+        self.last_transaction_id += 1;
+        let mut transaction = RecordTransaction {
+            id: self.last_transaction_id,
+            conditions: Vec::new(),
+            writes: Vec::new(),
+        };
+        let mut writes_by_own_key = Vec::new();
+        for key in keys {
+            let full_key = format!("{}{key}", self.prefix);
+            let mod_revision = self.committed.get(&key).map_or(0, |record| record.mod_revision);
+            let value = self.pending_writes.get(&key).cloned().flatten();
+            transaction.conditions.push((full_key.clone(), mod_revision));
+            transaction.writes.push((full_key, value.clone()));
+            writes_by_own_key.push((key, value));
+        }
+        self.in_flight =
+            Some(RecordTransaction { writes: writes_by_own_key, ..transaction.clone() });
+        Some(transaction)
+    }
+
+    /// Keys of the pending writes that fit into one transaction now, the earliest requests first.
+    fn next_batch(&self) -> Vec<String> {
+        let max_writes = MAX_BATCH_WRITES
             .min(self.limits.max_transaction_writes)
-            .min(self.write_budget.0 as usize);
-        let (mut txn, mut size) = (
-            RecordTransaction {
-                id: self.last_transaction_id + 1,
-                conditions: Vec::new(),
-                writes: Vec::new(),
-            },
-            0,
-        );
+            .min(self.write_budget.available as usize);
+        let mut batch = Vec::new();
+        let mut batch_bytes = 0;
         for key in &self.write_order {
             let Some(value) = self.pending_writes.get(key) else { continue };
-            size += value.as_ref().map_or(0, encoded_size) + key.len();
-            if txn.writes.len() >= most || size > MAX_BATCH_BYTES && !txn.writes.is_empty() {
+            batch_bytes += value.as_ref().map_or(0, encoded_size) + key.len();
+            // A value larger than a batch still goes, alone.
+            if batch.len() >= max_writes || batch_bytes > MAX_BATCH_BYTES && !batch.is_empty() {
                 break;
             }
-            let full = format!("{}{key}", self.prefix);
-            txn.conditions
-                .push((full.clone(), self.committed.get(key).map_or(0, |h| h.mod_revision)));
-            txn.writes.push((full, value.clone()));
-        }
-        if txn.writes.is_empty() {
-            return None;
+            batch.push(key.clone());
         }
-        self.write_budget.0 -= txn.writes.len() as f64;
-        self.last_transaction_id += 1;
-        let own = |full: &str| full.strip_prefix(&self.prefix).unwrap_or(full).to_string();
-        let apply = txn.writes.iter().map(|(k, v)| (own(k), v.clone())).collect();
-        self.in_flight = Some(RecordTransaction { writes: apply, ..txn.clone() });
-        Some(txn)
+        batch
     }
 
-    /// What came of a transaction. True: what is there must be read again.
-    pub fn on_outcome(&mut self, nonce: u64, outcome: WriteOutcome) -> bool {
-        let Some(txn) = self.in_flight.take_if(|f| f.id == nonce) else { return false };
-        let WriteOutcome::Committed(stamp) = outcome else {
+    /// The outcome of the transaction with this id; any but the one in flight is ignored. True: the records must
+    /// be listed again.
+    pub fn on_outcome(&mut self, id: u64, outcome: WriteOutcome) -> bool {
+        let Some(transaction) = self.in_flight.take_if(|in_flight| in_flight.id == id) else {
+            return false;
+        };
+        let WriteOutcome::Committed(mod_revision) = outcome else {
             self.start_reload();
             return true;
         };
-        self.written_count += txn.writes.len() as u64;
-        for (key, value) in txn.writes {
-            // Something else may be wanted there by now.
+        self.written_count += transaction.writes.len() as u64;
+        for (key, value) in transaction.writes {
+            // Another value may have been requested while this one was in flight: that one is still pending.
             if self.pending_writes.get(&key) == Some(&value) {
-                self.pending_writes.remove(&key);
-                self.write_order.retain(|k| *k != key);
+                self.clear_pending_write(&key);
             }
-            // The watch may have brought this or a later change already.
-            if self.has_seen_revision(&key, stamp) {
+            // The watch may have delivered this or a later change already.
+            if self.has_seen_revision(&key, mod_revision) {
                 continue;
             }
-            match value {
-                Some(value) => {
-                    self.committed.insert(key, StoredRecord { value, mod_revision: stamp });
-                }
-                None => {
-                    self.committed.remove(&key);
-                    if !matches!(self.phase, LoadPhase::Loaded(told) if told >= stamp) {
-                        self.tombstones.insert(key, stamp);
-                    }
-                }
+            let watch_has_passed =
+                matches!(self.phase, LoadPhase::Loaded(revision) if revision >= mod_revision);
+            if value.is_none() && !watch_has_passed {
+                self.tombstones.insert(key.clone(), mod_revision);
             }
+            self.set_committed(key, value, mod_revision);
         }
         self.change_count += 1;
         false
     }
 
-    /// Keys that are wanted otherwise than they stand.
+    /// Keys with a pending write.
     pub fn pending_keys(&self) -> BTreeSet<&str> {
         self.pending_writes.keys().map(String::as_str).collect()
     }
 }
 
-/// A value's size in JSON form.
+/// A value's size in bytes of JSON.
 fn encoded_size(value: &Value) -> usize {
-    serde_json::to_vec(value).map_or(0, |v| v.len())
+    serde_json::to_vec(value).map_or(0, |encoded| encoded.len())
 }
--- a/crates/replicated-records/src/versioned.rs
+++ b/crates/replicated-records/src/versioned.rs
@@ -1,4 +1,5 @@
-//! Values that name the version of their form.
+//! Reading and writing of record values that carry their format version, in the field `v`. A value of a later
+//! version is an error, never a guess, so that an older program does not overwrite what it cannot read.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -7,47 +8,48 @@
 /// Why a record could not be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RecordReadError {
-    /// A later program wrote it.
+    /// A later program wrote it, in a format that this one does not know.
     #[error(
         "record {key} has form {found}, this program reads up to {known}: it is left as it is; run the later \
          version everywhere"
     )]
     UnsupportedFormat {
-        /// Its key.
+        /// Key of the record.
         key: String,
-        /// Its form.
+        /// Format version of the record.
         found: u32,
-        /// The latest form that is known.
+        /// Latest format version that this program reads.
         known: u32,
     },
-    /// It is half written, or something else.
+    /// It does not have the fields of its format.
     #[error(
         "record {key} cannot be read: {cause}; it is left as it is; remove the key to begin anew"
     )]
     Malformed {
-        /// Its key.
+        /// Key of the record.
         key: String,
-        /// What the parser said.
+        /// The parser's message.
         cause: String,
     },
 }
 
-/// A value with the version of its form.
+/// A record value that carries its format version.
 pub trait Versioned: Serialize + DeserializeOwned {
-    /// The form that this program writes, and the latest that it reads.
+    /// The format version that this program writes, and the latest that it reads.
     const FORMAT_VERSION: u32;
 
-    /// Reads a record.
+    /// Decodes the record under `key` (named in errors only). Fails on a later format version and on missing or
+    /// ill-typed fields.
     fn from_record(key: &str, value: &Value) -> Result<Self, RecordReadError> {
         #[derive(Deserialize)]
-        struct Form {
+        struct VersionField {
             v: u32,
         }
-        let broken = |e: serde_json::Error| RecordReadError::Malformed {
+        let malformed = |error: serde_json::Error| RecordReadError::Malformed {
             key: key.into(),
-            cause: e.to_string(),
+            cause: error.to_string(),
         };
-        let found = Form::deserialize(value).map_err(broken)?.v;
+        let found = VersionField::deserialize(value).map_err(malformed)?.v;
         if found > Self::FORMAT_VERSION {
             return Err(RecordReadError::UnsupportedFormat {
                 key: key.into(),
@@ -55,14 +57,14 @@
                 known: Self::FORMAT_VERSION,
             });
         }
-        Self::deserialize(value).map_err(broken)
+        Self::deserialize(value).map_err(malformed)
     }
 
-    /// The record as it is written.
+    /// Encodes the record, with its format version in `v`.
     fn to_record(&self) -> Value {
         let mut value = serde_json::to_value(self).unwrap_or_default();
-        if let Some(map) = value.as_object_mut() {
-            map.insert("v".into(), Self::FORMAT_VERSION.into());
+        if let Some(fields) = value.as_object_mut() {
+            fields.insert("v".into(), Self::FORMAT_VERSION.into());
         }
         value
     }
