--- a/crates/quota/src/account.rs
+++ b/crates/quota/src/account.rs
@@ -1,11 +1,15 @@
-//! A decider's account of one page: the part that must never be wrong. It moves amounts by conditional
+//! One partition's account of one quota page: the part that must never be wrong. It moves quota by conditional
 //! transactions, each over the records on both sides, and says what may be used meanwhile.
 //!
-//! Escrow (O'Neil, "The escrow transactional method", 1986) and the demarcation protocol (Barbará and
-//! Garcia-Molina, 1992) with the state service as the record: whoever holds an amount alone lowers it, after
-//! it has ceased to use it, and what is raised was lowered in the same transaction. So no message, clock or
-//! second opinion is needed to be within a limit.
+//! It is escrow (O'Neil, "The escrow transactional method", 1986) with the demarcation protocol (Barbará and
+//! Garcia-Molina, 1992), and the state service as the record: only the holder of quota gives it away, after it has
+//! ceased to use it, and whoever receives it gets it in the same transaction. So no message, clock or second opinion
+//! is needed to stay within a limit.
+//!
+//! An account owns its copy of the page and the one in-flight transaction. Its owner reads pages, sends transactions
+//! and reports their outcomes.
 
+use crate::constants::UNLIMITED_QUANTITY;
 use crate::quantities::{Quantity, ResourceQuantities};
 use crate::records::{
     PartitionId, QuotaHolding, QuotaKey, QuotaPage, QuotaPool, QuotaRecord, QuotaTransaction,
@@ -13,44 +17,44 @@
 };
 use std::collections::BTreeMap;
 
-/// Where an account stands.
+/// What an account may do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AccountPhase {
-    /// Its records are not known: nothing may be used.
+    /// The page has not been read yet: nothing may be used.
     Reading,
-    /// Known; no transaction on its way.
+    /// The page is known and no transaction is in flight.
     Open,
-    /// A transaction is on its way.
+    /// A transaction is in flight.
     InFlight,
-    /// One had no answer: it may be applied, or may yet be.
+    /// A transaction's outcome is unknown: it may have been committed, or may yet be.
     InDoubt,
-    /// Another holds the decider: nothing may be used, for good.
+    /// Another controller holds the partition: nothing may be used, for good.
     Closed,
 }
 
-/// What came of a transaction.
+/// How a transaction ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum TransactionOutcome {
-    /// Applied at this revision.
+    /// Committed at this revision.
     Committed(u64),
-    /// Not applied: these keys differ.
+    /// Rejected: these keys did not have the expected mod revision.
     Conflict(Vec<QuotaKey>),
-    /// Not known.
+    /// No answer came.
     Unknown,
 }
 
-/// What an account wants next.
+/// What the owner of an account is to do next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AccountStep {
     /// Nothing.
     Wait,
-    /// Read the page.
+    /// Read the page again.
     ReadPage,
-    /// Send this again: it is applied at most once.
+    /// Send this again. Its conditions ensure that it is committed at most once.
     Resend(QuotaTransaction),
 }
 
-/// An account.
+/// The account of one partition on one page.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct QuotaAccount {
     partition: PartitionId,
@@ -62,10 +66,10 @@
 }
 
 impl QuotaAccount {
-    /// The account of a holder with this token; its records are to be read.
-    pub fn new(decider: &str, fencing_token: u64) -> QuotaAccount {
+    /// The account of a partition whose holder has this fencing token. Its page must be read first.
+    pub fn new(partition: &str, fencing_token: u64) -> QuotaAccount {
         QuotaAccount {
-            partition: decider.to_string(),
+            partition: partition.to_string(),
             fencing_token,
             phase: AccountPhase::Reading,
             page: QuotaPage::default(),
@@ -74,78 +78,76 @@
         }
     }
 
-    /// Where it stands.
+    /// What the account may do now.
     pub fn phase(&self) -> AccountPhase {
         self.phase
     }
 
-    /// The page as last known.
+    /// The page as last read or committed.
     pub fn page(&self) -> &QuotaPage {
         &self.page
     }
 
-    /// The one function that changes the phase. Closed is for good.
+    /// The one function that changes the phase. [`AccountPhase::Closed`] is never left.
     fn advance_phase(&mut self, to: AccountPhase) {
         if self.phase != AccountPhase::Closed {
             self.phase = to;
         }
     }
 
+    /// This partition's record and its mod revision.
     fn own_holding(&self) -> (QuotaHolding, u64) {
         self.page.holdings.get(&self.partition).cloned().unwrap_or_default()
     }
 
-    /// What the holder has of a team, as far as known.
+    /// Quota of a team that this partition holds, by the page as last known.
     pub fn held_amount(&self, team: &str) -> ResourceQuantities {
         let own = self.page.holdings.get(&self.partition);
-        own.and_then(|(h, _)| h.held.get(team)).copied().unwrap_or_default()
+        own.and_then(|(holding, _)| holding.held.get(team)).copied().unwrap_or_default()
     }
 
-    /// What may be used of a team now: no more than before or after whatever is on its way.
+    /// Quota of a team that may be used now: the lower of what is held before and after the in-flight transaction.
     pub fn usable_amount(&self, team: &str) -> ResourceQuantities {
         if matches!(self.phase, AccountPhase::Reading | AccountPhase::Closed) {
             return ResourceQuantities::default();
         }
-        let after = self.in_flight.iter().flat_map(|f| &f.writes).find_map(|(key, record)| {
-            let own = *key == QuotaKey::Holding(self.partition.clone());
-            let QuotaRecord::Holding(holding) = record else { return None };
-            own.then(|| holding.held.get(team).copied().unwrap_or_default())
+        let own_key = QuotaKey::Holding(self.partition.clone());
+        let writes = self.in_flight.iter().flat_map(|transaction| &transaction.writes);
+        let mut held_after = writes.filter_map(|(key, record)| match record {
+            QuotaRecord::Holding(holding) if *key == own_key => {
+                Some(holding.held.get(team).copied().unwrap_or_default())
+            }
+            _ => None,
         });
-        let has = self.held_amount(team);
-        after.map_or(has, |after| has.zip_with(after, Quantity::min))
+        let held = self.held_amount(team);
+        held_after.next().map_or(held, |after| held.zip_with(after, Quantity::min))
     }
 
-    /// This decider's part of what a lowered limit is still above what is wanted.
+    /// This partition's part, rounded up, of what the limit in force exceeds the limit wanted by: it is to be given
+    /// back as soon as it is unused.
     pub fn owed_amount(&self, team: &str) -> ResourceQuantities {
-        let Some(kept) = self.page.pool.0.teams.get(team) else {
-            return ResourceQuantities::default();
-        };
-        let part = |owed: Quantity, has: Quantity, limit: Quantity| {
-            let (owed, has) = (i128::from(owed.units()), i128::from(has.units()));
-            let limit = i128::from(limit.units()).max(1);
-            Quantity::from_units(
-                i64::try_from((owed * has + limit - 1) / limit).unwrap_or(i64::MAX),
-            )
+        let Some(quota) = self.page.pool.0.teams.get(team) else {
+            return ResourceQuantities::ZERO;
         };
-        let (owed, has) = (kept.limit - kept.target, self.held_amount(team));
+        let (excess, held) = (quota.limit - quota.target, self.held_amount(team));
         ResourceQuantities {
-            cpus: part(owed.cpus, has.cpus, kept.limit.cpus),
-            gpus: part(owed.gpus, has.gpus, kept.limit.gpus),
+            cpus: proportional_part(excess.cpus, held.cpus, quota.limit.cpus),
+            gpus: proportional_part(excess.gpus, held.gpus, quota.limit.gpus),
         }
     }
 
-    /// A limit in the settings.
+    /// A limit as the settings name it; 0 there means no limit, which moves as a very large quantity.
     pub fn limits_from_settings(cpus: f64, gpus: f64) -> ResourceQuantities {
-        let most = crate::constants::UNLIMITED_QUANTITY;
-        let cap = |limit: f64| if limit > 0.0 { limit.min(most) } else { most };
-        ResourceQuantities::from_limit(cap(cpus), cap(gpus))
+        let most = UNLIMITED_QUANTITY;
+        let bounded = |limit: f64| if limit > 0.0 { limit.min(most) } else { most };
+        ResourceQuantities::from_limit(bounded(cpus), bounded(gpus))
     }
 
-    // ---- moves ---------------------------------------------------------------------------------
+    // ---- transactions ---------------------------------------------------------------------------
 
-    /// Writes down what this holder's settings say, and changes limits where that is allowed: a limit is
-    /// lowered as soon as any holder's settings are lower, and raised only when all holders' are higher.
-    /// None: nothing to do, or not now.
+    /// Writes down the limits that this holder's settings name, and changes the limits in force where that is allowed:
+    /// a limit is lowered as soon as any holder's settings are lower, and raised only when all holders' are higher.
+    /// None: nothing to change, or the account is not open.
     pub fn reconcile_limits(
         &mut self,
         settings: &BTreeMap<TeamName, ResourceQuantities>,
@@ -153,52 +155,63 @@
         let mut own = self.holding_if_open()?;
         own.configured_limits.clone_from(settings);
         let mut pool = self.page.pool.0.clone();
-        // What no settings name is wanted by nobody.
         let teams: Vec<TeamName> = pool.teams.keys().chain(settings.keys()).cloned().collect();
         for team in teams {
-            let others = self.page.holdings.iter().filter(|(d, _)| **d != self.partition);
-            let seen = others.filter_map(|(_, (h, _))| h.configured_limits.get(&team));
-            let seen = seen.chain(own.configured_limits.get(&team)).copied();
-            let lowest = seen.reduce(|a, b| a.zip_with(b, Quantity::min)).unwrap_or_default();
-            let fresh = TeamQuota { limit: lowest, target: lowest, free: lowest };
-            let kept = pool.teams.entry(team).or_insert(fresh);
-            let more = lowest.zip_with(kept.limit, |to, limit| (to - limit).max(Quantity::ZERO));
-            kept.target = lowest;
-            (kept.limit, kept.free) = (kept.limit + more, kept.free + more);
-            lower_limit_by_free(kept);
+            let lowest = self.lowest_configured_limit(&team, &own);
+            let new_team = TeamQuota { limit: lowest, target: lowest, free: lowest };
+            let quota = pool.teams.entry(team).or_insert(new_team);
+            let increase = lowest.excess_over(quota.limit);
+            quota.target = lowest;
+            quota.limit += increase;
+            quota.free += increase;
+            lower_limit_by_free(quota);
         }
-        let empty = |k: &TeamQuota| {
-            k.limit == ResourceQuantities::default() && k.target == ResourceQuantities::default()
+        let is_held = |team: &TeamName| {
+            self.page.holdings.values().any(|(holding, _)| holding.held.contains_key(team))
         };
-        let used = |t: &TeamName| self.page.holdings.values().any(|(h, _)| h.held.contains_key(t));
-        pool.teams.retain(|team, kept| !empty(kept) || used(team));
-        if own == self.own_holding().0 && pool == self.page.pool.0 && self.own_holding().1 > 0 {
+        pool.teams.retain(|team, quota| {
+            !quota.limit.is_zero() || !quota.target.is_zero() || is_held(team)
+        });
+        let (recorded, mod_revision) = self.own_holding();
+        if own == recorded && pool == self.page.pool.0 && mod_revision > 0 {
             return None;
         }
-        // Whoever writes down what its settings say writes the pool too: of two at once one must read again.
+        // The pool is always part of the transaction: of two holders that write at once one must read again.
         Some(self.begin_transaction(own, Some(pool), None))
     }
 
-    /// Takes from the pool what there is of what is wanted.
+    /// The lowest limit that any holder's settings name for a team; zero if none names it.
+    fn lowest_configured_limit(&self, team: &str, own: &QuotaHolding) -> ResourceQuantities {
+        let others = self.page.holdings.iter().filter(|(other, _)| **other != self.partition);
+        others
+            .map(|(_, (holding, _))| holding)
+            .chain([own])
+            .filter_map(|holding| holding.configured_limits.get(team).copied())
+            .reduce(|lowest, other| lowest.zip_with(other, Quantity::min))
+            .unwrap_or_default()
+    }
+
+    /// Takes from the pool what it has of what is wanted. None: it has nothing of it, or the account is not open.
     pub fn take_from_pool(
         &mut self,
-        wants: &BTreeMap<TeamName, ResourceQuantities>,
+        wanted: &BTreeMap<TeamName, ResourceQuantities>,
     ) -> Option<QuotaTransaction> {
         let mut own = self.holding_if_open()?;
         let mut pool = self.page.pool.0.clone();
-        let mut some = false;
-        for (team, want) in wants {
-            let Some(kept) = pool.teams.get_mut(team) else { continue };
-            let part = want.zip_with(kept.free, |w, free| w.min(free).max(Quantity::ZERO));
-            some |= part != ResourceQuantities::default();
-            kept.free -= part;
+        let mut takes_any = false;
+        for (team, wanted) in wanted {
+            let Some(quota) = pool.teams.get_mut(team) else { continue };
+            let part = non_negative_min(*wanted, quota.free);
+            takes_any |= !part.is_zero();
+            quota.free -= part;
             *own.held.entry(team.clone()).or_default() += part;
         }
-        some.then(|| self.begin_transaction(own, Some(pool), None))
+        takes_any.then(|| self.begin_transaction(own, Some(pool), None))
     }
 
-    /// Gives amounts to another decider, or back to the pool: at most what is not `used`, everything not
-    /// proved gone counted.
+    /// Gives quota to another partition, or back to the pool (`to` none or this partition): at most what is not in
+    /// `used`, which must count everything that is not proved gone. None: nothing to give, the receiver is not on the
+    /// page, or the account is not open.
     pub fn transfer_holding(
         &mut self,
         to: Option<&str>,
@@ -207,97 +220,100 @@
     ) -> Option<QuotaTransaction> {
         let mut own = self.holding_if_open()?;
         let mut pool = self.page.pool.0.clone();
-        let mut other = match to.filter(|to| **to != self.partition) {
+        let mut receiver = match to.filter(|to| **to != self.partition) {
             Some(to) => Some((to.to_string(), self.page.holdings.get(to)?.clone())),
             None => None,
         };
-        let mut some = false;
+        let mut gives_any = false;
         for (team, gift) in gifts {
-            let (Some(has), Some(kept)) = (own.held.get_mut(team), pool.teams.get_mut(team)) else {
+            let (Some(held), Some(quota)) = (own.held.get_mut(team), pool.teams.get_mut(team))
+            else {
                 continue;
             };
-            let used = used.get(team).copied().unwrap_or_default();
-            let spare = has.zip_with(used, |has, used| (has - used).max(Quantity::ZERO));
-            let part = gift.zip_with(spare, |g, spare| g.min(spare).max(Quantity::ZERO));
-            if part == ResourceQuantities::default() {
+            let unused = held.excess_over(used.get(team).copied().unwrap_or_default());
+            let part = non_negative_min(*gift, unused);
+            if part.is_zero() {
                 continue;
             }
-            some = true;
-            *has -= part;
-            match &mut other {
-                Some((_, (holding, _))) => {
-                    *holding.held.entry(team.clone()).or_default() += part;
-                }
+            gives_any = true;
+            *held -= part;
+            match &mut receiver {
+                Some((_, (holding, _))) => *holding.held.entry(team.clone()).or_default() += part,
                 None => {
-                    kept.free += part;
-                    lower_limit_by_free(kept);
+                    quota.free += part;
+                    lower_limit_by_free(quota);
                 }
             }
         }
-        own.held.retain(|_, has| *has != ResourceQuantities::default());
-        if !some {
+        if !gives_any {
             return None;
         }
-        let pool = other.is_none().then_some(pool);
-        Some(self.begin_transaction(own, pool, other))
+        own.held.retain(|_, held| !held.is_zero());
+        let pool = receiver.is_none().then_some(pool);
+        Some(self.begin_transaction(own, pool, receiver))
     }
 
-    /// Takes the decider off the page, once it holds nothing: its settings then no longer count.
+    /// Deletes the record of a partition that holds nothing: its settings then no longer count. None: it holds
+    /// something, has no record, or the account is not open.
     pub fn remove_holding(&mut self) -> Option<QuotaTransaction> {
         let own = self.holding_if_open()?;
         if !own.held.is_empty() || self.own_holding().1 == 0 {
             return None;
         }
-        let mut txn = self.begin_transaction(own, None, None);
-        txn.writes = vec![(QuotaKey::Holding(self.partition.clone()), QuotaRecord::Removed)];
-        self.in_flight = Some(txn.clone());
-        Some(txn)
+        let mut transaction = self.begin_transaction(own, None, None);
+        transaction.writes =
+            vec![(QuotaKey::Holding(self.partition.clone()), QuotaRecord::Removed)];
+        self.in_flight = Some(transaction.clone());
+        Some(transaction)
     }
 
+    /// This partition's record, if a transaction may begin.
     fn holding_if_open(&self) -> Option<QuotaHolding> {
         (self.phase == AccountPhase::Open).then(|| self.own_holding().0)
     }
 
-    /// Sends a transaction over the own record and one other, conditional on both and on the token.
+    /// Begins a transaction over the own record and at most one other, conditional on both and on the fencing token.
     fn begin_transaction(
         &mut self,
         mut own: QuotaHolding,
         pool: Option<QuotaPool>,
-        other: Option<(PartitionId, (QuotaHolding, u64))>,
+        receiver: Option<(PartitionId, (QuotaHolding, u64))>,
     ) -> QuotaTransaction {
         self.last_transaction_number += 1;
-        own.last_transaction = (self.fencing_token, self.last_transaction_number);
-        let by = own.last_transaction;
+        let id = (self.fencing_token, self.last_transaction_number);
+        own.last_transaction = id;
         let own_key = QuotaKey::Holding(self.partition.clone());
-        let token = (QuotaKey::FencingToken(self.partition.clone()), self.fencing_token);
-        let mut when = vec![token, (own_key.clone(), self.own_holding().1)];
-        let mut apply = vec![(own_key, QuotaRecord::Holding(own))];
+        let token_key = QuotaKey::FencingToken(self.partition.clone());
+        let mut conditions =
+            vec![(token_key, self.fencing_token), (own_key.clone(), self.own_holding().1)];
+        let mut writes = vec![(own_key, QuotaRecord::Holding(own))];
         if let Some(pool) = pool {
-            when.push((QuotaKey::Pool, self.page.pool.1));
-            apply.push((QuotaKey::Pool, QuotaRecord::Pool(pool)));
+            conditions.push((QuotaKey::Pool, self.page.pool.1));
+            writes.push((QuotaKey::Pool, QuotaRecord::Pool(pool)));
         }
-        if let Some((decider, (holding, stamp))) = other {
-            when.push((QuotaKey::Holding(decider.clone()), stamp));
-            apply.push((QuotaKey::Holding(decider), QuotaRecord::Holding(holding)));
+        if let Some((partition, (holding, mod_revision))) = receiver {
+            conditions.push((QuotaKey::Holding(partition.clone()), mod_revision));
+            writes.push((QuotaKey::Holding(partition), QuotaRecord::Holding(holding)));
         }
-        let txn = QuotaTransaction { id: by, conditions: when, writes: apply };
-        self.in_flight = Some(txn.clone());
+        let transaction = QuotaTransaction { id, conditions, writes };
+        self.in_flight = Some(transaction.clone());
         self.advance_phase(AccountPhase::InFlight);
-        txn
+        transaction
     }
 
-    // ---- what came of it -----------------------------------------------------------------------
+    // ---- outcomes and pages ----------------------------------------------------------------------
 
-    /// The transaction sent `by` this holder has an outcome. After a conflict the page is read: the difference may
-    /// be our own doing, by an earlier try.
-    pub fn on_outcome(&mut self, by: (u64, u64), outcome: &TransactionOutcome) -> AccountStep {
-        let Some(flight) = self.in_flight.clone().filter(|f| f.id == by) else {
+    /// The outcome of the transaction with this id; any but the in-flight one is ignored. After a conflict the page
+    /// must be read: an earlier attempt of the same transaction may have caused it.
+    pub fn on_outcome(&mut self, id: (u64, u64), outcome: &TransactionOutcome) -> AccountStep {
+        let Some(transaction) = self.in_flight.clone().filter(|in_flight| in_flight.id == id)
+        else {
             return AccountStep::Wait;
         };
         match outcome {
-            TransactionOutcome::Committed(stamp) => {
-                for (key, record) in flight.writes {
-                    self.apply_record(key, record, *stamp);
+            TransactionOutcome::Committed(mod_revision) => {
+                for (key, record) in transaction.writes {
+                    self.apply_record(key, record, *mod_revision);
                 }
                 self.in_flight = None;
                 self.advance_phase(AccountPhase::Open);
@@ -315,74 +331,97 @@
             }
             TransactionOutcome::Unknown => {
                 self.advance_phase(AccountPhase::InDoubt);
-                AccountStep::Resend(flight)
+                AccountStep::Resend(transaction)
             }
         }
     }
 
-    /// The page as it was read. An older one than is known changes nothing.
+    /// Takes the page as read. Records older than what is known are ignored.
     pub fn on_page(&mut self, page: &QuotaPage) {
         if self.phase == AccountPhase::Closed {
             return;
         }
-        let newer = |known: u64, read: u64| read >= known;
-        if newer(self.page.pool.1, page.pool.1) {
+        if page.pool.1 >= self.page.pool.1 {
             self.page.pool = page.pool.clone();
         }
-        // What is no longer there was removed; what a later change of ours wrote is not in an older page.
-        let newest = page.holdings.values().map(|h| h.1).fold(page.pool.1, u64::max);
-        self.page.holdings.retain(|d, (_, stamp)| page.holdings.contains_key(d) || *stamp > newest);
-        for (decider, read) in &page.holdings {
-            let known = self.page.holdings.get(decider).map_or(0, |k| k.1);
-            if newer(known, read.1) {
-                self.page.holdings.insert(decider.clone(), read.clone());
+        // What is no longer on the page was deleted, unless our own later transaction wrote it.
+        let newest = page.holdings.values().map(|holding| holding.1).fold(page.pool.1, u64::max);
+        self.page.holdings.retain(|partition, (_, mod_revision)| {
+            page.holdings.contains_key(partition) || *mod_revision > newest
+        });
+        for (partition, read) in &page.holdings {
+            if read.1 >= self.holding_mod_revision(partition) {
+                self.page.holdings.insert(partition.clone(), read.clone());
             }
         }
-        if let Some(flight) = &self.in_flight {
-            // It was applied, or a condition of it can never hold again: else it may yet come.
-            let (own, _) = self.own_holding();
-            let stamp = |key: &QuotaKey| match key {
-                QuotaKey::Pool => Some(self.page.pool.1),
-                QuotaKey::Holding(d) => Some(self.page.holdings.get(d).map_or(0, |h| h.1)),
-                QuotaKey::FencingToken(_) => None,
-            };
-            let never = flight.conditions.iter().any(|(k, at)| stamp(k).is_some_and(|s| s != *at));
-            if own.last_transaction == flight.id || never {
-                self.in_flight = None;
-            }
+        if self.is_in_flight_settled() {
+            self.in_flight = None;
         }
         let phase = if self.in_flight.is_some() { self.phase } else { AccountPhase::Open };
         self.advance_phase(phase);
     }
 
-    /// Another holds the decider.
+    /// Whether the page shows that the in-flight transaction was committed, or never can be since a condition of it no
+    /// longer holds. Otherwise it may yet be.
+    fn is_in_flight_settled(&self) -> bool {
+        let Some(transaction) = &self.in_flight else { return false };
+        let mod_revision = |key: &QuotaKey| match key {
+            QuotaKey::Pool => Some(self.page.pool.1),
+            QuotaKey::Holding(partition) => Some(self.holding_mod_revision(partition)),
+            QuotaKey::FencingToken(_) => None,
+        };
+        let can_never_commit = transaction
+            .conditions
+            .iter()
+            .any(|(key, expected)| mod_revision(key).is_some_and(|found| found != *expected));
+        self.own_holding().0.last_transaction == transaction.id || can_never_commit
+    }
+
+    /// The mod revision of a partition's record as last known; 0: it has none.
+    fn holding_mod_revision(&self, partition: &str) -> u64 {
+        self.page.holdings.get(partition).map_or(0, |(_, mod_revision)| *mod_revision)
+    }
+
+    /// Another controller holds the partition now.
     pub fn close(&mut self) {
         self.in_flight = None;
         self.advance_phase(AccountPhase::Closed);
     }
 
-    fn apply_record(&mut self, key: QuotaKey, record: QuotaRecord, stamp: u64) {
+    fn apply_record(&mut self, key: QuotaKey, record: QuotaRecord, mod_revision: u64) {
         match (key, record) {
-            (QuotaKey::Pool, QuotaRecord::Pool(pool)) if stamp > self.page.pool.1 => {
-                self.page.pool = (pool, stamp);
+            (QuotaKey::Pool, QuotaRecord::Pool(pool)) if mod_revision > self.page.pool.1 => {
+                self.page.pool = (pool, mod_revision);
             }
-            (QuotaKey::Holding(decider), QuotaRecord::Removed) => {
-                drop(self.page.holdings.remove(&decider))
+            (QuotaKey::Holding(partition), QuotaRecord::Removed) => {
+                self.page.holdings.remove(&partition);
             }
-            (QuotaKey::Holding(decider), QuotaRecord::Holding(holding)) => {
-                let known = self.page.holdings.get(&decider).map_or(0, |k| k.1);
-                if stamp > known {
-                    self.page.holdings.insert(decider, (holding, stamp));
-                }
+            (QuotaKey::Holding(partition), QuotaRecord::Holding(holding))
+                if mod_revision > self.holding_mod_revision(&partition) =>
+            {
+                self.page.holdings.insert(partition, (holding, mod_revision));
             }
             _ => {}
         }
     }
 }
 
-/// What is free is taken off a limit that is to be lower.
-fn lower_limit_by_free(kept: &mut TeamQuota) {
-    let over = kept.limit.zip_with(kept.target, |limit, to| (limit - to).max(Quantity::ZERO));
-    let off = over.zip_with(kept.free, Quantity::min);
-    (kept.limit, kept.free) = (kept.limit - off, kept.free - off);
+/// Takes what is free off a limit that is to be lower.
+fn lower_limit_by_free(quota: &mut TeamQuota) {
+    let reduction = quota.limit.excess_over(quota.target).zip_with(quota.free, Quantity::min);
+    quota.limit -= reduction;
+    quota.free -= reduction;
+}
+
+/// The lower of two quantities, per resource, and never below zero.
+fn non_negative_min(one: ResourceQuantities, other: ResourceQuantities) -> ResourceQuantities {
+    one.zip_with(other, |one, other| one.min(other).max(Quantity::ZERO))
+}
+
+/// `excess * held / limit`, rounded up.
+fn proportional_part(excess: Quantity, held: Quantity, limit: Quantity) -> Quantity {
+    let (excess, held) = (i128::from(excess.units()), i128::from(held.units()));
+    let limit = i128::from(limit.units()).max(1);
+    let part = (excess * held + limit - 1) / limit;
+    Quantity::from_units(i64::try_from(part).unwrap_or(i64::MAX))
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,12 +1,13 @@
-//! What teams may use. Pure: what is held, asked and known comes in; what may be used, and what to commit,
-//! goes out.
+//! Quota of teams: exact limits and guarantees, who gets what a limit leaves, and how quota moves between the holders
+//! of several partitions of the machines. Pure: pages, messages, demands and time come in; what may be used, and what
+//! to send, goes out.
 //!
-//! - [`fixed`]: amounts of CPUs and accelerators as whole numbers, so that no sum drifts.
-//! - [`order`]: which jobs of a team get what its limit leaves, when that is less than they want.
-//! - [`records`]: what the state service holds where several decide.
-//! - [`account`]: one decider's part of it: amounts move by conditional transactions.
-//! - [`planner`]: who gets how much, by need.
-//! - [`rates`]: requests a second that belong to all controllers, lent where they are not used.
+//! - [`quantities`]: CPUs and GPUs as whole numbers, so that no sum drifts.
+//! - [`allocation`]: which jobs of a team get what its limit leaves, when that is less than they want.
+//! - [`records`]: the quota records in the state service.
+//! - [`account`]: what one partition holds; quota moves by conditional transactions.
+//! - [`planner`]: when a partition takes, gives and asks for quota.
+//! - [`rate_loans`]: rates (requests per second) shared by all controllers, lent where they are not used.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -22,5 +23,5 @@
 pub use account::QuotaAccount;
 pub use quantities::{Quantity, QuotaLimit, ResourceQuantities};
 
-/// Steady time in ms.
+/// Monotonic time in ms.
 pub type Time = u64;
--- a/crates/quota/src/planner/revocation.rs
+++ b/crates/quota/src/planner/revocation.rs
@@ -1,5 +1,6 @@
-//! Guarantees across deciders: a team's use is counted in all, and what others have borrowed is recalled where
-//! most of it is. A recall ends with proof.
+//! Guarantees across partitions. A team's usage is summed over all of them, and where work within a guarantee finds
+//! no room, quota that another team has borrowed is revoked where most of it is used. A revocation is confirmed only
+//! when the stopped work is proved gone.
 
 use super::{QuotaAction, QuotaMessage, QuotaPlanner};
 use crate::Time;
@@ -8,27 +9,27 @@
 use crate::records::{PartitionId, TeamName};
 use std::collections::BTreeMap;
 
-/// Where a recall stands.
+/// How far a revocation has come in the partition that stops the work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RevocationPhase {
-    /// Work is being stopped; it counts until it is proved gone.
+    /// Work is being stopped; it counts as used until it is proved gone.
     Stopping,
-    /// It is proved gone; the room is not filled again with the same team's work for a while.
+    /// Proved gone at this time. For [`REVOCATION_HOLD_MS`] the room is not filled with the same team's work again.
     Confirmed(Time),
 }
 
-/// A recall on the side that is asked.
+/// A revocation in the partition that stops the work.
 #[derive(Debug, Clone)]
 pub(super) struct QuotaRevocation {
     phase: RevocationPhase,
     requester: PartitionId,
-    /// What the team may still use here.
+    /// What the team may use here meanwhile, production excepted.
     pub usage_limit: ResourceQuantities,
     started_at: Time,
 }
 
 impl QuotaRevocation {
-    /// The one function that changes the stage: what is proved stays so.
+    /// The one function that changes the phase: a confirmed revocation stays so.
     fn advance_phase(&mut self, to: RevocationPhase) {
         if self.phase == RevocationPhase::Stopping {
             self.phase = to;
@@ -37,25 +38,25 @@
 }
 
 impl QuotaPlanner {
-    /// What a team uses in all. Of a decider that told nothing lately, all that it has.
+    /// What a team uses in all partitions. One that has reported nothing lately counts with all that it holds.
     pub fn total_usage(&self, team: &str) -> ResourceQuantities {
-        let others = self.other_partitions().into_iter().map(|d| self.usage_in_partition(&d, team));
-        others.chain(std::iter::once(self.demand_of(team).total_used())).sum()
+        let others = self.other_partitions().into_iter();
+        others
+            .map(|partition| self.usage_in_partition(&partition, team))
+            .chain([self.demand_of(team).total_used()])
+            .sum()
     }
 
-    fn usage_in_partition(&self, decider: &str, team: &str) -> ResourceQuantities {
-        match self.peer_usage.get(decider) {
-            Some((_, told)) => {
-                told.get(team).map_or(ResourceQuantities::default(), |t| t.demand.total_used())
-            }
-            None => {
-                let held = self.account.page().holdings.get(decider);
-                held.and_then(|(h, _)| h.held.get(team)).copied().unwrap_or_default()
-            }
+    fn usage_in_partition(&self, partition: &str, team: &str) -> ResourceQuantities {
+        if let Some(peer) = self.peer_usage.get(partition) {
+            let reported = peer.teams.get(team);
+            return reported.map(|usage| usage.demand.total_used()).unwrap_or_default();
         }
+        let holding = self.account.page().holdings.get(partition);
+        holding.and_then(|(holding, _)| holding.held.get(team)).copied().unwrap_or_default()
     }
 
-    /// Whether a team is within its guarantee with as much more: by the sum, not by each decider's part.
+    /// Whether a team stays within its CPU guarantee with `more` in addition, by its usage in all partitions.
     pub fn is_within_guarantee(
         &self,
         team: &str,
@@ -65,85 +66,90 @@
         guarantee.cpus >= self.total_usage(team).cpus + more.cpus
     }
 
-    /// Work within a guarantee finds no room for so much: the team that has borrowed most is asked to stop
-    /// some of it, where it uses most. One question at a time for each team that borrows.
+    /// To be called when work within a guarantee finds no room for `missing`: asks the partition in which the team that
+    /// has borrowed most uses most to stop some of that team's work. None: nothing can be revoked now. There is one
+    /// revocation per borrowing team at a time.
     pub fn revoke_borrowed_quota(
         &mut self,
         guarantees: &BTreeMap<TeamName, ResourceQuantities>,
-        lacks: ResourceQuantities,
+        missing: ResourceQuantities,
         now: Time,
     ) -> Option<QuotaAction> {
         self.requested_revocations.retain(|_, until| now < *until);
         let borrowed = |(team, guarantee): (&TeamName, &ResourceQuantities)| {
-            let beyond = self.total_usage(team).cpus - guarantee.cpus;
-            let open = !self.requested_revocations.contains_key(team) && beyond > Quantity::ZERO;
-            open.then(|| (beyond, team.clone()))
+            let borrowed = self.total_usage(team).cpus - guarantee.cpus;
+            let may_revoke =
+                !self.requested_revocations.contains_key(team) && borrowed > Quantity::ZERO;
+            may_revoke.then(|| (borrowed, team.clone()))
         };
-        let (beyond, team) = guarantees.iter().filter_map(borrowed).max()?;
-        let places = self
+        let (borrowed, team) = guarantees.iter().filter_map(borrowed).max()?;
+        let (used_there, partition) = self
             .other_partitions()
             .into_iter()
-            .map(|d| (self.usage_in_partition(&d, &team).cpus, d));
-        let (used, to) = places.max().unwrap_or_default();
-        let own = self.demand_of(&team).total_used().cpus;
-        let most = lacks.cpus.min(beyond).min(used.max(own));
-        let amount = ResourceQuantities { cpus: most, gpus: Quantity::ZERO };
-        if amount.cpus <= Quantity::ZERO {
+            .map(|partition| (self.usage_in_partition(&partition, &team).cpus, partition))
+            .max()
+            .unwrap_or_default();
+        let used_here = self.demand_of(&team).total_used().cpus;
+        let cpus = missing.cpus.min(borrowed).min(used_there.max(used_here));
+        if cpus <= Quantity::ZERO {
             return None;
         }
+        let amount = ResourceQuantities { cpus, gpus: Quantity::ZERO };
         self.requested_revocations.insert(team.clone(), now + REVOCATION_TIMEOUT_MS);
-        // It has most of it itself.
-        if own >= used {
-            let by = self.partition.clone();
-            return self.start_local_revocation(&by, team, amount, now).pop();
+        if used_here >= used_there {
+            let requester = self.partition.clone();
+            return self.start_local_revocation(&requester, team, amount, now).pop();
         }
-        Some(QuotaAction::SendMessage(to, QuotaMessage::RevocationRequest { team, amount }))
+        Some(QuotaAction::SendMessage(partition, QuotaMessage::RevocationRequest { team, amount }))
     }
 
+    /// Begins to stop work of a team for a requester, which is refused if less than that is used here.
     pub(super) fn start_local_revocation(
         &mut self,
-        by: &str,
+        requester: &str,
         team: TeamName,
         amount: ResourceQuantities,
         now: Time,
     ) -> Vec<QuotaAction> {
         let used = self.demand_of(&team).total_used();
         if used.cpus < amount.cpus {
-            let refuse = QuotaMessage::Refusal { team, retry_after_ms: REVOCATION_TIMEOUT_MS };
-            return vec![QuotaAction::SendMessage(by.to_string(), refuse)];
+            let refusal = QuotaMessage::Refusal { team, retry_after_ms: REVOCATION_TIMEOUT_MS };
+            return vec![QuotaAction::SendMessage(requester.to_string(), refusal)];
         }
-        // Asked twice, it stops as much once.
+        // A repeated request must not stop as much a second time.
         if self.local_revocations.contains_key(&team) {
             return Vec::new();
         }
-        let most = used.zip_with(amount, |used, off| (used - off).max(Quantity::ZERO));
-        let recall = QuotaRevocation {
+        let revocation = QuotaRevocation {
             phase: RevocationPhase::Stopping,
-            requester: by.to_string(),
-            usage_limit: most,
+            requester: requester.to_string(),
+            usage_limit: used.excess_over(amount),
             started_at: now,
         };
-        self.local_revocations.insert(team.clone(), recall);
+        self.local_revocations.insert(team.clone(), revocation);
         vec![QuotaAction::StopWork { team, level: 0, amount }]
     }
 
-    /// Which recalls have come to their end, by what is proved gone.
+    /// Confirms revocations whose work is proved gone to their requesters, and ends those that are over.
     pub(super) fn advance_revocations(&mut self, now: Time, actions: &mut Vec<QuotaAction>) {
-        let used: Vec<(TeamName, ResourceQuantities)> = self
+        let used_by_team: Vec<(TeamName, ResourceQuantities)> = self
             .local_revocations
             .keys()
-            .map(|t| (t.clone(), self.demand_of(t).total_used()))
+            .map(|team| (team.clone(), self.demand_of(team).total_used()))
             .collect();
-        for (team, used) in used {
-            let Some(recall) = self.local_revocations.get_mut(&team) else { continue };
-            match recall.phase {
-                RevocationPhase::Stopping if recall.usage_limit.cpus >= used.cpus => {
-                    recall.advance_phase(RevocationPhase::Confirmed(now));
-                    let told = QuotaMessage::Revoked { team };
-                    actions.push(QuotaAction::SendMessage(recall.requester.clone(), told));
+        for (team, used) in used_by_team {
+            let Some(revocation) = self.local_revocations.get_mut(&team) else { continue };
+            match revocation.phase {
+                RevocationPhase::Stopping if revocation.usage_limit.cpus >= used.cpus => {
+                    revocation.advance_phase(RevocationPhase::Confirmed(now));
+                    let requester = revocation.requester.clone();
+                    let confirmation = QuotaMessage::Revoked { team };
+                    actions.push(QuotaAction::SendMessage(requester, confirmation));
                 }
                 // What cannot be stopped (replicas) is not waited for.
-                RevocationPhase::Stopping if now >= recall.started_at + REVOCATION_TIMEOUT_MS => {
+                RevocationPhase::Stopping
+                    if now >= revocation.started_at + REVOCATION_TIMEOUT_MS =>
+                {
                     self.local_revocations.remove(&team);
                 }
                 RevocationPhase::Confirmed(at) if now >= at + REVOCATION_HOLD_MS => {
--- a/crates/quota/src/quantities.rs
+++ b/crates/quota/src/quantities.rs
@@ -1,11 +1,11 @@
-//! Amounts as whole numbers. Sums of decimal numbers in binary drift with every addition: a hundred tasks
-//! of 0.1 CPUs that come and go leave a limit of 10 a little short, or over.
+//! Quantities of CPUs and GPUs as whole numbers of billionths. Sums of decimal numbers in binary drift with every
+//! addition: a hundred tasks of 0.1 CPUs that come and go leave a limit of 10 a little short, or over.
 
 use crate::constants::{ROUNDING_TOLERANCE, UNITS_PER_RESOURCE};
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 
-/// An amount of CPUs or accelerators, in billionths of one. Sums saturate.
+/// A number of CPUs or GPUs, in billionths of one. Sums, differences and products saturate; it may be negative.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -13,42 +13,42 @@
 pub struct Quantity(i64);
 
 impl Quantity {
-    /// None.
+    /// Nothing.
     pub const ZERO: Quantity = Quantity(0);
-    /// More than anything.
+    /// The largest quantity: it stands for "no limit".
     pub const MAX: Quantity = Quantity(i64::MAX);
 
-    /// What a task takes, rounded up: a sum of tasks is never counted too small.
+    /// What a task requests, rounded up, so that a sum of tasks is never counted too small.
     pub fn from_request(number: f64) -> Quantity {
         Quantity((number * UNITS_PER_RESOURCE - ROUNDING_TOLERANCE).ceil() as i64)
     }
 
-    /// What is allowed, rounded down.
+    /// A limit or guarantee, rounded down.
     pub fn from_limit(number: f64) -> Quantity {
         Quantity((number * UNITS_PER_RESOURCE + ROUNDING_TOLERANCE).floor() as i64)
     }
 
-    /// Billionths.
+    /// The quantity in billionths.
     pub const fn units(self) -> i64 {
         self.0
     }
 
-    /// An amount of so many billionths.
-    pub const fn from_units(parts: i64) -> Quantity {
-        Quantity(parts)
+    /// A quantity of so many billionths.
+    pub const fn from_units(units: i64) -> Quantity {
+        Quantity(units)
     }
 
-    /// As a decimal number, for display and estimates: never to be summed up and compared.
+    /// As a decimal number, for display and estimates only: sums of these drift.
     pub fn to_f64(self) -> f64 {
         self.0 as f64 / UNITS_PER_RESOURCE
     }
 
-    /// So many times as much.
-    pub fn multiplied_by(self, number: u32) -> Quantity {
-        Quantity(self.0.saturating_mul(i64::from(number)))
+    /// This quantity `count` times.
+    pub fn multiplied_by(self, count: u32) -> Quantity {
+        Quantity(self.0.saturating_mul(i64::from(count)))
     }
 
-    /// How many of `each` it holds; none if it is negative, and as many as can be told if `each` is nothing.
+    /// How many times `each` fits: 0 if this is negative, `u32::MAX` if `each` is zero or less.
     pub fn times_covering(self, each: Quantity) -> u32 {
         match each.0 {
             i64::MIN..=0 => u32::MAX,
@@ -84,22 +84,26 @@
 }
 
 impl std::iter::Sum for Quantity {
-    fn sum<I: Iterator<Item = Quantity>>(all: I) -> Quantity {
-        all.fold(Quantity::ZERO, Add::add)
+    fn sum<I: Iterator<Item = Quantity>>(quantities: I) -> Quantity {
+        quantities.fold(Quantity::ZERO, Add::add)
     }
 }
 
-/// Amounts of both kinds that limits know.
+/// Quantities of both resources that limits count.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ResourceQuantities {
     /// CPUs.
     pub cpus: Quantity,
-    /// Accelerators.
+    /// GPUs.
     pub gpus: Quantity,
 }
 
 impl ResourceQuantities {
-    /// What a task takes.
+    /// Nothing of either.
+    pub const ZERO: ResourceQuantities =
+        ResourceQuantities { cpus: Quantity::ZERO, gpus: Quantity::ZERO };
+
+    /// What a task requests, rounded up.
     pub fn from_request(cpus: f64, gpus: f64) -> ResourceQuantities {
         ResourceQuantities {
             cpus: Quantity::from_request(cpus),
@@ -107,36 +111,49 @@
         }
     }
 
-    /// What is allowed or guaranteed.
+    /// A limit or guarantee, rounded down.
     pub fn from_limit(cpus: f64, gpus: f64) -> ResourceQuantities {
         ResourceQuantities { cpus: Quantity::from_limit(cpus), gpus: Quantity::from_limit(gpus) }
     }
 
-    /// Both by the same function.
-    pub fn map(self, by: impl Fn(Quantity) -> Quantity) -> ResourceQuantities {
-        ResourceQuantities { cpus: by(self.cpus), gpus: by(self.gpus) }
+    /// Applies a function to each resource.
+    pub fn map(self, function: impl Fn(Quantity) -> Quantity) -> ResourceQuantities {
+        ResourceQuantities { cpus: function(self.cpus), gpus: function(self.gpus) }
     }
 
-    /// Each kind with the other's.
+    /// Combines each resource with the same one of `other`.
     pub fn zip_with(
         self,
         other: ResourceQuantities,
-        by: impl Fn(Quantity, Quantity) -> Quantity,
+        function: impl Fn(Quantity, Quantity) -> Quantity,
     ) -> ResourceQuantities {
-        ResourceQuantities { cpus: by(self.cpus, other.cpus), gpus: by(self.gpus, other.gpus) }
+        ResourceQuantities {
+            cpus: function(self.cpus, other.cpus),
+            gpus: function(self.gpus, other.gpus),
+        }
+    }
+
+    /// Whether both resources are exactly zero.
+    pub fn is_zero(self) -> bool {
+        self == ResourceQuantities::ZERO
+    }
+
+    /// By how much each resource exceeds the other's: the difference, but never below zero.
+    pub fn excess_over(self, other: ResourceQuantities) -> ResourceQuantities {
+        self.zip_with(other, |own, other| (own - other).max(Quantity::ZERO))
     }
 
-    /// So many times as much.
-    pub fn multiplied_by(self, number: u32) -> ResourceQuantities {
-        self.map(|a| a.multiplied_by(number))
+    /// These quantities `count` times.
+    pub fn multiplied_by(self, count: u32) -> ResourceQuantities {
+        self.map(|quantity| quantity.multiplied_by(count))
     }
 
-    /// Whether it is at least as much of both.
+    /// Whether this is at least as much of both resources.
     pub fn covers(self, other: ResourceQuantities) -> bool {
         self.cpus >= other.cpus && self.gpus >= other.gpus
     }
 
-    /// How many of `each` it holds.
+    /// How many times `each` fits, by the scarcer resource.
     pub fn times_covering(self, each: ResourceQuantities) -> u32 {
         self.cpus.times_covering(each.cpus).min(self.gpus.times_covering(each.gpus))
     }
@@ -169,40 +186,44 @@
 }
 
 impl std::iter::Sum for ResourceQuantities {
-    fn sum<I: Iterator<Item = ResourceQuantities>>(all: I) -> ResourceQuantities {
-        all.fold(ResourceQuantities::default(), Add::add)
+    fn sum<I: Iterator<Item = ResourceQuantities>>(quantities: I) -> ResourceQuantities {
+        quantities.fold(ResourceQuantities::default(), Add::add)
     }
 }
 
-/// A team's limit: 0 in the settings means that there is none.
+/// A team's limit, per resource; [`Quantity::MAX`] where there is none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuotaLimit(ResourceQuantities);
 
 impl QuotaLimit {
-    /// The limit of a team's settings.
+    /// The limit that a team's settings name; 0 there means no limit.
     pub fn from_settings(cpus: f64, gpus: f64) -> QuotaLimit {
-        let cap = |most: f64| if most > 0.0 { Quantity::from_limit(most) } else { Quantity::MAX };
-        QuotaLimit(ResourceQuantities { cpus: cap(cpus), gpus: cap(gpus) })
+        let limit =
+            |limit: f64| if limit > 0.0 { Quantity::from_limit(limit) } else { Quantity::MAX };
+        QuotaLimit(ResourceQuantities { cpus: limit(cpus), gpus: limit(gpus) })
     }
 
-    /// No more than that either.
+    /// The lower of this limit and `held`, per resource.
     pub fn at_most(self, held: ResourceQuantities) -> QuotaLimit {
         QuotaLimit(self.0.zip_with(held, Quantity::min))
     }
 
-    /// What it leaves. An amount without a limit is left as more than anything.
+    /// What the limit leaves beside what is used, negative if more is used. An unlimited resource stays unlimited.
     pub fn remaining(&self, used: ResourceQuantities) -> ResourceQuantities {
-        let left =
-            |cap: Quantity, used: Quantity| if cap == Quantity::MAX { cap } else { cap - used };
-        self.0.zip_with(used, left)
+        self.0.zip_with(
+            used,
+            |limit, used| {
+                if limit == Quantity::MAX { limit } else { limit - used }
+            },
+        )
     }
 
-    /// Whether as much more may be used.
+    /// Whether `more` may be used in addition.
     pub fn allows(&self, used: ResourceQuantities, more: ResourceQuantities) -> bool {
         self.remaining(used).covers(more)
     }
 
-    /// The limit itself.
+    /// The limit as quantities; [`Quantity::MAX`] where there is none.
     pub fn limit(&self) -> ResourceQuantities {
         self.0
     }
--- a/crates/quota/src/records.rs
+++ b/crates/quota/src/records.rs
@@ -1,7 +1,7 @@
-//! What the state service holds of amounts, and the transactions that change it.
+//! The quota records in the state service, and the transactions that change them.
 //!
-//! Teams are divided into pages, since a value is bounded; each page has a pool and, for each decider, a
-//! holding. For every team of a page, what is in the pool and in all holdings is exactly the limit in force.
+//! Teams are divided into pages, since the size of a value is bounded. Each page has a pool and a holding for each
+//! partition. For every team of a page, the pool and all holdings together are exactly the limit in force.
 
 use crate::quantities::ResourceQuantities;
 use serde::{Deserialize, Serialize};
@@ -9,96 +9,99 @@
 
 /// A team's name.
 pub type TeamName = String;
-/// A decider's name: that of the set of machines on which it binds, never of a process.
+/// Name of a partition: a set of machines on which one holder binds tasks. It never names a process.
 pub type PartitionId = String;
 
-/// What is known of a team beside what deciders hold.
+/// A team in the pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TeamQuota {
-    /// The limit in force: all that may be used anywhere.
+    /// The limit in force: what all partitions together may use.
     pub limit: ResourceQuantities,
-    /// The limit wanted, where it is lower: what comes back is taken off the limit first.
+    /// The limit that the settings ask for. While it is lower, whatever comes back is taken off the limit in force.
     pub target: ResourceQuantities,
-    /// What nobody holds.
+    /// What no partition holds.
     pub free: ResourceQuantities,
 }
 
 /// The pool of a page.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QuotaPool {
-    /// Its teams.
+    /// Every team of the page.
     pub teams: BTreeMap<TeamName, TeamQuota>,
 }
 
-/// What a decider holds of a page.
+/// What a partition holds of a page.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QuotaHolding {
-    /// The holder's token and number of its last write, to know what became of an unanswered one.
+    /// Fencing token and number of the holder's last transaction: they tell whether one without an answer was
+    /// committed.
     #[serde(rename = "by")]
     pub last_transaction: (u64, u64),
-    /// What may be used on its machines.
+    /// What may be used on the partition's machines.
     #[serde(rename = "has")]
     pub held: BTreeMap<TeamName, ResourceQuantities>,
-    /// The limits that the last holder's settings named.
+    /// The limits that the holder's settings named when it wrote this.
     #[serde(rename = "sees")]
     pub configured_limits: BTreeMap<TeamName, ResourceQuantities>,
 }
 
-/// A key of the state service.
+/// A key of the state service, before it is spelled out.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum QuotaKey {
-    /// That which is attached to the holder's grant: its stamp is the holder's token.
+    /// The key attached to the lease of a partition's holder: its mod revision is the holder's fencing token.
     FencingToken(PartitionId),
     /// The pool.
     Pool,
-    /// A holding.
+    /// A partition's holding.
     Holding(PartitionId),
 }
 
-/// A value written.
+/// What a transaction does to a key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum QuotaRecord {
-    /// Of the pool.
+    /// Writes the pool.
     Pool(QuotaPool),
-    /// Of a decider.
+    /// Writes a holding.
     Holding(QuotaHolding),
-    /// Nothing any more: the key is removed.
+    /// Deletes the key.
     Removed,
 }
 
-/// A transaction: applied whole if every key has its stamp, else not at all.
+/// A transaction: committed whole if every key has the expected mod revision, otherwise not at all.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct QuotaTransaction {
-    /// The token and number under which it was sent.
+    /// Fencing token of the sender and its number for this transaction.
     pub id: (u64, u64),
-    /// Conditions.
+    /// Keys with their expected mod revisions; 0: the key must not exist.
     pub conditions: Vec<(QuotaKey, u64)>,
-    /// Changes.
+    /// What is done to which key.
     pub writes: Vec<(QuotaKey, QuotaRecord)>,
 }
 
-/// A page as it was read at once, with stamps; 0: there is no such key yet.
+/// A page as read at one revision, with the mod revision of each record; 0: there is no such key yet.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct QuotaPage {
-    /// The pool.
+    /// The pool and its mod revision.
     pub pool: (QuotaPool, u64),
-    /// Every decider's holding.
+    /// Every partition's holding and its mod revision.
     pub holdings: BTreeMap<PartitionId, (QuotaHolding, u64)>,
 }
 
 impl QuotaPage {
-    /// Whether for every team pool and holdings are exactly its limit, and nothing is owed.
+    /// Whether the invariant holds: for every team, pool and holdings together are exactly the limit in force, nothing
+    /// in the pool is negative, and no holding names an unknown team.
     pub fn is_conserved(&self) -> bool {
-        let held = |team: &TeamName| -> ResourceQuantities {
-            self.holdings.values().filter_map(|(h, _)| h.held.get(team)).copied().sum()
+        let teams = &self.pool.0.teams;
+        let held_by_all = |team: &TeamName| -> ResourceQuantities {
+            let holdings = self.holdings.values();
+            holdings.filter_map(|(holding, _)| holding.held.get(team)).copied().sum()
         };
-        let nothing = ResourceQuantities::default();
-        let known = |team: &TeamName| self.pool.0.teams.contains_key(team);
-        self.pool
-            .0
-            .teams
-            .iter()
-            .all(|(team, kept)| kept.free.covers(nothing) && kept.free + held(team) == kept.limit)
-            && self.holdings.values().all(|(h, _)| h.held.keys().all(known))
+        let all_balanced = teams.iter().all(|(team, quota)| {
+            quota.free.covers(ResourceQuantities::ZERO)
+                && quota.free + held_by_all(team) == quota.limit
+        });
+        let knows_teams =
+            |holding: &QuotaHolding| holding.held.keys().all(|team| teams.contains_key(team));
+        all_balanced && self.holdings.values().all(|(holding, _)| knows_teams(holding))
     }
 }
