--- a/crates/controller/src/controller/deadline_planning.rs
+++ b/crates/controller/src/controller/deadline_planning.rs
@@ -75,6 +75,7 @@
     }
 
     /// With every timer step of a leader, now and then: arrivals go on.
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub(super) fn update_deadline_plan(&mut self) {
         let now = self.now;
         let Some(calendar) = self.replicated_records.calendar.clone() else { return };
@@ -140,7 +141,7 @@
         // What became of a job that ended under another leader stands in its final record.
         let open: Vec<JobId> = board
             .jobs_of_submitted_steps()
-            .filter(|id| !leader.jobs.contains_key(*id) && !self.final_records.contains_key(*id))
+            .filter(|id| !leader.jobs.contains_key(*id) && !self.final_records.contains_key(id))
             .map(JobId::from)
             .collect();
         for id in open {
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -53,7 +53,7 @@
 pub use messages::{
     Action, Event, ForwardBatchId, LeaderContext, Now, Reply, RequestId, StoreCallId, UserRequest,
 };
-pub use policy_evaluation::{PolicyContext, steer};
+pub use policy_evaluation::{PolicyContext, evaluate_job_policies};
 pub use replicated_records::{compile_plan as plan_of_file, tier_table_record as tiers_of_file};
 pub use scheduling_cycle::{CycleResult, run_scheduling_cycle};
 pub use store_calls::CallContext;
@@ -200,6 +200,7 @@
     }
 
     /// A controller that has just started, with an operators' file. `seed` determines all its random choices.
+    #[expect(clippy::too_many_lines, reason = "one field a line")]
     pub fn with_operator_file(
         settings: Arc<Settings>,
         operator: &OperatorSettings,
--- a/crates/controller/src/controller/policy_evaluation.rs
+++ b/crates/controller/src/controller/policy_evaluation.rs
@@ -38,7 +38,12 @@
 
 /// Works out how the pass to come is steered. A round (`full`) asks anew; between rounds only jobs
 /// that have not been asked about are.
-pub fn steer(tables: &ClusterState, asking: PolicyContext, steering: &mut CyclePolicy, full: bool) {
+pub fn evaluate_job_policies(
+    tables: &ClusterState,
+    asking: PolicyContext,
+    steering: &mut CyclePolicy,
+    full: bool,
+) {
     let PolicyContext { policy, host, teams, types, now } = asking;
     host.begin_cycle(now.monotonic);
     // What does not depend on facts costs none.
@@ -85,7 +90,7 @@
 
 impl Controller {
     /// Works out how the pass to come is steered.
-    pub(super) fn steer(&mut self, full: bool) {
+    pub(super) fn update_job_policies(&mut self, full: bool) {
         let Controller {
             cluster_state: Some(leader),
             policy,
@@ -101,7 +106,12 @@
         };
         let types: &[MachineType] = types.as_deref().map_or(&[], Vec::as_slice);
         let teams = &settings.settings.teams;
-        steer(leader, PolicyContext { policy, host, teams, types, now: *now }, steering, full);
+        evaluate_job_policies(
+            leader,
+            PolicyContext { policy, host, teams, types, now: *now },
+            steering,
+            full,
+        );
     }
 
     /// What plug-ins advise on a new submission. Production work is never sent away.
--- a/crates/controller/src/controller/scheduling_cycle.rs
+++ b/crates/controller/src/controller/scheduling_cycle.rs
@@ -63,7 +63,7 @@
     /// Runs a scheduling cycle if one is due. Called after every event.
     pub(super) fn run_cycle_if_due(&mut self) {
         let Some(full) = self.due_cycle() else { return };
-        self.steer(full);
+        self.update_job_policies(full);
         self.job_policies.bounds = self.cycle_bounds();
         let Some(result) = self.run_cycle(full) else { return };
         self.account_for_cycle(&result);
--- a/crates/controller/src/controller/status.rs
+++ b/crates/controller/src/controller/status.rs
@@ -9,6 +9,7 @@
 
 impl Controller {
     /// Tells the log now and then how much waits, runs and is free.
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub(super) fn log_status(&mut self) {
         let now = self.now.monotonic;
         let Some(leader) =
--- a/crates/controller/src/controller/store_calls.rs
+++ b/crates/controller/src/controller/store_calls.rs
@@ -129,6 +129,7 @@
 impl Controller {
     /// Routes the response to a call, or its failure, to whoever made it. Responses to calls of an earlier leadership
     /// are dropped.
+    #[expect(clippy::too_many_lines, reason = "a flat match")]
     pub(super) fn on_store_response(&mut self, call: FinishedCall<CallContext>) {
         let generation = call.context.generation();
         if generation.is_some_and(|generation| generation != self.leadership.generation) {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,13 +1,13 @@
-//! The pure core of swiftsail: an event and the time give a new state and actions. Nothing here does
-//! I/O, reads a clock or draws random numbers that its seed does not give.
+//! The controller of swiftsail without I/O: an event and the time give a new state and actions. Nothing here reads a clock
+//! or draws random numbers that its seed does not give.
 //!
-//! Layers, each of which imports only those above it in this list:
+//! Layers, each of which uses only those above it in this list:
 //!
-//! - [`constants`], [`settings`], [`job`], [`machine`], [`chance`], [`term`], [`store`], [`cloud`],
-//!   [`steering`]
-//! - [`tables`]: what the leader knows, with the one function for every change
-//! - [`placement`], [`fleet`]: read tables and give back a plan
-//! - [`node`]: one controller; it alone applies plans
+//! - [`constants`], [`settings`], [`job`], [`machine`], [`completion_time`], [`leadership`], [`store`], [`cloud`],
+//!   [`cycle_policy`], [`quota_records`]: values, and clients as state machines
+//! - [`cluster_state`]: what the leader knows, with one function for every transition
+//! - [`placement`], [`fleet`]: read the cluster state and return plans
+//! - [`controller`]: one controller; it alone applies plans
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -27,5 +27,5 @@
 pub mod settings;
 pub mod store;
 
-/// Steady time in ms.
+/// Monotonic time of this process, ms.
 pub type Time = u64;
--- a/crates/controller/src/placement/cycle.rs
+++ b/crates/controller/src/placement/cycle.rs
@@ -118,6 +118,7 @@
     }
 
     /// Lets every job with waiting tasks choose, by priority, guarantee and chance.
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     fn map_jobs(&mut self) {
         let ids: Vec<JobId> = self
             .cluster_state
--- a/crates/controller/src/placement/gangs.rs
+++ b/crates/controller/src/placement/gangs.rs
@@ -157,6 +157,7 @@
     }
 
     /// Places a gang whole or not at all; otherwise plans the machines it lacks.
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub fn place_gang(&mut self, c: &mut PlacementCandidate) {
         let Some(job) = self.cluster_state.jobs.get(&c.id) else { return };
         // All that are not done yet. Once one is done all are, but a task that was lost before
--- a/crates/controller/src/placement/mapping.rs
+++ b/crates/controller/src/placement/mapping.rs
@@ -11,6 +11,7 @@
 
 impl MappingRound<'_> {
     /// A job as a chooser.
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub fn placement_candidate(&mut self, id: &JobId) -> Option<PlacementCandidate> {
         let job = self.cluster_state.jobs.get(id)?;
         let spec = job.spec.clone();
--- a/crates/controller/src/placement/preemption.rs
+++ b/crates/controller/src/placement/preemption.rs
@@ -225,6 +225,7 @@
 
     /// Machines with tasks that could be stopped, found once in a pass. Those on which room is
     /// already being made are for another.
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     fn preemption_candidates(&mut self) -> Vec<PreemptionCandidate> {
         let now = self.view.now;
         let lease = self.view.lease_ms();
--- a/crates/controller/src/placement/quota_limits.rs
+++ b/crates/controller/src/placement/quota_limits.rs
@@ -60,6 +60,7 @@
 impl MappingRound<'_> {
     /// Where jobs want more than their team's limit leaves, each may place what it gets of it in this
     /// pass, and no task stands in a line: the next in the order takes what comes free.
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub fn apply_team_limits(&mut self, choosers: &mut [PlacementCandidate]) {
         let mut by_team: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         for (n, c) in choosers.iter().enumerate() {
--- a/crates/controller/src/placement/target_collection.rs
+++ b/crates/controller/src/placement/target_collection.rs
@@ -73,6 +73,7 @@
     }
 
     /// Lists the places there are.
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub fn collect_targets(&mut self) {
         let now = self.view.now;
         let lease = self.view.lease_ms();
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -244,6 +244,7 @@
         Ok(found)
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     fn validate(&self, file: &str) -> Result<(), SettingsError> {
         let bad = |field: &str, cause: String, remedy: &str| {
             Err(SettingsError::Value {
--- a/crates/failure-detector/src/failure_detector.rs
+++ b/crates/failure-detector/src/failure_detector.rs
@@ -195,6 +195,7 @@
 
     /// Looks at all machines: which to ask now, and which verdicts are new. Costs a look at each machine
     /// and memory for those known alone.
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub fn check_machines<'a>(
         &mut self,
         machines: impl Iterator<Item = (&'a K, MachineObservation<'a>)> + Clone,
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -274,6 +274,7 @@
         self.workers.get_mut(name)?.take_due_report(now)
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     fn run_tasks(&mut self, name: &str, ms: f64, now: u64) {
         let Some(worker) = self.workers.get(name) else { return };
         let mut moves: Vec<(usize, ExecutionPhase, f64)> = Vec::new();
--- a/crates/simulation/src/simulation/actions.rs
+++ b/crates/simulation/src/simulation/actions.rs
@@ -9,6 +9,7 @@
 use swiftsail_protocol::workers::{DirectCommands, HeartbeatResponse};
 
 impl Simulation {
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub(super) fn execute_action(&mut self, n: usize, life: u64, action: Action) {
         self.record(n, life, &action);
         let at = self.now + self.draw_message_delay();
--- a/crates/simulation/src/simulation/event_handlers.rs
+++ b/crates/simulation/src/simulation/event_handlers.rs
@@ -12,6 +12,7 @@
 use swiftsail_protocol::workers::HeartbeatResponse;
 
 impl Simulation {
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub(super) fn handle_simulation_event(&mut self, ev: SimulationEvent) {
         match ev {
             SimulationEvent::Tick(n, life) => {
--- a/crates/simulation/src/simulation/invariants.rs
+++ b/crates/simulation/src/simulation/invariants.rs
@@ -8,6 +8,7 @@
 
 impl Simulation {
     /// Checks every rule on what is on the machines now.
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub fn check_invariants(&mut self) {
         let mut seen: HashMap<&str, &str> = HashMap::new();
         let mut cpus: BTreeMap<&str, f64> = BTreeMap::new();
--- a/crates/simulation/src/simulation/mod.rs
+++ b/crates/simulation/src/simulation/mod.rs
@@ -152,20 +152,24 @@
     }
 }
 
-/// The world.
+/// A deterministic simulation of controllers and everything around them: the same seed gives the same run.
 pub struct Simulation {
+    /// Simulated time, ms.
     pub now: u64,
     rng: StdRng,
+    /// The controllers; none: its process is not running.
     pub controllers: Vec<Option<Controller>>,
     incarnations: [u64; CONTROLLER_COUNT],
     event_queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     queued_events: HashMap<usize, SimulationEvent>,
     event_sequence: u64,
+    /// The state service.
     pub store: FakeStore,
     /// Watches: node, life, call, prefix, revision, end.
     watches: Vec<(usize, u64, u64, String, u64, u64)>,
     /// Cloud, machines and their work.
     pub cluster: SimulatedCluster,
+    /// Jobs as their users see them.
     pub jobs: Vec<SimulatedJob>,
     requesters: HashMap<(usize, u64, u64), Requester>,
     next_request: u64,
@@ -251,8 +255,9 @@
 }
 
 impl Simulation {
-    pub fn new(seed: u64, weather: FaultRates, calm_after_ms: u64) -> Simulation {
-        Simulation::with_capacity(seed, weather, calm_after_ms, 6)
+    /// A simulation with these fault rates until `calm_after_ms`, in a cloud with room for six machines of each offer.
+    pub fn new(seed: u64, fault_rates: FaultRates, calm_after_ms: u64) -> Simulation {
+        Simulation::with_capacity(seed, fault_rates, calm_after_ms, 6)
     }
 
     /// A world whose cloud has so many machines of each type, zone and kind.
@@ -266,6 +271,7 @@
     }
 
     /// A world whose cloud offers these machines.
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub fn with_offers(
         seed: u64,
         weather: FaultRates,
--- a/crates/simulation/src/simulation/services.rs
+++ b/crates/simulation/src/simulation/services.rs
@@ -11,6 +11,7 @@
 use swiftsail_protocol::cloud::MachineNames;
 
 impl Simulation {
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub(super) fn handle_store_call(&mut self, n: usize, life: u64, id: u64, call: StoreCall) {
         let away = self.is_store_unavailable() || self.is_partitioned(n, |c| c.store) && life != 0;
         if let StoreCall::Watch { prefix, from } = &call {
--- a/crates/simulation/src/simulation/users.rs
+++ b/crates/simulation/src/simulation/users.rs
@@ -10,12 +10,19 @@
 
 /// A job as its user sees it.
 pub struct SimulatedJob {
+    /// Its id.
     pub id: String,
+    /// The submission.
     pub body: Value,
+    /// When it is first submitted, ms.
     pub submit_at: u64,
+    /// When its user cancels it, ms.
     pub cancel_at: Option<u64>,
+    /// Whether its user was told that it is accepted.
     pub accepted: bool,
+    /// The status that its user was told last.
     pub last_status: Option<String>,
+    /// When its user was told that it is cancelled, ms.
     pub cancellation_told_at: Option<u64>,
     /// When the question of each kind was asked that has no answer yet: a user asks one at a time.
     pub(super) open_requests: [Option<u64>; 3],
@@ -31,12 +38,15 @@
 }
 
 impl SimulatedJob {
+    /// A text field of the submission; empty if it is missing.
     pub fn text_field(&self, field: &str) -> &str {
         self.body[field].as_str().unwrap_or("")
     }
+    /// A number field of the submission; 0 if it is missing.
     pub fn number_field(&self, field: &str) -> f64 {
         self.body[field].as_f64().unwrap_or(0.0)
     }
+    /// Number of its tasks.
     pub fn task_count(&self) -> u32 {
         self.body["shards"].as_u64().unwrap_or(0) as u32
     }
@@ -44,6 +54,7 @@
     pub fn dependencies(&self) -> impl Iterator<Item = &str> {
         self.body["awaits"].as_array().into_iter().flatten().filter_map(Value::as_str)
     }
+    /// Whether its user was told that it is done or cancelled.
     pub fn is_over(&self) -> bool {
         matches!(self.last_status.as_deref(), Some("done" | "withdrawn"))
     }
@@ -108,6 +119,7 @@
         self.schedule(self.now + 5_000, SimulationEvent::UserReply(job, what + 10, self.now, None));
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub(super) fn handle_user_reply(
         &mut self,
         job: usize,
--- a/crates/simulation/src/simulation/work_conservation.rs
+++ b/crates/simulation/src/simulation/work_conservation.rs
@@ -66,6 +66,7 @@
     }
 
     /// Looks at each job that waits.
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub(super) fn check_work_conservation(&mut self) -> Vec<String> {
         let from = self.faults_end_ms.map(|ms| START_MS + ms);
         if !self.checks_work_conservation || from.is_none_or(|from| self.now < from) {
--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -103,6 +103,7 @@
     line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn main() {
     let types: Vec<MachineType> =
         machine_offers(6).iter().map(|o| MachineType::from(&o.machine_type)).collect();
@@ -132,7 +133,7 @@
                 types: &types,
                 now: at,
             };
-            controller::steer(&tables, asking, &mut steering, true);
+            controller::evaluate_job_policies(&tables, asking, &mut steering, true);
             asking_s += begin.elapsed().as_secs_f64();
             let begin = Instant::now();
             let view = PlanningContext {
--- a/src/commands/dispatch.rs
+++ b/src/commands/dispatch.rs
@@ -89,6 +89,7 @@
 
 impl DispatchCommand {
     /// Does it.
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub fn run(self) -> Result<(), Box<dyn Error>> {
         match self {
             DispatchCommand::List { admin } => {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! swiftsail: a cluster scheduler that places work by its chance of meeting its deadline.
+//! swiftsail: a cluster scheduler that places work by its probability of meeting its deadline.
 //!
-//! The core (`swiftsail_controller::node::Node`) is pure: an event and the time give a new state and
-//! actions. This package is what surrounds it: thin actors ([`controller`]), the HTTP front
-//! ([`front`]) and the command line ([`program`]).
+//! The controller ([`swiftsail_controller::controller::Controller`]) is a pure state machine. This package is its runtime:
+//! the actor that owns it and its HTTP clients ([`runtime`]), the HTTP listeners ([`http`], [`admin`]) with admission
+//! control ([`admission`]), the command line ([`program`], [`commands`]) and an emulated platform ([`local`]).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/src/local/mod.rs
+++ b/src/local/mod.rs
@@ -85,6 +85,7 @@
 }
 
 /// Runs until ctrl-C.
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 pub fn run(args: &LocalArgs, log_format: LogFormat) -> Result<(), Box<dyn Error>> {
     let built_in = args.machines.as_os_str() == "built-in";
     let model = LocalConfig::load((!built_in).then_some(args.machines.as_path()))?;
--- a/tests/answer_linearizability/cases.rs
+++ b/tests/answer_linearizability/cases.rs
@@ -271,6 +271,7 @@
 /// What can never run, lacks a field, or is known already, at every controller: before it knows the machine types and
 /// after, and once more when all of it has been said.
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn odd_requests_get_the_same_answer_everywhere() {
     for seed in 0..4 {
         let mut small = AnswerModel::new(seed, no_delays(), 40.0);
--- a/tests/answer_linearizability/main.rs
+++ b/tests/answer_linearizability/main.rs
@@ -281,6 +281,7 @@
 
     // ---- the state service ----
 
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     fn handle_store_call(&mut self, n: usize, id: u64, call: StoreCall) {
         if let StoreCall::Watch { prefix, from } = call {
             self.watches.push((n, id, prefix, from, self.now + 10_000));
--- a/tests/dispatch_deadlines.rs
+++ b/tests/dispatch_deadlines.rs
@@ -203,6 +203,7 @@
 /// no arrival is forgotten or planned twice, no deadline moves by a millisecond, what nobody submits is warned of an
 /// hour before its latest start, and what is submitted in time is ready.
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn a_week_of_arrivals_survives_its_leaders() {
     let two = plan_with_arrival("at = \"06:30\"")
         + "[[arrival]]\nname = \"b\"\nchain = \"lists\"\nzone = \"Europe/Stockholm\"\nat = \"02:30\"\n";
--- a/tests/job_dependencies_model.rs
+++ b/tests/job_dependencies_model.rs
@@ -235,6 +235,7 @@
         steps
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     fn apply(&mut self, step: &DependencyStep) {
         match *step {
             DependencyStep::Accept(n) => self.store[n] = StoredJobRecord::Live,
--- a/tests/out_of_order_reports.rs
+++ b/tests/out_of_order_reports.rs
@@ -309,6 +309,7 @@
         Some(orders)
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     fn random_step(&mut self) {
         self.now += self.rng.random_range(1..400);
         let n = self.rng.random_range(0..self.workers.len());
--- a/tests/rate_sharing.rs
+++ b/tests/rate_sharing.rs
@@ -7,6 +7,7 @@
 /// Controllers that share a rate, with needs that come all at once and go, and messages that come late or
 /// never: together they never use more than there is, and one that is alone has most of it.
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn a_rate_is_lent_and_never_used_twice() {
     for seed in 0..8 {
         let mut rng = StdRng::seed_from_u64(seed);
--- a/tests/record_upgrade.rs
+++ b/tests/record_upgrade.rs
@@ -44,6 +44,7 @@
 /// A chunk of 8 KiB that holds what no sheet does, and then values of 2 KiB at most: before it is written smaller, what
 /// it has no room for is on sheets. A leader may end between any two writes.
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn a_chunk_too_large_for_the_limits_to_come_loses_nothing() {
     let before = controller_settings(0);
     let mut store = FakeStore::new(before.settings.state.clone(), 0);
--- a/tests/state_machines.rs
+++ b/tests/state_machines.rs
@@ -208,6 +208,7 @@
 /// A new leader knows every binding that may run: those of the chunks, and those that only the
 /// ledger holds yet, even where a sheet still lists what a chunk has taken over.
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn chunks_and_ledger_together_hold_every_binding() {
     let steps = prop::collection::vec((0..20u32, 0..4u8, any::<bool>(), any::<bool>()), 0..80);
     test_runner(5, 256)
--- a/tests/tiers.rs
+++ b/tests/tiers.rs
@@ -110,6 +110,7 @@
 /// A book and a store under it, with news that come late or twice, conflicts and changes of what is wanted: in the
 /// end what is wanted stands, each value was written once, and never more than a tenth of the changes were used.
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet")]
 fn a_book_brings_what_is_wanted_to_stand() {
     let steps = prop::collection::vec((0..4usize, 0..6u8, 0..5u8), 1..60);
     let limits =
