--- a/crates/controller/src/placement/mod.rs
+++ b/crates/controller/src/placement/mod.rs
@@ -1,13 +1,12 @@
-//! The round: which waiting task goes where. The thesis's PAM, with gangs, limits and zones. It reads
-//! the tables and gives back a [`Plan`], which the node applies.
+//! Placement: which waiting task is bound to which machine, by the pruning-aware mapper of the thesis (PAM), with gangs,
+//! quotas and zones. It reads the cluster state and returns a [`CyclePlan`], which the controller applies.
 //!
-//! A pass costs what has changed and what waits, not the number of machines times the number of
-//! tasks: places whose end is alike share one mass function ([`ends::Ends`]), each chooser computes
-//! a score once per such end, and takes places off a heap whose order can only get worse.
-
+//! A cycle costs what has changed and what waits, not the number of machines times the number of tasks: targets with the
+//! same completion time share one probability mass function, each candidate computes a score once per such completion
+//! time, and takes targets off a heap whose order can only get worse.
 //!
-//! Values first (`plan`, `place`, `chooser`, `teams`, `victims`, `market`), on them the round's `field`, on that
-//! the parts of a round, each of which knows the field and no other part, and last the `round` that plays them.
+//! Values come first (`plan`, `target`, `candidate`, `team_usage`, `victims`, `cloud_availability`); `mapping_round` is
+//! built on them; the steps of a round know only the round; `cycle` runs them.
 
 mod candidate;
 mod cloud_availability;
--- a/crates/deadline-planning/src/lib.rs
+++ b/crates/deadline-planning/src/lib.rs
@@ -1,11 +1,11 @@
-//! Dispatch deadlines: who arrives when, what must be done before, and by when each step of that must be. A deadline
-//! is a time of day in a record and no leader's timer, so none is forgotten when controllers fail. Pure: the time
-//! of day and what is known of jobs come in; records, deadlines and warnings go out.
+//! Recurring deadlines: when something must be ready, which chain of jobs has to be done before, and by when each step of
+//! it must be. A deadline is a wall-clock time in a record and no leader's timer, so that failovers lose none. Without
+//! I/O: the time and what is known of jobs come in; records, deadlines and warnings go out.
 //!
-//! - [`calendar`]: arrivals, in time zones, with exceptions; chains of steps; what speaks against them
-//! - [`arrival`]: one arrival as a state machine in a record
-//! - [`backward`]: from the arrival backward: deadlines and latest starts
-//! - [`board`]: all arrivals, which job serves which step, warnings
+//! - [`schedule`]: recurring entries with time zones and exceptions, chains of steps, and their validation
+//! - [`occurrence`]: one occurrence of an entry as a state machine in a record
+//! - [`backward_planning`]: deadlines and latest starts of steps, worked out backward
+//! - [`tracker`]: all occurrences, which job serves which step, warnings
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/gpu-lending/src/gpu_loans.rs
+++ b/crates/gpu-lending/src/gpu_loans.rs
@@ -85,7 +85,7 @@
         self.phase
     }
 
-    /// The one function that changes where a loan stands, but for [`Loans::confirm`]: by what is seen and the time of
+    /// The one function that changes where a loan stands, but for [`GpuLoans::on_committed`]: by what is seen and the time of
     /// day, neither of which belongs to one leader. True if it stands elsewhere now. No stage lasts for ever but serving, which ends with
     /// the borrower.
     pub fn advance_phase(&mut self, seen: LoanObservation, now_wall: u64) -> bool {
--- a/crates/policy/src/outbox.rs
+++ b/crates/policy/src/outbox.rs
@@ -17,7 +17,7 @@
 /// An event as it is reported.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReportedEvent {
-    /// One of [`KINDS`].
+    /// One of [`EVENT_KINDS`].
     pub kind: String,
     /// What happened: `runs`, `done`, `accepted`, ...
     pub what: String,
--- a/crates/quota/src/planner/mod.rs
+++ b/crates/quota/src/planner/mod.rs
@@ -2,12 +2,12 @@
 //! however old or wrong: staying within a limit does not depend on it ([`crate::account`] alone ensures that).
 //!
 //! - What a team's work wants is taken from the pool first.
-//! - Where the pool has none, the partition that seems to have most to spare is asked ([`transfers`]). It gives at
+//! - Where the pool has none, the partition that seems to have most to spare is asked (`transfers`). It gives at
 //!   once what it does not use, or answers when to ask again.
 //! - For production of a team elsewhere, less urgent tasks of the team are stopped. For work as urgent, quota is given
 //!   as tasks end, until both partitions have the same share of what they want.
 //! - What is not used for a while goes back to the pool before anybody asks for it.
-//! - What a team has borrowed beyond its guarantee is revoked where most of it is used ([`revocation`]).
+//! - What a team has borrowed beyond its guarantee is revoked where most of it is used (`revocation`).
 //!
 //! It owns the partition's [`QuotaAccount`] and what is known of demands, here and elsewhere. It sends nothing itself:
 //! its owner carries out the [`QuotaAction`]s.
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins of all that surrounds swiftsail, as pure machines written from the published protocol:
-//! state service, cloud, workers. One set of them serves simulated time in tests ([`world`]) and real
-//! sockets in `swiftsail local`.
+//! Fakes of all that surrounds swiftsail, written from the published protocol: state service, cloud, workers. They are
+//! state machines without I/O, and serve simulated time in tests ([`simulation`]) as well as real sockets in
+//! `swiftsail local`. [`model_checker`] explores every order of events in small models.
 
 #![forbid(unsafe_code)]
 
--- a/crates/simulation/src/simulation/mod.rs
+++ b/crates/simulation/src/simulation/mod.rs
@@ -234,7 +234,7 @@
     /// Reports kept for the next leader, and who led last, in which life.
     reports_for_next_leader: Vec<StatusReport>,
     last_leader: Option<(usize, u64)>,
-    /// The state service answers 429 beyond its rates: see [`World::limit_store`].
+    /// The state service answers 429 beyond its rates: see [`Simulation::limit_store`].
     pub store_limited: bool,
     /// Requests and changes a second that every controller which starts is told; none: the settings' own.
     announced_store_rates: Option<(f64, f64)>,
--- a/crates/tiers/src/lib.rs
+++ b/crates/tiers/src/lib.rs
@@ -1,10 +1,10 @@
-//! Priority tiers: which waiting work comes first, held in the state service. A job's tier and its place in the
-//! line are functions of records alone, so that every controller at the same revision has the same line, and no
-//! change of leader reorders it. Pure: nothing here reads a clock or knows of machines.
+//! Priority tiers: the order in which waiting jobs are served. A job's tier and its position are functions of records
+//! alone, so that every controller at the same revision has the same order and no failover changes it. Nothing here
+//! reads a clock or knows of machines.
 //!
-//! - [`table`]: the table of tiers, its record, and the built-in default
-//! - [`check`]: what speaks against a table
-//! - [`line`]: the place of a job in the line
+//! - [`tier_table`]: the table of tiers, its record, and the built-in default
+//! - [`validation`]: what makes a table invalid
+//! - [`mod@queue_order`]: the position of a job among those that wait
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
