--- a/crates/controller/src/cloud/mod.rs
+++ b/crates/controller/src/cloud/mod.rs
@@ -1,7 +1,7 @@
 //! The cloud's client as a pure machine: order of calls and their rate.
 
 use crate::Time;
-use crate::constants::{CLOUD_BACKOFF_MS, CLOUD_IN_FLIGHT_MAX, CLOUD_SHARE};
+use crate::constants::{CLOUD_BACKOFF_MS, CLOUD_RATE_SHARE, MAX_CLOUD_CALLS_IN_FLIGHT};
 use crate::store::TokenBucket;
 use std::collections::VecDeque;
 use swiftsail_protocol::cloud::{
@@ -57,7 +57,7 @@
     /// A client that keeps within this rate.
     pub fn new(rps: f64, now: Time) -> CloudClient {
         CloudClient {
-            rate_limiter: TokenBucket::new(rps * CLOUD_SHARE, now),
+            rate_limiter: TokenBucket::new(rps * CLOUD_RATE_SHARE, now),
             queue: VecDeque::new(),
             in_flight: 0,
             paused_until: 0,
@@ -109,7 +109,7 @@
     pub fn take_due_calls(&mut self, now: Time) -> Vec<CloudCall> {
         let mut out = Vec::new();
         while !self.queue.is_empty()
-            && self.in_flight < CLOUD_IN_FLIGHT_MAX
+            && self.in_flight < MAX_CLOUD_CALLS_IN_FLIGHT
             && now >= self.paused_until
             && self.rate_limiter.can(1.0, 0.0, now)
         {
--- a/crates/controller/src/cluster_state/binding_log.rs
+++ b/crates/controller/src/cluster_state/binding_log.rs
@@ -2,7 +2,9 @@
 //! its task is done. `controller/binding_log.rs` writes the segments to the store and reads them.
 
 use crate::Time;
-use crate::constants::{BINDING_LOG_MAX, SEGMENT_BYTES, SEGMENT_HEADER_BYTES, SEGMENT_JOB_BYTES};
+use crate::constants::{
+    MAX_LOGGED_BINDINGS, MAX_SEGMENT_BYTES, SEGMENT_JOB_OVERHEAD_BYTES, SEGMENT_OVERHEAD_BYTES,
+};
 use crate::job::{Binding, JobId};
 use crate::machine::AttemptId;
 use serde::{Deserialize, Serialize};
@@ -62,7 +64,7 @@
 
 /// What a job takes in a segment's record beside its bindings, bytes.
 fn job_bytes(job: &JobId) -> usize {
-    job.len() + SEGMENT_JOB_BYTES
+    job.len() + SEGMENT_JOB_OVERHEAD_BYTES
 }
 
 /// A transaction of the log that was sent and whose outcome is not known.
@@ -109,7 +111,8 @@
     /// A segment full of old bindings is left alone, since a segment is written as a whole. `max_value_bytes` is the
     /// largest value that the store takes.
     pub fn add(&mut self, job: &JobId, binding: &Binding, max_value_bytes: usize) {
-        let max_bytes = max_value_bytes.min(SEGMENT_BYTES).saturating_sub(SEGMENT_HEADER_BYTES);
+        let max_bytes =
+            max_value_bytes.min(MAX_SEGMENT_BYTES).saturating_sub(SEGMENT_OVERHEAD_BYTES);
         self.forget(job, binding.task, None);
         let has_room = |(_, segment): &(usize, &LogSegment)| {
             segment.bytes + segment.added_bytes(job, binding) <= max_bytes
@@ -158,7 +161,7 @@
 
     /// How many more bindings the log may take. Further ones wait until chunks have taken some over.
     pub fn room(&self) -> usize {
-        BINDING_LOG_MAX.saturating_sub(self.len())
+        MAX_LOGGED_BINDINGS.saturating_sub(self.len())
     }
 
     /// Number of bindings in the log.
--- a/crates/controller/src/cluster_state/cluster_events.rs
+++ b/crates/controller/src/cluster_state/cluster_events.rs
@@ -1,6 +1,6 @@
 //! Events of the cluster for those who subscribed to them: collected by the leader, taken by the controller.
 
-use crate::constants::CLUSTER_EVENTS_MAX;
+use crate::constants::MAX_BUFFERED_CLUSTER_EVENTS;
 
 /// An event.
 #[derive(Debug, Clone, PartialEq)]
@@ -23,7 +23,7 @@
 }
 
 impl ClusterEvents {
-    /// Notes an event. Events beyond [`CLUSTER_EVENTS_MAX`] are lost until the others are taken.
+    /// Notes an event. Events beyond [`MAX_BUFFERED_CLUSTER_EVENTS`] are lost until the others are taken.
     pub fn note(
         &mut self,
         kind: &'static str,
@@ -31,7 +31,7 @@
         of: impl std::fmt::Display,
         detail: Option<&str>,
     ) {
-        if self.has_subscribers && self.pending.len() < CLUSTER_EVENTS_MAX {
+        if self.has_subscribers && self.pending.len() < MAX_BUFFERED_CLUSTER_EVENTS {
             let detail = detail.map(str::to_string);
             let (what, of) = (what.to_string(), of.to_string());
             self.pending.push(ClusterEvent { kind, what, of, detail });
--- a/crates/controller/src/cluster_state/commands.rs
+++ b/crates/controller/src/cluster_state/commands.rs
@@ -4,7 +4,7 @@
 use super::status_reports::{ReceivedReport, ReportSource};
 use super::{ClusterState, task_name};
 use crate::Time;
-use crate::constants::{STOP_AGAIN_MS, STOP_GRACE_EXTRA_S};
+use crate::constants::{STOP_GRACE_EXTRA_S, STOP_RETRY_MS};
 use crate::job::{Attempt, AttemptPhase, GangState, Job, JobId, JobKind, MachineId, StopRequest};
 use crate::machine::{AttemptId, MachineState, MessageOrder};
 use std::collections::BTreeMap;
@@ -163,7 +163,7 @@
     let mut request = attempt.stop_requested.unwrap_or(StopRequest::unsent(now));
     // A second stop, without grace, would end a task that saves a checkpoint.
     let is_saving = attempt.phase() == AttemptPhase::Saving && !is_cancelled;
-    if now < request.sent_at.unwrap_or(0) + STOP_AGAIN_MS
+    if now < request.sent_at.unwrap_or(0) + STOP_RETRY_MS
         || (is_saving && request.sent_at.is_some())
     {
         return StopStep::Wait;
--- a/crates/controller/src/cluster_state/dependencies.rs
+++ b/crates/controller/src/cluster_state/dependencies.rs
@@ -6,8 +6,8 @@
 use crate::Time;
 use crate::completion_time::Pmf;
 use crate::constants::{
-    DEPENDENCY_DEADLINES_MS, HAND_OVER_MS, MS_PER_S, UNKNOWN_DEPENDENCIES_MAX,
-    UNKNOWN_DEPENDENCY_RETRY_MS, UPCOMING_TASKS_MS,
+    DEPENDENCY_DEADLINE_INTERVAL_MS, DEPENDENT_START_DELAY_MS, MAX_UNKNOWN_DEPENDENCY_READS,
+    MS_PER_S, UNKNOWN_DEPENDENCY_RETRY_MS, UPCOMING_TASKS_HORIZON_MS,
 };
 use crate::job::{AttemptPhase, Job, JobId, JobState};
 use crate::machine::MachineType;
@@ -98,7 +98,7 @@
             .dependencies
             .unfinished_jobs_with_dependents()
             .filter(must_be_read)
-            .take(UNKNOWN_DEPENDENCIES_MAX)
+            .take(MAX_UNKNOWN_DEPENDENCY_READS)
             .cloned()
             .collect();
         self.awaited_reads.extend(unknown.iter().map(|id| (id.clone(), Time::MAX)));
@@ -163,11 +163,11 @@
     }
 
     /// Jobs whose tasks are about to wait: all their unfinished dependencies are placed and probably end within
-    /// [`UPCOMING_TASKS_MS`]. Those of the highest priority come first.
+    /// [`UPCOMING_TASKS_HORIZON_MS`]. Those of the highest priority come first.
     pub fn upcoming_tasks(&self, now: Time) -> Vec<&Job> {
         let ends_soon = |id: &JobId| {
             let remaining_ms = self.jobs.get(id).and_then(|job| self.remaining_ms(job, now));
-            remaining_ms.is_some_and(|ms| ms <= UPCOMING_TASKS_MS)
+            remaining_ms.is_some_and(|ms| ms <= UPCOMING_TASKS_HORIZON_MS)
         };
         let awaiting = self.jobs.values().filter(|job| job.state() == JobState::Awaiting);
         let mut upcoming: Vec<&Job> = awaiting
@@ -198,11 +198,11 @@
         remaining.reduce(f64::max).or(Some(0.0))
     }
 
-    /// Works out, every [`DEPENDENCY_DEADLINES_MS`], by when and at which priority each job is needed by those that
+    /// Works out, every [`DEPENDENCY_DEADLINE_INTERVAL_MS`], by when and at which priority each job is needed by those that
     /// depend on it.
     pub fn propagate_deadlines(&mut self, types: &[MachineType], now: Time) {
         if self.dependencies.is_empty()
-            || now < self.dependency_deadlines_at + DEPENDENCY_DEADLINES_MS
+            || now < self.dependency_deadlines_at + DEPENDENCY_DEADLINE_INTERVAL_MS
         {
             return;
         }
@@ -218,7 +218,9 @@
             Some(JobRequirements {
                 deadline: job.own_deadline(),
                 priority: job.own_priority,
-                duration: run_time.maximum_of(job.spec.tasks).shifted(fetch_ms + HAND_OVER_MS),
+                duration: run_time
+                    .maximum_of(job.spec.tasks)
+                    .shifted(fetch_ms + DEPENDENT_START_DELAY_MS),
             })
         };
         let requirements = effective_requirements(&self.dependencies, now, requirements_of);
--- a/crates/controller/src/cluster_state/liveness.rs
+++ b/crates/controller/src/cluster_state/liveness.rs
@@ -2,7 +2,7 @@
 
 use super::ClusterState;
 use crate::Time;
-use crate::constants::PROBES_PART;
+use crate::constants::PROBE_CONNECTION_DIVISOR;
 use crate::job::{JobId, MachineId, Priority};
 use crate::machine::{Machine, MachineState};
 use crate::settings::{PlatformSettings, WorkerSettings};
@@ -18,7 +18,7 @@
         self.machines_checked_at = now;
         self.update_reports_missing(now);
         let WorkerSettings { report_s, lease_s, .. } = platform.workers;
-        let max_probes = platform.machine_limits.max_connections / PROBES_PART;
+        let max_probes = platform.machine_limits.max_connections / PROBE_CONNECTION_DIVISOR;
         let mut failure_detector = self.failure_detector.take().unwrap_or_else(|| {
             FailureDetector::new(self.leading_since, report_s, lease_s, max_probes)
         });
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -28,7 +28,7 @@
 use crate::Time;
 use crate::completion_time::RunTimeHistory;
 use crate::constants::{
-    ATTEMPT_COUNTER_BITS, IDLE_GRANT_MS, MACHINES_WITH_COMMANDS_MAX, TASK_COUNTS_MAX,
+    ATTEMPT_COUNTER_BITS, MAX_HEARTBEAT_TASK_COUNTS, MAX_MACHINES_WITH_COMMANDS, STARVATION_MS,
 };
 use crate::job::{
     Attempt, FinalRecord, GangState, Job, JobId, JobKind, JobState, MachineId, StopRequest,
@@ -306,12 +306,12 @@
         Some(job)
     }
 
-    /// Numbers of tasks for display by the other controllers: (job, done, running), [`TASK_COUNTS_MAX`] jobs at most.
+    /// Numbers of tasks for display by the other controllers: (job, done, running), [`MAX_HEARTBEAT_TASK_COUNTS`] jobs at most.
     pub fn task_counts(&self) -> Vec<(String, u32, u32)> {
         let counts = self.jobs.iter().map(|(id, job)| (id, job.task_counts()));
         let begun = counts.filter(|(_, (done, running))| done + running > 0);
         let rows = begun.map(|(id, (done, running))| (id.to_string(), done, running));
-        rows.take(TASK_COUNTS_MAX).collect()
+        rows.take(MAX_HEARTBEAT_TASK_COUNTS).collect()
     }
 
     /// Begins a scheduling cycle: ends backoffs, and counts jobs past their deadline as missed, whose tasks leave their run
@@ -340,9 +340,9 @@
     }
 
     /// Notes the jobs that a mapping round could not place although their team's limit allows more. A job that is placed now
-    /// and then stays starved: its time begins anew only after it was not noted for [`IDLE_GRANT_MS`].
+    /// and then stays starved: its time begins anew only after it was not noted for [`STARVATION_MS`].
     pub fn note_starved(&mut self, jobs: Vec<JobId>, now: Time) {
-        self.starved_jobs.retain(|_, starvation| now < starvation.last_seen + IDLE_GRANT_MS);
+        self.starved_jobs.retain(|_, starvation| now < starvation.last_seen + STARVATION_MS);
         for id in jobs {
             let starvation =
                 self.starved_jobs.entry(id).or_insert(Starvation { since: now, last_seen: now });
@@ -353,11 +353,11 @@
     /// Whether a job could not be placed for so long that others of its team come before it.
     pub fn is_starved(&self, id: &JobId, now: Time) -> bool {
         let starvation = self.starved_jobs.get(id);
-        starvation.is_some_and(|starvation| now >= starvation.since + IDLE_GRANT_MS)
+        starvation.is_some_and(|starvation| now >= starvation.since + STARVATION_MS)
     }
 
     /// Machines whose reports a controller forwards and for which there is a new command, at most
-    /// [`MACHINES_WITH_COMMANDS_MAX`]. Each is returned once.
+    /// [`MAX_MACHINES_WITH_COMMANDS`]. Each is returned once.
     pub fn take_machines_with_commands(&mut self, controller: &str) -> Vec<MachineId> {
         let is_forwarded = |id: &&MachineId| {
             self.machines.get(*id).is_some_and(|m| m.forwarded_by.as_deref() == Some(controller))
@@ -366,7 +366,7 @@
             .machines_with_commands
             .iter()
             .filter(is_forwarded)
-            .take(MACHINES_WITH_COMMANDS_MAX)
+            .take(MAX_MACHINES_WITH_COMMANDS)
             .cloned()
             .collect();
         let ClusterState { machines_with_commands, machines, .. } = self;
--- a/crates/controller/src/cluster_state/provisioning.rs
+++ b/crates/controller/src/cluster_state/provisioning.rs
@@ -4,8 +4,8 @@
 use super::ClusterState;
 use crate::Time;
 use crate::constants::{
-    NO_CAPACITY_MAX_MS, NO_CAPACITY_MS, OPEN_REQUESTS_MAX, RETURN_AGAIN_MS, RETURN_BATCH_MAX,
-    RETURNED_REMEMBERED,
+    MAX_NO_CAPACITY_BACKOFF_MS, MAX_OPEN_PROVISIONING_REQUESTS, MAX_TERMINATED_HISTORY,
+    MAX_TERMINATION_BATCH, NO_CAPACITY_BACKOFF_MS, TERMINATION_RETRY_MS,
 };
 use crate::job::MachineId;
 use crate::machine::MachineState;
@@ -150,7 +150,7 @@
         if self.returned_set.insert(hash) {
             self.returned.push_back(hash);
         }
-        if self.returned.len() > RETURNED_REMEMBERED
+        if self.returned.len() > MAX_TERMINATED_HISTORY
             && let Some(oldest) = self.returned.pop_front()
         {
             self.returned_set.remove(&oldest);
@@ -176,7 +176,7 @@
         let market = (kind.to_string(), zone.to_string(), spot);
         let requests = self.open_requests.values().map(|open| &open.request);
         let open = requests.filter(|r| r.kind == kind && r.zone == zone && r.spot == spot);
-        open.count() < OPEN_REQUESTS_MAX
+        open.count() < MAX_OPEN_PROVISIONING_REQUESTS
             && self.refused.get(&market).is_none_or(|refusal| now >= refusal.until)
     }
 
@@ -184,8 +184,8 @@
     fn note_refusal(&mut self, market: Market, now: Time) {
         let refusal = self.refused.entry(market).or_default();
         refusal.backoff_ms = match refusal.backoff_ms {
-            0 => NO_CAPACITY_MS,
-            last => (last * 2).min(NO_CAPACITY_MAX_MS),
+            0 => NO_CAPACITY_BACKOFF_MS,
+            last => (last * 2).min(MAX_NO_CAPACITY_BACKOFF_MS),
         };
         refusal.until = now + refusal.backoff_ms;
     }
@@ -202,9 +202,10 @@
 
     /// Urgent returns to be sent now, marked as sent.
     pub fn next_urgent_returns(&mut self, now: Time) -> Vec<MachineId> {
-        let due = self.urgent_returns.iter_mut().filter(|(_, at)| now >= **at + RETURN_AGAIN_MS);
+        let due =
+            self.urgent_returns.iter_mut().filter(|(_, at)| now >= **at + TERMINATION_RETRY_MS);
         let batch: Vec<MachineId> = due
-            .take(RETURN_BATCH_MAX)
+            .take(MAX_TERMINATION_BATCH)
             .map(|(id, at)| {
                 *at = now;
                 id.clone()
@@ -221,7 +222,7 @@
             return Vec::new();
         }
         let batch: Vec<MachineId> =
-            self.return_queue.iter().take(RETURN_BATCH_MAX).cloned().collect();
+            self.return_queue.iter().take(MAX_TERMINATION_BATCH).cloned().collect();
         self.mark_returning(&batch);
         batch
     }
--- a/crates/controller/src/cluster_state/quota_usage.rs
+++ b/crates/controller/src/cluster_state/quota_usage.rs
@@ -3,7 +3,7 @@
 
 use super::ClusterState;
 use crate::Time;
-use crate::constants::QUIET_SHARE;
+use crate::constants::SILENT_LEASE_SHARE;
 use crate::job::{Attempt, GangState, Job, JobId, JobKind, JobSpec, JobState, MachineId};
 use crate::machine::{Machine, MachineState, MachineType, Resources};
 use crate::settings::TeamSettings;
@@ -89,7 +89,7 @@
 pub fn usable(machine: &Machine, now: Time, lease_ms: f64) -> bool {
     let is_silent = machine
         .last_heard_at
-        .is_none_or(|heard_at| now.saturating_sub(heard_at) as f64 > lease_ms * QUIET_SHARE);
+        .is_none_or(|heard_at| now.saturating_sub(heard_at) as f64 > lease_ms * SILENT_LEASE_SHARE);
     machine.state() == MachineState::Ready
         && machine.may_receive_work()
         && machine.reclaimed_at.is_none()
--- a/crates/controller/src/cluster_state/task_exits.rs
+++ b/crates/controller/src/cluster_state/task_exits.rs
@@ -2,7 +2,7 @@
 
 use super::{ClusterState, task_name};
 use crate::Time;
-use crate::constants::{SUSPECT_JOBS, SUSPECT_NEW_JOBS};
+use crate::constants::{SUSPECT_MACHINE_JOBS, SUSPECT_MACHINE_UNPROVEN_JOBS};
 use crate::job::{FailureAttribution, GangState, Job, JobId, JobKind, MachineId};
 use swiftsail_protocol::workers::ExitCause;
 
@@ -93,7 +93,7 @@
         for name in &blamed_machines {
             let Some(machine) = self.machines.get_mut(name) else { continue };
             machine.failed_jobs.remove(id);
-            machine.is_suspect &= machine.failed_jobs.len() >= SUSPECT_JOBS;
+            machine.is_suspect &= machine.failed_jobs.len() >= SUSPECT_MACHINE_JOBS;
         }
     }
 
@@ -107,8 +107,8 @@
             job.is_some_and(|job| job.failure_attribution() == FailureAttribution::Proven)
         };
         let enough_jobs = match machine.failed_jobs.iter().any(is_proven) {
-            true => SUSPECT_JOBS,
-            false => SUSPECT_NEW_JOBS,
+            true => SUSPECT_MACHINE_JOBS,
+            false => SUSPECT_MACHINE_UNPROVEN_JOBS,
         };
         if machine.failed_jobs.len() >= enough_jobs && !machine.is_suspect {
             machine.is_suspect = true;
--- a/crates/controller/src/completion_time/mod.rs
+++ b/crates/controller/src/completion_time/mod.rs
@@ -4,7 +4,7 @@
 
 pub use run_times::{JobRunTimes, RunTimeHistory};
 
-use crate::constants::BINS;
+use crate::constants::PMF_BINS;
 use swiftsail_dag::DurationDistribution;
 
 /// A probability mass function over time: mass `k` lies at `origin + k * step` ms. Its last bin
@@ -30,8 +30,8 @@
         if high <= low {
             return Pmf::at(low);
         }
-        let step = (high - low) / BINS as f64;
-        Pmf { origin: low + step / 2.0, step, mass: vec![1.0 / BINS as f32; BINS] }
+        let step = (high - low) / PMF_BINS as f64;
+        Pmf { origin: low + step / 2.0, step, mass: vec![1.0 / PMF_BINS as f32; PMF_BINS] }
     }
 
     /// From weighted times. Without any weight: all at 0. Times less than 1 ms apart are one.
@@ -51,10 +51,10 @@
         if high - low <= least {
             return Pmf::at(low);
         }
-        let step = (high - low) / (BINS - 1) as f64;
-        let mut mass = vec![0.0; BINS];
+        let step = (high - low) / (PMF_BINS - 1) as f64;
+        let mut mass = vec![0.0; PMF_BINS];
         for &(time, weight) in held {
-            let bin = (((time - low) / step).round() as usize).min(BINS - 1);
+            let bin = (((time - low) / step).round() as usize).min(PMF_BINS - 1);
             mass[bin] += (weight / total) as f32;
         }
         Pmf { origin: low, step, mass }
@@ -87,14 +87,14 @@
         let low = self.origin + other.origin;
         let span =
             (self.mass.len() - 1) as f64 * self.step + (other.mass.len() - 1) as f64 * other.step;
-        let step = span / (BINS - 1) as f64;
-        let mut mass = vec![0.0; BINS];
+        let step = span / (PMF_BINS - 1) as f64;
+        let mut mass = vec![0.0; PMF_BINS];
         for (i, a) in self.mass.iter().enumerate().filter(|(_, a)| **a > 0.0) {
             let base = i as f64 * self.step;
             for (j, b) in other.mass.iter().enumerate() {
                 // Never below 0: adding a half and cutting rounds, without a call.
                 let bin = ((base + j as f64 * other.step) / step + 0.5) as usize;
-                mass[bin.min(BINS - 1)] += a * b;
+                mass[bin.min(PMF_BINS - 1)] += a * b;
             }
         }
         Pmf { origin: low, step, mass }
--- a/crates/controller/src/completion_time/run_times.rs
+++ b/crates/controller/src/completion_time/run_times.rs
@@ -2,8 +2,9 @@
 
 use super::Pmf;
 use crate::constants::{
-    CLASSES_MOST, MS_PER_S, PRIOR_HIGH, PRIOR_LOW, PRIOR_WEIGHT, RATIO_MOST, RATIO_PRIOR_WEIGHT,
-    RATIO_UNITS, RATIOS_LEAST, RATIOS_PER_JOB, RUN_MOST, RUN_UNIT_MS,
+    MAX_CLASS_HISTOGRAMS, MAX_RATIO_STEPS, MAX_RATIOS_PER_JOB, MAX_RUN_TIME_UNITS,
+    MIN_CLASS_RATIOS, MS_PER_S, PRIOR_MAX_FACTOR, PRIOR_MIN_FACTOR, PRIOR_WEIGHT,
+    RATIO_PRIOR_WEIGHT, RATIO_STEPS_PER_UNIT, RUN_TIME_UNIT_MS,
 };
 use crate::job::{JobId, JobSpec};
 use hdrhistogram::Histogram;
@@ -29,11 +30,11 @@
     pub fn record_run(&mut self, machine_type: &str, run_ms: u64) {
         if !self.histograms_by_type.contains_key(machine_type) {
             // One significant digit: the bins of the chance arithmetic are coarser still.
-            let Ok(fresh) = Histogram::new_with_bounds(1, RUN_MOST, 1) else { return };
+            let Ok(fresh) = Histogram::new_with_bounds(1, MAX_RUN_TIME_UNITS, 1) else { return };
             self.histograms_by_type.insert(machine_type.to_string(), fresh);
         }
         if let Some(held) = self.histograms_by_type.get_mut(machine_type) {
-            held.saturating_record((run_ms / RUN_UNIT_MS).clamp(1, RUN_MOST));
+            held.saturating_record((run_ms / RUN_TIME_UNIT_MS).clamp(1, MAX_RUN_TIME_UNITS));
         }
         self.cached_pmfs.borrow_mut().clear();
     }
@@ -58,10 +59,9 @@
         };
         let mut points: Vec<(f64, f64)> =
             self.prior.points().map(|(t, m)| (t, m * PRIOR_WEIGHT)).collect();
-        points
-            .extend(seen.iter_recorded().map(|v| {
-                ((v.value_iterated_to() * RUN_UNIT_MS) as f64, v.count_at_value() as f64)
-            }));
+        points.extend(seen.iter_recorded().map(|v| {
+            ((v.value_iterated_to() * RUN_TIME_UNIT_MS) as f64, v.count_at_value() as f64)
+        }));
         Pmf::from_points(&points)
     }
 }
@@ -109,9 +109,9 @@
     /// three times the estimate, or as other jobs of its class have turned out.
     pub fn prior(&self, class: &str, estimate_s: f64) -> Pmf {
         let estimate = estimate_s * MS_PER_S;
-        match self.by_class.get(class).filter(|r| r.histogram.len() >= RATIOS_LEAST) {
+        match self.by_class.get(class).filter(|r| r.histogram.len() >= MIN_CLASS_RATIOS) {
             Some(ratios) => ratios.pmf.scaled(estimate),
-            None => Pmf::uniform(estimate * PRIOR_LOW, estimate * PRIOR_HIGH),
+            None => Pmf::uniform(estimate * PRIOR_MIN_FACTOR, estimate * PRIOR_MAX_FACTOR),
         }
     }
 
@@ -121,31 +121,31 @@
         let teaches = self.with_job(id, spec, |history, noted| {
             history.record_run(machine_type, ms);
             *noted += 1;
-            spec.runtime_estimate_s > 0.0 && *noted <= RATIOS_PER_JOB
+            spec.runtime_estimate_s > 0.0 && *noted <= MAX_RATIOS_PER_JOB
         });
         if !teaches {
             return;
         }
         let (class, estimate_s) = (spec.class.as_str(), spec.runtime_estimate_s);
-        if !self.by_class.contains_key(class) && self.by_class.len() < CLASSES_MOST {
-            let Ok(seen) = Histogram::new_with_bounds(1, RATIO_MOST, 2) else { return };
+        if !self.by_class.contains_key(class) && self.by_class.len() < MAX_CLASS_HISTOGRAMS {
+            let Ok(seen) = Histogram::new_with_bounds(1, MAX_RATIO_STEPS, 2) else { return };
             let fresh = EstimateRatios {
                 histogram: seen,
-                pmf: Pmf::uniform(PRIOR_LOW, PRIOR_HIGH),
+                pmf: Pmf::uniform(PRIOR_MIN_FACTOR, PRIOR_MAX_FACTOR),
                 pmf_sample_count: 0,
             };
             self.by_class.insert(class.to_string(), fresh);
         }
         if let Some(ratios) = self.by_class.get_mut(class) {
-            let ratio = ms as f64 / (estimate_s * MS_PER_S) * RATIO_UNITS;
-            ratios.histogram.saturating_record((ratio as u64).clamp(1, RATIO_MOST));
+            let ratio = ms as f64 / (estimate_s * MS_PER_S) * RATIO_STEPS_PER_UNIT;
+            ratios.histogram.saturating_record((ratio as u64).clamp(1, MAX_RATIO_STEPS));
             if ratios.histogram.len() > ratios.pmf_sample_count + ratios.pmf_sample_count / 8 {
                 ratios.pmf_sample_count = ratios.histogram.len();
-                let even = Pmf::uniform(PRIOR_LOW, PRIOR_HIGH);
+                let even = Pmf::uniform(PRIOR_MIN_FACTOR, PRIOR_MAX_FACTOR);
                 let mut points: Vec<(f64, f64)> =
                     even.points().map(|(t, m)| (t, m * RATIO_PRIOR_WEIGHT)).collect();
                 points.extend(ratios.histogram.iter_recorded().map(|v| {
-                    (v.value_iterated_to() as f64 / RATIO_UNITS, v.count_at_value() as f64)
+                    (v.value_iterated_to() as f64 / RATIO_STEPS_PER_UNIT, v.count_at_value() as f64)
                 }));
                 ratios.pmf = Pmf::from_weights(&points, 0.0);
             }
--- a/crates/controller/src/constants/calls.rs
+++ b/crates/controller/src/constants/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to the state service, the cloud and other controllers: timeouts, rates, sizes.
 
 /// Timer interval of a controller, ms. Work between ticks is driven by events.
-pub const TICK_MS: u64 = 100;
+pub const TICK_INTERVAL_MS: u64 = 100;
 
 /// Timeout of one call to the state service, ms: a few hundred ms are normal.
 pub const STORE_TIMEOUT_MS: u64 = 1_500;
@@ -17,59 +17,59 @@
 pub const WATCH_TIMEOUT_MS: u64 = WATCH_BLOCK_MS + 2_500;
 
 /// First backoff after the store refused a call or did not respond, ms.
-pub const STORE_BACKOFF_MS: u64 = 200;
+pub const STORE_INITIAL_BACKOFF_MS: u64 = 200;
 
 /// Longest backoff after the store refused a call or did not respond, ms.
-pub const STORE_BACKOFF_MAX_MS: u64 = 1_500;
+pub const STORE_MAX_BACKOFF_MS: u64 = 1_500;
 
 /// Store calls in flight at once (sockets, memory).
-pub const STORE_IN_FLIGHT_MAX: usize = 24;
+pub const MAX_STORE_CALLS_IN_FLIGHT: usize = 24;
 
 /// Share of the platform's store rates that all controllers together use: the rest absorbs bursts and clock drift.
-pub const STORE_SHARE_ALL: f64 = 0.9;
+pub const STORE_RATE_SHARE: f64 = 0.9;
 
-/// Share of [`STORE_SHARE_ALL`] for the leader; the followers divide the rest.
-pub const STORE_SHARE_LEADER: f64 = 0.6;
+/// Share of [`STORE_RATE_SHARE`] for the leader; the followers divide the rest.
+pub const LEADER_STORE_RATE_SHARE: f64 = 0.6;
 
 /// Timeout of one call to the cloud, ms.
 pub const CLOUD_TIMEOUT_MS: u64 = 4_000;
 
 /// Share of the platform's cloud rate that the leader uses.
-pub const CLOUD_SHARE: f64 = 0.8;
+pub const CLOUD_RATE_SHARE: f64 = 0.8;
 
 /// Backoff after a cloud error, ms.
 pub const CLOUD_BACKOFF_MS: u64 = 1_500;
 
 /// Time between reads of the machine list, ms: the list lags by as much, and its pages take a good part of 2 calls
 /// a second.
-pub const CLOUD_LIST_MS: u64 = 10_000;
+pub const MACHINE_LIST_INTERVAL_MS: u64 = 10_000;
 
 /// Time between reads of the machine types, ms: spot prices move slowly.
-pub const CLOUD_TYPES_MS: u64 = 60_000;
+pub const MACHINE_TYPES_INTERVAL_MS: u64 = 60_000;
 
 /// Machines asked for in one page of the machine list (protocol: 500 at most).
-pub const CLOUD_PAGE: u32 = 500;
+pub const MACHINE_LIST_PAGE_SIZE: u32 = 500;
 
 /// Machines in one provisioning request at most (protocol).
-pub const RENT_BATCH_MAX: u32 = 50;
+pub const MAX_PROVISION_BATCH: u32 = 50;
 
 /// Machines in one termination request at most (protocol).
-pub const RETURN_BATCH_MAX: usize = 100;
+pub const MAX_TERMINATION_BATCH: usize = 100;
 
 /// Largest transaction, bytes (protocol: 64 KiB), less room for its envelope.
-pub const TXN_BYTES: usize = 60 * 1024;
+pub const MAX_TRANSACTION_BYTES: usize = 60 * 1024;
 
 /// Keys asked for in one page of a listing.
-pub const LIST_PAGE: u32 = 200;
+pub const KEY_LIST_PAGE_SIZE: u32 = 200;
 
 /// Timeout of a forwarded status report, ms: below the 4 s that a worker waits.
 pub const FORWARD_TIMEOUT_MS: u64 = 2_500;
 
 /// Status reports forwarded in one message at most.
-pub const FORWARD_BATCH_MAX: usize = 64;
+pub const MAX_FORWARD_BATCH: usize = 64;
 
 /// Largest forwarding message, bytes, by estimate: below the limit of a body.
-pub const FORWARD_BATCH_BYTES: usize = 40 * 1024;
+pub const MAX_FORWARD_BATCH_BYTES: usize = 40 * 1024;
 
 /// Estimated size of a status report in it without its tasks, bytes.
 pub const REPORT_BYTES: usize = 250;
@@ -79,56 +79,56 @@
 
 /// Time for which reports are gathered before they are forwarded, ms, where workers are distributed: one tick, a
 /// small part of the 4 s that a worker waits.
-pub const FORWARD_GATHER_MS: u64 = 100;
+pub const FORWARD_BATCH_WINDOW_MS: u64 = 100;
 
 /// Forwarding messages in flight at once.
-pub const FORWARDS_IN_FLIGHT_MAX: usize = 4;
+pub const MAX_FORWARDS_IN_FLIGHT: usize = 4;
 
 /// Estimated size of one entry for a machine whose unchanged reports were answered by delegation, bytes.
 pub const UNCHANGED_MACHINE_BYTES: usize = 40;
 
 /// Time between two summaries of those machines, ms: a small part of the third of a lease after which a silent
 /// machine gets no new work.
-pub const SUMMARY_MS: u64 = 1_000;
+pub const UNCHANGED_SUMMARY_INTERVAL_MS: u64 = 1_000;
 
 /// Machines named at once whose next report must reach the leader.
-pub const MACHINES_WITH_COMMANDS_MAX: usize = 500;
+pub const MAX_MACHINES_WITH_COMMANDS: usize = 500;
 
 /// Share of a controller's memory that workers' connections may take before workers are distributed.
-pub const DISTRIBUTE_ABOVE: f64 = 0.25;
+pub const DISTRIBUTION_MEMORY_SHARE: f64 = 0.25;
 
 /// Share of its processor that workers may cost the leader before they are distributed.
-pub const DISTRIBUTE_LOAD: f64 = 0.35;
+pub const DISTRIBUTION_CPU_LOAD: f64 = 0.35;
 
 /// Share of the processor by which the leader must be busier than a peer before it redirects workers there.
-pub const LOAD_SLACK: f64 = 0.12;
+pub const REDIRECT_LOAD_MARGIN: f64 = 0.12;
 
 /// Divisor of a peer's worker count: the leader must be above it by this part, and one, before it redirects a
 /// worker.
-pub const DISTRIBUTE_SLACK: usize = 10;
+pub const REDIRECT_COUNT_MARGIN_DIVISOR: usize = 10;
 
 /// Time within which the leader does not redirect the same worker again, ms.
-pub const REDIRECT_AGAIN_MS: u64 = 60_000;
+pub const REDIRECT_COOLDOWN_MS: u64 = 60_000;
 
 /// A worker that returns within this time of being redirected to the leader could not reach it, ms: the worker's
 /// timeout of 4 s and its pauses of 1 s fit in it.
-pub const CAME_BACK_MS: u64 = 12_000;
+pub const REDIRECT_FAILURE_WINDOW_MS: u64 = 12_000;
 
 /// Time for which such a worker's reports are then forwarded, ms, before it is redirected again.
-pub const FORWARD_MS: u64 = 30_000;
+pub const FORWARDING_DURATION_MS: u64 = 30_000;
 
 /// Workers whose redirections are remembered (memory).
-pub const FORWARDING_HISTORY_MAX: usize = 4_000;
+pub const MAX_FORWARDING_HISTORY: usize = 4_000;
 
 /// Cloud calls in flight at once (sockets).
-pub const CLOUD_IN_FLIGHT_MAX: usize = 8;
+pub const MAX_CLOUD_CALLS_IN_FLIGHT: usize = 8;
 
 /// Compare-and-swap conflicts after which a cancellation is answered with 503.
-pub const CANCEL_CONFLICTS_MAX: u32 = 5;
+pub const MAX_CANCEL_CONFLICTS: u32 = 5;
 
 /// Time between reads of the quota accounts, where they are durable, ms: settings change seldom, and a read is one
 /// request.
-pub const QUOTA_READ_MS: u64 = 5_000;
+pub const QUOTA_READ_INTERVAL_MS: u64 = 5_000;
 
 /// Time after which a failed read of the quota accounts is retried, ms.
 pub const QUOTA_RETRY_MS: u64 = 500;
@@ -138,11 +138,11 @@
 
 /// Time between updates of the deadline plan, ms: deadlines are minutes and hours away, and each update looks at
 /// all jobs.
-pub const DISPATCH_MS: u64 = 2_000;
+pub const DEADLINE_PLAN_INTERVAL_MS: u64 = 2_000;
 
 /// Time for which an operator's request waits for its record to be committed, ms: records get a tenth of the writes
 /// a second.
 pub const RECORD_WRITE_TIMEOUT_MS: u64 = 8_000;
 
 /// Time between two `status` events in the leader's log, ms.
-pub const STATUS_MS: u64 = 10_000;
+pub const STATUS_LOG_INTERVAL_MS: u64 = 10_000;
--- a/crates/controller/src/controller/archiving.rs
+++ b/crates/controller/src/controller/archiving.rs
@@ -3,7 +3,7 @@
 
 use super::store_calls::DEPOSED;
 use super::{CallContext, Controller, chunks};
-use crate::constants::{ARCHIVE_BACKLOG, ARCHIVE_BATCH};
+use crate::constants::{ARCHIVE_BACKLOG_THRESHOLD, MAX_ARCHIVE_BATCH};
 use crate::job::{JobId, keys};
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
 use swiftsail_protocol::state::{Mutation, Precondition, Transaction};
@@ -17,11 +17,11 @@
             return;
         }
         let priority = match state.unarchived_jobs.len() {
-            0..ARCHIVE_BACKLOG => CallPriority::Background,
+            0..ARCHIVE_BACKLOG_THRESHOLD => CallPriority::Background,
             _ => CallPriority::Low,
         };
         // Each job takes two writes of the transaction.
-        let batch = (self.settings.settings.state.txn_ops / 2).clamp(1, ARCHIVE_BATCH);
+        let batch = (self.settings.settings.state.txn_ops / 2).clamp(1, MAX_ARCHIVE_BATCH);
         let is_leader = Precondition { key: keys::LEADER.into(), mod_revision: state.token };
         let mut transaction = Transaction { preconditions: vec![is_leader], mutations: Vec::new() };
         let mut jobs = 0;
@@ -63,7 +63,7 @@
         if is_busy || state.stale_binding_keys.is_empty() {
             return;
         }
-        let batch = self.settings.settings.state.txn_ops.min(2 * ARCHIVE_BATCH);
+        let batch = self.settings.settings.state.txn_ops.min(2 * MAX_ARCHIVE_BATCH);
         let remaining = state.stale_binding_keys.len().saturating_sub(batch);
         let stale = state.stale_binding_keys.split_off(remaining);
         let is_leader = Precondition { key: keys::LEADER.into(), mod_revision: state.token };
--- a/crates/controller/src/controller/binding_log.rs
+++ b/crates/controller/src/controller/binding_log.rs
@@ -9,8 +9,8 @@
 use crate::Time;
 use crate::cluster_state::{ClusterState, InFlightLogWrite, LogSegment, LogSegmentRecord, TaskId};
 use crate::constants::{
-    BINDING_LOG_MS, BINDING_LOG_PART, BINDING_LOG_PART_BUSY, ENDS_QUEUED, MS_PER_S, SEGMENT_BYTES,
-    SEGMENTS_MAX, TXN_BYTES,
+    BINDING_LOG_BUSY_PAUSE_FACTOR, BINDING_LOG_PAUSE_FACTOR, MAX_QUEUED_FINAL_RECORDS,
+    MAX_SEGMENT_BYTES, MAX_SEGMENTS, MAX_TRANSACTION_BYTES, MIN_BINDING_LOG_INTERVAL_MS, MS_PER_S,
 };
 use crate::job::{Attempt, AttemptPhase, JobId, keys};
 use crate::machine::AttemptId;
@@ -36,7 +36,7 @@
     /// A new leader has read a page of segments. To be called after all chunks are restored.
     pub fn load_log_segments(&mut self, page: &KeyPage, now: Time) {
         for pair in &page.entries {
-            let Some(number) = segment_number(&pair.key).filter(|n| *n < SEGMENTS_MAX) else {
+            let Some(number) = segment_number(&pair.key).filter(|n| *n < MAX_SEGMENTS) else {
                 continue;
             };
             let Ok(record) = serde_json::from_value::<LogSegmentRecord>(pair.value.clone()) else {
@@ -75,8 +75,10 @@
         self.write_number += 1;
         let state = &ctx.settings.settings.state;
         let max_value_bytes = (state.value_kb * 1024.0) as usize;
-        let max_segments =
-            state.txn_ops.min(TXN_BYTES / max_value_bytes.clamp(1, SEGMENT_BYTES)).max(1);
+        let max_segments = state
+            .txn_ops
+            .min(MAX_TRANSACTION_BYTES / max_value_bytes.clamp(1, MAX_SEGMENT_BYTES))
+            .max(1);
         let max_preconditions = state.txn_ops * PRECONDITIONS_PER_WRITE;
         let mut write = LogWrite::new(
             self.token,
@@ -88,11 +90,12 @@
             self.add_segment(number, &mut write);
         }
         // The other part of this controller's writes is for users, final records and chunks.
-        let is_busy = ctx.store.queued()[CallPriority::Normal as usize] >= ENDS_QUEUED;
-        let part = if is_busy { BINDING_LOG_PART_BUSY } else { BINDING_LOG_PART };
+        let is_busy = ctx.store.queued()[CallPriority::Normal as usize] >= MAX_QUEUED_FINAL_RECORDS;
+        let part = if is_busy { BINDING_LOG_BUSY_PAUSE_FACTOR } else { BINDING_LOG_PAUSE_FACTOR };
         let pause_ms =
             write.in_flight.segments.len() as f64 * part * MS_PER_S / ctx.store.write_rate();
-        self.binding_log.next_write_at = ctx.now + (pause_ms as u64).max(BINDING_LOG_MS);
+        self.binding_log.next_write_at =
+            ctx.now + (pause_ms as u64).max(MIN_BINDING_LOG_INTERVAL_MS);
         for AttemptId { job, task, attempt } in write.obsolete {
             self.binding_log.forget(&job, task, Some(attempt));
         }
--- a/crates/controller/src/controller/capacity.rs
+++ b/crates/controller/src/controller/capacity.rs
@@ -4,9 +4,9 @@
 use super::Controller;
 use crate::cluster_state::{ClusterState, ProvisioningRequest};
 use crate::constants::{
-    CYCLE_BINDINGS_MAX, CYCLE_EVALUATION_MS, CYCLE_JOBS, CYCLE_JOBS_MIN, CYCLE_QUEUED_MAX,
-    EVALUATION_US, HEARTBEAT_FRESH_MS, PLACE_BYTES, RENT_BATCH_MAX, REPORT_US, RUN_QUEUES_MAX,
-    RUN_QUEUES_MIN, STATUS_MS,
+    EVALUATED_TARGET_BYTES, EVALUATION_COST_US, HEARTBEAT_VALIDITY_MS, MAX_CYCLE_BINDINGS,
+    MAX_CYCLE_EVALUATION_MS, MAX_CYCLE_JOBS, MAX_CYCLE_QUEUE_JOINS, MAX_PROVISION_BATCH,
+    MAX_RUN_QUEUES, MIN_CYCLE_JOBS, MIN_RUN_QUEUES, REPORT_COST_US, STATUS_LOG_INTERVAL_MS,
 };
 use crate::cycle_policy::CycleBounds;
 use crate::machine::MachineState;
@@ -29,32 +29,33 @@
         let queued_jobs =
             |state: &ClusterState| state.jobs.values().filter(|job| job.has_queued_tasks()).count();
         let waiting_jobs = self.cluster_state.as_ref().map_or(0, queued_jobs).max(1);
-        let available_us = self.cpu.available_us(CYCLE_EVALUATION_MS as u64);
-        let evaluations = (available_us / (EVALUATIONS_PER_TARGET * EVALUATION_US)) as usize;
-        let queues = (evaluations / waiting_jobs).saturating_sub(machines).max(RUN_QUEUES_MIN);
-        let queues = self.load_level.scaled_work(RUN_QUEUES_MAX).min(queues);
+        let available_us = self.cpu.available_us(MAX_CYCLE_EVALUATION_MS as u64);
+        let evaluations = (available_us / (EVALUATIONS_PER_TARGET * EVALUATION_COST_US)) as usize;
+        let queues = (evaluations / waiting_jobs).saturating_sub(machines).max(MIN_RUN_QUEUES);
+        let queues = self.load_level.scaled_work(MAX_RUN_QUEUES).min(queues);
         let targets = (machines + queues).max(1);
-        let by_memory = self.budget.scheduling_cycle_bytes / (targets * PLACE_BYTES);
+        let by_memory = self.budget.scheduling_cycle_bytes / (targets * EVALUATED_TARGET_BYTES);
         let by_processor = evaluations / targets;
-        let jobs = self.load_level.scaled_work(CYCLE_JOBS).min(by_memory).min(by_processor);
+        let jobs = self.load_level.scaled_work(MAX_CYCLE_JOBS).min(by_memory).min(by_processor);
         CycleBounds {
-            max_bindings: self.load_level.scaled_work(CYCLE_BINDINGS_MAX),
-            max_queue_joins: self.load_level.scaled_work(CYCLE_QUEUED_MAX),
-            max_jobs_per_level: jobs.max(CYCLE_JOBS_MIN),
+            max_bindings: self.load_level.scaled_work(MAX_CYCLE_BINDINGS),
+            max_queue_joins: self.load_level.scaled_work(MAX_CYCLE_QUEUE_JOINS),
+            max_jobs_per_level: jobs.max(MIN_CYCLE_JOBS),
             max_queues: queues,
-            is_fleet_near_limit: self.machines_left() < RENT_BATCH_MAX as usize,
+            is_fleet_near_limit: self.machines_left() < MAX_PROVISION_BATCH as usize,
         }
     }
 
     /// How many machines these controllers can manage, and what limits it.
     pub(super) fn max_machines(&self) -> (usize, FleetLimit) {
         let now = self.now.monotonic;
-        let is_heard = |heard_at: crate::Time| now.saturating_sub(heard_at) <= HEARTBEAT_FRESH_MS;
+        let is_heard =
+            |heard_at: crate::Time| now.saturating_sub(heard_at) <= HEARTBEAT_VALIDITY_MS;
         let peers = self.peers.values().filter(|peer| is_heard(peer.health.heard_at));
         let peer_loads = peers.filter_map(|peer| peer.baseline_load);
         let loads: Vec<f64> = peer_loads.chain(self.cpu.baseline_load()).collect();
         let controllers = self.settings.controllers();
-        let us_per_machine = REPORT_US / self.settings.settings.workers.report_s;
+        let us_per_machine = REPORT_COST_US / self.settings.settings.workers.report_s;
         let available_us = self.cpu.available_us(1_000) * MAX_MACHINE_LOAD * controllers as f64;
         let estimate = (available_us / us_per_machine) as usize;
         let (connections, by_memory) = (self.budget.connections, self.budget.machines);
@@ -87,7 +88,7 @@
         }
         let (most, bound) = self.max_machines();
         let now = self.now.monotonic;
-        if now >= self.bound_logged_at + STATUS_MS {
+        if now >= self.bound_logged_at + STATUS_LOG_INTERVAL_MS {
             self.bound_logged_at = now;
             tracing::warn!(wanted, left, most, ?bound, "scale out limited by controller capacity");
         }
--- a/crates/controller/src/controller/chunks.rs
+++ b/crates/controller/src/controller/chunks.rs
@@ -6,8 +6,9 @@
 use crate::Time;
 use crate::cluster_state::{BindingLog, ClusterState, parse_task_name};
 use crate::constants::{
-    BINDING_LOG_KEPT, CHUNK_BYTES, COMPACTION_MIN, COMPACTION_MS, COMPACTION_PRESSING,
-    COMPACTIONS_AT_ONCE, COMPACTIONS_QUEUED, ENDS_QUEUED, RANGE_BYTES, TXN_BYTES,
+    BINDING_LOG_COMPACTION_THRESHOLD, CHUNK_OVERHEAD_BYTES, COMPACTION_DELAY_MS,
+    MAX_COMPACTIONS_PER_TRANSACTION, MAX_QUEUED_COMPACTIONS, MAX_QUEUED_FINAL_RECORDS,
+    MAX_TASK_RANGE_BYTES, MAX_TRANSACTION_BYTES, MIN_COMPACTION_BINDINGS, URGENT_COMPACTION_EXITS,
 };
 use crate::job::{
     Attempt, AttemptPhase, Binding, BindingChunk, ChunkWrite, FinalRecord, FinalState,
@@ -65,7 +66,7 @@
             if final_state(job).is_some() {
                 finished.push(id.clone());
             } else if let Some(changed_at) =
-                oldest_change.filter(|changed_at| now >= **changed_at + COMPACTION_MS)
+                oldest_change.filter(|changed_at| now >= **changed_at + COMPACTION_DELAY_MS)
             {
                 due.push((*changed_at, id.clone()));
             }
@@ -76,7 +77,7 @@
         }
         due.sort();
         for (_, id) in due {
-            if ctx.store.queued()[CallPriority::Low as usize] >= COMPACTIONS_QUEUED {
+            if ctx.store.queued()[CallPriority::Low as usize] >= MAX_QUEUED_COMPACTIONS {
                 break;
             }
             self.flush(&id, ctx);
@@ -88,7 +89,7 @@
     /// only a few: with hundreds of such jobs, each would cost a write that final records and bindings wait for.
     fn relieve_binding_log(&mut self, now: Time) {
         let mut by_chunk: HashMap<(&JobId, u32), Takeover> = HashMap::new();
-        for (id, task) in self.binding_log.beyond(BINDING_LOG_KEPT) {
+        for (id, task) in self.binding_log.beyond(BINDING_LOG_COMPACTION_THRESHOLD) {
             let Some(job) = self.jobs.get(id) else { continue };
             let takeover = by_chunk
                 .entry((id, job.chunk_of(task)))
@@ -96,7 +97,7 @@
             takeover.bindings += 1;
         }
         for ((id, _), takeover) in by_chunk {
-            let is_worthwhile = takeover.bindings >= COMPACTION_MIN;
+            let is_worthwhile = takeover.bindings >= MIN_COMPACTION_BINDINGS;
             if let Some(job) = self.jobs.get_mut(id).filter(|_| is_worthwhile) {
                 job.mark_chunk_dirty(takeover.oldest_task, now);
             }
@@ -106,7 +107,9 @@
     /// Closes a job as soon as nothing of it is left to do, unless many others are being closed.
     pub fn close_if_finished(&mut self, id: &JobId, ctx: &mut LeaderContext) {
         let is_finished = |job: &Job| job.in_flight.is_none() && final_state(job).is_some();
-        if self.closing_jobs < ENDS_QUEUED && self.jobs.get(id).is_some_and(is_finished) {
+        if self.closing_jobs < MAX_QUEUED_FINAL_RECORDS
+            && self.jobs.get(id).is_some_and(is_finished)
+        {
             self.closing_jobs += 1;
             self.flush(id, ctx);
         }
@@ -136,7 +139,7 @@
         };
         // Exits are repeated in every report of their machines until they are committed: very many must not wait.
         let is_pressing =
-            |job: &Job| job.attempts.len() - job.occupying_attempts() >= COMPACTION_PRESSING;
+            |job: &Job| job.attempts.len() - job.occupying_attempts() >= URGENT_COMPACTION_EXITS;
         let ending = final_state(job);
         let priority = match ending.is_some() || is_pressing(job) {
             true => CallPriority::Normal,
@@ -186,14 +189,14 @@
             write_number: in_flight.write_number,
             last_attempt: self.last_attempt_number(),
             max_bytes,
-            logged: match self.binding_log.len() > BINDING_LOG_KEPT {
+            logged: match self.binding_log.len() > BINDING_LOG_COMPACTION_THRESHOLD {
                 true => LoggedBindings::TakeOver,
                 false => LoggedBindings::Leave,
             },
         };
         let Some(job) = self.jobs.get_mut(id) else { return };
         let mut bytes = TRANSACTION_BASE_BYTES;
-        let max_chunks = state.txn_ops.min(COMPACTIONS_AT_ONCE);
+        let max_chunks = state.txn_ops.min(MAX_COMPACTIONS_PER_TRANSACTION);
         for chunk in writable_chunks(id, job, &self.binding_log).into_iter().take(max_chunks) {
             let is_logged = |task: u32| self.binding_log.holds(id, task);
             let overflowing = job.overflowing_bindings(chunk, max_bytes, is_logged);
@@ -206,9 +209,9 @@
                 continue;
             }
             let record = job.chunk_record(chunk, write, is_logged);
-            bytes += CHUNK_BYTES + record.done.len() * RANGE_BYTES;
+            bytes += CHUNK_OVERHEAD_BYTES + record.done.len() * MAX_TASK_RANGE_BYTES;
             bytes += record.bindings.iter().map(Binding::bytes).sum::<usize>();
-            if bytes > TXN_BYTES && !in_flight.chunks.is_empty() {
+            if bytes > MAX_TRANSACTION_BYTES && !in_flight.chunks.is_empty() {
                 break;
             }
             let key = chunk_key(id, chunk);
--- a/crates/controller/src/controller/cpu_accounting.rs
+++ b/crates/controller/src/controller/cpu_accounting.rs
@@ -7,8 +7,9 @@
 use super::{Controller, Event};
 use crate::Time;
 use crate::constants::{
-    CALL_US, FORWARDED_REPORT_US, MS_PER_S, REPORT_US, SHARE_BELIEVED, TASK_STATUS_US,
-    TICK_MACHINE_US, TICK_MS, TICK_US, UNCHANGED_MACHINE_US,
+    CALL_COST_US, FORWARDED_REPORT_COST_US, MAX_PLAUSIBLE_CPU_FACTOR, MS_PER_S, REPORT_COST_US,
+    TASK_STATUS_COST_US, TICK_COST_US, TICK_INTERVAL_MS, TICK_MACHINE_COST_US,
+    UNCHANGED_MACHINE_COST_US,
 };
 use crate::store::StoreOutcome;
 use swiftsail_overload_control::constants::{DELAY_INTERVAL_MS, LOAD_SMOOTHING_MS};
@@ -90,7 +91,7 @@
     /// The platform measured this much use within this time. More than the share allows is not processor time: some
     /// platforms answer that clock with the monotonic time.
     fn on_measurement(&mut self, used_us: u64, over_ms: u64, now: Time) {
-        if used_us as f64 <= self.available_us(over_ms) * SHARE_BELIEVED {
+        if used_us as f64 <= self.available_us(over_ms) * MAX_PLAUSIBLE_CPU_FACTOR {
             self.measured_at = now;
             self.sample(used_us as f64, over_ms, now);
         }
@@ -120,9 +121,9 @@
 /// Estimated cost of handling an event, us of a whole core.
 fn event_cost_us(event: &Event, machines: usize) -> f64 {
     match event {
-        Event::Tick => TICK_US + machines as f64 * TICK_MACHINE_US,
+        Event::Tick => TICK_COST_US + machines as f64 * TICK_MACHINE_COST_US,
         Event::StatusReport(_, report) | Event::CommandResponse(report) => {
-            REPORT_US + report.tasks.len() as f64 * TASK_STATUS_US
+            REPORT_COST_US + report.tasks.len() as f64 * TASK_STATUS_COST_US
         }
         Event::ForwardedReports(_, batch) => {
             let shards = batch.reports.iter().map(|p| match p {
@@ -130,25 +131,25 @@
                 ForwardedReport::Unchanged { .. } => 1,
             });
             let shards: usize = shards.sum();
-            let each =
-                batch.reports.len() as f64 * FORWARDED_REPORT_US + shards as f64 * TASK_STATUS_US;
-            CALL_US + each + batch.locally_answered.len() as f64 * UNCHANGED_MACHINE_US
+            let each = batch.reports.len() as f64 * FORWARDED_REPORT_COST_US
+                + shards as f64 * TASK_STATUS_COST_US;
+            CALL_COST_US + each + batch.locally_answered.len() as f64 * UNCHANGED_MACHINE_COST_US
         }
         Event::ForwardedAnswers(_, Some(answers)) => {
-            CALL_US + answers.commands.len() as f64 * TASK_STATUS_US
+            CALL_COST_US + answers.commands.len() as f64 * TASK_STATUS_COST_US
         }
-        Event::UserRequest(..) => REPORT_US,
+        Event::UserRequest(..) => REPORT_COST_US,
         Event::StoreResponse(_, StoreOutcome::Page(page)) => {
-            CALL_US + page.entries.len() as f64 * FORWARDED_REPORT_US
+            CALL_COST_US + page.entries.len() as f64 * FORWARDED_REPORT_COST_US
         }
-        _ => CALL_US,
+        _ => CALL_COST_US,
     }
 }
 
 impl Controller {
     /// Samples the load at a tick. How late the tick is shows how long work waits for the processor.
     pub(super) fn update_load_level(&mut self, now: Time) {
-        let due = self.last_tick_at + TICK_MS;
+        let due = self.last_tick_at + TICK_INTERVAL_MS;
         self.cpu.sample_estimate(now);
         let is_first = std::mem::replace(&mut self.last_tick_at, now) == 0;
         if !is_first && self.load_level.record_delay(now.saturating_sub(due), now) {
--- a/crates/controller/src/controller/deadline_planning.rs
+++ b/crates/controller/src/controller/deadline_planning.rs
@@ -4,7 +4,7 @@
 use super::plugins::plugin_error_reply;
 use super::{CallContext, Controller, Reply, RequestId};
 use crate::cluster_state::{ClusterState, facts_of};
-use crate::constants::{BOOT_UNKNOWN_MS, DISPATCH_MS, STORE_TIMEOUT_MS};
+use crate::constants::{DEADLINE_PLAN_INTERVAL_MS, DEFAULT_BOOT_MS, STORE_TIMEOUT_MS};
 use crate::job::{AttemptPhase, FinalState, Job, JobId, JobState, keys};
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
 use serde_json::json;
@@ -38,14 +38,14 @@
                 (AttemptPhase::Running, Some(at)) => {
                     run(kind).remaining(now.saturating_sub(at) as f64)
                 }
-                _ => crate::completion_time::Pmf::clone(&run(kind)).shifted(BOOT_UNKNOWN_MS / 2.0),
+                _ => crate::completion_time::Pmf::clone(&run(kind)).shifted(DEFAULT_BOOT_MS / 2.0),
             };
             last = last.max(left.quantile(DURATION_QUANTILE));
         }
         if job.waiting.is_empty() && job.backing_off.is_empty() {
             return (Some(last), "it runs");
         }
-        let waits = run("").quantile(DURATION_QUANTILE) + BOOT_UNKNOWN_MS;
+        let waits = run("").quantile(DURATION_QUANTILE) + DEFAULT_BOOT_MS;
         let why = if job.is_job_at_fault() {
             "it fails on every machine"
         } else {
@@ -79,7 +79,7 @@
     pub(super) fn update_deadline_plan(&mut self) {
         let now = self.now;
         let Some(calendar) = self.replicated_records.calendar.clone() else { return };
-        if now.monotonic < self.replicated_records.deadlines_checked_at + DISPATCH_MS
+        if now.monotonic < self.replicated_records.deadlines_checked_at + DEADLINE_PLAN_INTERVAL_MS
             || !self.replicated_records.records.is_loaded()
         {
             return;
--- a/crates/controller/src/controller/dependency_lookup.rs
+++ b/crates/controller/src/controller/dependency_lookup.rs
@@ -11,7 +11,7 @@
 use super::requests::replies::{error_reply, http_status, store_unavailable_reply};
 use super::{CallContext, Controller, RequestId};
 use crate::cluster_state::ClusterState;
-use crate::constants::{DEPENDENCY_LOOKUPS_MAX, USER_STORE_TIMEOUT_MS};
+use crate::constants::{MAX_DEPENDENCY_LOOKUPS, USER_STORE_TIMEOUT_MS};
 use crate::job::{FinalRecord, JobId, JobRecord, StoredJob, keys};
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreClient, StoreOutcome};
 use std::collections::HashMap;
@@ -131,7 +131,7 @@
 
     /// Whether another look-up may wait for a read (memory, and requests to the state service).
     fn has_lookup_room(&self) -> bool {
-        self.dependency_lookups.open.len() < DEPENDENCY_LOOKUPS_MAX
+        self.dependency_lookups.open.len() < MAX_DEPENDENCY_LOOKUPS
             && self.store.has_room(self.budget.waiting_store_calls)
             && !self.store.is_unavailable()
     }
--- a/crates/controller/src/controller/fleet_management.rs
+++ b/crates/controller/src/controller/fleet_management.rs
@@ -6,7 +6,8 @@
 use crate::cloud::{CloudCall, CloudClient, CloudOutcome};
 use crate::cluster_state::{ClusterState, ProvisioningRequest};
 use crate::constants::{
-    HEARTBEAT_FRESH_MS, IDLE_CHECK_MS, LEASE_TTL_MS, LIVENESS_CHECK_MS, MOVES_MS, RENT_BATCH_MAX,
+    HEARTBEAT_VALIDITY_MS, IDLE_CHECK_INTERVAL_MS, LEASE_TTL_MS, LIVENESS_CHECK_INTERVAL_MS,
+    MAX_PROVISION_BATCH, MIGRATION_INTERVAL_MS,
 };
 use crate::fleet::{self, FleetPlan};
 use crate::job::MachineId;
@@ -25,14 +26,14 @@
     for request in requests {
         let mut remaining = request.number;
         for (request_id, open) in state.provisioning.unsent_requests(&request) {
-            let more = remaining.min(RENT_BATCH_MAX.saturating_sub(open.request.number));
+            let more = remaining.min(MAX_PROVISION_BATCH.saturating_sub(open.request.number));
             if more > 0 && cloud.enlarge_queued_request(request_id, open.request.number + more) {
                 open.request.number += more;
                 remaining -= more;
             }
         }
         while remaining > 0 {
-            let number = remaining.min(RENT_BATCH_MAX);
+            let number = remaining.min(MAX_PROVISION_BATCH);
             remaining -= number;
             tracing::info!(kind = %request.kind, zone = %request.zone, spot = request.spot, number, "scale out");
             let part = ProvisioningRequest { number, ..request.clone() };
@@ -51,14 +52,14 @@
     store_answers: bool,
 ) -> Vec<MachineId> {
     let now = context.now;
-    let to_probe = if now >= state.machines_checked_at + LIVENESS_CHECK_MS {
+    let to_probe = if now >= state.machines_checked_at + LIVENESS_CHECK_INTERVAL_MS {
         state.check_machine_liveness(&context.settings.settings, now)
     } else {
         Vec::new()
     };
     let provisioning = &state.provisioning;
-    let checks_idle = now >= provisioning.idle_checked_at + IDLE_CHECK_MS;
-    let checks_consolidation = now >= provisioning.moves_checked_at + MOVES_MS;
+    let checks_idle = now >= provisioning.idle_checked_at + IDLE_CHECK_INTERVAL_MS;
+    let checks_consolidation = now >= provisioning.moves_checked_at + MIGRATION_INTERVAL_MS;
     if checks_idle || checks_consolidation {
         state.count_free_resources(context.machine_types);
     }
@@ -169,7 +170,7 @@
         let now = self.now.monotonic;
         let is_heard = |name: &String| {
             let peer = self.peers.get(name);
-            peer.is_some_and(|p| now.saturating_sub(p.health.heard_at) <= HEARTBEAT_FRESH_MS)
+            peer.is_some_and(|p| now.saturating_sub(p.health.heard_at) <= HEARTBEAT_VALIDITY_MS)
         };
         let others = self.settings.others.iter().filter(|other| is_heard(&other.host_name));
         let own = std::iter::once(&self.settings.site);
--- a/crates/controller/src/controller/gpu_lending.rs
+++ b/crates/controller/src/controller/gpu_lending.rs
@@ -3,7 +3,7 @@
 use super::Controller;
 use crate::Time;
 use crate::cluster_state::ClusterState;
-use crate::constants::REGISTRATION_MS;
+use crate::constants::REGISTRATION_GRACE_MS;
 use crate::job::{JobId, JobState, MachineId};
 use crate::machine::MachineState;
 use serde_json::json;
@@ -23,7 +23,7 @@
         };
         let machine = self.machines.get(loan.machine.as_str());
         // A new leader has heard no machine yet: that is no sign that this one is gone.
-        let young = now < self.leading_since + REGISTRATION_MS;
+        let young = now < self.leading_since + REGISTRATION_GRACE_MS;
         let expected = machine.is_none_or(|m| {
             matches!(m.state(), MachineState::Expected | MachineState::Registering)
         });
--- a/crates/controller/src/controller/isolation.rs
+++ b/crates/controller/src/controller/isolation.rs
@@ -4,7 +4,10 @@
 
 use super::Controller;
 use crate::Time;
-use crate::constants::{MS_PER_S, QUIET_SHARE, RESIGN_MACHINES, RESIGN_MAX_MS, RESIGN_MS};
+use crate::constants::{
+    MAX_RESIGNATION_BACKOFF_MS, MIN_ISOLATION_MACHINES, MS_PER_S, RESIGNATION_BACKOFF_MS,
+    SILENT_LEASE_SHARE,
+};
 
 /// When a leader last heard a worker, and how long it stays out of elections after resigning.
 #[derive(Debug, Default)]
@@ -25,7 +28,8 @@
     /// The leader resigns. The pause doubles each time, so that controllers none of which reaches anybody do not pass
     /// leadership round.
     fn resign(&mut self, now: Time) {
-        self.pause_ms = (self.pause_ms * 2).clamp(RESIGN_MS, RESIGN_MAX_MS);
+        self.pause_ms =
+            (self.pause_ms * 2).clamp(RESIGNATION_BACKOFF_MS, MAX_RESIGNATION_BACKOFF_MS);
         self.campaign_after = now + self.pause_ms;
     }
 }
@@ -37,7 +41,8 @@
         let now = self.now.monotonic;
         let Some(state) = &self.cluster_state else { return };
         let workers = &self.settings.settings.workers;
-        let limit_ms = (workers.lease_s * QUIET_SHARE).max(2.0 * workers.report_s) * MS_PER_S;
+        let limit_ms =
+            (workers.lease_s * SILENT_LEASE_SHARE).max(2.0 * workers.report_s) * MS_PER_S;
         let heard_at = self.isolation.last_heard_at.max(state.leading_since);
         let is_silent = now.saturating_sub(heard_at) as f64 > limit_ms;
         if !is_silent || self.settings.controllers() < 2 {
@@ -49,7 +54,7 @@
         let machines = state.machines.values().filter(should_report).count();
         let mut peer_ages =
             self.peers.values().map(|peer| now.saturating_sub(peer.health.heard_at));
-        if machines < RESIGN_MACHINES || peer_ages.any(|age| (age as f64) < limit_ms) {
+        if machines < MIN_ISOLATION_MACHINES || peer_ages.any(|age| (age as f64) < limit_ms) {
             return;
         }
         self.isolation.resign(now);
--- a/crates/controller/src/controller/job_cache.rs
+++ b/crates/controller/src/controller/job_cache.rs
@@ -11,8 +11,8 @@
 use super::{CallContext, Controller, Reply};
 use crate::Time;
 use crate::constants::{
-    DISPLACED_OF, JOB_CACHE_FULL_MS, JOB_CACHE_IDLE_MS, JOB_CACHE_MS, JOB_CACHE_STALE_MS,
-    STORE_TIMEOUT_MS, USER_STORE_TIMEOUT_MS,
+    JOB_CACHE_IDLE_READ_INTERVAL_MS, JOB_CACHE_OVERFLOW_RETRY_MS, JOB_CACHE_READ_INTERVAL_MS,
+    JOB_CACHE_RELIST_AFTER_MS, POLL_DISPLACEMENT_WINDOW, STORE_TIMEOUT_MS, USER_STORE_TIMEOUT_MS,
 };
 use crate::job::{FinalRecord, JobId, StoredJob, keys};
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
@@ -186,7 +186,7 @@
     /// and the number of jobs changes slowly.
     fn invalidate_for_size(&mut self) {
         self.advance(CacheCoverage::Nothing);
-        self.next_listing_at = self.read_at + JOB_CACHE_FULL_MS;
+        self.next_listing_at = self.read_at + JOB_CACHE_OVERFLOW_RETRY_MS;
     }
 
     fn record(&mut self, key: &str, value: &serde_json::Value, mod_revision: u64) {
@@ -220,7 +220,7 @@
         let is_duplicate =
             |index: &usize| waiting[..*index].iter().any(|(id, _)| *id == waiting[*index].0);
         // Of very many, only the latest are looked at (processor).
-        let first = waiting.len().saturating_sub(DISPLACED_OF);
+        let first = waiting.len().saturating_sub(POLL_DISPLACEMENT_WINDOW);
         let yielding = (first..waiting.len()).rev().filter(yields);
         let index = yielding.clone().find(is_duplicate).or_else(|| yielding.clone().next())?;
         Some(waiting.remove(index).1)
@@ -261,13 +261,16 @@
         match cache.coverage {
             // After a long time without reads the changes could be very many in one response; the pages of a listing
             // are bounded.
-            CacheCoverage::Complete(_) if now >= cache.read_at + JOB_CACHE_STALE_MS => {
+            CacheCoverage::Complete(_) if now >= cache.read_at + JOB_CACHE_RELIST_AFTER_MS => {
                 cache.advance(CacheCoverage::Nothing);
                 self.fall_back_to_key_reads(Vec::new());
             }
             CacheCoverage::Complete(from) => self.read_cache_changes(from),
             CacheCoverage::Nothing
-                if now >= cache.next_listing_at.max(cache.requested_at + JOB_CACHE_IDLE_MS) =>
+                if now
+                    >= cache
+                        .next_listing_at
+                        .max(cache.requested_at + JOB_CACHE_IDLE_READ_INTERVAL_MS) =>
             {
                 cache.requested_at = now;
                 self.list_job_cache(None);
@@ -291,7 +294,11 @@
     fn read_cache_changes(&mut self, from: u64) {
         let now = self.now.monotonic;
         let cache = &mut self.job_cache;
-        let interval = if cache.waiting.is_empty() { JOB_CACHE_IDLE_MS } else { JOB_CACHE_MS };
+        let interval = if cache.waiting.is_empty() {
+            JOB_CACHE_IDLE_READ_INTERVAL_MS
+        } else {
+            JOB_CACHE_READ_INTERVAL_MS
+        };
         if now < cache.requested_at + interval {
             return;
         }
--- a/crates/controller/src/controller/leadership.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -5,7 +5,7 @@
 
 use super::{Action, CallContext, Controller, store_rates};
 use crate::Time;
-use crate::constants::{ELECTION_JITTER_MS, ELECTION_RETRY_MS, STORE_TIMEOUT_MS};
+use crate::constants::{ELECTION_RETRY_MS, MAX_ELECTION_JITTER_MS, STORE_TIMEOUT_MS};
 use crate::job::keys;
 use crate::leadership::{LeaderRecord, LeadershipPhase};
 use crate::store::{CallPriority, FinishedCall, RetryPolicy, StoreCall, StoreOutcome};
@@ -160,7 +160,7 @@
         }
         let phase = self.leadership.phase();
         if matches!(phase, LeadershipPhase::Unknown | LeadershipPhase::Following) {
-            let delay = self.rng.random_range(0..=ELECTION_JITTER_MS);
+            let delay = self.rng.random_range(0..=MAX_ELECTION_JITTER_MS);
             self.leadership.known_leader = None;
             let campaign_at = (self.now.monotonic + delay).max(self.isolation.campaign_after);
             self.leadership.advance(LeadershipPhase::Vacant(campaign_at));
@@ -246,7 +246,7 @@
     fn on_election_failed(&mut self) {
         self.leadership.replaced_revision = 0;
         if self.is_campaigning() {
-            let pause = ELECTION_RETRY_MS + self.rng.random_range(0..=ELECTION_JITTER_MS);
+            let pause = ELECTION_RETRY_MS + self.rng.random_range(0..=MAX_ELECTION_JITTER_MS);
             self.leadership.advance(LeadershipPhase::Vacant(self.now.monotonic + pause));
             self.read_leader_key();
         }
--- a/crates/controller/src/controller/machine_types.rs
+++ b/crates/controller/src/controller/machine_types.rs
@@ -1,7 +1,7 @@
 //! The cloud's machine types: learnt from the cloud, and stored for controllers that start while the cloud is down.
 
 use super::{CallContext, Controller, chunks};
-use crate::constants::CLOUD_TYPES_MS;
+use crate::constants::MACHINE_TYPES_INTERVAL_MS;
 use crate::job::keys;
 use crate::machine::MachineType;
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
@@ -34,7 +34,7 @@
             mutations: vec![chunks::put_change(keys::TYPES.into(), types)],
         };
         let context = CallContext::WriteMachineTypes { generation: state.generation };
-        let retry_policy = RetryPolicy::OnceBefore(self.now.monotonic + CLOUD_TYPES_MS);
+        let retry_policy = RetryPolicy::OnceBefore(self.now.monotonic + MACHINE_TYPES_INTERVAL_MS);
         self.store.push(StoreCall::Commit(transaction), context, CallPriority::Low, retry_policy);
     }
 
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -62,8 +62,8 @@
 use crate::cloud::{self, CloudClient};
 use crate::cluster_state::ClusterState;
 use crate::constants::{
-    CLOUD_BACKOFF_MS, HEARTBEAT_INTERVAL_MS, LEASE_TTL_MS, PROCESS_PAUSE_MS, STORE_SHARE_ALL,
-    STORE_SHARE_LEADER, STORE_TIMEOUT_MS,
+    CLOUD_BACKOFF_MS, HEARTBEAT_INTERVAL_MS, LEADER_STORE_RATE_SHARE, LEASE_TTL_MS,
+    PROCESS_PAUSE_THRESHOLD_MS, STORE_RATE_SHARE, STORE_TIMEOUT_MS,
 };
 use crate::cycle_policy::CyclePolicy;
 use crate::job::{FinalRecord, JobId, MachineId, chunk_size, keys};
@@ -304,7 +304,7 @@
     pub fn handle(&mut self, event: Event, now: Now) {
         let elapsed_ms = now.monotonic.saturating_sub(self.now.monotonic);
         self.now = now;
-        if elapsed_ms >= PROCESS_PAUSE_MS {
+        if elapsed_ms >= PROCESS_PAUSE_THRESHOLD_MS {
             self.on_resume(elapsed_ms);
         }
         self.cpu.charge_event(&event, self.machine_count());
@@ -477,11 +477,11 @@
     let state = &settings.settings.state;
     let others = settings.others.len();
     let share = if others == 0 {
-        STORE_SHARE_ALL
+        STORE_RATE_SHARE
     } else if is_leader {
-        STORE_SHARE_ALL * STORE_SHARE_LEADER
+        STORE_RATE_SHARE * LEADER_STORE_RATE_SHARE
     } else {
-        STORE_SHARE_ALL * (1.0 - STORE_SHARE_LEADER) / others as f64
+        STORE_RATE_SHARE * (1.0 - LEADER_STORE_RATE_SHARE) / others as f64
     };
     (state.rps * share, state.write_rps * share)
 }
--- a/crates/controller/src/controller/pause_detection.rs
+++ b/crates/controller/src/controller/pause_detection.rs
@@ -3,7 +3,7 @@
 //! answers; every controller drops endorsements from before the pause.
 
 use super::{CallContext, Controller, Reply};
-use crate::constants::{HEARTBEAT_INTERVAL_MS, LEASE_RENEW_MS, STORE_TIMEOUT_MS};
+use crate::constants::{HEARTBEAT_INTERVAL_MS, LEASE_RENEW_INTERVAL_MS, STORE_TIMEOUT_MS};
 use crate::leadership::LeaseValidity;
 use crate::store::{CallPriority, RetryPolicy, StoreCall};
 
@@ -24,7 +24,7 @@
     /// Renews the leader's lease.
     pub(super) fn renew_lease(&mut self) {
         let now = self.now.monotonic;
-        self.leadership.renew_at = now + LEASE_RENEW_MS;
+        self.leadership.renew_at = now + LEASE_RENEW_INTERVAL_MS;
         let context =
             CallContext::RenewLease { generation: self.leadership.generation, requested_at: now };
         let call = StoreCall::RenewLease(self.leadership.lease);
@@ -32,7 +32,7 @@
             call,
             context,
             CallPriority::Leadership,
-            RetryPolicy::OnceBefore(now + LEASE_RENEW_MS),
+            RetryPolicy::OnceBefore(now + LEASE_RENEW_INTERVAL_MS),
         );
     }
 
--- a/crates/controller/src/controller/peers.rs
+++ b/crates/controller/src/controller/peers.rs
@@ -4,7 +4,7 @@
 //! the cancellation quorum, the pending terminations and, from the leader, the counts for display.
 
 use super::Controller;
-use crate::constants::{FORMAT_VERSION, HEARTBEAT_FRESH_MS};
+use crate::constants::{FORMAT_VERSION, HEARTBEAT_VALIDITY_MS};
 use crate::leadership::{LeaderProgress, PeerHealth, ReportedCancellation};
 use swiftsail_protocol::controllers::Heartbeat;
 
@@ -151,7 +151,7 @@
         }
         let now = self.now.monotonic;
         let is_recent =
-            |health: &PeerHealth| now.saturating_sub(health.heard_at) <= HEARTBEAT_FRESH_MS;
+            |health: &PeerHealth| now.saturating_sub(health.heard_at) <= HEARTBEAT_VALIDITY_MS;
         let mut recent = self.peers.values().map(|peer| peer.health).filter(is_recent).peekable();
         let is_alone = self.settings.controllers() > 1 && recent.peek().is_none();
         let peers_reach_store = recent.any(|health| health.store_age_ms == 0);
--- a/crates/controller/src/controller/pending_terminations.rs
+++ b/crates/controller/src/controller/pending_terminations.rs
@@ -10,7 +10,7 @@
 use crate::Time;
 use crate::cloud::CloudCall;
 use crate::cluster_state::ClusterState;
-use crate::constants::{HEARTBEAT_FRESH_MS, RETURN_AGAIN_MS, RETURN_BATCH_MAX};
+use crate::constants::{HEARTBEAT_VALIDITY_MS, MAX_TERMINATION_BATCH, TERMINATION_RETRY_MS};
 use crate::fleet::cancellation_deadline_ms;
 use crate::job::{Job, JobId, MachineId};
 use std::collections::BTreeMap;
@@ -96,14 +96,16 @@
         let machines: CancelledMachines = state.machines_with_cancelled_tasks().collect();
         let (now, wall) = (self.now.monotonic, self.now.wall_clock);
         let wall_of = |cancelled_at: Time| wall.saturating_sub(now.saturating_sub(cancelled_at));
-        let machines = machines.0.into_iter().take(RETURN_BATCH_MAX);
+        let machines = machines.0.into_iter().take(MAX_TERMINATION_BATCH);
         machines.map(|(id, cancelled_at)| (id.to_string(), wall_of(cancelled_at))).collect()
     }
 
     /// A leader's heartbeat arrived: what it names replaces what was known.
     pub(super) fn adopt_pending_terminations(&mut self, heartbeat: &Heartbeat) {
         self.pending_terminations.clear();
-        for (name, cancelled_wall) in heartbeat.pending_terminations.iter().take(RETURN_BATCH_MAX) {
+        for (name, cancelled_wall) in
+            heartbeat.pending_terminations.iter().take(MAX_TERMINATION_BATCH)
+        {
             let cancelled_at = self.monotonic_of_wall(*cancelled_wall);
             self.pending_terminations.machines.add(name.as_str().into(), cancelled_at);
         }
@@ -118,7 +120,7 @@
     /// then nobody has been elected since.
     fn hears_no_leader(&self) -> bool {
         let now = self.now.monotonic;
-        let from = self.endorsements_valid_from().max(now.saturating_sub(HEARTBEAT_FRESH_MS));
+        let from = self.endorsements_valid_from().max(now.saturating_sub(HEARTBEAT_VALIDITY_MS));
         let is_fresh = |peer: &&Peer| peer.health.heard_at >= from;
         let fresh: Vec<&Peer> = self.peers.values().filter(is_fresh).collect();
         let hears_all = fresh.len() == self.settings.others.len();
@@ -133,7 +135,7 @@
             self.pending_terminations.clear();
             return;
         }
-        let may_request = now >= self.pending_terminations.requested_at + RETURN_AGAIN_MS;
+        let may_request = now >= self.pending_terminations.requested_at + TERMINATION_RETRY_MS;
         if !may_request || !self.hears_no_leader() {
             return;
         }
@@ -163,7 +165,7 @@
         let mut names: Vec<String> = due.map(|(id, _)| id.to_string()).collect();
         names.sort();
         names.dedup();
-        names.truncate(RETURN_BATCH_MAX);
+        names.truncate(MAX_TERMINATION_BATCH);
         names
     }
 }
--- a/crates/controller/src/controller/plan_application.rs
+++ b/crates/controller/src/controller/plan_application.rs
@@ -2,7 +2,7 @@
 //! types by the [`QuotaGuard`], whoever planned it; nothing else binds a task.
 
 use crate::cluster_state::{ClusterState, QuotaGuard, RunQueue, SlotId, usable};
-use crate::constants::YIELD_HOLD_MS;
+use crate::constants::LOW_PRIORITY_HOLD_MS;
 use crate::job::{GangState, Job, JobId, JobSpec, MachineId};
 use crate::machine::{Machine, Resources};
 use crate::placement::{CyclePlan, PlanStep, PlanningContext};
@@ -124,7 +124,7 @@
         PlanStep::ReserveForGang(id, machines) => reserve_for_gang(state, context, &id, machines),
         PlanStep::HoldFromLowPriority(machines) => {
             state.yielding_machines.retain(|_, until| context.now < *until);
-            let until = context.now + YIELD_HOLD_MS;
+            let until = context.now + LOW_PRIORITY_HOLD_MS;
             state.yielding_machines.extend(machines.into_iter().map(|id| (id, until)));
         }
         PlanStep::PreemptForQuota { by, victims } => {
--- a/crates/controller/src/controller/quota_accounts.rs
+++ b/crates/controller/src/controller/quota_accounts.rs
@@ -5,7 +5,7 @@
 use super::{CallContext, Controller};
 use crate::Time;
 use crate::cluster_state::{ClusterState, team_amounts};
-use crate::constants::{QUOTA_READ_MS, QUOTA_RETRY_MS};
+use crate::constants::{QUOTA_READ_INTERVAL_MS, QUOTA_RETRY_MS};
 use crate::job::keys;
 use crate::quota_records::{self, KEY_PREFIX};
 use crate::settings::TeamSettings;
@@ -96,9 +96,9 @@
     }
 
     fn read_quota_accounts(&mut self, urgency: CallPriority) {
-        self.quota_accounts.read_at = self.now.monotonic + QUOTA_READ_MS;
+        self.quota_accounts.read_at = self.now.monotonic + QUOTA_READ_INTERVAL_MS;
         let call = StoreCall::List { prefix: KEY_PREFIX.into(), from: None };
-        let until = self.now.monotonic + QUOTA_READ_MS;
+        let until = self.now.monotonic + QUOTA_READ_INTERVAL_MS;
         let purpose = CallContext::ReadQuotaAccounts { token: self.leadership.token };
         self.store.push(call, purpose, urgency, RetryPolicy::OnceBefore(until));
     }
@@ -184,7 +184,7 @@
     }
 
     fn send_quota_transfers(&mut self, page: usize, txn: &QuotaTransaction, held: bool) {
-        let commit = quota_records::to_commit(txn, name(page));
+        let commit = quota_records::to_transaction(txn, name(page));
         let era = held.then_some(self.leadership.generation);
         let purpose = CallContext::TransferQuota { generation: era, page, by: txn.id };
         self.store.push(
@@ -243,7 +243,7 @@
         let Some(leader) = &mut self.cluster_state else { return };
         leader.quota_limits = caps;
         let over = self.quota_accounts.balances.iter().all(|a| a.phase() != AccountPhase::Reading);
-        if over && now >= leader.limit_preempted_at + QUOTA_READ_MS {
+        if over && now >= leader.limit_preempted_at + QUOTA_READ_INTERVAL_MS {
             leader.limit_preempted_at = now;
             leader.preempt_over_limit(teams, now);
         }
--- a/crates/controller/src/controller/report_forwarding/forwarder.rs
+++ b/crates/controller/src/controller/report_forwarding/forwarder.rs
@@ -3,8 +3,9 @@
 
 use crate::Time;
 use crate::constants::{
-    FORWARD_BATCH_BYTES, FORWARD_BATCH_MAX, FORWARD_GATHER_MS, FORWARD_TIMEOUT_MS,
-    FORWARDS_IN_FLIGHT_MAX, REPORT_BYTES, SUMMARY_MS, TASK_STATUS_BYTES, UNCHANGED_MACHINE_BYTES,
+    FORWARD_BATCH_WINDOW_MS, FORWARD_TIMEOUT_MS, MAX_FORWARD_BATCH, MAX_FORWARD_BATCH_BYTES,
+    MAX_FORWARDS_IN_FLIGHT, REPORT_BYTES, TASK_STATUS_BYTES, UNCHANGED_MACHINE_BYTES,
+    UNCHANGED_SUMMARY_INTERVAL_MS,
 };
 use crate::controller::RequestId;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -154,9 +155,9 @@
         let first = self.queue.front()?;
         let is_due = !gathers
             || first.must_be_full
-            || self.queue.len() >= FORWARD_BATCH_MAX
-            || now >= first.queued_at + FORWARD_GATHER_MS;
-        if !is_due || self.in_flight.len() >= FORWARDS_IN_FLIGHT_MAX {
+            || self.queue.len() >= MAX_FORWARD_BATCH
+            || now >= first.queued_at + FORWARD_BATCH_WINDOW_MS;
+        if !is_due || self.in_flight.len() >= MAX_FORWARDS_IN_FLIGHT {
             return None;
         }
         let leader = first.leader.clone();
@@ -165,7 +166,8 @@
             let is_unchanged = self.may_send_as_hash(queued);
             let size = REPORT_BYTES
                 + if is_unchanged { 0 } else { TASK_STATUS_BYTES * queued.report.tasks.len() };
-            let is_full = items.len() >= FORWARD_BATCH_MAX || bytes + size > FORWARD_BATCH_BYTES;
+            let is_full =
+                items.len() >= MAX_FORWARD_BATCH || bytes + size > MAX_FORWARD_BATCH_BYTES;
             if queued.leader != leader || is_full && !items.is_empty() {
                 break;
             }
@@ -173,7 +175,7 @@
             reports.push(queued.to_forwarded(is_unchanged));
             items.extend(self.queue.pop_front());
         }
-        let spare_bytes = FORWARD_BATCH_BYTES - bytes.min(FORWARD_BATCH_BYTES);
+        let spare_bytes = MAX_FORWARD_BATCH_BYTES - bytes.min(MAX_FORWARD_BATCH_BYTES);
         let batch = ForwardedReports {
             controller: own_name.to_string(),
             reports,
@@ -203,12 +205,12 @@
         leader: &str,
         now: Time,
     ) -> Option<OutgoingBatch> {
-        let is_due = now >= self.summary_sent_at + SUMMARY_MS
-            && self.in_flight.len() < FORWARDS_IN_FLIGHT_MAX;
+        let is_due = now >= self.summary_sent_at + UNCHANGED_SUMMARY_INTERVAL_MS
+            && self.in_flight.len() < MAX_FORWARDS_IN_FLIGHT;
         if !is_due || self.delegation.valid_fencing_token(now).is_none() {
             return None;
         }
-        let max_machines = FORWARD_BATCH_BYTES / UNCHANGED_MACHINE_BYTES;
+        let max_machines = MAX_FORWARD_BATCH_BYTES / UNCHANGED_MACHINE_BYTES;
         let reports = ForwardedReports {
             controller: own_name.to_string(),
             reports: Vec::new(),
@@ -238,7 +240,7 @@
     /// Takes at most `max_machines` of the reports answered here, to inform the leader of them. Only with each summary
     /// and not with each batch, so that a machine is named once in a while however often it reports.
     fn take_self_answered(&mut self, max_machines: usize, now: Time) -> Vec<LocallyAnsweredReport> {
-        if now < self.summary_sent_at + SUMMARY_MS {
+        if now < self.summary_sent_at + UNCHANGED_SUMMARY_INTERVAL_MS {
             return Vec::new();
         }
         let mut taken = Vec::with_capacity(self.self_answered.len().min(max_machines));
--- a/crates/controller/src/controller/report_forwarding/mod.rs
+++ b/crates/controller/src/controller/report_forwarding/mod.rs
@@ -15,7 +15,7 @@
 use super::{Action, Controller, Reply, RequestId};
 use crate::Time;
 use crate::cluster_state::{ClusterState, ReportSource};
-use crate::constants::{FORWARD_TIMEOUT_MS, FORWARDING_HISTORY_MAX};
+use crate::constants::{FORWARD_TIMEOUT_MS, MAX_FORWARDING_HISTORY};
 use crate::machine::MachineType;
 use crate::machine::MessageOrder;
 pub(super) use forwarder::ReportForwarder;
@@ -69,7 +69,7 @@
             return self.on_batch_unanswered(batch);
         };
         self.apply_delegation(&answers, batch.sent_at);
-        if self.report_forwarder.answered_reports.len() >= FORWARDING_HISTORY_MAX {
+        if self.report_forwarder.answered_reports.len() >= MAX_FORWARDING_HISTORY {
             self.report_forwarder.answered_reports.clear();
         }
         let delegable = &answers.delegable_reports;
--- a/crates/controller/src/controller/report_forwarding/worker_distribution.rs
+++ b/crates/controller/src/controller/report_forwarding/worker_distribution.rs
@@ -2,8 +2,8 @@
 //! redirects one worker after the other until each controller has its part.
 
 use crate::constants::{
-    DISTRIBUTE_ABOVE, DISTRIBUTE_LOAD, DISTRIBUTE_SLACK, HEARTBEAT_FRESH_MS, LOAD_SLACK,
-    REDIRECT_AGAIN_MS,
+    DISTRIBUTION_CPU_LOAD, DISTRIBUTION_MEMORY_SHARE, HEARTBEAT_VALIDITY_MS, REDIRECT_COOLDOWN_MS,
+    REDIRECT_COUNT_MARGIN_DIVISOR, REDIRECT_LOAD_MARGIN,
 };
 use crate::controller::requests::replies::http_status;
 use crate::controller::{Controller, Reply};
@@ -31,7 +31,7 @@
     /// Workers whose connections this controller's memory allows before they are distributed.
     fn max_own_workers(&self) -> usize {
         let memory_kb = self.settings.settings.machine_limits.mem_mb * 1024.0;
-        (memory_kb * DISTRIBUTE_ABOVE) as usize / CONNECTION_KB
+        (memory_kb * DISTRIBUTION_MEMORY_SHARE) as usize / CONNECTION_KB
     }
 
     /// Begins to distribute workers, or ceases to well below where it began.
@@ -39,9 +39,9 @@
         let machines = self.cluster_state.as_ref().map_or(0, |state| state.machines.len());
         let machine_load = self.cpu.baseline_load().unwrap_or(0.0);
         let (max_machines, max_load) = if self.distributes_workers {
-            (self.max_own_workers() * 3 / 4, DISTRIBUTE_LOAD / 2.0)
+            (self.max_own_workers() * 3 / 4, DISTRIBUTION_CPU_LOAD / 2.0)
         } else {
-            (self.max_own_workers(), DISTRIBUTE_LOAD)
+            (self.max_own_workers(), DISTRIBUTION_CPU_LOAD)
         };
         self.distributes_workers =
             self.settings.controllers() > 1 && (machines > max_machines || machine_load > max_load);
@@ -80,7 +80,7 @@
         if MessageOrder::of(report) <= machine.last_message {
             return None;
         }
-        if machine.redirected_at.is_some_and(|at| now < at + REDIRECT_AGAIN_MS) {
+        if machine.redirected_at.is_some_and(|at| now < at + REDIRECT_COOLDOWN_MS) {
             return None;
         }
         machine.redirected_at = Some(now);
@@ -93,7 +93,7 @@
     fn least_loaded_peer(&self) -> Option<RedirectTarget> {
         let now = self.now.monotonic;
         let able = self.peers.iter().filter(|(_, peer)| {
-            let is_fresh = now.saturating_sub(peer.health.heard_at) <= HEARTBEAT_FRESH_MS;
+            let is_fresh = now.saturating_sub(peer.health.heard_at) <= HEARTBEAT_VALIDITY_MS;
             is_fresh && !peer.is_leader && peer.health.highest_token == self.leadership.token
         });
         let targets = able.map(|(name, peer)| RedirectTarget {
@@ -107,14 +107,14 @@
     fn should_redirect(&self, own_workers: usize, target: &RedirectTarget) -> bool {
         let fair_part =
             self.workers_by_controller.values().sum::<usize>() / self.settings.controllers();
-        let slack = 1 + fair_part / DISTRIBUTE_SLACK;
+        let slack = 1 + fair_part / REDIRECT_COUNT_MARGIN_DIVISOR;
         if own_workers > fair_part + slack && target.workers + slack < own_workers {
             return true;
         }
         // Equal parts would leave the leader the busiest, since placement is its alone.
         let max_connections = self.budget.connections.saturating_sub(RESERVED_CONNECTIONS);
         let loads = self.cpu.load().zip(target.cpu_load);
-        loads.is_some_and(|(own, theirs)| own > theirs + LOAD_SLACK)
+        loads.is_some_and(|(own, theirs)| own > theirs + REDIRECT_LOAD_MARGIN)
             && own_workers > slack
             && target.workers < max_connections
     }
--- a/crates/controller/src/controller/requests/admission.rs
+++ b/crates/controller/src/controller/requests/admission.rs
@@ -6,7 +6,7 @@
     store_unavailable_reply, unconfirmed_write_reply,
 };
 use super::{CacheFreshness, PendingRequest, RequestIntent};
-use crate::constants::SLACK;
+use crate::constants::AMOUNT_TOLERANCE;
 use crate::controller::chunks::put_change;
 use crate::controller::{CallContext, Controller, Reply, RequestId};
 use crate::job::{JobId, JobKind, JobRecord, JobSpec, keys};
@@ -77,8 +77,9 @@
             return Some(error_reply(http_status::UNPROCESSABLE, error.into()));
         }
         let tasks_at_once = if spec.kind == JobKind::Array { 1.0 } else { f64::from(spec.tasks) };
-        let exceeds =
-            |limit: f64, per_task: f64| limit > 0.0 && per_task * tasks_at_once > limit + SLACK;
+        let exceeds = |limit: f64, per_task: f64| {
+            limit > 0.0 && per_task * tasks_at_once > limit + AMOUNT_TOLERANCE
+        };
         if exceeds(team.cpus_max, spec.cpus) || exceeds(team.gpus_max, spec.gpus) {
             let error = format!("the job needs more than the limit of team `{}`", spec.team);
             return Some(error_reply(http_status::UNPROCESSABLE, error));
--- a/crates/controller/src/controller/requests/cancellations.rs
+++ b/crates/controller/src/controller/requests/cancellations.rs
@@ -5,7 +5,9 @@
 use super::replies::{TaskCounts, status_reply, unconfirmed_write_reply};
 use super::{CancelRequest, PendingRequest, RequestIntent};
 use crate::Time;
-use crate::constants::{CANCEL_CONFLICTS_MAX, EXPEDITED_HEARTBEAT_MS, USER_STORE_TIMEOUT_MS};
+use crate::constants::{
+    EXPEDITED_HEARTBEAT_INTERVAL_MS, MAX_CANCEL_CONFLICTS, USER_STORE_TIMEOUT_MS,
+};
 use crate::controller::{Action, CallContext, Controller, Reply, RequestId};
 use crate::job::{JobId, JobRecord, keys};
 use crate::store::{CallPriority, StoreCall, StoreOutcome};
@@ -70,7 +72,7 @@
     pub(super) fn on_cancel_written(&mut self, id: &JobId, wall: u64, outcome: &StoreOutcome) {
         let waiting = self.requests.cancels.remove(id).unwrap_or_default();
         for CancelRequest { request, conflicts } in waiting {
-            let may_retry = conflicts < CANCEL_CONFLICTS_MAX;
+            let may_retry = conflicts < MAX_CANCEL_CONFLICTS;
             match outcome {
                 StoreOutcome::Committed(revision) => {
                     let reply = PendingCancelReply::new(id, *revision, request, None);
@@ -82,7 +84,7 @@
                 }
                 // Committed or not: a read tells, and there is time to try once more.
                 StoreOutcome::Unknown if may_retry => {
-                    let intent = RequestIntent::Cancel { conflicts: CANCEL_CONFLICTS_MAX };
+                    let intent = RequestIntent::Cancel { conflicts: MAX_CANCEL_CONFLICTS };
                     self.read_job(id, PendingRequest { request, intent });
                 }
                 _ => self.answer(request, unconfirmed_write_reply()),
@@ -132,7 +134,7 @@
                 self.requests.unconfirmed_cancels.push(pending);
             }
         }
-        if needs_heartbeat && now >= self.expedited_heartbeat_at + EXPEDITED_HEARTBEAT_MS {
+        if needs_heartbeat && now >= self.expedited_heartbeat_at + EXPEDITED_HEARTBEAT_INTERVAL_MS {
             self.expedited_heartbeat_at = now;
             let heartbeat = self.build_heartbeat(true);
             self.actions.push(Action::SendHeartbeat(heartbeat));
--- a/crates/controller/src/controller/scheduling_cycle.rs
+++ b/crates/controller/src/controller/scheduling_cycle.rs
@@ -7,7 +7,8 @@
 use super::{Controller, fleet_management};
 use crate::cluster_state::{ClusterState, ProvisioningRequest, QuotaGuard};
 use crate::constants::{
-    CYCLE_MS, CYCLE_REST_FACTOR, EVALUATION_US, LONG_CYCLE_MS, MS_PER_S, SCORE_US,
+    CYCLE_PAUSE_FACTOR, EVALUATION_COST_US, LONG_CYCLE_THRESHOLD_MS, MIN_CYCLE_INTERVAL_MS,
+    MS_PER_S, SCORE_COST_US,
 };
 use crate::placement::{self, PlanningContext};
 use std::cmp::Reverse;
@@ -28,7 +29,8 @@
 impl CycleResult {
     /// Processor time that the cycle took by the measured costs, us of a whole core.
     fn cost_us(&self) -> f64 {
-        self.targets_evaluated as f64 * EVALUATION_US + self.scores_computed as f64 * SCORE_US
+        self.targets_evaluated as f64 * EVALUATION_COST_US
+            + self.scores_computed as f64 * SCORE_COST_US
     }
 }
 
@@ -85,7 +87,7 @@
         let may_run = self.is_lease_confirmed() && now >= self.next_cycle_at;
         let state = self.cluster_state.as_ref().filter(|_| may_run)?;
         let round_ms = self.load_level.scaled_period_ms(self.job_policies.round_interval_ms);
-        let cycle_ms = self.load_level.scaled_period_ms(CYCLE_MS);
+        let cycle_ms = self.load_level.scaled_period_ms(MIN_CYCLE_INTERVAL_MS);
         placement::due_cycle(state, cycle_ms, round_ms, now)
     }
 
@@ -109,8 +111,8 @@
         let cost_us = result.cost_us();
         self.cpu.charge_cycle(cost_us);
         let elapsed_ms = cost_us / MS_PER_S / self.settings.settings.machine_limits.cores;
-        if elapsed_ms > LONG_CYCLE_MS {
-            self.next_cycle_at = self.now.monotonic + (elapsed_ms * CYCLE_REST_FACTOR) as u64;
+        if elapsed_ms > LONG_CYCLE_THRESHOLD_MS {
+            self.next_cycle_at = self.now.monotonic + (elapsed_ms * CYCLE_PAUSE_FACTOR) as u64;
         }
         self.plugin_host.end_cycle(result.scores_computed);
     }
--- a/crates/controller/src/controller/status.rs
+++ b/crates/controller/src/controller/status.rs
@@ -2,7 +2,7 @@
 
 use super::Controller;
 use crate::cluster_state::team_amounts;
-use crate::constants::STATUS_MS;
+use crate::constants::STATUS_LOG_INTERVAL_MS;
 use crate::job::AttemptPhase;
 use crate::machine::MachineState;
 use std::collections::BTreeMap;
@@ -12,8 +12,10 @@
     #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub(super) fn log_status(&mut self) {
         let now = self.now.monotonic;
-        let Some(leader) =
-            self.cluster_state.as_ref().filter(|_| now >= self.status_logged_at + STATUS_MS)
+        let Some(leader) = self
+            .cluster_state
+            .as_ref()
+            .filter(|_| now >= self.status_logged_at + STATUS_LOG_INTERVAL_MS)
         else {
             return;
         };
--- a/crates/controller/src/controller/worker_reports.rs
+++ b/crates/controller/src/controller/worker_reports.rs
@@ -4,8 +4,8 @@
 use crate::Time;
 use crate::cluster_state::ReportSource;
 use crate::constants::{
-    ANSWER_MARGIN_MS, ANSWER_VALIDITY_MIN_MS, CAME_BACK_MS, FORWARD_MS, FORWARDING_HISTORY_MAX,
-    HEARTBEAT_FRESH_MS, MS_PER_S,
+    ANSWER_MARGIN_MS, FORWARDING_DURATION_MS, HEARTBEAT_VALIDITY_MS, MAX_FORWARDING_HISTORY,
+    MIN_ANSWER_VALIDITY_MS, MS_PER_S, REDIRECT_FAILURE_WINDOW_MS,
 };
 use crate::leadership::AnswerAuthority;
 use swiftsail_protocol::workers::{Redirect, StatusReport};
@@ -74,10 +74,10 @@
         let now = self.now.monotonic;
         let near = self.leadership.known_leader.as_ref().and_then(|l| {
             let peer = self.peers.get(l)?;
-            let fresh = now.saturating_sub(peer.health.heard_at) <= HEARTBEAT_FRESH_MS;
+            let fresh = now.saturating_sub(peer.health.heard_at) <= HEARTBEAT_VALIDITY_MS;
             (fresh && peer.is_leader).then(|| (l.clone(), peer.distributes_workers))
         });
-        if self.forwarding_history.len() >= FORWARDING_HISTORY_MAX {
+        if self.forwarding_history.len() >= MAX_FORWARDING_HISTORY {
             self.forwarding_history.clear();
         }
         let passed = self.forwarding_history.entry(report.machine.clone()).or_default();
@@ -85,7 +85,7 @@
         // A copy, or a worker that has begun anew: the leader can tell, and nothing is learnt from it here.
         let late = at <= passed.latest;
         passed.latest = passed.latest.max(at);
-        let recent = |at: Time| at > 0 && now.saturating_sub(at) <= CAME_BACK_MS;
+        let recent = |at: Time| at > 0 && now.saturating_sub(at) <= REDIRECT_FAILURE_WINDOW_MS;
         let Some((leader, shares)) = near else {
             // Where this node has lost the leader, a worker of its zone will not reach it either:
             // named again and again, the leader would keep it from ever trying the third node.
@@ -113,7 +113,7 @@
             return self.report_forwarder.push(id, report, &leader, false, now);
         }
         if now >= passed.forward_until && recent(passed.redirected_at) {
-            passed.forward_until = now + FORWARD_MS;
+            passed.forward_until = now + FORWARDING_DURATION_MS;
         } else if now >= passed.forward_until && recent(passed.forwarded_at) {
             *passed = ForwardingHistory {
                 redirected_at: now,
@@ -150,7 +150,7 @@
     fn answer_validity_ms(&self) -> u64 {
         let workers = &self.settings.settings.workers;
         let spare = ((workers.cancel_s - workers.lease_s) * MS_PER_S) as u64;
-        spare.saturating_sub(ANSWER_MARGIN_MS).max(ANSWER_VALIDITY_MIN_MS.min(spare / 2))
+        spare.saturating_sub(ANSWER_MARGIN_MS).max(MIN_ANSWER_VALIDITY_MS.min(spare / 2))
     }
 
     /// When this node, leading, asked for what it has read of the jobs; and as of when it knows every cancellation
--- a/crates/controller/src/cycle_policy.rs
+++ b/crates/controller/src/cycle_policy.rs
@@ -3,8 +3,9 @@
 //! priorities are not here.
 
 use crate::constants::{
-    CYCLE_BINDINGS_MAX, CYCLE_JOBS, CYCLE_QUEUED_MAX, IDLE_MACHINE_MS, PRUNING_THRESHOLD,
-    PRUNING_TOGGLE_MISSES, RESERVE_TASKS, ROUND_MS, RUN_QUEUE_MAX, RUN_QUEUES_MAX, SPOT_SHARE,
+    DROPPING_TOGGLE_MISSES, HEADROOM_TASKS, IDLE_MACHINE_TIMEOUT_MS, MAX_CYCLE_BINDINGS,
+    MAX_CYCLE_JOBS, MAX_CYCLE_QUEUE_JOINS, MAX_RUN_QUEUE_LENGTH, MAX_RUN_QUEUES, MAX_SPOT_SHARE,
+    PRUNING_THRESHOLD, ROUND_INTERVAL_MS,
 };
 use crate::job::JobId;
 use std::collections::{BTreeSet, HashMap};
@@ -28,7 +29,7 @@
     fn default() -> JobPolicy {
         JobPolicy {
             pruning_threshold: PRUNING_THRESHOLD,
-            spot_share: SPOT_SHARE,
+            spot_share: MAX_SPOT_SHARE,
             class_order: 0,
             score: 0.0,
             avoided_types: BTreeSet::new(),
@@ -54,10 +55,10 @@
 impl Default for CycleBounds {
     fn default() -> CycleBounds {
         CycleBounds {
-            max_bindings: CYCLE_BINDINGS_MAX,
-            max_queue_joins: CYCLE_QUEUED_MAX,
-            max_jobs_per_level: CYCLE_JOBS,
-            max_queues: RUN_QUEUES_MAX,
+            max_bindings: MAX_CYCLE_BINDINGS,
+            max_queue_joins: MAX_CYCLE_QUEUE_JOINS,
+            max_jobs_per_level: MAX_CYCLE_JOBS,
+            max_queues: MAX_RUN_QUEUES,
             is_fleet_near_limit: false,
         }
     }
@@ -87,11 +88,11 @@
 impl Default for CyclePolicy {
     fn default() -> CyclePolicy {
         CyclePolicy {
-            dropping_toggle: PRUNING_TOGGLE_MISSES,
-            queue_limit: RUN_QUEUE_MAX,
-            round_interval_ms: ROUND_MS,
-            headroom_tasks: RESERVE_TASKS,
-            idle_timeout_ms: IDLE_MACHINE_MS,
+            dropping_toggle: DROPPING_TOGGLE_MISSES,
+            queue_limit: MAX_RUN_QUEUE_LENGTH,
+            round_interval_ms: ROUND_INTERVAL_MS,
+            headroom_tasks: HEADROOM_TASKS,
+            idle_timeout_ms: IDLE_MACHINE_TIMEOUT_MS,
             bounds: CycleBounds::default(),
             default_job: JobPolicy::default(),
             job_overrides: HashMap::new(),
--- a/crates/controller/src/fleet/consolidation.rs
+++ b/crates/controller/src/fleet/consolidation.rs
@@ -6,7 +6,8 @@
 use crate::Time;
 use crate::cluster_state::ClusterState;
 use crate::constants::{
-    DRAINS_MAX, MOVE_AGE_MS, MOVE_FETCH_MS, MOVE_RATIO, MOVE_REPLICAS, MOVE_TRIES,
+    CONSOLIDATION_COST_RATIO, MAX_CONSOLIDATION_CANDIDATES, MAX_DRAINING_MACHINES,
+    MAX_MIGRATION_FETCH_MS, MIN_MIGRATION_REPLICAS, MIN_MIGRATION_RUN_MS,
 };
 use crate::job::{Attempt, AttemptPhase, JobId, JobKind, JobSpec, MachineId};
 use crate::machine::{MachineState, MachineType, Resources};
@@ -51,7 +52,7 @@
             None => out.state_changes.push(((*id).clone(), MachineState::Ready)),
         }
     }
-    if draining.len() < DRAINS_MAX
+    if draining.len() < MAX_DRAINING_MACHINES
         && let Some(id) = most_wasteful_machine(tables, types, view.now)
     {
         out.state_changes.push((id, MachineState::Draining));
@@ -84,7 +85,7 @@
     }
     let whole = |(job, _): &ReplicaId| {
         tables.jobs.get(job).is_some_and(|j| {
-            j.spec.tasks >= MOVE_REPLICAS
+            j.spec.tasks >= MIN_MIGRATION_REPLICAS
                 && j.attempts.len() == j.spec.tasks as usize
                 && j.attempts
                     .values()
@@ -116,20 +117,20 @@
             let Some(job) = tables.jobs.get(id) else { return false };
             worth += job.spec.cpus * least;
             job.spec.kind == JobKind::Service
-                && job.spec.tasks >= MOVE_REPLICAS
+                && job.spec.tasks >= MIN_MIGRATION_REPLICAS
                 && !job.is_cancelled()
                 && job.attempts.get(task).is_some_and(|a| {
                     a.phase() == AttemptPhase::Running
-                        && a.running_since.is_some_and(|at| now >= at + MOVE_AGE_MS)
+                        && a.running_since.is_some_and(|at| now >= at + MIN_MIGRATION_RUN_MS)
                 })
         });
         let ratio = kind.hourly_price(machine.spot) / worth.max(1e-9);
-        if settled && ratio >= MOVE_RATIO {
+        if settled && ratio >= CONSOLIDATION_COST_RATIO {
             found.push((ratio, machine.id.clone()));
         }
     }
     found.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
-    found.truncate(MOVE_TRIES);
+    found.truncate(MAX_CONSOLIDATION_CANDIDATES);
     let fits = |id: &MachineId| replicas_fit_elsewhere(tables, id, &replicas_on(tables, id), types);
     found.into_iter().map(|f| f.1).find(fits)
 }
@@ -149,7 +150,8 @@
         let zone_of = |m: &MachineId| tables.machines.get(m).map(|m| m.zone.as_str());
         let place = tables.machines.values().find(|m| {
             let Some(kind) = types.iter().find(|t| t.name == m.machine_type) else { return false };
-            let near = m.images.contains(&spec.image) || kind.fetch_ms(spec) <= MOVE_FETCH_MS;
+            let near =
+                m.images.contains(&spec.image) || kind.fetch_ms(spec) <= MAX_MIGRATION_FETCH_MS;
             let others = job.attempts.iter().filter(|(t, _)| *t != task);
             let there = others.filter(|(_, a)| zone_of(&a.machine) == Some(&m.zone)).count() as u32;
             m.id != *from
--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -8,8 +8,9 @@
 use crate::Time;
 use crate::cluster_state::ClusterState;
 use crate::constants::{
-    BOOT_LATE_FACTOR, BOOT_LATE_MS, BOOT_UNKNOWN_MS, CANCEL_MARGIN_MS, CLOUD_LIST_MS,
-    CLOUD_TYPES_MS, IDLE_CHECK_MS, MOVES_MS, MS_PER_S, STOP_GRACE_EXTRA_S,
+    BOOT_TIMEOUT_FACTOR, CANCEL_MARGIN_MS, DEFAULT_BOOT_MS, IDLE_CHECK_INTERVAL_MS,
+    MACHINE_LIST_INTERVAL_MS, MACHINE_TYPES_INTERVAL_MS, MIGRATION_INTERVAL_MS,
+    MIN_BOOT_TIMEOUT_MARGIN_MS, MS_PER_S, STOP_GRACE_EXTRA_S,
 };
 use crate::job::{JobId, JobKind, MachineId};
 use crate::machine::{Machine, MachineState};
@@ -50,18 +51,19 @@
     let now = view.now;
     let rentals = &tables.provisioning;
     let mut out = FleetPlan {
-        refresh_machine_list: !rentals.is_listing && now >= rentals.listed_at + CLOUD_LIST_MS,
-        refresh_machine_types: now >= rentals.types_requested_at + CLOUD_TYPES_MS,
+        refresh_machine_list: !rentals.is_listing
+            && now >= rentals.listed_at + MACHINE_LIST_INTERVAL_MS,
+        refresh_machine_types: now >= rentals.types_requested_at + MACHINE_TYPES_INTERVAL_MS,
         ..FleetPlan::default()
     };
     return_for_cancellations(tables, view, &mut out);
     if sure {
         return_lost_machines(tables, view, &mut out);
-        out.checked_idle_machines = now >= rentals.idle_checked_at + IDLE_CHECK_MS;
+        out.checked_idle_machines = now >= rentals.idle_checked_at + IDLE_CHECK_INTERVAL_MS;
         if out.checked_idle_machines {
             return_idle_machines(tables, view, &mut out);
         }
-        out.checked_consolidation = now >= rentals.moves_checked_at + MOVES_MS;
+        out.checked_consolidation = now >= rentals.moves_checked_at + MIGRATION_INTERVAL_MS;
         if out.checked_consolidation {
             consolidation::plan_consolidation(tables, view, &mut out);
         }
@@ -150,8 +152,9 @@
                 leave(RETURN_REASON_NOT_REPORTING);
             }
         } else if machine.last_heard_at.is_none() {
-            let boot = kind.map_or(BOOT_UNKNOWN_MS, |t| t.boot_ms);
-            let late = (boot * BOOT_LATE_FACTOR).max(boot + BOOT_LATE_MS as f64) as u64;
+            let boot = kind.map_or(DEFAULT_BOOT_MS, |t| t.boot_ms);
+            let late =
+                (boot * BOOT_TIMEOUT_FACTOR).max(boot + MIN_BOOT_TIMEOUT_MARGIN_MS as f64) as u64;
             if now.saturating_sub(machine.rented_at.max(tables.leading_since)) > late {
                 leave("it never came up");
             }
--- a/crates/controller/src/job/chunks.rs
+++ b/crates/controller/src/job/chunks.rs
@@ -4,7 +4,7 @@
 use super::record::task_ranges;
 use super::{Attempt, Binding, BindingChunk, FinalRecord, Job};
 use crate::Time;
-use crate::constants::{CHUNK_BYTES, RANGE_BYTES};
+use crate::constants::{CHUNK_OVERHEAD_BYTES, MAX_TASK_RANGE_BYTES};
 use std::collections::BTreeSet;
 use std::ops::Range;
 
@@ -114,7 +114,8 @@
         let recorded = self.done.range(self.chunk_range(chunk)).copied();
         let done: BTreeSet<u32> = recorded.chain(self.completed_in_chunk(chunk)).collect();
         let done = task_ranges(&done);
-        let bytes_left = max_bytes.saturating_sub(CHUNK_BYTES + done.len() * RANGE_BYTES);
+        let bytes_left =
+            max_bytes.saturating_sub(CHUNK_OVERHEAD_BYTES + done.len() * MAX_TASK_RANGE_BYTES);
         let mut contents =
             ChunkContents { done, fitting: Vec::new(), overflowing: Vec::new(), bytes_left };
         for binding in self.live_bindings(chunk).filter(|binding| !is_logged(binding.task)) {
--- a/crates/controller/src/job/deadlines.rs
+++ b/crates/controller/src/job/deadlines.rs
@@ -3,7 +3,7 @@
 
 use super::{Job, JobKind, JobState, Priority};
 use crate::Time;
-use crate::constants::{GANG_START_PROMISE_MS, START_PROMISE_MS, START_PROMISE_PART};
+use crate::constants::{AGING_MS, AGING_STARTED_TASKS_DIVISOR, GANG_AGING_MS};
 use std::sync::Arc;
 
 /// Deadlines of a job by origin, in steady time. The earliest counts.
@@ -63,12 +63,12 @@
     pub fn is_overdue_to_start(&self, now: Time) -> bool {
         let placed = (self.attempts.len() + self.done.len()) as u32;
         let promised_tasks = match self.spec.kind {
-            JobKind::Array => self.spec.tasks.div_ceil(START_PROMISE_PART),
+            JobKind::Array => self.spec.tasks.div_ceil(AGING_STARTED_TASKS_DIVISOR),
             JobKind::Gang | JobKind::Service => 1,
         };
         let promise_ms = match self.spec.kind {
-            JobKind::Gang => GANG_START_PROMISE_MS,
-            JobKind::Array | JobKind::Service => START_PROMISE_MS,
+            JobKind::Gang => GANG_AGING_MS,
+            JobKind::Array | JobKind::Service => AGING_MS,
         };
         placed < promised_tasks && now >= self.eligible_at + promise_ms
     }
--- a/crates/controller/src/job/failure_attribution.rs
+++ b/crates/controller/src/job/failure_attribution.rs
@@ -5,7 +5,7 @@
 use super::{Job, JobKind};
 use crate::Time;
 use crate::constants::{
-    JOB_AT_FAULT_MACHINES, JOB_AT_FAULT_RETRY_MAX_MS, JOB_AT_FAULT_RETRY_MS, JOB_AT_FAULT_TASKS,
+    FAULTY_JOB_BACKOFF_MS, FAULTY_JOB_MACHINES, MAX_FAULTY_JOB_BACKOFF_MS, MAX_FAULTY_JOB_TASKS,
 };
 
 /// What the evidence so far says of a job.
@@ -61,18 +61,18 @@
     /// failure is the one by which the job is found to be at fault.
     pub fn failed(&mut self, now: Time) -> bool {
         match self.failure_attribution {
-            FailureAttribution::New if self.bad_machines.len() >= JOB_AT_FAULT_MACHINES => {
-                let again = now + JOB_AT_FAULT_RETRY_MS;
+            FailureAttribution::New if self.bad_machines.len() >= FAULTY_JOB_MACHINES => {
+                let again = now + FAULTY_JOB_BACKOFF_MS;
                 self.set_failure_attribution(FailureAttribution::Mistaken {
                     again,
-                    pause_ms: 2 * JOB_AT_FAULT_RETRY_MS,
+                    pause_ms: 2 * FAULTY_JOB_BACKOFF_MS,
                 })
             }
             // One failure counts for each retry: other tasks that were still running say nothing new.
             FailureAttribution::Mistaken { again, pause_ms } if now >= again => {
                 self.set_failure_attribution(FailureAttribution::Mistaken {
                     again: now + pause_ms,
-                    pause_ms: (pause_ms * 2).min(JOB_AT_FAULT_RETRY_MAX_MS),
+                    pause_ms: (pause_ms * 2).min(MAX_FAULTY_JOB_BACKOFF_MS),
                 });
                 false
             }
@@ -86,7 +86,7 @@
         let FailureAttribution::Mistaken { again, .. } = self.failure_attribution else { return };
         let tried_at_once = match self.spec.kind {
             JobKind::Gang => self.spec.tasks as usize,
-            JobKind::Array | JobKind::Service => JOB_AT_FAULT_TASKS,
+            JobKind::Array | JobKind::Service => MAX_FAULTY_JOB_TASKS,
         };
         let may_wait =
             if now >= again { tried_at_once.saturating_sub(self.occupying_attempts()) } else { 0 };
@@ -98,7 +98,7 @@
         while self.waiting.len() > may_wait
             && let Some(task) = self.waiting.pop_last()
         {
-            self.backing_off.insert(task, again.max(now + JOB_AT_FAULT_RETRY_MS));
+            self.backing_off.insert(task, again.max(now + FAULTY_JOB_BACKOFF_MS));
         }
     }
 }
--- a/crates/controller/src/job/gang.rs
+++ b/crates/controller/src/job/gang.rs
@@ -3,7 +3,7 @@
 
 use super::{Attempt, AttemptPhase, Job, MachineId};
 use crate::Time;
-use crate::constants::KEEP_FOR_GANG_MS;
+use crate::constants::GANG_RESERVATION_MS;
 
 /// State of a gang as a whole. A job of another kind is always [`GangState::Whole`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,11 +48,11 @@
     }
 
     /// Machines whose resources are reserved for this gang until it is placed again: as long as others of it are still
-    /// to leave, else for [`KEEP_FOR_GANG_MS`], since the other machines that it needs may have to boot.
+    /// to leave, else for [`GANG_RESERVATION_MS`], since the other machines that it needs may have to boot.
     pub fn reserved_machines(&self, now: Time) -> impl Iterator<Item = &MachineId> {
         let is_leaving = self.gang_state != GangState::Whole;
         let is_reserved = move |(_, vacated_at): &(&MachineId, &Time)| {
-            is_leaving || now < **vacated_at + KEEP_FOR_GANG_MS
+            is_leaving || now < **vacated_at + GANG_RESERVATION_MS
         };
         self.vacated_machines.iter().filter(is_reserved).map(|(machine, _)| machine)
     }
--- a/crates/controller/src/job/record.rs
+++ b/crates/controller/src/job/record.rs
@@ -2,7 +2,9 @@
 //! earlier version and any controller: the stored bytes must not change.
 
 use super::{JobId, JobSpec, MachineId};
-use crate::constants::{BINDING_BYTES, CHUNK_BYTES, CHUNK_TASKS_MAX, RANGE_BYTES};
+use crate::constants::{
+    BINDING_OVERHEAD_BYTES, CHUNK_OVERHEAD_BYTES, MAX_CHUNK_TASKS, MAX_TASK_RANGE_BYTES,
+};
 use crate::settings::StoreSettings;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -61,9 +63,9 @@
 /// that do not fit beside them stay in the binding log.
 pub fn chunk_size(state: &StoreSettings) -> u32 {
     let max_bytes = (state.value_kb * 1024.0) as usize;
-    let max_ranges = max_bytes.saturating_sub(CHUNK_BYTES) / RANGE_BYTES;
+    let max_ranges = max_bytes.saturating_sub(CHUNK_OVERHEAD_BYTES) / MAX_TASK_RANGE_BYTES;
     // The worst case is every second task done: then a range covers one task, with a gap of one behind it.
-    (max_ranges as u32).saturating_mul(2).clamp(1, CHUNK_TASKS_MAX)
+    (max_ranges as u32).saturating_mul(2).clamp(1, MAX_CHUNK_TASKS)
 }
 
 /// Record of a job that is not over.
@@ -235,7 +237,7 @@
         let digits = |number: u64| number.checked_ilog10().unwrap_or(0) as usize + 1;
         let numbers =
             digits(u64::from(self.task)) + digits(self.attempt) + digits(self.worker_session);
-        numbers + self.machine.len() + BINDING_BYTES
+        numbers + self.machine.len() + BINDING_OVERHEAD_BYTES
     }
 }
 
--- a/crates/controller/src/job/retry.rs
+++ b/crates/controller/src/job/retry.rs
@@ -2,7 +2,7 @@
 
 use super::{Attempt, Job, JobKind, MachineId};
 use crate::Time;
-use crate::constants::{BAD_MACHINES_MAX, RETRY_MAX_MS, RETRY_MS};
+use crate::constants::{MAX_BAD_MACHINES, MAX_TASK_RETRY_BACKOFF_MS, TASK_RETRY_BACKOFF_MS};
 
 /// The backoff doubles so many times at most.
 const MAX_DOUBLINGS: u32 = 8;
@@ -26,8 +26,8 @@
         if self.waiting.remove(&task) {
             let failures = self.failures.entry(task).or_insert(0);
             *failures += 1;
-            let backoff_ms = RETRY_MS << (*failures - 1).min(MAX_DOUBLINGS);
-            self.backing_off.insert(task, now + backoff_ms.min(RETRY_MAX_MS));
+            let backoff_ms = TASK_RETRY_BACKOFF_MS << (*failures - 1).min(MAX_DOUBLINGS);
+            self.backing_off.insert(task, now + backoff_ms.min(MAX_TASK_RETRY_BACKOFF_MS));
         }
     }
 
@@ -49,10 +49,10 @@
         self.limit_suspect_job(now);
     }
 
-    /// Remembers a machine on which a task of this job failed: at most [`BAD_MACHINES_MAX`], the oldest forgotten first.
+    /// Remembers a machine on which a task of this job failed: at most [`MAX_BAD_MACHINES`], the oldest forgotten first.
     pub fn note_bad_machine(&mut self, machine: &MachineId) {
         if !self.bad_machines.contains(machine) {
-            if self.bad_machines.len() >= BAD_MACHINES_MAX {
+            if self.bad_machines.len() >= MAX_BAD_MACHINES {
                 self.bad_machines.pop_front();
             }
             self.bad_machines.push_back(machine.clone());
--- a/crates/controller/src/leadership/cancellation_quorum.rs
+++ b/crates/controller/src/leadership/cancellation_quorum.rs
@@ -29,7 +29,7 @@
 //! and out.
 
 use crate::Time;
-use crate::constants::{HEARTBEATS_REMEMBERED, PENDING_CANCELLATIONS_MAX, STORE_TIMEOUT_MS};
+use crate::constants::{MAX_HEARTBEAT_HISTORY, MAX_PENDING_CANCELLATIONS, STORE_TIMEOUT_MS};
 use crate::job::JobId;
 use std::collections::{BTreeMap, VecDeque};
 use swiftsail_protocol::controllers::Heartbeat;
@@ -122,7 +122,7 @@
     required_leader_revision: Option<u64>,
     pending: BTreeMap<JobId, PendingCancellation>,
     heartbeats_made: u64,
-    /// The latest heartbeats made, oldest first; at most [`HEARTBEATS_REMEMBERED`].
+    /// The latest heartbeats made, oldest first; at most [`MAX_HEARTBEAT_HISTORY`].
     sent: VecDeque<SentHeartbeat>,
     /// By host name.
     peers: BTreeMap<String, PeerCancellations>,
@@ -155,7 +155,7 @@
         if self.requires_leader_to_have_read(revision) || self.pending.contains_key(job) {
             return true;
         }
-        if self.pending.len() >= PENDING_CANCELLATIONS_MAX && !self.drop_oldest() {
+        if self.pending.len() >= MAX_PENDING_CANCELLATIONS && !self.drop_oldest() {
             return false;
         }
         let heartbeats_before = self.heartbeats_made;
@@ -205,7 +205,7 @@
     pub fn fill_heartbeat(&mut self, heartbeat: &mut Heartbeat, now: Time) {
         self.heartbeats_made += 1;
         self.sent.push_back(SentHeartbeat { sequence: self.heartbeats_made, sent_at: now });
-        if self.sent.len() > HEARTBEATS_REMEMBERED {
+        if self.sent.len() > MAX_HEARTBEAT_HISTORY {
             self.sent.pop_front();
         }
         heartbeat.sequence = self.heartbeats_made;
@@ -270,9 +270,9 @@
         &mut self,
         heartbeat: &Heartbeat,
     ) -> (Vec<ReportedCancellation>, bool) {
-        let mut all_held = heartbeat.pending_cancellations.len() <= PENDING_CANCELLATIONS_MAX;
+        let mut all_held = heartbeat.pending_cancellations.len() <= MAX_PENDING_CANCELLATIONS;
         let mut reported = Vec::new();
-        let bounded = heartbeat.pending_cancellations.iter().take(PENDING_CANCELLATIONS_MAX);
+        let bounded = heartbeat.pending_cancellations.iter().take(MAX_PENDING_CANCELLATIONS);
         for (id, revision, cancelled_wall) in bounded {
             if is_valid_job_id(id) {
                 let job = JobId::from(id.as_str());
--- a/crates/controller/src/machine/mod.rs
+++ b/crates/controller/src/machine/mod.rs
@@ -12,7 +12,7 @@
 pub use resources::Resources;
 
 use crate::Time;
-use crate::constants::{BOOT_USUAL_MOST, MS_PER_S, REGISTRATION_MS};
+use crate::constants::{MAX_USUAL_BOOT_FACTOR, MS_PER_S, REGISTRATION_GRACE_MS};
 use crate::job::{JobId, MachineId};
 use report_evidence::SessionHistory;
 use std::collections::{BTreeMap, BTreeSet};
@@ -235,8 +235,9 @@
     /// which leads since `leading_since`. One that is silent for longer may be gone: the machine list lags, and a new
     /// leader still reads in it what its predecessor has returned.
     pub fn is_expected_up(&self, boot_ms: f64, leading_since: Time, now: Time) -> bool {
-        let max_boot_ms = boot_ms * BOOT_USUAL_MOST + REGISTRATION_MS as f64;
-        now < leading_since + REGISTRATION_MS || (now as f64) < self.rented_at as f64 + max_boot_ms
+        let max_boot_ms = boot_ms * MAX_USUAL_BOOT_FACTOR + REGISTRATION_GRACE_MS as f64;
+        now < leading_since + REGISTRATION_GRACE_MS
+            || (now as f64) < self.rented_at as f64 + max_boot_ms
     }
 
     /// Takes over what the cloud's list says of it. Its own reports know better: then only the listing is noted.
--- a/crates/controller/src/machine/resources.rs
+++ b/crates/controller/src/machine/resources.rs
@@ -1,12 +1,12 @@
 //! Amounts of CPU, GPU and memory: what machines have and tasks take.
 
-use crate::constants::SLACK;
+use crate::constants::AMOUNT_TOLERANCE;
 use crate::job::JobSpec;
 
 /// More tasks than any machine holds; bounds [`Resources::task_count`] where a task asks for nothing.
 const MAX_TASK_COUNT: f64 = 1e6;
 
-/// Amounts of a machine or of a task. Comparisons allow for rounding by [`SLACK`].
+/// Amounts of a machine or of a task. Comparisons allow for rounding by [`AMOUNT_TOLERANCE`].
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Resources {
     /// CPUs.
@@ -30,9 +30,9 @@
 
     /// Whether this is at least as large as another in every amount.
     pub fn covers(&self, other: &Resources) -> bool {
-        self.cpus + SLACK >= other.cpus
-            && self.gpus + SLACK >= other.gpus
-            && self.memory_gb + SLACK >= other.memory_gb
+        self.cpus + AMOUNT_TOLERANCE >= other.cpus
+            && self.gpus + AMOUNT_TOLERANCE >= other.gpus
+            && self.memory_gb + AMOUNT_TOLERANCE >= other.memory_gb
     }
 
     /// Takes another away from this. Amounts may become negative.
@@ -52,7 +52,7 @@
     /// How many tasks that take `each` fit in this.
     pub fn task_count(&self, each: &Resources) -> u32 {
         let fitting = |have: f64, each: f64| {
-            if each > 0.0 { (have + SLACK) / each } else { f64::MAX }
+            if each > 0.0 { (have + AMOUNT_TOLERANCE) / each } else { f64::MAX }
         };
         let count = fitting(self.cpus, each.cpus)
             .min(fitting(self.gpus, each.gpus))
--- a/crates/controller/src/placement/cycle.rs
+++ b/crates/controller/src/placement/cycle.rs
@@ -6,7 +6,7 @@
 use super::target::{PlacementTarget, TargetKind};
 use crate::Time;
 use crate::cluster_state::{ClusterState, ProvisioningRequest};
-use crate::constants::{PROMISED_GANGS, SCORE_STEPS, SLACK};
+use crate::constants::{AMOUNT_TOLERANCE, MAX_AGED_GANGS, SCORE_STEPS_PER_UNIT};
 use crate::job::{JobId, JobKind, Priority};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -106,8 +106,9 @@
     /// Room that has become free beats standing in a line: whoever stands in one and fits chooses
     /// again.
     fn requeue_for_free_room(&mut self) {
-        let now =
-            |p: &PlacementTarget| p.target_kind == TargetKind::ReadyMachine && p.free.cpus > SLACK;
+        let now = |p: &PlacementTarget| {
+            p.target_kind == TargetKind::ReadyMachine && p.free.cpus > AMOUNT_TOLERANCE
+        };
         let free: Vec<usize> = (0..self.targets.len()).filter(|n| now(&self.targets[*n])).collect();
         for id in self.plan.run_queues.jobs() {
             let Some(c) = self.placement_candidate(&id) else { continue };
@@ -144,7 +145,7 @@
             } else {
                 let within = self.is_within_guarantee(&c);
                 let steered = self.view.policy.for_job(&c.id);
-                let score = (steered.score * SCORE_STEPS) as i64;
+                let score = (steered.score * SCORE_STEPS_PER_UNIT) as i64;
                 let beyond = !within;
                 let (rank, later) = (Reverse(c.spec.priority), !c.is_aged);
                 let level = (rank, c.tier, beyond, later, steered.class_order, Reverse(score));
@@ -234,7 +235,7 @@
         let mut old: Vec<&mut PlacementCandidate> =
             choosers.iter_mut().filter(|c| c.is_aged && c.spec.kind == JobKind::Gang).collect();
         old.sort_by_cached_key(|c| (accepted(c), c.id.clone()));
-        old.into_iter().skip(PROMISED_GANGS).for_each(|c| c.is_aged = false);
+        old.into_iter().skip(MAX_AGED_GANGS).for_each(|c| c.is_aged = false);
     }
 
     /// Serves a tier in the order of its line, one job after the other: whoever is ahead has its room, and has
--- a/crates/controller/src/placement/gangs.rs
+++ b/crates/controller/src/placement/gangs.rs
@@ -4,7 +4,10 @@
 use super::mapping_round::MappingRound;
 use super::plan::PlanStep;
 use super::target::TargetKind;
-use crate::constants::{GANG_EVALUATIONS_MAX, GANGS_RESERVED_MAX, GATHER_SOON_MS, GATHERED_MS};
+use crate::constants::{
+    MAX_RESERVATION_CANDIDATES, MAX_RESERVATIONS_PER_ROUND, RESERVATION_HORIZON_MS,
+    RESERVED_MACHINE_ADVANTAGE_MS,
+};
 use crate::job::{JobKind, MachineId};
 use crate::machine::Resources;
 
@@ -70,7 +73,7 @@
     /// For a gang that has waited long room is gathered and not raced for: on the machines where it comes free
     /// soonest nothing else of its priority or below takes it. Those already gathered stay so.
     pub fn reserve_room(&mut self, c: &PlacementCandidate, missing: u32, zones: &[Option<usize>]) {
-        if self.gangs_reserved >= GANGS_RESERVED_MAX {
+        if self.gangs_reserved >= MAX_RESERVATIONS_PER_ROUND {
             return;
         }
         self.gangs_reserved += 1;
@@ -87,7 +90,7 @@
             let others = place.reserved_for_gangs.iter().any(|g| g.0 != c.id);
             if place.target_kind != TargetKind::ReadyMachine
                 || others
-                || found.len() >= GANG_EVALUATIONS_MAX
+                || found.len() >= MAX_RESERVATION_CANDIDATES
             {
                 continue;
             }
@@ -99,9 +102,10 @@
             }
             let zone = place.zone_index;
             if let Some(at) =
-                self.room_available_at(c, n).filter(|at| *at < now as f64 + GATHER_SOON_MS)
+                self.room_available_at(c, n).filter(|at| *at < now as f64 + RESERVATION_HORIZON_MS)
             {
-                let early = if kept.contains(&machine) { GATHERED_MS } else { 0.0 };
+                let early =
+                    if kept.contains(&machine) { RESERVED_MACHINE_ADVANTAGE_MS } else { 0.0 };
                 found.push((at - early, zone, machine));
             }
         }
--- a/crates/controller/src/placement/mapping_round.rs
+++ b/crates/controller/src/placement/mapping_round.rs
@@ -9,7 +9,7 @@
 use super::team_usage::TeamUsage;
 use super::victims::PreemptionCandidate;
 use crate::cluster_state::{ClusterState, team_amounts};
-use crate::constants::{BINDING_LOG_LOW, BINDING_LOG_MAX};
+use crate::constants::{MAX_LOGGED_BINDINGS, MAX_LOGGED_BINDINGS_LOW_PRIORITY};
 use crate::job::{GangState, Job, JobId, JobSpec, JobState, MachineId, Priority};
 use crate::machine::MachineType;
 use std::collections::{BTreeMap, HashMap};
@@ -102,7 +102,11 @@
             self.add_planned_usage(c);
             return true;
         }
-        let most = if c.spec.priority == Priority::Low { BINDING_LOG_LOW } else { BINDING_LOG_MAX };
+        let most = if c.spec.priority == Priority::Low {
+            MAX_LOGGED_BINDINGS_LOW_PRIORITY
+        } else {
+            MAX_LOGGED_BINDINGS
+        };
         if self.cluster_state.binding_log.len() + self.bound_tasks >= most {
             return false;
         }
--- a/crates/controller/src/placement/preemption.rs
+++ b/crates/controller/src/placement/preemption.rs
@@ -9,9 +9,11 @@
 use super::victims::{PreemptionCandidate, PreemptionVictim};
 use crate::cluster_state::{team_amounts, usable};
 use crate::constants::{
-    FETCH_WEIGHT, GRADE_WEIGHT, GUARANTEE_S, LEND_AGE_MS, LEND_URGENT_MS, LEND_URGENT_PART,
-    LEND_WAIT_MS, MS_PER_S, PREEMPT_GAIN_MS, PREEMPT_REPORTS, PREEMPT_WAIT_MS, RECLAIM_AFTER,
-    RECLAIM_MOST, START_MS, YIELD_AFTER_MS, YIELD_LEFT_MS,
+    DEFAULT_GUARANTEE_OBJECTIVE_S, FETCH_PENALTY_MS, GANG_PREEMPTION_OBJECTIVE_SHARE,
+    GANG_PREEMPTION_WAIT_MS, LOW_PRIORITY_PREEMPTION_DELAY_MS, MAX_PREEMPTING_TASKS_PER_ROUND,
+    MIN_GANG_PREEMPTION_DELAY_MS, MIN_LOW_PRIORITY_REMAINING_MS, MIN_PREEMPTIBLE_GANG_RUN_MS,
+    MIN_PREEMPTION_GAIN_MS, MS_PER_S, PREEMPTION_RANK_PENALTY_MS, PREEMPTION_REPORT_INTERVALS,
+    PREEMPTION_WAIT_MS, RECLAIM_OBJECTIVE_SHARE, TASK_START_DELAY_MS,
 };
 use crate::job::{
     Attempt, AttemptPhase, GangState, Job, JobId, JobKind, JobSpec, JobState, MachineId, Priority,
@@ -38,11 +40,14 @@
     /// clearly sooner than any free room would. Those replicas then wait a moment for that room.
     pub fn preempt_for_services(&mut self, choosers: &mut [PlacementCandidate]) {
         let now = self.view.now;
-        let soon = self.view.settings.settings.workers.report_s * PREEMPT_REPORTS * MS_PER_S;
+        let soon =
+            self.view.settings.settings.workers.report_s * PREEMPTION_REPORT_INTERVALS * MS_PER_S;
         for c in choosers.iter_mut().filter(|c| c.is_service() && c.remaining_tasks > 0) {
             let since = self.cluster_state.jobs.get(&c.id).map_or(now, |j| j.eligible_at);
-            let within = self.wait_objective_ms(c).map_or(0.0, |ms| ms * LEND_URGENT_PART);
-            c.may_preempt_guaranteed = now as f64 >= since as f64 + within.max(LEND_URGENT_MS);
+            let within =
+                self.wait_objective_ms(c).map_or(0.0, |ms| ms * GANG_PREEMPTION_OBJECTIVE_SHARE);
+            c.may_preempt_guaranteed =
+                now as f64 >= since as f64 + within.max(MIN_GANG_PREEMPTION_DELAY_MS);
             c.start_search(true);
             let since = self.cluster_state.preempting.get(&c.id).copied();
             let enough = self.acceptable_start_delay(c, soon);
@@ -61,7 +66,8 @@
                     None => break f64::MAX,
                 }
             };
-            if c.remaining_tasks == 0 || since.is_some_and(|(at, _)| now > at + PREEMPT_WAIT_MS) {
+            if c.remaining_tasks == 0 || since.is_some_and(|(at, _)| now > at + PREEMPTION_WAIT_MS)
+            {
                 continue;
             }
             if since.is_some() {
@@ -98,7 +104,7 @@
             return;
         }
         let (patience, lent) = self.preemption_delays_ms();
-        let mut most = RECLAIM_MOST;
+        let mut most = MAX_PREEMPTING_TASKS_PER_ROUND;
         for c in choosers.iter_mut().filter(|c| !c.is_service() && c.remaining_tasks > 0) {
             let waits =
                 self.cluster_state.jobs.get(&c.id).map_or(0, |j| now.saturating_sub(j.eligible_at));
@@ -107,7 +113,7 @@
                 .cluster_state
                 .preempting
                 .get(&c.id)
-                .is_some_and(|(at, _)| now < at + PREEMPT_WAIT_MS);
+                .is_some_and(|(at, _)| now < at + PREEMPTION_WAIT_MS);
             let each = Resources::for_task(&c.spec);
             let here = self
                 .targets
@@ -220,7 +226,7 @@
     /// asks, less what the start itself takes.
     fn acceptable_start_delay(&self, c: &PlacementCandidate, soon: f64) -> f64 {
         let within = self.wait_objective_ms(c).unwrap_or(f64::MAX);
-        PREEMPT_GAIN_MS.min(within - soon - START_MS).max(0.0)
+        MIN_PREEMPTION_GAIN_MS.min(within - soon - TASK_START_DELAY_MS).max(0.0)
     }
 
     /// Machines with tasks that could be stopped, found once in a pass. Those on which room is
@@ -256,7 +262,7 @@
                             .run_time(id, &job.spec, &machine.machine_type)
                             .mean()
                     };
-                    let ends = low && run() - (lost as f64) < YIELD_LEFT_MS;
+                    let ends = low && run() - (lost as f64) < MIN_LOW_PRIORITY_REMAINING_MS;
                     tasks.push(PreemptionVictim {
                         lost_work_ms: lost,
                         job: id.clone(),
@@ -399,8 +405,8 @@
         let now = self.view.now;
         let runs = |a: &Attempt| {
             // Since when it ran under an earlier leader is not known: long enough for that one to end.
-            let long =
-                a.from_previous_term || a.running_since.is_some_and(|at| now >= at + LEND_AGE_MS);
+            let long = a.from_previous_term
+                || a.running_since.is_some_and(|at| now >= at + MIN_PREEMPTIBLE_GANG_RUN_MS);
             a.phase() == AttemptPhase::Running && a.stop_requested.is_none() && long
         };
         let spec = &job.spec;
@@ -428,7 +434,7 @@
         let (patience, lent) = self.preemption_delays_ms();
         c.claims_guarantee = within && waits >= lent;
         if let Some((at, _)) = self.cluster_state.preempting.get(&c.id)
-            && now < at + LEND_WAIT_MS
+            && now < at + GANG_PREEMPTION_WAIT_MS
         {
             let kept: Vec<MachineId> = job.reserved_machines(now).cloned().collect();
             if !kept.is_empty() {
@@ -494,7 +500,7 @@
             .filter(|p| p.target_kind == TargetKind::ReadyMachine && here(p.zone_index))
         {
             if let Some(machine) = p.machine.clone().filter(|_| self.is_suitable(c, p)) {
-                let fetch = if p.images.contains(&c.image_index) { 0.0 } else { FETCH_WEIGHT };
+                let fetch = if p.images.contains(&c.image_index) { 0.0 } else { FETCH_PENALTY_MS };
                 let fits = c.available_room(p).task_count(&Resources::for_task(&c.spec)).min(need);
                 options.extend((0..fits).map(|_| (fetch, None, machine.clone(), Vec::new())));
             }
@@ -523,11 +529,12 @@
                     break;
                 }
                 room.add(&v.resources);
-                cost += v.lost_work_ms as f64 + f64::from(v.preemption_rank()) * GRADE_WEIGHT;
+                cost += v.lost_work_ms as f64
+                    + f64::from(v.preemption_rank()) * PREEMPTION_RANK_PENALTY_MS;
                 chosen.push((v.job.clone(), v.task));
             }
             if room.fits_task(&c.spec) {
-                options.push((cost + FETCH_WEIGHT, Some(index), m.machine.clone(), chosen));
+                options.push((cost + FETCH_PENALTY_MS, Some(index), m.machine.clone(), chosen));
             }
         }
         options.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.2.cmp(&b.2)));
@@ -546,7 +553,9 @@
         let aims = self.view.settings.settings.objectives.iter();
         let asked = aims.filter(|o| o.kind == "guarantee").filter_map(|o| o.within_s);
         // What runs in idle hours gives its room up at once; what was lent may first be found elsewhere.
-        let lent = asked.fold(GUARANTEE_S, f64::min) * MS_PER_S * RECLAIM_AFTER;
-        (if guests { YIELD_AFTER_MS.min(lent) } else { lent }, lent)
+        let lent = asked.fold(DEFAULT_GUARANTEE_OBJECTIVE_S, f64::min)
+            * MS_PER_S
+            * RECLAIM_OBJECTIVE_SHARE;
+        (if guests { LOW_PRIORITY_PREEMPTION_DELAY_MS.min(lent) } else { lent }, lent)
     }
 }
--- a/crates/controller/src/placement/quota_limits.rs
+++ b/crates/controller/src/placement/quota_limits.rs
@@ -6,7 +6,7 @@
 use super::target::{PlacementTarget, TargetKind};
 use crate::Time;
 use crate::cluster_state::{ClusterState, team_amounts};
-use crate::constants::{MS_PER_S, QUIET_SHARE, SLACK};
+use crate::constants::{AMOUNT_TOLERANCE, MS_PER_S, SILENT_LEASE_SHARE};
 use crate::job::{Job, JobId, JobKind};
 use crate::machine::Machine;
 use std::cmp::Reverse;
@@ -115,7 +115,7 @@
             let most = room.limit.limit() - room.used_by_services;
             let rate = most.cpus.to_f64();
             if self.view.settings.settings.teams[team].gpus_max > 0.0 {
-                let ratio = rate / most.gpus.to_f64().max(SLACK);
+                let ratio = rate / most.gpus.to_f64().max(AMOUNT_TOLERANCE);
                 let heavier = |c: &QuotaClaim| c.cpu_weight.max(c.per_task.gpus.to_f64() * ratio);
                 claims.iter_mut().for_each(|c| c.cpu_weight = heavier(c));
             }
@@ -243,7 +243,7 @@
     team: usize,
 ) -> Vec<StoppableTask<'t>> {
     let (now, name) = (view.now, &view.settings.settings.teams[team].name);
-    let quiet = view.lease_ms() * QUIET_SHARE;
+    let quiet = view.lease_ms() * SILENT_LEASE_SHARE;
     let mut found = Vec::new();
     let arrays = tables.jobs.values().filter(|j| j.spec.kind == JobKind::Array);
     for job in arrays.filter(|j| j.spec.team == *name && !j.is_cancelled()) {
--- a/crates/controller/src/placement/scale_out.rs
+++ b/crates/controller/src/placement/scale_out.rs
@@ -7,8 +7,8 @@
 use crate::Time;
 use crate::completion_time::Pmf;
 use crate::constants::{
-    QUIET_SHARE, RENT_BATCH_MAX, RENT_WAIT_MS, SCARCE_COST, SILENT_ZONE_COST, SILENT_ZONE_LEAST,
-    ZONE_COST, ZONE_PART,
+    FLEET_LIMIT_COST, MAX_PROVISION_BATCH, MIN_SILENT_ZONE_MACHINES, SILENT_LEASE_SHARE,
+    SILENT_ZONE_COST, WAIT_COST_DOUBLING_MS, ZONE_CONCENTRATION_COST, ZONE_SHARE_THRESHOLD,
 };
 use crate::machine::{MachineState, Resources};
 use std::collections::HashMap;
@@ -49,15 +49,15 @@
             }
         }
         let silent = if zones.silent_zones.contains(&zone) { SILENT_ZONE_COST } else { 0.0 };
-        let beyond = f64::from(here) / f64::from(all) - ZONE_PART;
-        ZONE_COST * beyond.max(0.0) + silent
+        let beyond = f64::from(here) / f64::from(all) - ZONE_SHARE_THRESHOLD;
+        ZONE_CONCENTRATION_COST * beyond.max(0.0) + silent
     }
 
     fn count_machines_by_zone(&mut self) -> ZoneMachines {
         let (tables, types) = (self.cluster_state, self.types);
         let mut zones = ZoneMachines::default();
         let mut silent: HashMap<usize, (u32, u32)> = HashMap::new();
-        let quiet = self.view.lease_ms() * QUIET_SHARE;
+        let quiet = self.view.lease_ms() * SILENT_LEASE_SHARE;
         for machine in tables.machines.values() {
             let Some(kind) = types.iter().position(|t| t.name == machine.machine_type) else {
                 continue;
@@ -76,8 +76,9 @@
             let zone = self.zone_index(&wish.zone);
             *zones.machine_counts.entry((kind, zone)).or_default() += wish.number;
         }
-        let most =
-            silent.into_iter().filter(|(_, (up, late))| *up >= SILENT_ZONE_LEAST && late * 2 > *up);
+        let most = silent
+            .into_iter()
+            .filter(|(_, (up, late))| *up >= MIN_SILENT_ZONE_MACHINES && late * 2 > *up);
         zones.silent_zones = most.map(|(zone, _)| zone).collect();
         zones
     }
@@ -126,10 +127,10 @@
                     let cost = t.hourly_price(spot) / f64::from(fits.min(demand));
                     // A second of waiting for work to start weighs like a little money.
                     let wait = t.boot_ms + t.fetch_ms(&c.spec);
-                    let mut cost = cost * (1.0 + wait / RENT_WAIT_MS);
+                    let mut cost = cost * (1.0 + wait / WAIT_COST_DOUBLING_MS);
                     cost *= 1.0 + self.zone_cost_share(kind, zone);
                     if self.view.policy.bounds.is_fleet_near_limit {
-                        cost *= 1.0 + SCARCE_COST / f64::from(fits.min(demand));
+                        cost *= 1.0 + FLEET_LIMIT_COST / f64::from(fits.min(demand));
                     }
                     if best.as_ref().is_none_or(|(b, _)| cost < *b) {
                         best = Some((cost, (kind, zone, spot)));
@@ -144,7 +145,7 @@
     pub fn plan_machine(&mut self, kind: usize, zone: usize, spot: bool) -> usize {
         *self.planned_machines.entry((kind, zone, spot)).or_default() += 1;
         // What a market is asked for beyond one request waits for its answer, or goes elsewhere.
-        if self.planned_machines[&(kind, zone, spot)] >= RENT_BATCH_MAX {
+        if self.planned_machines[&(kind, zone, spot)] >= MAX_PROVISION_BATCH {
             self.availability.may_provision.insert((kind, zone, spot), false);
         }
         let end = self.free_time_id(kind, self.view.now as f64 + self.types[kind].boot_ms);
--- a/crates/controller/src/placement/target_collection.rs
+++ b/crates/controller/src/placement/target_collection.rs
@@ -6,7 +6,9 @@
 use crate::Time;
 use crate::cluster_state::{ClusterState, SlotId, usable};
 use crate::completion_time::Pmf;
-use crate::constants::{END_STEP_MS, RESERVE_IMAGES, RESERVE_PER_IMAGE, SOON_MS};
+use crate::constants::{
+    COMPLETION_TIME_STEP_MS, HEADROOM_TASKS_PER_IMAGE, LATE_BOOT_ESTIMATE_MS, MAX_HEADROOM_IMAGES,
+};
 use crate::job::{JobId, JobKind, JobSpec, JobState, MachineId, Priority};
 use crate::machine::{MachineState, Resources};
 use std::collections::HashMap;
@@ -26,7 +28,7 @@
 
     /// The end "free at a time" on a type.
     pub fn free_time_id(&mut self, kind: usize, time: f64) -> CompletionId {
-        let step = (time / END_STEP_MS).max(0.0) as u64;
+        let step = (time / COMPLETION_TIME_STEP_MS).max(0.0) as u64;
         self.completion_times.id_or_compute(CompletionKey::FreeAt(kind, step), |_| Pmf::at(time))
     }
 
@@ -54,7 +56,7 @@
         }
         let attempt = job.attempts.get(&slot.2)?;
         let kind = self.types.iter().position(|t| t.name == machine.machine_type)?;
-        let step = |at: Time| at / END_STEP_MS as u64;
+        let step = |at: Time| at / COMPLETION_TIME_STEP_MS as u64;
         let alike = match attempt.running_since {
             Some(at) => CompletionKey::AfterRunningTask(kind, slot.1.clone(), step(at)),
             None => CompletionKey::AfterFetchingTask(kind, slot.1.clone(), step(attempt.bound_at)),
@@ -106,7 +108,8 @@
                 let comes =
                     machine.is_expected_up(t.boot_ms, self.cluster_state.leading_since, now);
                 if self.is_full && waits && comes && machine.tasks.is_empty() {
-                    let up = (machine.rented_at as f64 + t.boot_ms).max(now as f64 + SOON_MS);
+                    let up = (machine.rented_at as f64 + t.boot_ms)
+                        .max(now as f64 + LATE_BOOT_ESTIMATE_MS);
                     place.target_kind = TargetKind::BootingMachine;
                     place.completion_id = self.free_time_id(kind, up);
                     self.targets.push(place);
@@ -193,7 +196,7 @@
     pub fn reserve_service_room(&mut self) {
         for (image, spec) in std::mem::take(&mut self.service_images) {
             let each = Resources::for_task(&spec);
-            let mut left = RESERVE_PER_IMAGE;
+            let mut left = HEADROOM_TASKS_PER_IMAGE;
             for place in &mut self.targets {
                 if left == 0 {
                     break;
@@ -226,7 +229,7 @@
         }
         let mut used: Vec<(u32, &Arc<JobSpec>)> = used.into_values().collect();
         used.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| a.1.image.cmp(&b.1.image)));
-        for (_, spec) in used.into_iter().take(RESERVE_IMAGES) {
+        for (_, spec) in used.into_iter().take(MAX_HEADROOM_IMAGES) {
             let image = self.images.index_or_insert(&spec.image);
             self.service_images.push((image, spec.clone()));
         }
--- a/crates/controller/src/quota_records.rs
+++ b/crates/controller/src/quota_records.rs
@@ -29,7 +29,7 @@
 }
 
 /// A transaction as the state service takes it. `name`: the key of each condition.
-pub fn to_commit(txn: &QuotaTransaction, name: impl Fn(&QuotaKey) -> String) -> Transaction {
+pub fn to_transaction(txn: &QuotaTransaction, name: impl Fn(&QuotaKey) -> String) -> Transaction {
     let when = txn
         .conditions
         .iter()
--- a/crates/controller/src/store/mod.rs
+++ b/crates/controller/src/store/mod.rs
@@ -1,7 +1,9 @@
 //! The state service's client as a pure machine: budget, order, retries, unknown outcomes.
 
 use crate::Time;
-use crate::constants::{MS_PER_S, STORE_BACKOFF_MAX_MS, STORE_BACKOFF_MS, STORE_IN_FLIGHT_MAX};
+use crate::constants::{
+    MAX_STORE_CALLS_IN_FLIGHT, MS_PER_S, STORE_INITIAL_BACKOFF_MS, STORE_MAX_BACKOFF_MS,
+};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use std::collections::{HashMap, VecDeque};
@@ -228,7 +230,7 @@
             follows: 0,
             next: 1,
             paused_until: 0,
-            pause: STORE_BACKOFF_MS,
+            pause: STORE_INITIAL_BACKOFF_MS,
             repeats: RetryBudget::new(now),
             rng: StdRng::seed_from_u64(0),
             rps,
@@ -352,7 +354,7 @@
         let term = pending.priority == CallPriority::Leadership;
         now >= pending.not_before
             && (term || now >= self.paused_until)
-            && (term || self.flying.len() - self.follows < STORE_IN_FLIGHT_MAX)
+            && (term || self.flying.len() - self.follows < MAX_STORE_CALLS_IN_FLIGHT)
             && self.requests.can(1.0, spare * self.rps, now)
             && (pending.call.write_count() == 0.0
                 || self.writes.can(pending.call.write_count(), spare * self.write_rps, now))
@@ -366,7 +368,7 @@
         if outcome.is_answered() {
             self.last_success_at = Some(now);
             self.answered_left = self.answered_left.max(Some(pending.left));
-            self.pause = STORE_BACKOFF_MS;
+            self.pause = STORE_INITIAL_BACKOFF_MS;
             self.paused_until = 0;
             self.repeats.on_success();
             return Some(finished(pending, outcome));
@@ -379,14 +381,19 @@
         }
         if !follow && !lost {
             self.paused_until = now + self.pause;
-            self.pause = (self.pause * 2).min(STORE_BACKOFF_MAX_MS);
+            self.pause = (self.pause * 2).min(STORE_MAX_BACKOFF_MS);
         }
         pending.uncertain |= outcome == StoreOutcome::Unknown;
         match pending.retry_policy {
             RetryPolicy::UntilDefinite => {
                 // Without a repeat left it waits longest: what fails is not asked ever more often.
                 let tries = if self.repeats.try_take(now) { pending.tries } else { u32::MAX };
-                let wait = backoff_ms(STORE_BACKOFF_MS, tries, STORE_BACKOFF_MAX_MS, &mut self.rng);
+                let wait = backoff_ms(
+                    STORE_INITIAL_BACKOFF_MS,
+                    tries,
+                    STORE_MAX_BACKOFF_MS,
+                    &mut self.rng,
+                );
                 pending.not_before = now + wait;
                 self.queues[pending.priority as usize].push_back(pending);
                 None
--- a/src/runtime/cloud_client.rs
+++ b/src/runtime/cloud_client.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use swiftsail_controller::cloud::{CloudCall, CloudOutcome};
-use swiftsail_controller::constants::{CLOUD_PAGE, CLOUD_TIMEOUT_MS};
+use swiftsail_controller::constants::{CLOUD_TIMEOUT_MS, MACHINE_LIST_PAGE_SIZE};
 use swiftsail_protocol::cloud::{MachineNames, NO_CAPACITY, path};
 use swiftsail_protocol::{decode, encode};
 
@@ -42,7 +42,11 @@
         }
         CloudCall::ListMachines(from) => {
             let from = from.as_ref().map(|name| format!("from={name}&")).unwrap_or_default();
-            send_request(get(format!("{}?{from}most={CLOUD_PAGE}", path::MACHINES)), None).await
+            send_request(
+                get(format!("{}?{from}most={MACHINE_LIST_PAGE_SIZE}", path::MACHINES)),
+                None,
+            )
+            .await
         }
     }
 }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -21,7 +21,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use swiftsail_controller::constants::TICK_MS;
+use swiftsail_controller::constants::TICK_INTERVAL_MS;
 use swiftsail_controller::controller::{
     AdminRequest, Controller, Event, Now, Reply, RequestId, UserRequest,
 };
@@ -143,7 +143,7 @@
 
     fn started(&mut self, ctx: &mut Self::Context) {
         ctx.set_mailbox_capacity(MAX_MAILBOX_MESSAGES);
-        ctx.run_interval(Duration::from_millis(TICK_MS), |actor, ctx| {
+        ctx.run_interval(Duration::from_millis(TICK_INTERVAL_MS), |actor, ctx| {
             actor.apply_event(Event::Tick, ctx);
             actor.measure_cpu_usage(ctx);
         });
--- a/src/runtime/store_client.rs
+++ b/src/runtime/store_client.rs
@@ -5,7 +5,7 @@
 use serde::de::DeserializeOwned;
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use swiftsail_controller::constants::{LIST_PAGE, WATCH_BLOCK_MS};
+use swiftsail_controller::constants::{KEY_LIST_PAGE_SIZE, WATCH_BLOCK_MS};
 use swiftsail_controller::store::{StoreCall, StoreOutcome};
 use swiftsail_protocol::state::{LeaseRequest, LeaseResponse, Mutation, TransactionResponse, path};
 use swiftsail_protocol::{decode, encode};
@@ -37,7 +37,7 @@
         }
         StoreCall::List { prefix, from } => {
             let from = from.as_ref().map(|key| format!("&from={key}")).unwrap_or_default();
-            let rest = format!("{}?starts={prefix}{from}&most={LIST_PAGE}", path::KEYS);
+            let rest = format!("{}?starts={prefix}{from}&most={KEY_LIST_PAGE_SIZE}", path::KEYS);
             send_request(client.get(url(rest)), None).await
         }
         StoreCall::Commit(transaction) => {
--- a/tests/concurrent_faults.rs
+++ b/tests/concurrent_faults.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 use std::hash::Hash;
 use swiftsail_controller::cluster_state::{ClusterState, ReportSource};
-use swiftsail_controller::constants::PENDING_CANCELLATIONS_MAX;
+use swiftsail_controller::constants::MAX_PENDING_CANCELLATIONS;
 use swiftsail_controller::controller::{Action, Controller, Event, Now};
 use swiftsail_controller::job::{JobId, MachineId};
 use swiftsail_controller::leadership::{
@@ -240,7 +240,7 @@
                 ..Heartbeat::default()
             };
             held.on_heartbeat("n0", 7, &beat, None);
-            assert!(held.pending().count() <= PENDING_CANCELLATIONS_MAX);
+            assert!(held.pending().count() <= MAX_PENDING_CANCELLATIONS);
         }
         let beat = Heartbeat {
             controller: "n2".into(),
@@ -250,7 +250,7 @@
             ..Heartbeat::default()
         };
         held.on_heartbeat("n0", 7, &beat, None);
-        assert!(held.pending().count() <= PENDING_CANCELLATIONS_MAX);
+        assert!(held.pending().count() <= MAX_PENDING_CANCELLATIONS);
         let mut ours = Heartbeat::default();
         held.fill_heartbeat(&mut ours, 1_000);
         assert!(
--- a/tests/oversized_workloads.rs
+++ b/tests/oversized_workloads.rs
@@ -1,7 +1,7 @@
 //! Guests: one huge array, and hundreds of jobs of a single task, with the limits of the state service kept
 //! by the stand-in's controllers as they are.
 
-use swiftsail_controller::constants::BINDING_LOG_MAX;
+use swiftsail_controller::constants::MAX_LOGGED_BINDINGS;
 use swiftsail_controller::controller::Controller;
 use swiftsail_simulation::simulation::{FaultRates, Simulation, job_body};
 
@@ -32,7 +32,7 @@
             "{} on sheets, {open} open",
             tables.binding_log.len()
         );
-        assert!(tables.binding_log.len() <= BINDING_LOG_MAX);
+        assert!(tables.binding_log.len() <= MAX_LOGGED_BINDINGS);
         let begun = at > 4;
         assert!(!begun || job.done.len() > last, "{at}: nothing done in 10 s, {last} so far");
         last = job.done.len();
--- a/tests/quota_transfers.rs
+++ b/tests/quota_transfers.rs
@@ -271,7 +271,7 @@
                     return;
                 }
                 self.transaction_count += txn.writes.len() as u64;
-                let commit = quota_records::to_commit(&txn, key_text);
+                let commit = quota_records::to_transaction(&txn, key_text);
                 let keys = txn.conditions.iter().map(|(k, _)| k.clone());
                 let outcome = match self.store.apply_transaction(&commit) {
                     TransactionResult::Committed(stamp) => TransactionOutcome::Committed(stamp),
@@ -579,7 +579,7 @@
     day.deciders[2].restarts_at = u64::MAX;
     let txn = holder.account.remove_holding().expect("it holds nothing");
     assert!(matches!(
-        day.store.apply_transaction(&quota_records::to_commit(&txn, key_text)),
+        day.store.apply_transaction(&quota_records::to_transaction(&txn, key_text)),
         TransactionResult::Committed(_)
     ));
     assert!(day.run(8_000, |d| (0..2).for_each(|n| keep_running(d, n, 0, 1, 60.0)))[0] >= 0.95);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -8,8 +8,8 @@
 use swiftsail_controller::cloud::{self, CloudClient};
 use swiftsail_controller::cluster_state::{ClusterState, ReportSource};
 use swiftsail_controller::constants::{
-    BINDING_LOG_MAX, CYCLE_BINDINGS_MAX, OPEN_REQUESTS_MAX, REGISTRATION_MS, RENT_BATCH_MAX,
-    REPORT_BYTES, ROUND_MS, TASK_STATUS_BYTES,
+    MAX_CYCLE_BINDINGS, MAX_LOGGED_BINDINGS, MAX_OPEN_PROVISIONING_REQUESTS, MAX_PROVISION_BATCH,
+    REGISTRATION_GRACE_MS, REPORT_BYTES, ROUND_INTERVAL_MS, TASK_STATUS_BYTES,
 };
 use swiftsail_controller::controller::{self, CallContext, LeaderContext};
 use swiftsail_controller::cycle_policy::CyclePolicy;
@@ -121,7 +121,7 @@
     }
 
     fn run_scheduling_cycle(&mut self) -> u64 {
-        self.now += ROUND_MS;
+        self.now += ROUND_INTERVAL_MS;
         let steering = CyclePolicy::default();
         let (settings, types) = (&self.settings, &self.machine_types);
         let view = PlanningContext {
@@ -245,7 +245,7 @@
         let job = &bench.cluster_state.jobs["wk-large"];
         let binding =
             job.attempts.values().filter(|a| a.phase() == AttemptPhase::Committing).count();
-        assert!(binding <= CYCLE_BINDINGS_MAX + 50, "{binding} bound in one pass");
+        assert!(binding <= MAX_CYCLE_BINDINGS + 50, "{binding} bound in one pass");
         for commit in bench.commit_pending() {
             assert!(commit.mutations.len() <= limits.txn_ops);
             assert!(commit.preconditions.len() <= 4 * limits.txn_ops);
@@ -257,7 +257,7 @@
         }
         let job = &bench.cluster_state.jobs["wk-large"];
         bound = job.attempts.values().filter(|a| a.phase() != AttemptPhase::Committing).count();
-        assert!(bench.cluster_state.binding_log.len() <= BINDING_LOG_MAX);
+        assert!(bench.cluster_state.binding_log.len() <= MAX_LOGGED_BINDINGS);
     }
     assert!(bound > 4_000, "{bound} tasks bound: chunks take over what the ledger held");
 }
@@ -298,12 +298,12 @@
     .flatten()
     {
         if let cloud::CloudCall::Provision(rent) = call {
-            assert!(rent.count <= RENT_BATCH_MAX);
+            assert!(rent.count <= MAX_PROVISION_BATCH);
             *asked.entry((rent.machine_type, rent.zone, rent.spot)).or_default() += 1;
         }
     }
     assert!(!asked.is_empty());
-    assert!(asked.values().all(|n| *n as usize <= OPEN_REQUESTS_MAX), "{asked:?}");
+    assert!(asked.values().all(|n| *n as usize <= MAX_OPEN_PROVISIONING_REQUESTS), "{asked:?}");
 }
 
 #[test]
@@ -391,7 +391,7 @@
         bench.cluster_state.provisioning.open_requests().next().is_none(),
         "workers still look for the new leader"
     );
-    bench.now += REGISTRATION_MS;
+    bench.now += REGISTRATION_GRACE_MS;
     bench.run_scheduling_cycle();
     assert!(
         bench.cluster_state.provisioning.open_requests().next().is_some(),
@@ -530,7 +530,7 @@
             bench.submit_job(&format!("wk-{n}"), each);
         }
         let steering = CyclePolicy::default();
-        bench.now += ROUND_MS;
+        bench.now += ROUND_INTERVAL_MS;
         let (settings, types) = (bench.settings.clone(), bench.machine_types.clone());
         let view = PlanningContext {
             now: bench.now,
@@ -544,7 +544,7 @@
     };
     let (free, few, many) = (cost(100, 0.0), cost(12, 1_200.0), cost(100, 1_200.0));
     assert!(
-        [free, few, many].iter().all(|c| c.0 == CYCLE_BINDINGS_MAX),
+        [free, few, many].iter().all(|c| c.0 == MAX_CYCLE_BINDINGS),
         "{free:?} {few:?} {many:?}"
     );
     assert!(few.1 < free.1 / 2 && many.1 < free.1, "{free:?} {few:?} {many:?}");
