--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -19,23 +19,23 @@
     /// All plug-ins.
     Plugins,
     /// Offer a plug-in: its name, and the offer as JSON.
-    Offer(String, Vec<u8>),
+    OfferPlugin(String, Vec<u8>),
     /// Switch the named plug-in on or off, or remove it.
-    Change(String, PluginTransition),
+    ChangePlugin(String, PluginTransition),
     /// What policy and plug-ins decided for the job of this id, and what was applied.
-    Explain(String),
+    ExplainJob(String),
     /// The table of tiers in force, and what waits in each.
     Tiers,
     /// Replace the table of tiers, as JSON.
     SetTiers(Vec<u8>),
     /// Why the job of this id is in its tier, and its position in the tier's queue.
-    TierOf(String),
+    ExplainTier(String),
     /// All occurrences of recurring deadlines, or those of the named one.
-    Dispatch(Option<String>),
+    Occurrences(Option<String>),
     /// Replace the dispatch plan (occurrences and chains), as JSON.
-    SetDispatch(Vec<u8>),
+    SetDeadlinePlan(Vec<u8>),
     /// Add one occurrence, as JSON.
-    AddArrival(Vec<u8>),
+    AddOccurrence(Vec<u8>),
     /// The jobs before and after the job of this id that are not over.
     Pipeline(String),
     /// GPU loans: all, or those in which the job of this id lends or borrows.
@@ -57,12 +57,12 @@
 
     pub(super) fn on_admin(&mut self, request: RequestId, ask: AdminRequest) {
         match ask {
-            AdminRequest::Plugins | AdminRequest::Offer(..) | AdminRequest::Change(..) => {
-                self.on_plugin_request(request, ask)
-            }
+            AdminRequest::Plugins
+            | AdminRequest::OfferPlugin(..)
+            | AdminRequest::ChangePlugin(..) => self.on_plugin_request(request, ask),
             AdminRequest::Jobs(after) => self.list_jobs(request, after.as_deref()),
-            AdminRequest::SetDispatch(body) => self.set_plan(request, &body),
-            AdminRequest::AddArrival(body) => self.add_occurrence(request, &body),
+            AdminRequest::SetDeadlinePlan(body) => self.set_plan(request, &body),
+            AdminRequest::AddOccurrence(body) => self.add_occurrence(request, &body),
             AdminRequest::SetTiers(body) => self.set_tiers(request, &body),
             AdminRequest::Tiers => {
                 let reply = self.leader_reply(|controller| controller.show_tiers());
@@ -77,15 +77,15 @@
                 let reply = self.pipeline_reply(&id);
                 self.answer(request, reply);
             }
-            AdminRequest::Dispatch(name) => {
+            AdminRequest::Occurrences(name) => {
                 let reply = self.show_dispatch(name.as_deref());
                 self.answer(request, reply);
             }
-            AdminRequest::TierOf(id) => {
+            AdminRequest::ExplainTier(id) => {
                 let reply = self.explain_tier(&id);
                 self.answer(request, reply);
             }
-            AdminRequest::Explain(id) => {
+            AdminRequest::ExplainJob(id) => {
                 let reply = self.explain_reply(&id);
                 self.answer(request, reply);
             }
@@ -99,15 +99,18 @@
             return self.answer(request, plugin_error_reply(http_status::CONFLICT, error));
         }
         match ask {
-            AdminRequest::Offer(name, body) => match serde_json::from_slice::<PluginOffer>(&body) {
-                Ok(offer) => self.offer_plugin(request, &name, &offer),
-                Err(e) => {
-                    let error =
-                        format!("the offer cannot be read: {e}; send JSON with kind and source");
-                    self.answer(request, plugin_error_reply(http_status::BAD_REQUEST, error));
+            AdminRequest::OfferPlugin(name, body) => {
+                match serde_json::from_slice::<PluginOffer>(&body) {
+                    Ok(offer) => self.offer_plugin(request, &name, &offer),
+                    Err(e) => {
+                        let error = format!(
+                            "the offer cannot be read: {e}; send JSON with kind and source"
+                        );
+                        self.answer(request, plugin_error_reply(http_status::BAD_REQUEST, error));
+                    }
                 }
-            },
-            AdminRequest::Change(name, step) => self.change_plugin(request, &name, step),
+            }
+            AdminRequest::ChangePlugin(name, step) => self.change_plugin(request, &name, step),
             _ => {
                 let statuses = self.plugin_host.statuses();
                 let body = json!({ "node": self.settings.host_name, "plugins": statuses });
--- a/crates/controller/src/controller/gpu_lending.rs
+++ b/crates/controller/src/controller/gpu_lending.rs
@@ -42,7 +42,7 @@
     }
 
     /// Lets every loan go on: who is to be stopped is, and room is kept for whose it is.
-    pub fn step_loans(&mut self, now: Time, wall: u64) {
+    pub fn advance_gpu_loans(&mut self, now: Time, wall: u64) {
         let mut loans = std::mem::take(&mut self.gpu_loans);
         let todo =
             loans.advance_loans(wall, |lender, loan| self.lending_observation(lender, loan, now));
@@ -59,7 +59,7 @@
                         self.request_stop(&JobId::from(lender), task, now);
                     }
                 }
-                LoanAction::ReserveRoom { job, machine } => {
+                LoanAction::ReserveMachine { job, machine } => {
                     if let Some(job) = self.jobs.get_mut(job.as_str()) {
                         job.vacated_machines.insert(MachineId::from(machine), now);
                     }
@@ -69,7 +69,12 @@
     }
 
     /// Opens a loan for each gang among victims: those are stopped once that is written down. Gives back the others.
-    pub fn lend(&mut self, by: &JobId, victims: Vec<(JobId, u32)>, wall: u64) -> Vec<(JobId, u32)> {
+    pub fn request_gpu_loans(
+        &mut self,
+        by: &JobId,
+        victims: Vec<(JobId, u32)>,
+        wall: u64,
+    ) -> Vec<(JobId, u32)> {
         let mut lenders: std::collections::BTreeMap<JobId, Vec<(String, f64)>> = Default::default();
         for (id, task) in &victims {
             let Some(job) = self.jobs.get(id).filter(|j| j.spec.kind == crate::job::JobKind::Gang)
@@ -106,7 +111,7 @@
                 leader.gpu_loans.on_committed(&lender, now.wall_clock);
             }
         }
-        leader.step_loans(now.monotonic, now.wall_clock);
+        leader.advance_gpu_loans(now.monotonic, now.wall_clock);
         let changed = leader.gpu_loans.take_changed();
         for (lender, lent) in changed.into_iter().filter(|_| durable) {
             let key = format!("{PREFIX}{lender}");
--- a/crates/controller/src/controller/leadership.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -286,8 +286,8 @@
         }
         self.loading_state = None;
         self.task_counts.clear();
-        self.close_quota_accounts();
-        self.replicated_records.close(self.now.monotonic);
+        self.discard_quota_accounts();
+        self.replicated_records.on_leadership_lost(self.now.monotonic);
         self.set_store_rates(false);
         let ended = self.leadership.generation;
         self.store
--- a/crates/controller/src/controller/plan_application.rs
+++ b/crates/controller/src/controller/plan_application.rs
@@ -115,7 +115,7 @@
             return bind_gang(state, guard, context, &id, &machines);
         }
         PlanStep::Preempt { by, fetch_ms, victims } => {
-            for (id, task) in state.lend(&by, victims, context.wall_now) {
+            for (id, task) in state.request_gpu_loans(&by, victims, context.wall_now) {
                 tracing::debug!(job = %id, task, by = %by, "task preempted");
                 state.request_stop(&id, task, context.now);
             }
--- a/crates/controller/src/controller/policy_evaluation.rs
+++ b/crates/controller/src/controller/policy_evaluation.rs
@@ -27,11 +27,11 @@
     /// The policy.
     pub policy: &'a mut SchedulingPolicy,
     /// The plug-ins.
-    pub host: &'a mut PluginHost,
+    pub plugin_host: &'a mut PluginHost,
     /// The teams.
     pub teams: &'a [TeamSettings],
     /// The machine types.
-    pub types: &'a [MachineType],
+    pub machine_types: &'a [MachineType],
     /// The time.
     pub now: Now,
 }
@@ -44,7 +44,7 @@
     steering: &mut CyclePolicy,
     full: bool,
 ) {
-    let PolicyContext { policy, host, teams, types, now } = asking;
+    let PolicyContext { policy, plugin_host: host, teams, machine_types: types, now } = asking;
     host.begin_cycle(now.monotonic);
     // What does not depend on facts costs none.
     let by_job = policy.has_job_expressions() || host.has_scheduling_hooks();
@@ -108,7 +108,7 @@
         let teams = &settings.settings.teams;
         evaluate_job_policies(
             leader,
-            PolicyContext { policy, host, teams, types, now: *now },
+            PolicyContext { policy, plugin_host: host, teams, machine_types: types, now: *now },
             steering,
             full,
         );
--- a/crates/controller/src/controller/quota_accounts.rs
+++ b/crates/controller/src/controller/quota_accounts.rs
@@ -77,7 +77,7 @@
 
 impl Controller {
     /// A new term: what the decider holds is read with everything else.
-    pub(super) fn open_quota_accounts(&mut self) {
+    pub(super) fn load_quota_accounts(&mut self) {
         let desk = &mut self.quota_accounts;
         if !desk.enabled {
             return;
@@ -91,7 +91,7 @@
     }
 
     /// The term has ended.
-    pub(super) fn close_quota_accounts(&mut self) {
+    pub(super) fn discard_quota_accounts(&mut self) {
         self.quota_accounts.balances.clear();
     }
 
--- a/crates/controller/src/controller/replicated_records.rs
+++ b/crates/controller/src/controller/replicated_records.rs
@@ -54,7 +54,7 @@
     is_watching: bool,
     /// The table of this controller's own file, and the one in force.
     own_tiers: Option<Rc<TierTable>>,
-    pub(super) tiers: Rc<TierTable>,
+    pub(super) tier_table: Rc<TierTable>,
     /// Loans are held in the state service.
     lends_gpus: bool,
     /// The plan of this controller's own file, and the one in force.
@@ -80,7 +80,7 @@
 impl ReplicatedRecords {
     pub fn new(operator: &OperatorSettings, state: &StoreSettings, now: Time) -> ReplicatedRecords {
         let own_tiers = operator.tiers.as_ref().and_then(|file| {
-            match TierTable::compile(tier_table_record(file)) {
+            match TierTable::compile(tier_table_from_settings(file)) {
                 Ok(table) => Some(Rc::new(table)),
                 Err(e) => {
                     tracing::error!(cause = %e, "tier table in the operators' file rejected");
@@ -88,20 +88,21 @@
                 }
             }
         });
-        let own_plan = operator.dispatch.clone().and_then(|table| match compile_plan(table) {
-            Ok(calendar) => Some(Rc::new(calendar)),
-            Err(e) => {
-                tracing::error!(cause = %e, "dispatch plan in the operators' file rejected");
-                None
-            }
-        });
+        let own_plan =
+            operator.dispatch.clone().and_then(|table| match compile_deadline_plan(table) {
+                Ok(calendar) => Some(Rc::new(calendar)),
+                Err(e) => {
+                    tracing::error!(cause = %e, "dispatch plan in the operators' file rejected");
+                    None
+                }
+            });
         let on = operator.tiers.is_some() || operator.loans.durable || own_plan.is_some();
         ReplicatedRecords {
             sync: if on { RecordSync::Due(0) } else { RecordSync::Off },
             records: RecordStore::new(keys::ORDER, limits(state), now),
             read_number: 0,
             is_watching: false,
-            tiers: own_tiers.clone().unwrap_or_default(),
+            tier_table: own_tiers.clone().unwrap_or_default(),
             own_tiers,
             lends_gpus: operator.loans.durable,
             calendar: own_plan.clone(),
@@ -128,7 +129,7 @@
     }
 
     /// A term ends: what its leader wanted written, and what it was still reading.
-    pub fn close(&mut self, now: Time) {
+    pub fn on_leadership_lost(&mut self, now: Time) {
         self.records.discard_pending_writes();
         if self.sync == RecordSync::Loading {
             self.advance(RecordSync::Due(now));
@@ -147,14 +148,14 @@
 }
 
 /// A file's dispatch plan, checked.
-pub fn compile_plan(table: toml::Table) -> Result<DeadlineSchedule, String> {
+pub fn compile_deadline_plan(table: toml::Table) -> Result<DeadlineSchedule, String> {
     let plan: DeadlinePlan =
         table.try_into().map_err(|e| format!("[dispatch]: {}", e.message()))?;
     DeadlineSchedule::new(plan).map_err(|e| e.to_string())
 }
 
 /// A file's table as a record.
-pub fn tier_table_record(
+pub fn tier_table_from_settings(
     file: &swiftsail_policy::operator_settings::TierTableSettings,
 ) -> TierTableRecord {
     let tier = |t: &swiftsail_policy::operator_settings::TierEntrySettings| {
@@ -388,7 +389,7 @@
         });
         let unread = found.is_some() && held.is_none();
         if let Some(held) = held
-            && held != *self.replicated_records.tiers.record()
+            && held != *self.replicated_records.tier_table.record()
         {
             match TierTable::compile(held) {
                 Ok(table) => self.put_tiers_in_force(Rc::new(table)),
@@ -432,7 +433,7 @@
                 "ignoring older tier table in this controller's file"
             );
         }
-        self.replicated_records.tiers = table.clone();
+        self.replicated_records.tier_table = table.clone();
         for tables in self.cluster_state.iter_mut().chain(&mut self.loading_state) {
             tables.set_tiers(table.clone());
         }
@@ -442,7 +443,7 @@
     pub(super) fn tier_for_submission(&self, id: &JobId, spec: &JobSpec) -> Option<String> {
         let on = self.replicated_records.is_enabled();
         on.then(|| {
-            self.replicated_records.tiers.accepting_tier_name(&facts_of(id, spec)).to_string()
+            self.replicated_records.tier_table.accepting_tier_name(&facts_of(id, spec)).to_string()
         })
     }
 
@@ -463,7 +464,7 @@
             Ok(table) => table,
             Err(why) => return self.answer(request, plugin_error_reply(422, why)),
         };
-        let there = self.replicated_records.tiers.version();
+        let there = self.replicated_records.tier_table.version();
         if table.version() <= there {
             let why = format!("table {there} is in force; give yours a higher version");
             return self.answer(request, plugin_error_reply(409, why));
@@ -498,7 +499,7 @@
     }
 
     /// Keys of the records as this controller knows them, without their prefix.
-    pub fn records(&self) -> Vec<String> {
+    pub fn record_keys(&self) -> Vec<String> {
         self.replicated_records
             .records
             .get_by_prefix("")
@@ -509,7 +510,7 @@
 
     /// The table in force, and what waits in each tier and why.
     pub(super) fn show_tiers(&self) -> serde_json::Value {
-        let table = &self.replicated_records.tiers;
+        let table = &self.replicated_records.tier_table;
         let teams = &self.settings.settings.teams;
         let waiting = self.cluster_state.as_ref().map(|leader| leader.tiers_waiting(teams));
         let waiting = waiting.unwrap_or_default();
@@ -542,7 +543,7 @@
         let Some(job) = leader.jobs.get(id) else {
             return plugin_error_reply(404, format!("job `{id}` is not alive; poll it"));
         };
-        let table = &self.replicated_records.tiers;
+        let table = &self.replicated_records.tier_table;
         let judged = table.match_tier(&facts_of(&job.id, &job.spec));
         let line = leader.queue_order(&self.settings.settings.teams);
         let waits = |id: &str| leader.jobs.get(id).is_some_and(Job::has_queued_tasks);
--- a/crates/controller/src/controller/state_loading.rs
+++ b/crates/controller/src/controller/state_loading.rs
@@ -18,11 +18,11 @@
         let mut state = ClusterState::new(token, generation, now);
         state.read_at = now;
         state.lease_ms = self.settings.settings.workers.lease_s * MS_PER_S;
-        state.tiers = self.replicated_records.tiers.clone();
+        state.tiers = self.replicated_records.tier_table.clone();
         self.cancellations.clear_endorsements();
         self.answer_authority = AnswerAuthority::default();
         self.loading_state = Some(state);
-        self.open_quota_accounts();
+        self.load_quota_accounts();
         self.list_state(keys::JOBS, None, CallContext::LoadJobs { generation });
     }
 
--- a/crates/gpu-lending/src/gpu_loans.rs
+++ b/crates/gpu-lending/src/gpu_loans.rs
@@ -158,7 +158,7 @@
         machine: String,
     },
     /// The room on a machine is this job's, and nobody of its priority or below takes it.
-    ReserveRoom {
+    ReserveMachine {
         /// The job.
         job: String,
         /// The machine.
@@ -188,7 +188,7 @@
     }
 
     /// Loans that are not over.
-    pub fn open_loans(&self) -> usize {
+    pub fn open_loan_count(&self) -> usize {
         self.lenders.values().map(|l| l.loans.len()).sum()
     }
 
@@ -275,13 +275,15 @@
                             lender: lender.clone(),
                             machine: machine.clone(),
                         });
-                        todo.push(LoanAction::ReserveRoom { job: loan.borrower.clone(), machine });
-                    }
-                    LoanPhase::Asked | LoanPhase::Gone => {
-                        todo.push(LoanAction::ReserveRoom { job: loan.borrower.clone(), machine })
+                        todo.push(LoanAction::ReserveMachine {
+                            job: loan.borrower.clone(),
+                            machine,
+                        });
                     }
+                    LoanPhase::Asked | LoanPhase::Gone => todo
+                        .push(LoanAction::ReserveMachine { job: loan.borrower.clone(), machine }),
                     LoanPhase::Ending => {
-                        todo.push(LoanAction::ReserveRoom { job: lender.clone(), machine })
+                        todo.push(LoanAction::ReserveMachine { job: lender.clone(), machine })
                     }
                     _ => {}
                 }
--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -128,9 +128,9 @@
             let at = Now { monotonic: now, wall_clock: now };
             let asking = PolicyContext {
                 policy: &mut policy,
-                host: &mut host,
+                plugin_host: &mut host,
                 teams,
-                types: &types,
+                machine_types: &types,
                 now: at,
             };
             controller::evaluate_job_policies(&tables, asking, &mut steering, true);
--- a/examples/trace/scenarios.rs
+++ b/examples/trace/scenarios.rs
@@ -278,9 +278,9 @@
         world.schedule_admin_request(
             8_000,
             node,
-            AdminRequest::AddArrival(body.clone().into_bytes()),
+            AdminRequest::AddOccurrence(body.clone().into_bytes()),
         );
-        world.schedule_admin_request(60_000, node, AdminRequest::Dispatch(None));
+        world.schedule_admin_request(60_000, node, AdminRequest::Occurrences(None));
     });
     for (n, class) in ["count", "list"].into_iter().enumerate() {
         let mut body = job_body(&format!("wk-{class}"), "array", "blue", 4, 1.0, 20.0);
@@ -312,7 +312,7 @@
 
 fn offer(name: &str, kind: PluginKind, source: &str) -> AdminRequest {
     let offer = PluginOffer { kind, source: source.into(), precedence: 10, enable: true };
-    AdminRequest::Offer(name.into(), serde_json::to_vec(&offer).expect("our own type"))
+    AdminRequest::OfferPlugin(name.into(), serde_json::to_vec(&offer).expect("our own type"))
 }
 
 fn play_plugins(world: &mut Simulation) {
@@ -327,7 +327,7 @@
     world.schedule_admin_request(6_000, 2, offer("events", PluginKind::EventReceiver, REPORT_HOOK));
     for node in 0..3 {
         world.schedule_admin_request(30_000, node, AdminRequest::Plugins);
-        world.schedule_admin_request(31_000, node, AdminRequest::Explain("wk-s0".into()));
+        world.schedule_admin_request(31_000, node, AdminRequest::ExplainJob("wk-s0".into()));
     }
     submit_mixed_load(world, 6);
     crash_leader(world, 40_000);
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -54,7 +54,7 @@
 }
 
 async fn explain_job(to: ControllerAddress, id: web::Path<String>) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::Explain(id.into_inner())).await
+    forward_to_controller(&to, AdminRequest::ExplainJob(id.into_inner())).await
 }
 
 async fn show_pipeline(to: ControllerAddress, id: web::Path<String>) -> HttpResponse {
@@ -70,7 +70,7 @@
 }
 
 async fn explain_tier(to: ControllerAddress, id: web::Path<String>) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::TierOf(id.into_inner())).await
+    forward_to_controller(&to, AdminRequest::ExplainTier(id.into_inner())).await
 }
 
 #[derive(Deserialize)]
@@ -80,15 +80,15 @@
 }
 
 async fn show_dispatch(to: ControllerAddress, query: web::Query<SelectionQuery>) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::Dispatch(query.into_inner().selected)).await
+    forward_to_controller(&to, AdminRequest::Occurrences(query.into_inner().selected)).await
 }
 
 async fn set_dispatch(to: ControllerAddress, body: web::Bytes) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::SetDispatch(body.to_vec())).await
+    forward_to_controller(&to, AdminRequest::SetDeadlinePlan(body.to_vec())).await
 }
 
 async fn add_arrival(to: ControllerAddress, body: web::Bytes) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::AddArrival(body.to_vec())).await
+    forward_to_controller(&to, AdminRequest::AddOccurrence(body.to_vec())).await
 }
 
 async fn show_loans(to: ControllerAddress, query: web::Query<SelectionQuery>) -> HttpResponse {
@@ -104,22 +104,31 @@
     name: web::Path<String>,
     body: web::Bytes,
 ) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::Offer(name.into_inner(), body.to_vec())).await
+    forward_to_controller(&to, AdminRequest::OfferPlugin(name.into_inner(), body.to_vec())).await
 }
 
 async fn enable_plugin(to: ControllerAddress, name: web::Path<String>) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::Change(name.into_inner(), PluginTransition::Enable))
-        .await
+    forward_to_controller(
+        &to,
+        AdminRequest::ChangePlugin(name.into_inner(), PluginTransition::Enable),
+    )
+    .await
 }
 
 async fn disable_plugin(to: ControllerAddress, name: web::Path<String>) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::Change(name.into_inner(), PluginTransition::Disable))
-        .await
+    forward_to_controller(
+        &to,
+        AdminRequest::ChangePlugin(name.into_inner(), PluginTransition::Disable),
+    )
+    .await
 }
 
 async fn remove_plugin(to: ControllerAddress, name: web::Path<String>) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::Change(name.into_inner(), PluginTransition::Remove))
-        .await
+    forward_to_controller(
+        &to,
+        AdminRequest::ChangePlugin(name.into_inner(), PluginTransition::Remove),
+    )
+    .await
 }
 
 /// Serves operators until the process ends.
--- a/tests/dispatch_deadlines.rs
+++ b/tests/dispatch_deadlines.rs
@@ -26,7 +26,7 @@
 
 fn parse_plan(text: &str) -> Result<DeadlineSchedule, String> {
     let table: toml::Table = toml::from_str(text).expect("it is TOML");
-    swiftsail_controller::controller::plan_of_file(table)
+    swiftsail_controller::controller::compile_deadline_plan(table)
 }
 
 const CHAIN: &str = r#"
@@ -109,7 +109,7 @@
     assert!(parse_plan(&many).expect_err("too many").contains("200 at most"));
     let text = include_str!("../deploy/dispatch.toml");
     let operator = OperatorSettings::parse("deploy/dispatch.toml", text).expect("it is sound");
-    swiftsail_controller::controller::plan_of_file(operator.dispatch.expect("a plan"))
+    swiftsail_controller::controller::compile_deadline_plan(operator.dispatch.expect("a plan"))
         .expect("it is sound");
     assert!(matches!(
         DeadlinePlan::from_record("dispatch", &json!({"v": 7})),
@@ -335,8 +335,11 @@
         let at_ms = 1_700_000_000_000 + world.now + 240_000;
         let body = json!({"name": "north", "chain": "lists", "at_ms": at_ms}).to_string();
         let node = leads(&world);
-        let asked =
-            world.schedule_admin_request(8_000, node, AdminRequest::AddArrival(body.into_bytes()));
+        let asked = world.schedule_admin_request(
+            8_000,
+            node,
+            AdminRequest::AddOccurrence(body.into_bytes()),
+        );
         for (n, class) in ["count", "list"].iter().enumerate() {
             let mut body = job_body(&format!("wk-{class}"), "array", "blue", 4, 1.0, 20.0);
             body["jobclass"] = (*class).into();
@@ -350,7 +353,7 @@
             let shown = world.schedule_admin_request(
                 at,
                 node,
-                AdminRequest::Dispatch(Some("north".into())),
+                AdminRequest::Occurrences(Some("north".into())),
             );
             world.run_until(at + 200);
             let reply = world.admin_answers.remove(&shown).expect("an answer");
--- a/tests/failovers.rs
+++ b/tests/failovers.rs
@@ -252,7 +252,7 @@
         page.entries.iter().filter_map(|p| Some(p.key.strip_prefix(keys::ORDER)?.into())).collect();
     for (n, node) in world.controllers.iter().enumerate() {
         let Some(node) = node else { continue };
-        let known: BTreeSet<String> = node.records().into_iter().collect();
+        let known: BTreeSet<String> = node.record_keys().into_iter().collect();
         assert_eq!(known, there, "{what}: what controller {n} knows, and what is there");
     }
     assert!(!there.iter().any(|k| k.starts_with("loan/")), "{what}: {there:?}");
@@ -302,7 +302,7 @@
                 .iter()
                 .flatten()
                 .filter_map(Controller::cluster_state)
-                .map(|t| t.gpu_loans.open_loans())
+                .map(|t| t.gpu_loans.open_loan_count())
                 .sum::<usize>();
             match (leader_index(&world), rng.random_range(0..5)) {
                 (_, 0) => (0..3).for_each(|n| world.schedule_crash(at + n as u64 * 90, n)),
--- a/tests/gpu_lending.rs
+++ b/tests/gpu_lending.rs
@@ -72,7 +72,7 @@
                 }
                 let todo = loans.advance_loans(now, |_, _| loan_facts(bits));
                 let keeps =
-                    todo.iter().filter(|t| matches!(t, LoanAction::ReserveRoom { .. })).count();
+                    todo.iter().filter(|t| matches!(t, LoanAction::ReserveMachine { .. })).count();
                 prop_assert!(keeps <= 1, "{todo:?}");
                 let Some(loan) = loans.lender_record("wk-l").and_then(|l| l.loans.first()) else {
                     break;
@@ -232,7 +232,7 @@
                                 Some("stopped for what the next leader would not know");
                         }
                     }
-                    if let LoanAction::ReserveRoom { job, .. } = it
+                    if let LoanAction::ReserveMachine { job, .. } = it
                         && job == "wk-l"
                         && !self.lender_running
                         && !self.borrower_running
@@ -373,7 +373,7 @@
                 world.run_until(crash);
                 let tables =
                     world.controllers.iter().flatten().filter_map(Controller::cluster_state);
-                lent += tables.map(|t| t.gpu_loans.open_loans()).sum::<usize>();
+                lent += tables.map(|t| t.gpu_loans.open_loan_count()).sum::<usize>();
                 if let Some(node) = leader_index(&world) {
                     world.schedule_crash(crash, node);
                 }
@@ -397,7 +397,7 @@
             .flatten()
             .find_map(Controller::cluster_state)
             .expect("a leader");
-        assert_eq!(tables.gpu_loans.open_loans(), 0, "seed {seed}");
+        assert_eq!(tables.gpu_loans.open_loan_count(), 0, "seed {seed}");
         let records = world.store.list("order/loan/", None, 100).entries.len();
         assert_eq!(records, 0, "seed {seed}: records of jobs that are over");
     }
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -37,7 +37,7 @@
 fn offer_plugin(name: &str, source: &str, precedence: u32) -> AdminRequest {
     let offer =
         PluginOffer { kind: PluginKind::Decision, source: source.into(), precedence, enable: true };
-    AdminRequest::Offer(name.into(), serde_json::to_vec(&offer).expect("our own type"))
+    AdminRequest::OfferPlugin(name.into(), serde_json::to_vec(&offer).expect("our own type"))
 }
 
 fn admin_answer_body(world: &Simulation, answer: u64) -> serde_json::Value {
@@ -128,7 +128,7 @@
     world.run_until(20_000);
     let other = (leader + 1) % 3;
     let asks: Vec<u64> = (0..3)
-        .map(|n| world.schedule_admin_request(20_100, n, AdminRequest::Explain("wk-s1".into())))
+        .map(|n| world.schedule_admin_request(20_100, n, AdminRequest::ExplainJob("wk-s1".into())))
         .collect();
     world.run_until(21_000);
     // The new leader has the set; the others name it.
@@ -141,17 +141,17 @@
     let off = world.schedule_admin_request(
         21_100,
         other,
-        AdminRequest::Change("long".into(), PluginTransition::Disable),
+        AdminRequest::ChangePlugin("long".into(), PluginTransition::Disable),
     );
     let gone = world.schedule_admin_request(
         24_000,
         leader,
-        AdminRequest::Change("long".into(), PluginTransition::Remove),
+        AdminRequest::ChangePlugin("long".into(), PluginTransition::Remove),
     );
     let again = world.schedule_admin_request(
         26_000,
         other,
-        AdminRequest::Change("long".into(), PluginTransition::Enable),
+        AdminRequest::ChangePlugin("long".into(), PluginTransition::Enable),
     );
     world.run_until(28_000);
     assert_eq!(world.admin_answers[&off].status, 200, "{}", admin_answer_body(&world, off));
@@ -176,7 +176,7 @@
     world.schedule_admin_request(4_000, 0, offer_plugin("narrow", source, 1));
     world.run_until(20_000);
     let asks: Vec<u64> = (0..3)
-        .map(|n| world.schedule_admin_request(20_100, n, AdminRequest::Explain("wk-s1".into())))
+        .map(|n| world.schedule_admin_request(20_100, n, AdminRequest::ExplainJob("wk-s1".into())))
         .collect();
     world.run_until(21_000);
     let found = asks.iter().find(|a| world.admin_answers[*a].status == 200).expect("one leads");
@@ -239,7 +239,7 @@
                 node,
                 offer_plugin(&format!("p{n}"), &source, precedence),
             );
-            let gone = AdminRequest::Change(format!("p{n}"), PluginTransition::Remove);
+            let gone = AdminRequest::ChangePlugin(format!("p{n}"), PluginTransition::Remove);
             world.schedule_admin_request(add + remove, (node + 1) % 3, gone);
         }
         world.run_until(330_000);
--- a/tests/recorded_bytes/store.rs
+++ b/tests/recorded_bytes/store.rs
@@ -136,10 +136,10 @@
     let source = "fn priority(job, cluster) { 1 }".to_string();
     let offer = PluginOffer { kind: PluginKind::Decision, source, precedence: 10, enable: true };
     let offer = serde_json::to_vec(&offer).expect("our own type");
-    world.schedule_admin_request(8_100, node, AdminRequest::Offer("evening".into(), offer));
+    world.schedule_admin_request(8_100, node, AdminRequest::OfferPlugin("evening".into(), offer));
     let at_ms = 1_700_000_000_000 + world.now + 240_000;
     let arrival = json!({"name": "north", "chain": "lists", "at_ms": at_ms}).to_string();
-    world.schedule_admin_request(8_200, node, AdminRequest::AddArrival(arrival.into_bytes()));
+    world.schedule_admin_request(8_200, node, AdminRequest::AddOccurrence(arrival.into_bytes()));
 }
 
 type Seen = BTreeMap<String, Vec<Value>>;
--- a/tests/stale_store_responses.rs
+++ b/tests/stale_store_responses.rs
@@ -408,7 +408,7 @@
     alone.run_for(300);
     assert!(alone.controller.is_leader() && alone.release_call(order), "the reading made before");
     alone.run_for(300);
-    let known = alone.controller.records();
+    let known = alone.controller.record_keys();
     assert!(known.is_empty(), "{known:?}");
 }
 
@@ -440,7 +440,7 @@
     };
     alone.execute_store_call(&StoreCall::Commit(commit));
     alone.run_for(3_000);
-    assert_eq!(alone.controller.records(), ["loan/wk-new"]);
+    assert_eq!(alone.controller.record_keys(), ["loan/wk-new"]);
 }
 
 fn status_report(name: &str, watch: u64, tick: u64, helm: u64) -> StatusReport {
@@ -575,7 +575,7 @@
         let before = lent.loans[0].phase();
         tables.gpu_loans.restore("wk-l", lent);
         for step in 0..40 {
-            tables.step_loans(now + step * 100, wall + step * 100);
+            tables.advance_gpu_loans(now + step * 100, wall + step * 100);
         }
         let now_at = |tables: &ClusterState| {
             tables.gpu_loans.lender_record("wk-l").and_then(|l| l.loans.first()).map(|l| l.phase())
@@ -583,7 +583,7 @@
         assert_eq!(now_at(&tables), Some(before), "a loan in stage {stage}");
         if !lender_on && !borrower_on {
             // A machine that does not come is gone in the end.
-            tables.step_loans(now + 15_000, wall + 15_000);
+            tables.advance_gpu_loans(now + 15_000, wall + 15_000);
             assert!(now_at(&tables).is_none_or(LoanPhase::is_final), "a loan in stage {stage}");
         }
     }
--- a/tests/team_limits.rs
+++ b/tests/team_limits.rs
@@ -294,7 +294,7 @@
     world.submit(500, None, long);
     world.run_until(40_000);
     let asks: Vec<u64> = (0..3)
-        .map(|n| world.schedule_admin_request(40_100, n, AdminRequest::Explain("wk-a1".into())))
+        .map(|n| world.schedule_admin_request(40_100, n, AdminRequest::ExplainJob("wk-a1".into())))
         .collect();
     world.run_until(41_000);
     let found = asks.iter().filter_map(|id| world.admin_answers.get(id)).find(|r| r.status == 200);
--- a/tests/tiers.rs
+++ b/tests/tiers.rs
@@ -59,8 +59,9 @@
 fn the_deployed_table_is_sound() {
     let text = include_str!("../deploy/tiers.toml");
     let operator = OperatorSettings::parse("deploy/tiers.toml", text).expect("it is sound");
-    let record =
-        swiftsail_controller::controller::tiers_of_file(operator.tiers.as_ref().expect("a table"));
+    let record = swiftsail_controller::controller::tier_table_from_settings(
+        operator.tiers.as_ref().expect("a table"),
+    );
     TierTable::new(record).expect("its tiers are sound");
 }
 
@@ -290,7 +291,7 @@
     world.run_until(60_000);
     let (_, shown) = ask(&mut world, 60_000, AdminRequest::Tiers);
     assert_eq!((&shown["version"], &shown["file"]), (&json!(7), &json!(1)), "{shown}");
-    let (status, why) = ask(&mut world, 70_000, AdminRequest::TierOf("wk-s0".into()));
+    let (status, why) = ask(&mut world, 70_000, AdminRequest::ExplainTier("wk-s0".into()));
     assert_eq!((status, &why["tier"]), (200, &json!("core")), "{why}");
     world.run_until(300_000);
     assert_all_jobs_over(&world, "tiers");
