--- a/crates/controller/src/controller/capacity.rs
+++ b/crates/controller/src/controller/capacity.rs
@@ -50,7 +50,7 @@
     pub(super) fn max_machines(&self) -> (usize, FleetLimit) {
         let now = self.now.monotonic;
         let is_heard = |heard_at: crate::Time| now.saturating_sub(heard_at) <= HEARTBEAT_FRESH_MS;
-        let peers = self.peers.values().filter(|peer| is_heard(peer.health.heard_at));
+        let peers = self.peers.values().filter(|peer| is_heard(peer.health.heartbeat_at));
         let peer_loads = peers.filter_map(|peer| peer.baseline_load);
         let loads: Vec<f64> = peer_loads.chain(self.cpu.baseline_load()).collect();
         let controllers = self.settings.controllers();
--- a/crates/controller/src/controller/deadline_planning.rs
+++ b/crates/controller/src/controller/deadline_planning.rs
@@ -1,6 +1,6 @@
 //! Arrivals in the state service: what the board is told of jobs, what it makes of that, and its records.
 
-use super::dependency_lookup::JobLocation;
+use super::dependency_lookup::JobReadOutcome;
 use super::plugins::plugin_error_reply;
 use super::{CallContext, Controller, Reply, RequestId};
 use crate::cluster_state::{ClusterState, facts_of};
@@ -149,10 +149,10 @@
         }
     }
 
-    fn read_occurrence_job(&mut self, id: JobId, last_place: bool) {
-        let key = keys::place(&id, last_place);
+    fn read_occurrence_job(&mut self, id: JobId, final_key: bool) {
+        let key = keys::place(&id, final_key);
         let until = RetryPolicy::OnceBefore(self.now.monotonic + STORE_TIMEOUT_MS);
-        let purpose = CallContext::ReadOccurrenceJob { job: id, last_place };
+        let purpose = CallContext::ReadOccurrenceJob { job: id, final_key };
         self.store.push(StoreCall::Get(key), purpose, CallPriority::Low, until);
     }
 
@@ -161,11 +161,11 @@
     pub(super) fn on_occurrence_job_read(
         &mut self,
         id: &JobId,
-        last_place: bool,
+        final_key: bool,
         outcome: &StoreOutcome,
     ) {
-        let location = self.locate_job(id, last_place, outcome);
-        if let JobLocation::Found(VisitedJob::NeverAccepted) = location {
+        let location = self.process_job_read(id, final_key, outcome);
+        if let JobReadOutcome::Found(VisitedJob::NeverAccepted) = location {
             self.read_occurrence_job(id.clone(), false);
         }
     }
--- a/crates/controller/src/controller/dependency_lookup.rs
+++ b/crates/controller/src/controller/dependency_lookup.rs
@@ -62,12 +62,12 @@
 }
 
 /// What a read of one of a job's two keys shows.
-pub(super) enum JobLocation {
+pub(super) enum JobReadOutcome {
     Found(VisitedJob),
     /// The job is not live: it is over and moved, or was never accepted.
     NotLive,
     /// The read failed, or its result is unreadable.
-    Unread,
+    Failed,
 }
 
 impl Controller {
@@ -167,10 +167,10 @@
         }
     }
 
-    fn read_dependency_for_lookup(&mut self, lookup: u64, job: JobId, last_place: bool) {
-        let key = keys::place(&job, last_place);
+    fn read_dependency_for_lookup(&mut self, lookup: u64, job: JobId, final_key: bool) {
+        let key = keys::place(&job, final_key);
         let policy = RetryPolicy::OnceBefore(self.now.monotonic + USER_STORE_TIMEOUT_MS);
-        let context = CallContext::LookUpDependency { lookup, job, last_place };
+        let context = CallContext::LookUpDependency { lookup, job, final_key };
         self.store.push(StoreCall::Get(key), context, CallPriority::Normal, policy);
     }
 
@@ -179,64 +179,64 @@
         &mut self,
         number: u64,
         id: &JobId,
-        last_place: bool,
+        final_key: bool,
         outcome: &StoreOutcome,
     ) {
-        let location = self.locate_job(id, last_place, outcome);
-        if let JobLocation::NotLive = location {
+        let location = self.process_job_read(id, final_key, outcome);
+        if let JobReadOutcome::NotLive = location {
             return self.read_dependency_for_lookup(number, id.clone(), true);
         }
         let Some(mut lookup) = self.dependency_lookups.open.remove(&number) else { return };
         match location {
-            JobLocation::Found(state) => {
+            JobReadOutcome::Found(state) => {
                 lookup.traversal.on_job_state(&state);
                 self.continue_lookup(lookup);
             }
-            JobLocation::NotLive | JobLocation::Unread => {
+            JobReadOutcome::NotLive | JobReadOutcome::Failed => {
                 self.answer(lookup.requester.request(), store_unavailable_reply())
             }
         }
     }
 
-    /// What a read of one of a job's two keys shows of it; `last_place`: it was the key of the final record. A final
+    /// What a read of one of a job's two keys shows of it; `final_key`: it was the key of the final record. A final
     /// record is remembered. A job's record moves from the first key to the last in one transaction and never back, so
     /// reading them in this order misses none.
-    pub(super) fn locate_job(
+    pub(super) fn process_job_read(
         &mut self,
         id: &JobId,
-        last_place: bool,
+        final_key: bool,
         outcome: &StoreOutcome,
-    ) -> JobLocation {
+    ) -> JobReadOutcome {
         match outcome {
-            StoreOutcome::Found(pair) if last_place => self.locate_finished(id, pair),
+            StoreOutcome::Found(pair) if final_key => self.locate_finished(id, pair),
             StoreOutcome::Found(pair) => match StoredJob::read(&pair.value) {
                 Some(StoredJob::Finished(record)) => self.remember_located(id, record),
                 Some(StoredJob::Live(record)) if record.cancelled => {
-                    JobLocation::Found(VisitedJob::Ended(JobOutcome::Cancelled))
+                    JobReadOutcome::Found(VisitedJob::Ended(JobOutcome::Cancelled))
                 }
                 Some(StoredJob::Live(record)) => {
-                    JobLocation::Found(VisitedJob::Live(record.depends_on))
+                    JobReadOutcome::Found(VisitedJob::Live(record.depends_on))
                 }
-                None => JobLocation::Unread,
+                None => JobReadOutcome::Failed,
             },
-            StoreOutcome::Missing { .. } if last_place => {
-                JobLocation::Found(VisitedJob::NeverAccepted)
+            StoreOutcome::Missing { .. } if final_key => {
+                JobReadOutcome::Found(VisitedJob::NeverAccepted)
             }
-            StoreOutcome::Missing { .. } => JobLocation::NotLive,
-            _ => JobLocation::Unread,
+            StoreOutcome::Missing { .. } => JobReadOutcome::NotLive,
+            _ => JobReadOutcome::Failed,
         }
     }
 
-    fn locate_finished(&mut self, id: &JobId, pair: &KeyValue) -> JobLocation {
+    fn locate_finished(&mut self, id: &JobId, pair: &KeyValue) -> JobReadOutcome {
         match serde_json::from_value(pair.value.clone()) {
             Ok(record) => self.remember_located(id, record),
-            Err(_) => JobLocation::Unread,
+            Err(_) => JobReadOutcome::Failed,
         }
     }
 
-    fn remember_located(&mut self, id: &JobId, record: FinalRecord) -> JobLocation {
+    fn remember_located(&mut self, id: &JobId, record: FinalRecord) -> JobReadOutcome {
         self.remember_final(id, record);
-        JobLocation::Found(VisitedJob::Ended(record.fate(self.now.wall_clock)))
+        JobReadOutcome::Found(VisitedJob::Ended(record.fate(self.now.wall_clock)))
     }
 
     /// The leader's part: works out effective deadlines, and looks up dependencies of which it knows nothing because
@@ -255,24 +255,24 @@
     }
 
     /// The leader's read of a dependency has ended.
-    pub(super) fn on_awaited_job_read(
+    pub(super) fn on_leader_dependency_read(
         &mut self,
         id: &JobId,
-        last_place: bool,
+        final_key: bool,
         outcome: &StoreOutcome,
     ) {
-        let location = self.locate_job(id, last_place, outcome);
+        let location = self.process_job_read(id, final_key, outcome);
         let (now, wall) = (self.now.monotonic, self.now.wall_clock);
         let Some(state) = &mut self.cluster_state else { return };
         match location {
-            JobLocation::Found(VisitedJob::Ended(outcome)) => {
+            JobReadOutcome::Found(VisitedJob::Ended(outcome)) => {
                 state.on_dependency_finished(id, outcome, now, wall)
             }
-            JobLocation::NotLive => {
+            JobReadOutcome::NotLive => {
                 read_dependency_as_leader(&mut self.store, state, id.clone(), true)
             }
             // The leader's watch has brought it meanwhile, or it cannot be read for now.
-            JobLocation::Found(_) | JobLocation::Unread => {
+            JobReadOutcome::Found(_) | JobReadOutcome::Failed => {
                 state.retry_unknown_dependencies(id, now)
             }
         }
@@ -283,9 +283,9 @@
     store: &mut StoreClient<CallContext>,
     state: &ClusterState,
     job: JobId,
-    last_place: bool,
+    final_key: bool,
 ) {
-    let key = keys::place(&job, last_place);
-    let context = CallContext::ReadDependency { generation: state.generation, job, last_place };
+    let key = keys::place(&job, final_key);
+    let context = CallContext::ReadDependency { generation: state.generation, job, final_key };
     store.push(StoreCall::Get(key), context, CallPriority::Normal, RetryPolicy::UntilDefinite);
 }
--- a/crates/controller/src/controller/fleet_management.rs
+++ b/crates/controller/src/controller/fleet_management.rs
@@ -169,7 +169,7 @@
         let now = self.now.monotonic;
         let is_heard = |name: &String| {
             let peer = self.peers.get(name);
-            peer.is_some_and(|p| now.saturating_sub(p.health.heard_at) <= HEARTBEAT_FRESH_MS)
+            peer.is_some_and(|p| now.saturating_sub(p.health.heartbeat_at) <= HEARTBEAT_FRESH_MS)
         };
         let others = self.settings.others.iter().filter(|other| is_heard(&other.host_name));
         let own = std::iter::once(&self.settings.site);
--- a/crates/controller/src/controller/isolation.rs
+++ b/crates/controller/src/controller/isolation.rs
@@ -48,7 +48,7 @@
         };
         let machines = state.machines.values().filter(should_report).count();
         let mut peer_ages =
-            self.peers.values().map(|peer| now.saturating_sub(peer.health.heard_at));
+            self.peers.values().map(|peer| now.saturating_sub(peer.health.heartbeat_at));
         if machines < RESIGN_MACHINES || peer_ages.any(|age| (age as f64) < limit_ms) {
             return;
         }
--- a/crates/controller/src/controller/job_cache.rs
+++ b/crates/controller/src/controller/job_cache.rs
@@ -363,7 +363,7 @@
         for (id, pending) in served {
             match self.job_cache.jobs.get(&id).copied() {
                 Some(cached) => self.answer_from_cache(&id, cached, pending),
-                None => self.on_not_live(&id, pending),
+                None => self.on_job_not_live(&id, pending),
             }
         }
     }
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -239,7 +239,7 @@
             dependency_lookups: DependencyLookups::default(),
             format_upgrade: FormatUpgrade::default(),
             job_cache: JobCache::new(budget.cached_jobs),
-            final_records: FinalRecordCache::new(budget.cached_final_answers),
+            final_records: FinalRecordCache::new(budget.cached_final_records),
             task_counts: BTreeMap::new(),
             peers: BTreeMap::new(),
             cancellations: CancellationQuorum::default(),
@@ -309,7 +309,7 @@
         }
         self.cpu.charge_event(&event, self.machine_count());
         self.route(event);
-        self.answer_confirmed_cancellations();
+        self.answer_replicated_cancellations();
         self.run_cycle_if_due();
         self.forward_queued_reports();
         self.deliver_cluster_events();
--- a/crates/controller/src/controller/peers.rs
+++ b/crates/controller/src/controller/peers.rs
@@ -85,7 +85,7 @@
         let share = |permille: Option<u32>| permille.map(|value| f64::from(value) / 1_000.0);
         let peer = Peer {
             health: PeerHealth {
-                heard_at: self.now.monotonic,
+                heartbeat_at: self.now.monotonic,
                 store_age_ms: heartbeat.since_store_response_ms,
                 highest_token: heartbeat.fencing_token,
             },
@@ -151,7 +151,7 @@
         }
         let now = self.now.monotonic;
         let is_recent =
-            |health: &PeerHealth| now.saturating_sub(health.heard_at) <= HEARTBEAT_FRESH_MS;
+            |health: &PeerHealth| now.saturating_sub(health.heartbeat_at) <= HEARTBEAT_FRESH_MS;
         let mut recent = self.peers.values().map(|peer| peer.health).filter(is_recent).peekable();
         let is_alone = self.settings.controllers() > 1 && recent.peek().is_none();
         let peers_reach_store = recent.any(|health| health.store_age_ms == 0);
--- a/crates/controller/src/controller/pending_terminations.rs
+++ b/crates/controller/src/controller/pending_terminations.rs
@@ -119,7 +119,7 @@
     fn hears_no_leader(&self) -> bool {
         let now = self.now.monotonic;
         let from = self.endorsements_valid_from().max(now.saturating_sub(HEARTBEAT_FRESH_MS));
-        let is_fresh = |peer: &&Peer| peer.health.heard_at >= from;
+        let is_fresh = |peer: &&Peer| peer.health.heartbeat_at >= from;
         let fresh: Vec<&Peer> = self.peers.values().filter(is_fresh).collect();
         let hears_all = fresh.len() == self.settings.others.len();
         let is_conclusive = !fresh.is_empty() && (hears_all || self.store.is_unavailable());
--- a/crates/controller/src/controller/report_forwarding/forwarder.rs
+++ b/crates/controller/src/controller/report_forwarding/forwarder.rs
@@ -135,7 +135,7 @@
 
     /// Ends the delegation, and forgets what only it allowed.
     pub fn drop_delegation(&mut self) {
-        self.delegation.apply_event(DelegationEvent::LeaderUnheard);
+        self.delegation.apply_event(DelegationEvent::Invalidated);
         self.self_answered.clear();
         for known in self.answered_reports.values_mut() {
             known.is_settled = false;
--- a/crates/controller/src/controller/report_forwarding/mod.rs
+++ b/crates/controller/src/controller/report_forwarding/mod.rs
@@ -105,7 +105,7 @@
         let ForwardedAnswers { fencing_token, delegation_ms, .. } = *answers;
         // A newer token ends a delegation under an older one, whoever answers.
         let event = if fencing_token < self.leadership.highest_token {
-            DelegationEvent::LeaderUnheard
+            DelegationEvent::Invalidated
         } else if delegation_ms == 0 {
             DelegationEvent::Refused
         } else {
@@ -146,7 +146,7 @@
     }
 
     /// Number of reports that this controller has answered by delegation.
-    pub fn on_self_answered(&self) -> u64 {
+    pub fn delegated_answer_count(&self) -> u64 {
         self.report_forwarder.answered_count
     }
 }
--- a/crates/controller/src/controller/report_forwarding/worker_distribution.rs
+++ b/crates/controller/src/controller/report_forwarding/worker_distribution.rs
@@ -93,7 +93,7 @@
     fn least_loaded_peer(&self) -> Option<RedirectTarget> {
         let now = self.now.monotonic;
         let able = self.peers.iter().filter(|(_, peer)| {
-            let is_fresh = now.saturating_sub(peer.health.heard_at) <= HEARTBEAT_FRESH_MS;
+            let is_fresh = now.saturating_sub(peer.health.heartbeat_at) <= HEARTBEAT_FRESH_MS;
             is_fresh && !peer.is_leader && peer.health.highest_token == self.leadership.token
         });
         let targets = able.map(|(name, peer)| RedirectTarget {
--- a/crates/controller/src/controller/requests/admission.rs
+++ b/crates/controller/src/controller/requests/admission.rs
@@ -190,6 +190,6 @@
         request: RequestId,
         refusal: Reply,
     ) {
-        self.look_up(id, PendingRequest::answer_or(request, refusal));
+        self.look_up_job(id, PendingRequest::answer_or(request, refusal));
     }
 }
--- a/crates/controller/src/controller/requests/cancellations.rs
+++ b/crates/controller/src/controller/requests/cancellations.rs
@@ -113,7 +113,7 @@
 
     /// Answers the cancellations that enough controllers hold by now, and sends a heartbeat ahead of time for those
     /// that no heartbeat has carried yet.
-    pub(in crate::controller) fn answer_confirmed_cancellations(&mut self) {
+    pub(in crate::controller) fn answer_replicated_cancellations(&mut self) {
         if self.requests.unconfirmed_cancels.is_empty() {
             return;
         }
--- a/crates/controller/src/controller/requests/reads.rs
+++ b/crates/controller/src/controller/requests/reads.rs
@@ -33,7 +33,7 @@
 
 impl Controller {
     /// Serves a request by the next cache read, or, without a complete cache, by a read of the job's own key.
-    pub(super) fn look_up(&mut self, id: JobId, pending: PendingRequest) {
+    pub(super) fn look_up_job(&mut self, id: JobId, pending: PendingRequest) {
         if self.job_cache.is_complete()
             && !self.store.is_unavailable()
             && self.pending_cache_requests() < self.budget.waiting_polls
@@ -58,7 +58,7 @@
     }
 
     /// A cache read shows that no such job is live: it is over and moved, or was never accepted.
-    pub(in crate::controller) fn on_not_live(&mut self, id: &JobId, pending: PendingRequest) {
+    pub(in crate::controller) fn on_job_not_live(&mut self, id: &JobId, pending: PendingRequest) {
         if let RequestIntent::Create(record) = pending.intent {
             let freshness = CacheFreshness::ReadAfterRequest;
             return self.accept_job(id, pending.request, record, freshness);
--- a/crates/controller/src/controller/worker_reports.rs
+++ b/crates/controller/src/controller/worker_reports.rs
@@ -74,7 +74,7 @@
         let now = self.now.monotonic;
         let near = self.leadership.known_leader.as_ref().and_then(|l| {
             let peer = self.peers.get(l)?;
-            let fresh = now.saturating_sub(peer.health.heard_at) <= HEARTBEAT_FRESH_MS;
+            let fresh = now.saturating_sub(peer.health.heartbeat_at) <= HEARTBEAT_FRESH_MS;
             (fresh && peer.is_leader).then(|| (l.clone(), peer.distributes_workers))
         });
         if self.forwarding_history.len() >= FORWARDING_HISTORY_MAX {
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -211,7 +211,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerHealth {
     /// When the heartbeat was received.
-    pub heard_at: Time,
+    pub heartbeat_at: Time,
     /// Time between the state service's last answer to that controller and the sending of the heartbeat, ms; 0 if
     /// it reaches the state service.
     pub store_age_ms: u64,
--- a/crates/overload-control/src/admission.rs
+++ b/crates/overload-control/src/admission.rs
@@ -23,13 +23,13 @@
 #[derive(Debug)]
 pub struct AdmissionGate {
     max_bytes: usize,
-    held_bytes: usize,
+    admitted_bytes: usize,
 }
 
 impl AdmissionGate {
     /// An empty gate; all admitted requests together may hold `max_bytes`.
     pub fn new(max_bytes: usize) -> AdmissionGate {
-        AdmissionGate { max_bytes, held_bytes: 0 }
+        AdmissionGate { max_bytes, admitted_bytes: 0 }
     }
 
     /// Admits a request and returns how many bytes it holds until it is [released](AdmissionGate::release), or rejects
@@ -45,20 +45,20 @@
         let bytes = REQUEST_BYTES + body_bytes;
         let limit = (self.max_bytes as f64 * ADMISSION_SHARES[priority as usize]) as usize;
         let is_shed = level == LoadLevel::Overloaded && priority >= RequestPriority::Polls;
-        if is_shed || self.held_bytes + bytes > limit {
+        if is_shed || self.admitted_bytes + bytes > limit {
             return None;
         }
-        self.held_bytes += bytes;
+        self.admitted_bytes += bytes;
         Some(bytes)
     }
 
     /// Gives back the bytes of a request that was answered or whose connection is gone.
     pub fn release(&mut self, bytes: usize) {
-        self.held_bytes = self.held_bytes.saturating_sub(bytes);
+        self.admitted_bytes = self.admitted_bytes.saturating_sub(bytes);
     }
 
     /// Bytes that admitted requests hold.
-    pub fn held_bytes(&self) -> usize {
-        self.held_bytes
+    pub fn admitted_bytes(&self) -> usize {
+        self.admitted_bytes
     }
 }
--- a/crates/overload-control/src/constants.rs
+++ b/crates/overload-control/src/constants.rs
@@ -42,13 +42,13 @@
 /// Memory of a queued call, bytes: mostly a binding chunk or log segment of a few KB.
 pub const STORE_CALL_BYTES: usize = 6 * KB;
 /// Memory of a final record, bytes, with its position in the order of eviction.
-pub const FINAL_ANSWER_BYTES: usize = 160;
+pub const FINAL_RECORD_BYTES: usize = 160;
 /// Memory of a machine in the cluster state, bytes, with what runs there and its part of the jobs and run queues.
 pub const MACHINE_BYTES: usize = 5 * KB;
 /// Share of the sockets that a listener may hold: the rest is for calls and the other listener.
-pub const SOCKETS_SHARE: f64 = 0.75;
+pub const LISTENER_SOCKETS_SHARE: f64 = 0.75;
 /// Least size of each part: below it nothing works at all.
-pub const MIN_PART: usize = 16;
+pub const MIN_CAPACITY: usize = 16;
 
 // ---- load level --------------------------------------------------------------------------------
 
--- a/crates/overload-control/src/delegated_answering.rs
+++ b/crates/overload-control/src/delegated_answering.rs
@@ -38,7 +38,7 @@
     /// The leader answered and delegates nothing.
     Refused,
     /// A message found no answer, or another token was seen.
-    LeaderUnheard,
+    Invalidated,
     /// Time has passed.
     TimePassed(Time),
 }
@@ -57,7 +57,7 @@
                 unchanged => unchanged,
             },
             DelegationEvent::Refused => DelegatedAnswering::NotDelegated,
-            DelegationEvent::LeaderUnheard => match *self {
+            DelegationEvent::Invalidated => match *self {
                 DelegatedAnswering::NotDelegated => DelegatedAnswering::NotDelegated,
                 _ => DelegatedAnswering::Lapsed,
             },
--- a/crates/overload-control/src/fleet_limit.rs
+++ b/crates/overload-control/src/fleet_limit.rs
@@ -2,7 +2,7 @@
 //! loads and counts in, a limit out.
 
 use crate::constants::{
-    LOAD_SMOOTHING_MS, MAX_MACHINE_LOAD, MIN_MACHINES, MIN_PART, MIN_SIGNIFICANT_LOAD,
+    LOAD_SMOOTHING_MS, MAX_MACHINE_LOAD, MIN_CAPACITY, MIN_MACHINES, MIN_SIGNIFICANT_LOAD,
     RESERVED_CONNECTIONS,
 };
 
@@ -61,7 +61,7 @@
 ) -> (usize, FleetLimit) {
     let remaining_controllers = controllers.saturating_sub(1).max(1);
     let connectable =
-        connections.saturating_sub(RESERVED_CONNECTIONS).max(MIN_PART) * remaining_controllers;
+        connections.saturating_sub(RESERVED_CONNECTIONS).max(MIN_CAPACITY) * remaining_controllers;
     let (mut limit, mut bound) = (connectable, FleetLimit::Connections);
     if tables < limit {
         (limit, bound) = (tables, FleetLimit::ClusterState);
--- a/crates/overload-control/src/memory_budget.rs
+++ b/crates/overload-control/src/memory_budget.rs
@@ -3,9 +3,9 @@
 
 use crate::constants::{
     BASE_MEMORY_MB, BODIES_SHARE, CACHED_JOB_BYTES, CACHES_SHARE, CLUSTER_STATE_SHARE,
-    CONNECTION_KB, CONNECTIONS_SHARE, FINAL_ANSWER_BYTES, FORWARDED_REPORTS_SHARE, JOB_CACHE_SHARE,
-    KB, MACHINE_BYTES, MB, MIN_PART, POLL_BYTES, POLLS_SHARE, REPORT_BYTES, REQUEST_BYTES,
-    SCHEDULING_CYCLE_SHARE, SOCKETS_SHARE, STORE_CALL_BYTES, STORE_CALLS_SHARE,
+    CONNECTION_KB, CONNECTIONS_SHARE, FINAL_RECORD_BYTES, FORWARDED_REPORTS_SHARE, JOB_CACHE_SHARE,
+    KB, LISTENER_SOCKETS_SHARE, MACHINE_BYTES, MB, MIN_CAPACITY, POLL_BYTES, POLLS_SHARE,
+    REPORT_BYTES, REQUEST_BYTES, SCHEDULING_CYCLE_SHARE, STORE_CALL_BYTES, STORE_CALLS_SHARE,
 };
 
 /// The most that each part of a controller may hold.
@@ -24,7 +24,7 @@
     /// Jobs in the job cache.
     pub cached_jobs: usize,
     /// Final records in memory.
-    pub cached_final_answers: usize,
+    pub cached_final_records: usize,
     /// Machines in a leader's cluster state, with what runs on them.
     pub machines: usize,
     /// Working memory of a scheduling cycle, bytes.
@@ -36,18 +36,18 @@
     pub fn divide(mem_mb: f64, sockets: usize) -> MemoryBudget {
         let total = ((mem_mb - BASE_MEMORY_MB).max(1.0) * MB as f64) as usize;
         let part = |share: f64, item_bytes: usize| {
-            ((total as f64 * share) as usize / item_bytes).max(MIN_PART)
+            ((total as f64 * share) as usize / item_bytes).max(MIN_CAPACITY)
         };
-        let listener_sockets = (sockets as f64 * SOCKETS_SHARE) as usize;
+        let listener_sockets = (sockets as f64 * LISTENER_SOCKETS_SHARE) as usize;
         MemoryBudget {
             connections: part(CONNECTIONS_SHARE, CONNECTION_KB * KB)
-                .min(listener_sockets.max(MIN_PART)),
-            body_bytes: part(BODIES_SHARE, 1).max(MIN_PART * REQUEST_BYTES),
+                .min(listener_sockets.max(MIN_CAPACITY)),
+            body_bytes: part(BODIES_SHARE, 1).max(MIN_CAPACITY * REQUEST_BYTES),
             waiting_reports: part(FORWARDED_REPORTS_SHARE, REPORT_BYTES),
             waiting_store_calls: part(STORE_CALLS_SHARE, STORE_CALL_BYTES),
             waiting_polls: part(POLLS_SHARE, POLL_BYTES),
             cached_jobs: part(JOB_CACHE_SHARE, CACHED_JOB_BYTES),
-            cached_final_answers: part(CACHES_SHARE, FINAL_ANSWER_BYTES),
+            cached_final_records: part(CACHES_SHARE, FINAL_RECORD_BYTES),
             machines: part(CLUSTER_STATE_SHARE, MACHINE_BYTES),
             scheduling_cycle_bytes: part(SCHEDULING_CYCLE_SHARE, 1),
         }
@@ -61,7 +61,7 @@
             + self.waiting_store_calls * STORE_CALL_BYTES
             + self.waiting_polls * POLL_BYTES
             + self.cached_jobs * CACHED_JOB_BYTES
-            + self.cached_final_answers * FINAL_ANSWER_BYTES
+            + self.cached_final_records * FINAL_RECORD_BYTES
             + self.machines * MACHINE_BYTES
             + self.scheduling_cycle_bytes
     }
--- a/crates/overload-control/src/rejected_polls.rs
+++ b/crates/overload-control/src/rejected_polls.rs
@@ -79,7 +79,7 @@
 
     /// Whether a poll takes precedence over first ones, because one about the same job was rejected a while ago. At most
     /// [`RETRIED_POLLS_PER_S`] do in each second; a poll that does is counted.
-    pub fn take_priority(&mut self, id: &str, now: Time) -> bool {
+    pub fn take_precedence(&mut self, id: &str, now: Time) -> bool {
         if self.rejected_at.is_empty() {
             return false;
         }
--- a/crates/simulation/src/simulation/users.rs
+++ b/crates/simulation/src/simulation/users.rs
@@ -103,7 +103,7 @@
                 rmp_serde::to_vec_named(&self.jobs[job].body).expect("JSON packs"),
             ),
             // As the program's entry does: a second question that was turned away comes first.
-            1 if self.rejected_polls[n].take_priority(&id, self.now) => {
+            1 if self.rejected_polls[n].take_precedence(&id, self.now) => {
                 UserRequest::RetriedPoll(id)
             }
             1 => UserRequest::Poll(id),
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -91,7 +91,7 @@
     /// Whether a poll comes before others: one of the same job was turned away here.
     pub fn is_retried_poll(&self, id: &str) -> bool {
         let now = self.shared.elapsed_ms();
-        self.shared.lock_rejected_polls().take_priority(id, now)
+        self.shared.lock_rejected_polls().take_precedence(id, now)
     }
 
     /// What became of a poll.
--- a/tests/overload_control.rs
+++ b/tests/overload_control.rs
@@ -73,11 +73,11 @@
                 prop_assert!(entered.is_none() || urgent.is_some());
                 prop_assert!(entered.is_none() || URGENCIES[urgency] < RequestPriority::Polls);
                 inside.extend(entered);
-                prop_assert!(gate.held_bytes() <= most);
+                prop_assert!(gate.admitted_bytes() <= most);
                 if leaves && let Some(bytes) = inside.pop() {
                     gate.release(bytes);
                 }
-                prop_assert_eq!(gate.held_bytes(), inside.iter().sum::<usize>());
+                prop_assert_eq!(gate.admitted_bytes(), inside.iter().sum::<usize>());
             }
             Ok(())
         })
@@ -132,7 +132,7 @@
                     }
                     2 => duty.apply_event(DelegationEvent::TimePassed(now)),
                     _ => {
-                        duty.apply_event(DelegationEvent::LeaderUnheard);
+                        duty.apply_event(DelegationEvent::Invalidated);
                         granted.clear();
                         prop_assert_eq!(duty.valid_fencing_token(now), None);
                     }
--- a/tests/unreachable_inbound.rs
+++ b/tests/unreachable_inbound.rs
@@ -414,18 +414,18 @@
 fn who_was_turned_away_comes_first() {
     let mut turned = RejectedPolls::default();
     turned.on_rejected("wk-1", 10_000);
-    assert!(!turned.take_priority("wk-1", 11_000) && !turned.take_priority("wk-2", 15_000));
-    assert!(turned.take_priority("wk-1", 15_000));
+    assert!(!turned.take_precedence("wk-1", 11_000) && !turned.take_precedence("wk-2", 15_000));
+    assert!(turned.take_precedence("wk-1", 15_000));
     turned.on_answered("wk-1");
-    assert!(!turned.take_priority("wk-1", 16_000) && turned.is_empty());
+    assert!(!turned.take_precedence("wk-1", 16_000) && turned.is_empty());
     for n in 0..10_000 {
         turned.on_rejected(&format!("wk-{n}"), 20_000);
     }
     assert!(turned.len() <= swiftsail_overload_control::constants::MAX_REJECTED_POLLS);
-    let let_in = (0..10_000).filter(|n| turned.take_priority(&format!("wk-{n}"), 30_000)).count();
+    let let_in = (0..10_000).filter(|n| turned.take_precedence(&format!("wk-{n}"), 30_000)).count();
     assert_eq!(let_in as u32, swiftsail_overload_control::constants::RETRIED_POLLS_PER_S);
     turned.on_rejected("wk-x", 200_000);
-    assert!(!turned.take_priority("wk-0", 204_000), "what was long ago is forgotten");
+    assert!(!turned.take_precedence("wk-0", 204_000), "what was long ago is forgotten");
 }
 
 /// When the first task of a job was on its machine, ms from the beginning.
--- a/tests/unreachable_machines.rs
+++ b/tests/unreachable_machines.rs
@@ -155,7 +155,7 @@
         let known = leader_state(&world).expect("it leads").machines.values();
         shared += known.filter(|m| m.forwarded_by.is_some()).count();
         let duties: u64 =
-            world.controllers.iter().flatten().map(Controller::on_self_answered).sum();
+            world.controllers.iter().flatten().map(Controller::delegated_answer_count).sum();
         let when = at + rng.random_range(500..2_000);
         let for_ms = rng.random_range(2_600..15_000);
         let hold = rng.random_bool(0.5);
