--- a/crates/controller/src/controller/archiving.rs
+++ b/crates/controller/src/controller/archiving.rs
@@ -30,7 +30,7 @@
             let is_unchanged = Precondition { key: keys::job(id), mod_revision: *mod_revision };
             transaction.preconditions.push(is_unchanged);
             transaction.mutations.push(Mutation::Delete { key: keys::job(id) });
-            transaction.mutations.push(chunks::put_change(keys::end(id), record));
+            transaction.mutations.push(chunks::put_mutation(keys::end(id), record));
         }
         state.is_archiving = true;
         let context = CallContext::ArchiveJobs { generation: state.generation, jobs };
--- a/crates/controller/src/controller/binding_log.rs
+++ b/crates/controller/src/controller/binding_log.rs
@@ -143,7 +143,7 @@
         let key = keys::sheet(number);
         let mod_revision = segment.mod_revision;
         write.commit.preconditions.push(Precondition { key: key.clone(), mod_revision });
-        write.commit.mutations.push(super::chunks::put_change(key, &record));
+        write.commit.mutations.push(super::chunks::put_mutation(key, &record));
         write.in_flight.segments.push(number);
     }
 
--- a/crates/controller/src/controller/chunks.rs
+++ b/crates/controller/src/controller/chunks.rs
@@ -167,7 +167,7 @@
     ) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let record = FinalRecord { state, done: done_count(job), at_wall: Some(ctx.wall_clock) };
-        commit.mutations.push(put_change(keys::job(id), &record));
+        commit.mutations.push(put_mutation(keys::job(id), &record));
         in_flight.final_record = Some(record);
         job.advance(JobState::Closing, ctx.now);
     }
@@ -214,7 +214,7 @@
             let key = chunk_key(id, chunk);
             let mod_revision = job.chunk_revisions.get(&chunk).copied().unwrap_or(0);
             commit.preconditions.push(Precondition { key: key.clone(), mod_revision });
-            commit.mutations.push(put_change(key, &record));
+            commit.mutations.push(put_mutation(key, &record));
             in_flight.chunks.push(chunk);
             let bindings = record.bindings.iter();
             in_flight.bindings.extend(
@@ -421,7 +421,7 @@
 }
 
 /// A write of one of our own records, which always have a JSON form.
-pub fn put_change<T: serde::Serialize>(key: String, record: &T) -> Mutation {
+pub fn put_mutation<T: serde::Serialize>(key: String, record: &T) -> Mutation {
     let value = serde_json::to_value(record).unwrap_or_default();
     Mutation::Put { key, value, lease: None }
 }
--- a/crates/controller/src/controller/dependency_lookup.rs
+++ b/crates/controller/src/controller/dependency_lookup.rs
@@ -167,10 +167,10 @@
         }
     }
 
-    fn read_dependency_for_lookup(&mut self, lookup: u64, job: JobId, last_place: bool) {
-        let key = keys::place(&job, last_place);
+    fn read_dependency_for_lookup(&mut self, lookup: u64, job: JobId, in_archive: bool) {
+        let key = keys::place(&job, in_archive);
         let policy = RetryPolicy::OnceBefore(self.now.monotonic + USER_STORE_TIMEOUT_MS);
-        let context = CallContext::LookUpDependency { lookup, job, last_place };
+        let context = CallContext::LookUpDependency { lookup, job, in_archive };
         self.store.push(StoreCall::Get(key), context, CallPriority::Normal, policy);
     }
 
@@ -179,10 +179,10 @@
         &mut self,
         number: u64,
         id: &JobId,
-        last_place: bool,
+        in_archive: bool,
         outcome: &StoreOutcome,
     ) {
-        let location = self.locate_job(id, last_place, outcome);
+        let location = self.locate_job(id, in_archive, outcome);
         if let JobLocation::NotLive = location {
             return self.read_dependency_for_lookup(number, id.clone(), true);
         }
@@ -198,17 +198,17 @@
         }
     }
 
-    /// What a read of one of a job's two keys shows of it; `last_place`: it was the key of the final record. A final
+    /// What a read of one of a job's two keys shows of it; `in_archive`: it was the key of the final record. A final
     /// record is remembered. A job's record moves from the first key to the last in one transaction and never back, so
     /// reading them in this order misses none.
     pub(super) fn locate_job(
         &mut self,
         id: &JobId,
-        last_place: bool,
+        in_archive: bool,
         outcome: &StoreOutcome,
     ) -> JobLocation {
         match outcome {
-            StoreOutcome::Found(pair) if last_place => self.locate_finished(id, pair),
+            StoreOutcome::Found(pair) if in_archive => self.locate_finished(id, pair),
             StoreOutcome::Found(pair) => match StoredJob::read(&pair.value) {
                 Some(StoredJob::Finished(record)) => self.remember_located(id, record),
                 Some(StoredJob::Live(record)) if record.cancelled => {
@@ -219,7 +219,7 @@
                 }
                 None => JobLocation::Unread,
             },
-            StoreOutcome::Missing { .. } if last_place => {
+            StoreOutcome::Missing { .. } if in_archive => {
                 JobLocation::Found(VisitedJob::NeverAccepted)
             }
             StoreOutcome::Missing { .. } => JobLocation::NotLive,
@@ -235,7 +235,7 @@
     }
 
     fn remember_located(&mut self, id: &JobId, record: FinalRecord) -> JobLocation {
-        self.remember_final(id, record);
+        self.cache_final_record(id, record);
         JobLocation::Found(VisitedJob::Ended(record.fate(self.now.wall_clock)))
     }
 
@@ -258,10 +258,10 @@
     pub(super) fn on_awaited_job_read(
         &mut self,
         id: &JobId,
-        last_place: bool,
+        in_archive: bool,
         outcome: &StoreOutcome,
     ) {
-        let location = self.locate_job(id, last_place, outcome);
+        let location = self.locate_job(id, in_archive, outcome);
         let (now, wall) = (self.now.monotonic, self.now.wall_clock);
         let Some(state) = &mut self.cluster_state else { return };
         match location {
@@ -283,9 +283,9 @@
     store: &mut StoreClient<CallContext>,
     state: &ClusterState,
     job: JobId,
-    last_place: bool,
+    in_archive: bool,
 ) {
-    let key = keys::place(&job, last_place);
-    let context = CallContext::ReadDependency { generation: state.generation, job, last_place };
+    let key = keys::place(&job, in_archive);
+    let context = CallContext::ReadDependency { generation: state.generation, job, in_archive };
     store.push(StoreCall::Get(key), context, CallPriority::Normal, RetryPolicy::UntilDefinite);
 }
--- a/crates/controller/src/controller/fleet_management.rs
+++ b/crates/controller/src/controller/fleet_management.rs
@@ -16,7 +16,7 @@
 
 /// Queues provisioning requests, in the given order. A request of the same offer that has not been sent yet is enlarged
 /// instead, since the cloud's calls a second are few.
-pub fn plan_provisioning(
+pub fn enqueue_provisioning(
     state: &mut ClusterState,
     cloud: &mut CloudClient,
     requests: Vec<ProvisioningRequest>,
@@ -44,7 +44,7 @@
 
 /// Plans and applies what the fleet needs. Called with every tick of the leader. `store_answers`: the store has
 /// responded within the time of a lease. Returns the machines to probe.
-pub fn plan_fleet(
+pub fn update_fleet(
     state: &mut ClusterState,
     cloud: &mut CloudClient,
     context: PlanningContext,
@@ -150,7 +150,7 @@
             machine_types: &machine_types,
             policy: &self.job_policies,
         };
-        for id in plan_fleet(state, &mut self.cloud, context, store_answers) {
+        for id in update_fleet(state, &mut self.cloud, context, store_answers) {
             let machine = state.machines.get_mut(&id);
             let Some(machine) = machine.filter(|m| !m.address.is_empty()) else {
                 // Not in the machine list yet: there is no address to probe.
--- a/crates/controller/src/controller/format_upgrade.rs
+++ b/crates/controller/src/controller/format_upgrade.rs
@@ -88,7 +88,7 @@
         }
         let transaction = Transaction {
             preconditions: vec![Precondition { key: keys::FORM.into(), mod_revision: 0 }],
-            mutations: vec![super::chunks::put_change(
+            mutations: vec![super::chunks::put_mutation(
                 keys::FORM.into(),
                 &FormatRecord { form: FORMAT_VERSION },
             )],
--- a/crates/controller/src/controller/isolation.rs
+++ b/crates/controller/src/controller/isolation.rs
@@ -17,7 +17,7 @@
 
 impl Isolation {
     /// A worker was heard, directly or through another controller.
-    pub fn on_worker_heard(&mut self, now: Time) {
+    pub fn on_worker_contact(&mut self, now: Time) {
         self.last_heard_at = now;
         self.pause_ms = 0;
     }
--- a/crates/controller/src/controller/job_cache.rs
+++ b/crates/controller/src/controller/job_cache.rs
@@ -318,7 +318,7 @@
         self.serve_cache_requests(outcome, served);
         // Final records never change: later questions cost nothing, also once the record has moved.
         for (id, record) in std::mem::take(&mut self.job_cache.newly_finished) {
-            self.remember_final(&id, record);
+            self.cache_final_record(&id, record);
         }
         self.refresh_job_cache();
     }
--- a/crates/controller/src/controller/messages.rs
+++ b/crates/controller/src/controller/messages.rs
@@ -104,7 +104,7 @@
     /// An operator's request arrived.
     AdminRequest(RequestId, AdminRequest),
     /// A delivery to the event receiver of this plug-in ended; true: it was accepted.
-    HookDelivered(String, bool),
+    DeliveryEnded(String, bool),
     /// A probe of this machine ended, with its status report if it answered.
     ProbeFinished(MachineId, ProbeOutcome, Option<Box<StatusReport>>),
     /// The process used this much processor time, us of a whole core, within this time, ms.
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -49,12 +49,12 @@
 mod worker_reports;
 
 pub use admin::AdminRequest;
-pub use fleet_management::{plan_fleet, plan_provisioning};
+pub use fleet_management::{enqueue_provisioning, update_fleet};
 pub use messages::{
     Action, Event, ForwardBatchId, LeaderContext, Now, Reply, RequestId, StoreCallId, UserRequest,
 };
 pub use policy_evaluation::{PolicyContext, evaluate_job_policies};
-pub use replicated_records::{compile_plan as plan_of_file, tier_table_record as tiers_of_file};
+pub use replicated_records::{compile_plan as compile_deadline_plan, tier_table_record};
 pub use scheduling_cycle::{CycleResult, run_scheduling_cycle};
 pub use store_calls::CallContext;
 
@@ -333,7 +333,7 @@
             Event::ForwardedAnswers(batch, answers) => self.on_forwarded_answers(batch, answers),
             Event::Heartbeat(heartbeat) => self.on_heartbeat(&heartbeat),
             Event::AdminRequest(id, request) => self.on_admin(id, request),
-            Event::HookDelivered(plugin, accepted) => {
+            Event::DeliveryEnded(plugin, accepted) => {
                 self.plugin_host.on_delivery_ended(&plugin, accepted, now);
             }
             Event::ProbeFinished(id, outcome, report) => self.on_probed(&id, outcome, report),
@@ -453,7 +453,7 @@
         self.archive_finished_jobs();
     }
 
-    fn remember_final(&mut self, id: &JobId, record: FinalRecord) {
+    fn cache_final_record(&mut self, id: &JobId, record: FinalRecord) {
         self.final_records.insert(id, record);
     }
 
--- a/crates/controller/src/controller/plugins.rs
+++ b/crates/controller/src/controller/plugins.rs
@@ -5,7 +5,7 @@
 //! [`swiftsail_policy::plugin_host::PluginHost`], which runs the plug-ins and suspends failing ones locally. A plug-in
 //! is one record (`plug/NAME`) and its source in chunks (`plug/NAME/VERSION/NNN`).
 
-use super::chunks::put_change;
+use super::chunks::put_mutation;
 use super::requests::replies::http_status;
 use super::{Action, CallContext, Controller, Reply, RequestId};
 use crate::Time;
@@ -306,7 +306,7 @@
         let mut mutations: Vec<Mutation> = chunks
             .iter()
             .enumerate()
-            .map(|(index, chunk)| put_change(chunk_key(name, version, index as u32), chunk))
+            .map(|(index, chunk)| put_mutation(chunk_key(name, version, index as u32), chunk))
             .collect();
         // As much of the replaced source is deleted as the transaction has room for.
         let room = self.settings.settings.state.txn_ops - 1 - mutations.len();
@@ -374,7 +374,7 @@
                     None
                 }
             };
-        mutations.push(put_change(key, &record));
+        mutations.push(put_mutation(key, &record));
         let call = StoreCall::Commit(Transaction { preconditions, mutations });
         let context = CallContext::WritePlugin { request, name: record.name };
         let policy = RetryPolicy::OnceBefore(self.now.monotonic + USER_STORE_TIMEOUT_MS);
--- a/crates/controller/src/controller/quota_accounts.rs
+++ b/crates/controller/src/controller/quota_accounts.rs
@@ -186,7 +186,7 @@
     fn send_quota_transfers(&mut self, page: usize, txn: &QuotaTransaction, held: bool) {
         let commit = quota_records::to_commit(txn, name(page));
         let era = held.then_some(self.leadership.generation);
-        let purpose = CallContext::TransferQuota { generation: era, page, by: txn.id };
+        let purpose = CallContext::TransferQuota { generation: era, page, transaction_id: txn.id };
         self.store.push(
             StoreCall::Commit(commit),
             purpose,
--- a/crates/controller/src/controller/replicated_records.rs
+++ b/crates/controller/src/controller/replicated_records.rs
@@ -176,8 +176,8 @@
             && now >= at
         {
             self.replicated_records.advance(RecordSync::Reading);
-            let reading = self.replicated_records.restart_read();
-            self.list_records(None, CallContext::ReadRecords { reading }, CallPriority::Normal);
+            let read_number = self.replicated_records.restart_read();
+            self.list_records(None, CallContext::ReadRecords { read_number }, CallPriority::Normal);
         }
         let writes = self.cluster_state.is_some() && self.is_lease_confirmed();
         if let Some(txn) =
@@ -269,8 +269,8 @@
     pub(super) fn on_records_response(&mut self, purpose: &CallContext, outcome: StoreOutcome) {
         let again = RecordSync::Due(self.now.monotonic + RECORDS_RETRY_MS);
         match (purpose, outcome) {
-            (CallContext::ReadRecords { reading }, _)
-                if *reading != self.replicated_records.read_number => {}
+            (CallContext::ReadRecords { read_number }, _)
+                if *read_number != self.replicated_records.read_number => {}
             (CallContext::ReadRecords { .. }, StoreOutcome::Page(page)) => match self
                 .apply_record_page(page)
             {
--- a/crates/controller/src/controller/report_forwarding/mod.rs
+++ b/crates/controller/src/controller/report_forwarding/mod.rs
@@ -169,7 +169,7 @@
         }
         let now = self.now.monotonic;
         let types = self.machine_types.clone().unwrap_or_default();
-        self.isolation.on_worker_heard(now);
+        self.isolation.on_worker_contact(now);
         let Some(state) = &mut self.cluster_state else { return };
         let mut answers = state.answer_forwarded(batch, &types, now);
         answers.delegation_ms = if self.distributes_workers() { self.delegation_ms() } else { 0 };
--- a/crates/controller/src/controller/requests/admission.rs
+++ b/crates/controller/src/controller/requests/admission.rs
@@ -7,7 +7,7 @@
 };
 use super::{CacheFreshness, PendingRequest, RequestIntent};
 use crate::constants::SLACK;
-use crate::controller::chunks::put_change;
+use crate::controller::chunks::put_mutation;
 use crate::controller::{CallContext, Controller, Reply, RequestId};
 use crate::job::{JobId, JobKind, JobRecord, JobSpec, keys};
 use crate::store::{CallPriority, StoreCall, StoreOutcome};
@@ -146,7 +146,7 @@
                 Precondition { key: keys::job(id), mod_revision: 0 },
                 Precondition { key: keys::end(id), mod_revision: 0 },
             ],
-            mutations: vec![put_change(keys::job(id), record)],
+            mutations: vec![put_mutation(keys::job(id), record)],
         };
         let context = CallContext::CreateJob { request, job: id.clone(), status };
         let policy = self.user_retry_policy();
--- a/crates/controller/src/controller/requests/reads.rs
+++ b/crates/controller/src/controller/requests/reads.rs
@@ -153,7 +153,7 @@
     }
 
     fn on_finished_job(&mut self, id: &JobId, record: FinalRecord) {
-        self.remember_final(id, record);
+        self.cache_final_record(id, record);
         for pending in self.finish_read(id) {
             self.answer(pending.request, final_reply(id, &record));
         }
@@ -184,7 +184,7 @@
     ) {
         match cached {
             CachedJob::Finished(record) => {
-                self.remember_final(id, record);
+                self.cache_final_record(id, record);
                 self.answer(pending.request, final_reply(id, &record));
             }
             CachedJob::Cancelled(revision, wall) => {
--- a/crates/controller/src/controller/scheduling_cycle.rs
+++ b/crates/controller/src/controller/scheduling_cycle.rs
@@ -73,7 +73,7 @@
         self.limit_to_headroom(&mut requests);
         let now = self.now.monotonic;
         let Some(state) = &mut self.cluster_state else { return };
-        fleet_management::plan_provisioning(state, &mut self.cloud, requests, now);
+        fleet_management::enqueue_provisioning(state, &mut self.cloud, requests, now);
         if bound > 0 {
             self.with_cluster_state(|state, context| state.write_binding_log(context));
         }
--- a/crates/controller/src/controller/store_calls.rs
+++ b/crates/controller/src/controller/store_calls.rs
@@ -66,17 +66,17 @@
     /// Read the quota accounts; under this fencing token, or 0 as a follower.
     ReadQuotaAccounts { token: u64 },
     /// Write a page of the quota accounts; as a leader, under its generation.
-    TransferQuota { generation: Option<u64>, page: usize, by: (u64, u64) },
+    TransferQuota { generation: Option<u64>, page: usize, transaction_id: (u64, u64) },
     /// Read the replicated records; numbered, since pages of an earlier reading may still arrive.
-    ReadRecords { reading: u64 },
+    ReadRecords { read_number: u64 },
     /// Watch the replicated records.
     WatchRecords,
     /// Read the outcome of a job that serves an occurrence of the deadline plan.
-    ReadOccurrenceJob { job: JobId, last_place: bool },
+    ReadOccurrenceJob { job: JobId, in_archive: bool },
     /// Read the outcome of a job that others depend on, as the leader.
-    ReadDependency { generation: u64, job: JobId, last_place: bool },
+    ReadDependency { generation: u64, job: JobId, in_archive: bool },
     /// Read a dependency for a user's request.
-    LookUpDependency { lookup: u64, job: JobId, last_place: bool },
+    LookUpDependency { lookup: u64, job: JobId, in_archive: bool },
     /// Record that every controller reads the current record format.
     RaiseFormatVersion,
     /// Read the replicated records, as a new leader.
@@ -175,22 +175,27 @@
             CallContext::ReadRecords { .. } | CallContext::WatchRecords => {
                 self.on_records_response(&call.context, call.outcome);
             }
-            CallContext::ReadOccurrenceJob { job, last_place } => {
-                self.on_occurrence_job_read(&job, last_place, &call.outcome);
+            CallContext::ReadOccurrenceJob { job, in_archive } => {
+                self.on_occurrence_job_read(&job, in_archive, &call.outcome);
             }
-            CallContext::ReadDependency { job, last_place, .. } => {
-                self.on_awaited_job_read(&job, last_place, &call.outcome);
+            CallContext::ReadDependency { job, in_archive, .. } => {
+                self.on_awaited_job_read(&job, in_archive, &call.outcome);
             }
-            CallContext::LookUpDependency { lookup, job, last_place } => {
-                self.on_dependency_read(lookup, &job, last_place, &call.outcome);
+            CallContext::LookUpDependency { lookup, job, in_archive } => {
+                self.on_dependency_read(lookup, &job, in_archive, &call.outcome);
             }
             CallContext::RaiseFormatVersion => self.on_format_raised(&call.outcome),
             CallContext::WriteRecords { nonce, .. } => {
                 self.on_records_written(nonce, &call.outcome);
             }
             CallContext::ReadQuotaAccounts { token } => self.on_quota_read(token, &call.outcome),
-            CallContext::TransferQuota { generation, page, by } => {
-                self.on_quota_transferred(generation.is_some(), page, by, &call.outcome);
+            CallContext::TransferQuota { generation, page, transaction_id } => {
+                self.on_quota_transferred(
+                    generation.is_some(),
+                    page,
+                    transaction_id,
+                    &call.outcome,
+                );
             }
             CallContext::CreateJob { .. }
             | CallContext::ReadJob(_)
--- a/crates/controller/src/controller/worker_reports.rs
+++ b/crates/controller/src/controller/worker_reports.rs
@@ -48,7 +48,7 @@
             elsewhere
         } else if let Some(leader) = &mut self.cluster_state {
             let types = self.machine_types.as_deref().map_or(&[][..], Vec::as_slice);
-            self.isolation.on_worker_heard(self.now.monotonic);
+            self.isolation.on_worker_contact(self.now.monotonic);
             let orders = leader.on_status_report(
                 &report,
                 ReportSource::StatusReport,
@@ -134,7 +134,7 @@
         }
         if let Some(leader) = &mut self.cluster_state {
             let types = self.machine_types.as_deref().map_or(&[][..], Vec::as_slice);
-            self.isolation.on_worker_heard(self.now.monotonic);
+            self.isolation.on_worker_contact(self.now.monotonic);
             leader.on_status_report(
                 report,
                 ReportSource::CommandResponse,
--- a/crates/simulation/src/simulation/actions.rs
+++ b/crates/simulation/src/simulation/actions.rs
@@ -129,7 +129,7 @@
                 if taken {
                     self.delivered_events.push(delivery.clone());
                 }
-                let event = Box::new(Event::HookDelivered(delivery.plugin, taken));
+                let event = Box::new(Event::DeliveryEnded(delivery.plugin, taken));
                 self.schedule(at, SimulationEvent::DeliverToController(n, life, event));
             }
             Action::SendHeartbeat(beat) => {
--- a/src/commands/dispatch.rs
+++ b/src/commands/dispatch.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use std::error::Error;
 use std::path::{Path, PathBuf};
-use swiftsail_controller::controller::plan_of_file;
+use swiftsail_controller::controller::compile_deadline_plan;
 use swiftsail_policy::operator_settings::OperatorSettings;
 
 /// What may be done with arrivals.
@@ -65,7 +65,7 @@
     operator: &OperatorSettings,
 ) -> Result<Option<Value>, String> {
     let Some(table) = &operator.dispatch else { return Ok(None) };
-    let calendar = plan_of_file(table.clone()).map_err(|why| {
+    let calendar = compile_deadline_plan(table.clone()).map_err(|why| {
         let text = std::fs::read_to_string(file).unwrap_or_default();
         let name = why.split('`').nth(1).unwrap_or_default();
         let line =
--- a/src/runtime/actions.rs
+++ b/src/runtime/actions.rs
@@ -97,7 +97,7 @@
         let client = self.clients.short_call.clone();
         actix::spawn(async move {
             let is_accepted = peer_client::deliver_events(&client, &delivery).await;
-            actor.do_send(EventOccurred(Event::HookDelivered(delivery.plugin, is_accepted)));
+            actor.do_send(EventOccurred(Event::DeliveryEnded(delivery.plugin, is_accepted)));
         });
     }
 
--- a/tests/dispatch_deadlines.rs
+++ b/tests/dispatch_deadlines.rs
@@ -26,7 +26,7 @@
 
 fn parse_plan(text: &str) -> Result<DeadlineSchedule, String> {
     let table: toml::Table = toml::from_str(text).expect("it is TOML");
-    swiftsail_controller::controller::plan_of_file(table)
+    swiftsail_controller::controller::compile_deadline_plan(table)
 }
 
 const CHAIN: &str = r#"
@@ -109,7 +109,7 @@
     assert!(parse_plan(&many).expect_err("too many").contains("200 at most"));
     let text = include_str!("../deploy/dispatch.toml");
     let operator = OperatorSettings::parse("deploy/dispatch.toml", text).expect("it is sound");
-    swiftsail_controller::controller::plan_of_file(operator.dispatch.expect("a plan"))
+    swiftsail_controller::controller::compile_deadline_plan(operator.dispatch.expect("a plan"))
         .expect("it is sound");
     assert!(matches!(
         DeadlinePlan::from_record("dispatch", &json!({"v": 7})),
--- a/tests/recorded_bytes/operators.rs
+++ b/tests/recorded_bytes/operators.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use swiftsail::local::LocalConfig;
-use swiftsail_controller::controller::{plan_of_file, tiers_of_file};
+use swiftsail_controller::controller::{compile_deadline_plan, tier_table_record};
 use swiftsail_deadline_planning::{ChainDefinition, DeadlinePlan, ScheduleEntry, StepDefinition};
 use swiftsail_policy::operator_settings::{OperatorSettings, PolicySetting};
 use swiftsail_protocol::cloud::ListedMachineType;
@@ -121,12 +121,13 @@
     };
     let core = line("core", r#"job.priority == "production""#, true);
     let tiers = vec![core, line("other", "true", false)];
-    assert_eq!(tiers_of_file(&found), TierTableRecord { format_version: 0, version: 4, tiers });
+    assert_eq!(tier_table_record(&found), TierTableRecord { format_version: 0, version: 4, tiers });
 }
 
 #[test]
 fn the_plan_of_the_operators_file_is_read_as_before() {
-    let found = plan_of_file(whole().dispatch.expect("there is a plan")).expect("it is sound");
+    let found =
+        compile_deadline_plan(whole().dispatch.expect("there is a plan")).expect("it is sound");
     let step = |name: &str, after: &[&str], margin_s| StepDefinition {
         name: name.into(),
         when: format!("job.class == \"{name}\""),
@@ -173,7 +174,7 @@
     let names: Vec<&str> = tiers.tier.iter().map(|t| t.name.as_str()).collect();
     assert_eq!(names, ["core", "production", "high", "whole-machines", "normal"]);
     let plan = read(include_str!("../../deploy/dispatch.toml")).dispatch.expect("there is a plan");
-    let plan = plan_of_file(plan).expect("it is sound");
+    let plan = compile_deadline_plan(plan).expect("it is sound");
     assert_eq!((plan.plan().arrivals.len(), plan.plan().chains[0].steps.len()), (2, 2));
 }
 
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -133,7 +133,12 @@
         };
         let passed = controller::run_scheduling_cycle(&mut self.cluster_state, view, true);
         let wishes = passed.provisioning_requests.unwrap_or_default();
-        controller::plan_provisioning(&mut self.cluster_state, &mut self.cloud, wishes, self.now);
+        controller::enqueue_provisioning(
+            &mut self.cluster_state,
+            &mut self.cloud,
+            wishes,
+            self.now,
+        );
         passed.scores_computed
     }
 
@@ -147,7 +152,7 @@
             machine_types: types,
             policy: &steering,
         };
-        controller::plan_fleet(&mut self.cluster_state, &mut self.cloud, view, true);
+        controller::update_fleet(&mut self.cluster_state, &mut self.cloud, view, true);
         self.cluster_state.stop_commands(self.now);
     }
 
