--- a/crates/controller/src/controller/deadline_planning.rs
+++ b/crates/controller/src/controller/deadline_planning.rs
@@ -149,10 +149,10 @@
         }
     }
 
-    fn read_occurrence_job(&mut self, id: JobId, in_archive: bool) {
-        let key = keys::place(&id, in_archive);
+    fn read_occurrence_job(&mut self, id: JobId, final_key: bool) {
+        let key = keys::place(&id, final_key);
         let until = RetryPolicy::OnceBefore(self.now.monotonic + STORE_TIMEOUT_MS);
-        let purpose = CallContext::ReadOccurrenceJob { job: id, in_archive };
+        let purpose = CallContext::ReadOccurrenceJob { job: id, final_key };
         self.store.push(StoreCall::Get(key), purpose, CallPriority::Low, until);
     }
 
@@ -161,10 +161,10 @@
     pub(super) fn on_occurrence_job_read(
         &mut self,
         id: &JobId,
-        in_archive: bool,
+        final_key: bool,
         outcome: &StoreOutcome,
     ) {
-        let location = self.locate_job(id, in_archive, outcome);
+        let location = self.locate_job(id, final_key, outcome);
         if let JobLocation::Found(VisitedJob::NeverAccepted) = location {
             self.read_occurrence_job(id.clone(), false);
         }
--- a/crates/controller/src/controller/dependency_lookup.rs
+++ b/crates/controller/src/controller/dependency_lookup.rs
@@ -167,10 +167,10 @@
         }
     }
 
-    fn read_dependency_for_lookup(&mut self, lookup: u64, job: JobId, in_archive: bool) {
-        let key = keys::place(&job, in_archive);
+    fn read_dependency_for_lookup(&mut self, lookup: u64, job: JobId, final_key: bool) {
+        let key = keys::place(&job, final_key);
         let policy = RetryPolicy::OnceBefore(self.now.monotonic + USER_STORE_TIMEOUT_MS);
-        let context = CallContext::LookUpDependency { lookup, job, in_archive };
+        let context = CallContext::LookUpDependency { lookup, job, final_key };
         self.store.push(StoreCall::Get(key), context, CallPriority::Normal, policy);
     }
 
@@ -179,10 +179,10 @@
         &mut self,
         number: u64,
         id: &JobId,
-        in_archive: bool,
+        final_key: bool,
         outcome: &StoreOutcome,
     ) {
-        let location = self.locate_job(id, in_archive, outcome);
+        let location = self.locate_job(id, final_key, outcome);
         if let JobLocation::NotLive = location {
             return self.read_dependency_for_lookup(number, id.clone(), true);
         }
@@ -198,17 +198,17 @@
         }
     }
 
-    /// What a read of one of a job's two keys shows of it; `in_archive`: it was the key of the final record. A final
+    /// What a read of one of a job's two keys shows of it; `final_key`: it was the key of the final record. A final
     /// record is remembered. A job's record moves from the first key to the last in one transaction and never back, so
     /// reading them in this order misses none.
     pub(super) fn locate_job(
         &mut self,
         id: &JobId,
-        in_archive: bool,
+        final_key: bool,
         outcome: &StoreOutcome,
     ) -> JobLocation {
         match outcome {
-            StoreOutcome::Found(pair) if in_archive => self.locate_finished(id, pair),
+            StoreOutcome::Found(pair) if final_key => self.locate_finished(id, pair),
             StoreOutcome::Found(pair) => match StoredJob::read(&pair.value) {
                 Some(StoredJob::Finished(record)) => self.remember_located(id, record),
                 Some(StoredJob::Live(record)) if record.cancelled => {
@@ -219,7 +219,7 @@
                 }
                 None => JobLocation::Unread,
             },
-            StoreOutcome::Missing { .. } if in_archive => {
+            StoreOutcome::Missing { .. } if final_key => {
                 JobLocation::Found(VisitedJob::NeverAccepted)
             }
             StoreOutcome::Missing { .. } => JobLocation::NotLive,
@@ -258,10 +258,10 @@
     pub(super) fn on_awaited_job_read(
         &mut self,
         id: &JobId,
-        in_archive: bool,
+        final_key: bool,
         outcome: &StoreOutcome,
     ) {
-        let location = self.locate_job(id, in_archive, outcome);
+        let location = self.locate_job(id, final_key, outcome);
         let (now, wall) = (self.now.monotonic, self.now.wall_clock);
         let Some(state) = &mut self.cluster_state else { return };
         match location {
@@ -283,9 +283,9 @@
     store: &mut StoreClient<CallContext>,
     state: &ClusterState,
     job: JobId,
-    in_archive: bool,
+    final_key: bool,
 ) {
-    let key = keys::place(&job, in_archive);
-    let context = CallContext::ReadDependency { generation: state.generation, job, in_archive };
+    let key = keys::place(&job, final_key);
+    let context = CallContext::ReadDependency { generation: state.generation, job, final_key };
     store.push(StoreCall::Get(key), context, CallPriority::Normal, RetryPolicy::UntilDefinite);
 }
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -54,7 +54,7 @@
     Action, Event, ForwardBatchId, LeaderContext, Now, Reply, RequestId, StoreCallId, UserRequest,
 };
 pub use policy_evaluation::{PolicyContext, evaluate_job_policies};
-pub use replicated_records::{compile_plan as compile_deadline_plan, tier_table_record};
+pub use replicated_records::{compile_deadline_plan, tier_table_from_settings};
 pub use scheduling_cycle::{CycleResult, run_scheduling_cycle};
 pub use store_calls::CallContext;
 
--- a/crates/controller/src/controller/replicated_records.rs
+++ b/crates/controller/src/controller/replicated_records.rs
@@ -80,7 +80,7 @@
 impl ReplicatedRecords {
     pub fn new(operator: &OperatorSettings, state: &StoreSettings, now: Time) -> ReplicatedRecords {
         let own_tiers = operator.tiers.as_ref().and_then(|file| {
-            match TierTable::compile(tier_table_record(file)) {
+            match TierTable::compile(tier_table_from_settings(file)) {
                 Ok(table) => Some(Rc::new(table)),
                 Err(e) => {
                     tracing::error!(cause = %e, "tier table in the operators' file rejected");
@@ -88,13 +88,14 @@
                 }
             }
         });
-        let own_plan = operator.dispatch.clone().and_then(|table| match compile_plan(table) {
-            Ok(calendar) => Some(Rc::new(calendar)),
-            Err(e) => {
-                tracing::error!(cause = %e, "dispatch plan in the operators' file rejected");
-                None
-            }
-        });
+        let own_plan =
+            operator.dispatch.clone().and_then(|table| match compile_deadline_plan(table) {
+                Ok(calendar) => Some(Rc::new(calendar)),
+                Err(e) => {
+                    tracing::error!(cause = %e, "dispatch plan in the operators' file rejected");
+                    None
+                }
+            });
         let on = operator.tiers.is_some() || operator.loans.durable || own_plan.is_some();
         ReplicatedRecords {
             sync: if on { RecordSync::Due(0) } else { RecordSync::Off },
@@ -147,14 +148,14 @@
 }
 
 /// A file's dispatch plan, checked.
-pub fn compile_plan(table: toml::Table) -> Result<DeadlineSchedule, String> {
+pub fn compile_deadline_plan(table: toml::Table) -> Result<DeadlineSchedule, String> {
     let plan: DeadlinePlan =
         table.try_into().map_err(|e| format!("[dispatch]: {}", e.message()))?;
     DeadlineSchedule::new(plan).map_err(|e| e.to_string())
 }
 
 /// A file's table as a record.
-pub fn tier_table_record(
+pub fn tier_table_from_settings(
     file: &swiftsail_policy::operator_settings::TierTableSettings,
 ) -> TierTableRecord {
     let tier = |t: &swiftsail_policy::operator_settings::TierEntrySettings| {
--- a/crates/controller/src/controller/store_calls.rs
+++ b/crates/controller/src/controller/store_calls.rs
@@ -72,11 +72,11 @@
     /// Watch the replicated records.
     WatchRecords,
     /// Read the outcome of a job that serves an occurrence of the deadline plan.
-    ReadOccurrenceJob { job: JobId, in_archive: bool },
+    ReadOccurrenceJob { job: JobId, final_key: bool },
     /// Read the outcome of a job that others depend on, as the leader.
-    ReadDependency { generation: u64, job: JobId, in_archive: bool },
+    ReadDependency { generation: u64, job: JobId, final_key: bool },
     /// Read a dependency for a user's request.
-    LookUpDependency { lookup: u64, job: JobId, in_archive: bool },
+    LookUpDependency { lookup: u64, job: JobId, final_key: bool },
     /// Record that every controller reads the current record format.
     RaiseFormatVersion,
     /// Read the replicated records, as a new leader.
@@ -175,14 +175,14 @@
             CallContext::ReadRecords { .. } | CallContext::WatchRecords => {
                 self.on_records_response(&call.context, call.outcome);
             }
-            CallContext::ReadOccurrenceJob { job, in_archive } => {
-                self.on_occurrence_job_read(&job, in_archive, &call.outcome);
+            CallContext::ReadOccurrenceJob { job, final_key } => {
+                self.on_occurrence_job_read(&job, final_key, &call.outcome);
             }
-            CallContext::ReadDependency { job, in_archive, .. } => {
-                self.on_awaited_job_read(&job, in_archive, &call.outcome);
+            CallContext::ReadDependency { job, final_key, .. } => {
+                self.on_awaited_job_read(&job, final_key, &call.outcome);
             }
-            CallContext::LookUpDependency { lookup, job, in_archive } => {
-                self.on_dependency_read(lookup, &job, in_archive, &call.outcome);
+            CallContext::LookUpDependency { lookup, job, final_key } => {
+                self.on_dependency_read(lookup, &job, final_key, &call.outcome);
             }
             CallContext::RaiseFormatVersion => self.on_format_raised(&call.outcome),
             CallContext::WriteRecords { nonce, .. } => {
--- a/src/commands/tiers.rs
+++ b/src/commands/tiers.rs
@@ -5,7 +5,7 @@
 use clap::Subcommand;
 use std::error::Error;
 use std::path::PathBuf;
-use swiftsail_controller::controller::tier_table_record;
+use swiftsail_controller::controller::tier_table_from_settings;
 use swiftsail_policy::operator_settings::{OperatorSettings, line_and_column};
 use swiftsail_tiers::{TierTable, TierTableError, TierTableRecord};
 
@@ -48,7 +48,7 @@
     operator: &OperatorSettings,
 ) -> Result<Option<TierTableRecord>, String> {
     let Some(tiers) = &operator.tiers else { return Ok(None) };
-    let record = tier_table_record(tiers);
+    let record = tier_table_from_settings(tiers);
     match TierTable::new(record.clone()) {
         Ok(_) => Ok(Some(record)),
         Err(flawed) => Err(error_location(file, operator, &flawed)),
--- a/tests/recorded_bytes/operators.rs
+++ b/tests/recorded_bytes/operators.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use swiftsail::local::LocalConfig;
-use swiftsail_controller::controller::{compile_deadline_plan, tier_table_record};
+use swiftsail_controller::controller::{compile_deadline_plan, tier_table_from_settings};
 use swiftsail_deadline_planning::{ChainDefinition, DeadlinePlan, ScheduleEntry, StepDefinition};
 use swiftsail_policy::operator_settings::{OperatorSettings, PolicySetting};
 use swiftsail_protocol::cloud::ListedMachineType;
@@ -121,7 +121,10 @@
     };
     let core = line("core", r#"job.priority == "production""#, true);
     let tiers = vec![core, line("other", "true", false)];
-    assert_eq!(tier_table_record(&found), TierTableRecord { format_version: 0, version: 4, tiers });
+    assert_eq!(
+        tier_table_from_settings(&found),
+        TierTableRecord { format_version: 0, version: 4, tiers }
+    );
 }
 
 #[test]
--- a/tests/tiers.rs
+++ b/tests/tiers.rs
@@ -59,7 +59,7 @@
 fn the_deployed_table_is_sound() {
     let text = include_str!("../deploy/tiers.toml");
     let operator = OperatorSettings::parse("deploy/tiers.toml", text).expect("it is sound");
-    let record = swiftsail_controller::controller::tier_table_record(
+    let record = swiftsail_controller::controller::tier_table_from_settings(
         operator.tiers.as_ref().expect("a table"),
     );
     TierTable::new(record).expect("its tiers are sound");
