--- a/crates/controller/src/controller/dependency_lookup.rs
+++ b/crates/controller/src/controller/dependency_lookup.rs
@@ -235,7 +235,7 @@
     }
 
     fn remember_located(&mut self, id: &JobId, record: FinalRecord) -> JobReadOutcome {
-        self.remember_final(id, record);
+        self.cache_final_record(id, record);
         JobReadOutcome::Found(VisitedJob::Ended(record.fate(self.now.wall_clock)))
     }
 
--- a/crates/controller/src/controller/store_calls.rs
+++ b/crates/controller/src/controller/store_calls.rs
@@ -66,9 +66,9 @@
     /// Read the quota accounts; under this fencing token, or 0 as a follower.
     ReadQuotaAccounts { token: u64 },
     /// Write a page of the quota accounts; as a leader, under its generation.
-    TransferQuota { generation: Option<u64>, page: usize, by: (u64, u64) },
+    TransferQuota { generation: Option<u64>, page: usize, transaction_id: (u64, u64) },
     /// Read the replicated records; numbered, since pages of an earlier reading may still arrive.
-    ReadRecords { reading: u64 },
+    ReadRecords { read_number: u64 },
     /// Watch the replicated records.
     WatchRecords,
     /// Read the outcome of a job that serves an occurrence of the deadline plan.
@@ -189,8 +189,13 @@
                 self.on_records_written(nonce, &call.outcome);
             }
             CallContext::ReadQuotaAccounts { token } => self.on_quota_read(token, &call.outcome),
-            CallContext::TransferQuota { generation, page, by } => {
-                self.on_quota_transferred(generation.is_some(), page, by, &call.outcome);
+            CallContext::TransferQuota { generation, page, transaction_id } => {
+                self.on_quota_transferred(
+                    generation.is_some(),
+                    page,
+                    transaction_id,
+                    &call.outcome,
+                );
             }
             CallContext::CreateJob { .. }
             | CallContext::ReadJob(_)
