--- a/crates/controller/src/controller/deadline_planning.rs
+++ b/crates/controller/src/controller/deadline_planning.rs
@@ -1,10 +1,10 @@
 //! Arrivals in the state service: what the board is told of jobs, what it makes of that, and its records.
 
-use super::dependency_lookup::JobLocation;
+use super::dependency_lookup::JobReadOutcome;
 use super::plugins::plugin_error_reply;
 use super::{CallContext, Controller, Reply, RequestId};
 use crate::cluster_state::{ClusterState, facts_of};
-use crate::constants::{BOOT_UNKNOWN_MS, DISPATCH_MS, STORE_TIMEOUT_MS};
+use crate::constants::{DEADLINE_PLAN_INTERVAL_MS, DEFAULT_BOOT_MS, STORE_TIMEOUT_MS};
 use crate::job::{AttemptPhase, FinalState, Job, JobId, JobState, keys};
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
 use serde_json::json;
@@ -38,14 +38,14 @@
                 (AttemptPhase::Running, Some(at)) => {
                     run(kind).remaining(now.saturating_sub(at) as f64)
                 }
-                _ => crate::completion_time::Pmf::clone(&run(kind)).shifted(BOOT_UNKNOWN_MS / 2.0),
+                _ => crate::completion_time::Pmf::clone(&run(kind)).shifted(DEFAULT_BOOT_MS / 2.0),
             };
             last = last.max(left.quantile(DURATION_QUANTILE));
         }
         if job.waiting.is_empty() && job.backing_off.is_empty() {
             return (Some(last), "it runs");
         }
-        let waits = run("").quantile(DURATION_QUANTILE) + BOOT_UNKNOWN_MS;
+        let waits = run("").quantile(DURATION_QUANTILE) + DEFAULT_BOOT_MS;
         let why = if job.is_job_at_fault() {
             "it fails on every machine"
         } else {
@@ -79,7 +79,7 @@
     pub(super) fn update_deadline_plan(&mut self) {
         let now = self.now;
         let Some(calendar) = self.replicated_records.calendar.clone() else { return };
-        if now.monotonic < self.replicated_records.deadlines_checked_at + DISPATCH_MS
+        if now.monotonic < self.replicated_records.deadlines_checked_at + DEADLINE_PLAN_INTERVAL_MS
             || !self.replicated_records.records.is_loaded()
         {
             return;
@@ -149,10 +149,10 @@
         }
     }
 
-    fn read_occurrence_job(&mut self, id: JobId, last_place: bool) {
-        let key = keys::place(&id, last_place);
+    fn read_occurrence_job(&mut self, id: JobId, final_key: bool) {
+        let key = keys::place(&id, final_key);
         let until = RetryPolicy::OnceBefore(self.now.monotonic + STORE_TIMEOUT_MS);
-        let purpose = CallContext::ReadOccurrenceJob { job: id, last_place };
+        let purpose = CallContext::ReadOccurrenceJob { job: id, final_key };
         self.store.push(StoreCall::Get(key), purpose, CallPriority::Low, until);
     }
 
@@ -161,11 +161,11 @@
     pub(super) fn on_occurrence_job_read(
         &mut self,
         id: &JobId,
-        last_place: bool,
+        final_key: bool,
         outcome: &StoreOutcome,
     ) {
-        let location = self.locate_job(id, last_place, outcome);
-        if let JobLocation::Found(VisitedJob::NeverAccepted) = location {
+        let location = self.process_job_read(id, final_key, outcome);
+        if let JobReadOutcome::Found(VisitedJob::NeverAccepted) = location {
             self.read_occurrence_job(id.clone(), false);
         }
     }
--- a/crates/controller/src/controller/requests/reads.rs
+++ b/crates/controller/src/controller/requests/reads.rs
@@ -33,7 +33,7 @@
 
 impl Controller {
     /// Serves a request by the next cache read, or, without a complete cache, by a read of the job's own key.
-    pub(super) fn look_up(&mut self, id: JobId, pending: PendingRequest) {
+    pub(super) fn look_up_job(&mut self, id: JobId, pending: PendingRequest) {
         if self.job_cache.is_complete()
             && !self.store.is_unavailable()
             && self.pending_cache_requests() < self.budget.waiting_polls
@@ -58,7 +58,7 @@
     }
 
     /// A cache read shows that no such job is live: it is over and moved, or was never accepted.
-    pub(in crate::controller) fn on_not_live(&mut self, id: &JobId, pending: PendingRequest) {
+    pub(in crate::controller) fn on_job_not_live(&mut self, id: &JobId, pending: PendingRequest) {
         if let RequestIntent::Create(record) = pending.intent {
             let freshness = CacheFreshness::ReadAfterRequest;
             return self.accept_job(id, pending.request, record, freshness);
@@ -153,7 +153,7 @@
     }
 
     fn on_finished_job(&mut self, id: &JobId, record: FinalRecord) {
-        self.remember_final(id, record);
+        self.cache_final_record(id, record);
         for pending in self.finish_read(id) {
             self.answer(pending.request, final_reply(id, &record));
         }
@@ -184,7 +184,7 @@
     ) {
         match cached {
             CachedJob::Finished(record) => {
-                self.remember_final(id, record);
+                self.cache_final_record(id, record);
                 self.answer(pending.request, final_reply(id, &record));
             }
             CachedJob::Cancelled(revision, wall) => {
