--- a/crates/controller/src/cloud/mod.rs
+++ b/crates/controller/src/cloud/mod.rs
@@ -111,7 +111,7 @@
         while !self.queue.is_empty()
             && self.in_flight < CLOUD_IN_FLIGHT_MAX
             && now >= self.paused_until
-            && self.rate_limiter.can(1.0, 0.0, now)
+            && self.rate_limiter.can_take(1.0, 0.0, now)
         {
             let Some(call) = self.queue.pop_front() else { break };
             self.rate_limiter.take(1.0);
--- a/crates/controller/src/cluster_state/binding_log.rs
+++ b/crates/controller/src/cluster_state/binding_log.rs
@@ -110,7 +110,7 @@
     /// largest value that the store takes.
     pub fn add(&mut self, job: &JobId, binding: &Binding, max_value_bytes: usize) {
         let max_bytes = max_value_bytes.min(SEGMENT_BYTES).saturating_sub(SEGMENT_HEADER_BYTES);
-        self.forget(job, binding.task, None);
+        self.remove(job, binding.task, None);
         let has_room = |(_, segment): &(usize, &LogSegment)| {
             segment.bytes + segment.added_bytes(job, binding) <= max_bytes
         };
@@ -157,7 +157,7 @@
     }
 
     /// How many more bindings the log may take. Further ones wait until chunks have taken some over.
-    pub fn room(&self) -> usize {
+    pub fn remaining_capacity(&self) -> usize {
         BINDING_LOG_MAX.saturating_sub(self.len())
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// The oldest bindings, as far as the log holds more than `kept`: chunks are to take them over.
-    pub fn beyond(&self, kept: usize) -> impl Iterator<Item = (&JobId, u32)> {
+    pub fn oldest_beyond(&self, kept: usize) -> impl Iterator<Item = (&JobId, u32)> {
         let excess = self.len().saturating_sub(kept);
         self.by_attempt.iter().take(excess).map(|(_, job, task)| (job, *task))
     }
@@ -181,7 +181,7 @@
     /// the binding is committed, or a later binding takes its place. Dropped at once, not when the segment is next
     /// written: once, bindings of tasks that were over filled the log for good, since with a full log nothing more could
     /// be bound, and so no segment was ever written again.
-    pub fn forget(&mut self, job: &JobId, task: u32, attempt: Option<u64>) {
+    pub fn remove(&mut self, job: &JobId, task: u32, attempt: Option<u64>) {
         let id = TaskId::new(job, task);
         let Some(&location) = self.locations.get(&id) else { return };
         let segment = &mut self.segments[location.segment];
--- a/crates/controller/src/cluster_state/cluster_events.rs
+++ b/crates/controller/src/cluster_state/cluster_events.rs
@@ -8,9 +8,9 @@
     /// `task`, `job`, `machine`, `term` or `rental`.
     pub kind: &'static str,
     /// What happened.
-    pub what: String,
+    pub event: String,
     /// Name of the subject: which task, job, machine.
-    pub of: String,
+    pub subject: String,
     /// More, if there is any.
     pub detail: Option<String>,
 }
@@ -24,7 +24,7 @@
 
 impl ClusterEvents {
     /// Notes an event. Events beyond [`CLUSTER_EVENTS_MAX`] are lost until the others are taken.
-    pub fn note(
+    pub fn record(
         &mut self,
         kind: &'static str,
         what: impl std::fmt::Display,
@@ -34,7 +34,7 @@
         if self.has_subscribers && self.pending.len() < CLUSTER_EVENTS_MAX {
             let detail = detail.map(str::to_string);
             let (what, of) = (what.to_string(), of.to_string());
-            self.pending.push(ClusterEvent { kind, what, of, detail });
+            self.pending.push(ClusterEvent { kind, event: what, subject: of, detail });
         }
     }
 
--- a/crates/controller/src/cluster_state/dependencies.rs
+++ b/crates/controller/src/cluster_state/dependencies.rs
@@ -34,7 +34,7 @@
         now: Time,
         wall: u64,
     ) {
-        self.awaited_reads.remove(id);
+        self.dependency_reads.remove(id);
         for (dependent, state) in self.dependencies.on_job_ended(id, outcome) {
             self.apply_dependency_state(&dependent, state, now, wall);
         }
@@ -79,7 +79,7 @@
             job.advance(JobState::Live, now);
         }
         let ended = self.unarchived_jobs.iter();
-        let ended = ended.map(|(id, _, record)| (id.clone(), record.fate(wall)));
+        let ended = ended.map(|(id, _, record)| (id.clone(), record.outcome(wall)));
         let cancelled = self.jobs.iter().filter(|(_, job)| job.is_cancelled());
         let cancelled = cancelled.map(|(id, _)| (id.clone(), JobOutcome::Cancelled));
         for (id, outcome) in ended.chain(cancelled).collect::<Vec<_>>() {
@@ -91,7 +91,7 @@
     /// be read. Each is returned once, until its end is known or [`ClusterState::retry_unknown_dependencies`] is called.
     pub fn unknown_dependencies(&mut self, now: Time) -> Vec<JobId> {
         let must_be_read = |id: &&JobId| {
-            let is_being_read = self.awaited_reads.get(*id).is_some_and(|until| now < *until);
+            let is_being_read = self.dependency_reads.get(*id).is_some_and(|until| now < *until);
             !is_being_read && !self.jobs.contains_key(*id)
         };
         let unknown: Vec<JobId> = self
@@ -101,13 +101,13 @@
             .take(UNKNOWN_DEPENDENCIES_MAX)
             .cloned()
             .collect();
-        self.awaited_reads.extend(unknown.iter().map(|id| (id.clone(), Time::MAX)));
+        self.dependency_reads.extend(unknown.iter().map(|id| (id.clone(), Time::MAX)));
         unknown
     }
 
     /// Reading such a job's final record gave no result: it is to be read again after a pause.
     pub fn retry_unknown_dependencies(&mut self, id: &JobId, now: Time) {
-        self.awaited_reads.insert(id.clone(), now + UNKNOWN_DEPENDENCY_RETRY_MS);
+        self.dependency_reads.insert(id.clone(), now + UNKNOWN_DEPENDENCY_RETRY_MS);
     }
 
     /// For operators: a job and those not over that it depends on or that depend on it, directly or through others.
--- a/crates/controller/src/cluster_state/job_records.rs
+++ b/crates/controller/src/cluster_state/job_records.rs
@@ -1,6 +1,6 @@
 //! Job records read from the store: those that a new leader loads, and those that the watch brings.
 
-use super::{ClusterState, facts_of};
+use super::{ClusterState, job_attributes};
 use crate::Time;
 use crate::job::{FinalRecord, Job, JobId, JobRecord, JobState, StoredJob, keys};
 use crate::machine::Machine;
@@ -74,7 +74,7 @@
         } else if self.jobs.get(&id).is_some_and(was_brought_back) {
             self.jobs.remove(&id);
             self.run_queues.remove_job(&id);
-            self.on_dependency_finished(&id, record.fate(wall), now, wall);
+            self.on_dependency_finished(&id, record.outcome(wall), now, wall);
             self.dependencies.remove_job(&id);
         }
     }
@@ -90,9 +90,10 @@
         self.dependencies.add_job(id, &record.depends_on);
         let job = self.jobs.entry(id.clone()).or_insert_with(|| {
             tracing::debug!(job = %id, tasks = record.spec.tasks, "job loaded");
-            self.events.note("job", "accepted", id, Some(&record.spec.class));
+            self.events.record("job", "accepted", id, Some(&record.spec.class));
             let mut job = Job::new(id.clone(), record, mod_revision, now, wall);
-            job.tier = self.tiers.assign_tier(record.tier.as_deref(), &facts_of(id, &record.spec));
+            job.tier =
+                self.tiers.assign_tier(record.tier.as_deref(), &job_attributes(id, &record.spec));
             job
         });
         if mod_revision >= job.mod_revision {
--- a/crates/controller/src/cluster_state/liveness.rs
+++ b/crates/controller/src/cluster_state/liveness.rs
@@ -30,7 +30,7 @@
         for (id, state) in verdicts {
             tracing::debug!(machine = %id, ?state, "machine liveness changed");
             if state == Liveness::PresumedDead {
-                self.events.note("machine", "presumed dead", &id, None);
+                self.events.record("machine", "presumed dead", &id, None);
             }
         }
         to_probe
@@ -61,7 +61,7 @@
     /// What the failure detector is shown of a machine. None: it need not be up, since it has neither been heard under
     /// this leader nor holds work of an earlier one.
     pub fn observe_machine<'a>(&self, machine: &'a Machine) -> Option<MachineObservation<'a>> {
-        let should_be_up = machine.last_heard_at.is_some() || !machine.tasks.is_empty();
+        let should_be_up = machine.last_contact_at.is_some() || !machine.tasks.is_empty();
         if !should_be_up || machine.state() == MachineState::Terminating {
             return None;
         }
@@ -72,7 +72,7 @@
             zone,
             reporting_controller: machine.forwarded_by.as_deref(),
             zone_is_reachable: self.reachable_zones.contains(zone),
-            last_report_at: machine.last_heard_at,
+            last_contact_at: machine.last_contact_at,
             has_production_work: jobs.any(|job| priority_of(job) == Some(Priority::Production)),
             probe_requested: !machine.inbound.is_reachable(),
         })
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -20,8 +20,8 @@
 pub use binding_log::{BindingLog, InFlightLogWrite, LogSegment, LogSegmentRecord, TaskId};
 pub use cluster_events::{ClusterEvent, ClusterEvents};
 pub use provisioning::{Market, Provisioning, ProvisioningRequest};
-pub use queue_order::{facts_of, rank_of};
-pub use quota_usage::{QuotaGuard, QuotaRefusal, team_amounts, usable};
+pub use queue_order::{job_attributes, priority_attribute};
+pub use quota_usage::{BindingGuard, BindingRefusal, is_schedulable, quota_per_task};
 pub use run_queues::{RunQueue, RunQueues, SlotId};
 pub use status_reports::ReportSource;
 
@@ -71,7 +71,7 @@
     /// Requests to the cloud.
     pub provisioning: Provisioning,
     /// Tasks of jobs that missed their deadline since the last mapping round.
-    pub misses: u32,
+    pub deadline_misses: u32,
     /// Number of scheduling cycles so far.
     pub cycles: u64,
     /// When the last scheduling cycle began.
@@ -117,7 +117,7 @@
     pub watched_revision: u64,
     /// When the request was sent whose answer reached that revision. The success of a later call of another kind proves
     /// nothing about the jobs.
-    pub read_at: Time,
+    pub jobs_current_as_of: Time,
     /// When changes were last read beside the watch.
     pub changes_requested_at: Time,
     /// Liveness of machines; created at the first check.
@@ -131,7 +131,7 @@
     /// When deadlines were last propagated along them.
     pub dependency_deadlines_at: Time,
     /// Jobs that others depend on and that have ended: until when their final record is not to be read (again).
-    pub(crate) awaited_reads: BTreeMap<JobId, Time>,
+    pub(crate) dependency_reads: BTreeMap<JobId, Time>,
     /// GPU loans.
     pub gpu_loans: GpuLoans,
     /// The tier table in force.
@@ -163,7 +163,7 @@
             run_time_history: RunTimeHistory::default(),
             run_queues: RunQueues::default(),
             provisioning: Provisioning::default(),
-            misses: 0,
+            deadline_misses: 0,
             cycles: 0,
             last_cycle_at: 0,
             last_round_at: now,
@@ -185,14 +185,14 @@
             machines_with_commands: BTreeSet::new(),
             maybe_finished: BTreeSet::new(),
             watched_revision: 0,
-            read_at: 0,
+            jobs_current_as_of: 0,
             changes_requested_at: 0,
             failure_detector: None,
             machines_checked_at: 0,
             reachable_zones: BTreeSet::new(),
             dependencies: DependencyGraph::default(),
             dependency_deadlines_at: 0,
-            awaited_reads: BTreeMap::new(),
+            dependency_reads: BTreeMap::new(),
             gpu_loans: GpuLoans::default(),
             tiers: Rc::default(),
             lease_ms: 0.0,
@@ -221,7 +221,7 @@
         if let Some(attempt) = job.release_attempt(task, now)
             && let Some(machine) = self.machines.get_mut(&attempt.machine)
         {
-            self.binding_log.forget(id, task, Some(attempt.number));
+            self.binding_log.remove(id, task, Some(attempt.number));
             machine.remove_task(id, task, now);
         }
         self.needs_scheduling = true;
@@ -291,13 +291,13 @@
     pub fn remove_job(&mut self, id: &JobId, now: Time) -> Option<Job> {
         let job = self.jobs.remove(id)?;
         for (task, attempt) in &job.attempts {
-            self.binding_log.forget(id, *task, Some(attempt.number));
+            self.binding_log.remove(id, *task, Some(attempt.number));
             if let Some(machine) = self.machines.get_mut(&attempt.machine) {
                 machine.remove_task(id, *task, now);
             }
         }
         let what = if job.is_cancelled() { "cancelled" } else { "done" };
-        self.events.note("job", what, id, None);
+        self.events.record("job", what, id, None);
         self.run_queues.remove_job(id);
         self.run_time_history.remove_job(id);
         self.preempting.remove(id);
@@ -329,8 +329,8 @@
             {
                 job.missed_deadline = true;
                 let unfinished = job.waiting.len() + job.occupying_attempts();
-                self.misses += unfinished as u32;
-                self.events.note("job", "late", id, None);
+                self.deadline_misses += unfinished as u32;
+                self.events.record("job", "late", id, None);
                 late.push(id.clone());
             }
         }
@@ -341,7 +341,7 @@
 
     /// Notes the jobs that a mapping round could not place although their team's limit allows more. A job that is placed now
     /// and then stays starved: its time begins anew only after it was not noted for [`IDLE_GRANT_MS`].
-    pub fn note_starved(&mut self, jobs: Vec<JobId>, now: Time) {
+    pub fn record_starved(&mut self, jobs: Vec<JobId>, now: Time) {
         self.starved_jobs.retain(|_, starvation| now < starvation.last_seen + IDLE_GRANT_MS);
         for id in jobs {
             let starvation =
@@ -389,7 +389,7 @@
         self.run_queues.remove_machine(id);
         self.machines.remove(id);
         self.needs_scheduling = true;
-        self.events.note("machine", "gone", id, None);
+        self.events.record("machine", "gone", id, None);
         tracing::debug!(machine = %id, "machine removed");
     }
 
--- a/crates/controller/src/cluster_state/provisioning.rs
+++ b/crates/controller/src/cluster_state/provisioning.rs
@@ -22,28 +22,28 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProvisioningRequest {
     /// Machine type.
-    pub kind: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Spot or on demand.
     pub spot: bool,
     /// How many.
-    pub number: u32,
+    pub count: u32,
 }
 
 impl ProvisioningRequest {
     fn market(&self) -> Market {
-        (self.kind.clone(), self.zone.clone(), self.spot)
+        (self.machine_type.clone(), self.zone.clone(), self.spot)
     }
 
     /// The request to the cloud, under an idempotency key.
     pub fn to_wire(&self, request_id: &str) -> ProvisionMachinesRequest {
         ProvisionMachinesRequest {
             request_id: request_id.to_string(),
-            machine_type: self.kind.clone(),
+            machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            count: self.number,
+            count: self.count,
         }
     }
 }
@@ -166,7 +166,7 @@
     }
 
     /// A machine is returned because it is unreachable inbound.
-    pub fn note_unreachable_return(&mut self, now: Time) {
+    pub fn record_unreachable_return(&mut self, now: Time) {
         self.unreachable_returns.retain(|at| now < *at + UNREACHABLE_RETURN_WINDOW_MS);
         self.unreachable_returns.push_back(now);
     }
@@ -175,7 +175,7 @@
     pub fn may_rent(&self, kind: &str, zone: &str, spot: bool, now: Time) -> bool {
         let market = (kind.to_string(), zone.to_string(), spot);
         let requests = self.open_requests.values().map(|open| &open.request);
-        let open = requests.filter(|r| r.kind == kind && r.zone == zone && r.spot == spot);
+        let open = requests.filter(|r| r.machine_type == kind && r.zone == zone && r.spot == spot);
         open.count() < OPEN_REQUESTS_MAX
             && self.refused.get(&market).is_none_or(|refusal| now >= refusal.until)
     }
@@ -247,7 +247,7 @@
     pub fn request_return(&mut self, id: &MachineId, why: &str, now: Time) -> bool {
         let marked = self.machine_entry(id, now).advance(MachineState::Terminating);
         if marked {
-            self.events.note("machine", "returning", id, Some(why));
+            self.events.record("machine", "returning", id, Some(why));
             tracing::debug!(machine = %id, why, "terminating machine");
             self.provisioning.return_queue.insert(id.clone());
         }
@@ -268,9 +268,9 @@
     pub fn on_provisioned(&mut self, request_id: &str, names: &[String], now: Time) {
         let Some(open) = self.provisioning.open_requests.remove(request_id) else { return };
         let request = open.request;
-        let what = format!("rented {} of {}", names.len(), request.number);
-        self.events.note("rental", what, &request.kind, Some(&request.zone));
-        if (names.len() as u32) < request.number {
+        let what = format!("rented {} of {}", names.len(), request.count);
+        self.events.record("rental", what, &request.machine_type, Some(&request.zone));
+        if (names.len() as u32) < request.count {
             self.provisioning.note_refusal(request.market(), now);
             self.force_mapping_round();
         } else {
@@ -278,9 +278,9 @@
         }
         for name in names {
             let machine = self.machine_entry(&MachineId::from(name.as_str()), now);
-            if machine.last_heard_at.is_none() {
+            if machine.last_contact_at.is_none() {
                 machine.invalidate_free_resources();
-                machine.machine_type.clone_from(&request.kind);
+                machine.machine_type.clone_from(&request.machine_type);
                 machine.zone.clone_from(&request.zone);
                 machine.spot = request.spot;
                 machine.rented_at = now;
@@ -292,8 +292,8 @@
     pub fn on_provisioning_refused(&mut self, request_id: &str, now: Time) {
         let Some(open) = self.provisioning.open_requests.remove(request_id) else { return };
         let request = open.request;
-        self.events.note("rental", "no capacity", &request.kind, Some(&request.zone));
-        tracing::info!(kind = %request.kind, zone = %request.zone, spot = request.spot, "no capacity");
+        self.events.record("rental", "no capacity", &request.machine_type, Some(&request.zone));
+        tracing::info!(kind = %request.machine_type, zone = %request.zone, spot = request.spot, "no capacity");
         self.provisioning.note_refusal(request.market(), now);
         self.force_mapping_round();
     }
--- a/crates/controller/src/cluster_state/queue_order.rs
+++ b/crates/controller/src/cluster_state/queue_order.rs
@@ -12,7 +12,7 @@
 };
 
 /// A job's priority as tier expressions name it.
-pub fn rank_of(priority: Priority) -> JobPriorityAttribute {
+pub fn priority_attribute(priority: Priority) -> JobPriorityAttribute {
     match priority {
         Priority::Production => JobPriorityAttribute::Production,
         Priority::High => JobPriorityAttribute::High,
@@ -22,7 +22,7 @@
 }
 
 /// Attributes of a job that tier expressions can refer to.
-pub fn facts_of(id: &str, spec: &JobSpec) -> JobAttributes {
+pub fn job_attributes(id: &str, spec: &JobSpec) -> JobAttributes {
     JobAttributes {
         id: id.into(),
         class: spec.class.clone(),
@@ -32,7 +32,7 @@
             JobKind::Gang => JobKindAttribute::Gang,
             JobKind::Service => JobKindAttribute::Service,
         },
-        priority: rank_of(spec.priority),
+        priority: priority_attribute(spec.priority),
         tasks: i64::from(spec.tasks),
         cpus: spec.cpus,
         gpus: spec.gpus,
@@ -53,8 +53,9 @@
     pub fn set_tiers(&mut self, tiers: Rc<TierTable>) {
         self.tiers = tiers;
         for (id, job) in &mut self.jobs {
-            job.tier =
-                self.tiers.assign_tier(job.accepted_tier.as_deref(), &facts_of(id, &job.spec));
+            job.tier = self
+                .tiers
+                .assign_tier(job.accepted_tier.as_deref(), &job_attributes(id, &job.spec));
         }
         self.needs_scheduling = true;
     }
@@ -69,7 +70,7 @@
             let tasks = f64::from(job.spec.tasks);
             WaitingJob {
                 id,
-                priority: rank_of(job.spec.priority),
+                priority: priority_attribute(job.spec.priority),
                 tier: job.tier.tier,
                 accepted_at_wall: job.accepted_wall,
                 team: &job.spec.team,
--- a/crates/controller/src/cluster_state/quota_usage.rs
+++ b/crates/controller/src/cluster_state/quota_usage.rs
@@ -22,12 +22,12 @@
     }
 
     /// What each team's attempts take, in the order of `teams`. Everything not proved gone counts.
-    pub fn usage(&self, teams: &[TeamSettings]) -> Vec<ResourceQuantities> {
+    pub fn quota_usage(&self, teams: &[TeamSettings]) -> Vec<ResourceQuantities> {
         let mut usage = vec![ResourceQuantities::default(); teams.len()];
         for job in self.jobs.values() {
             let held = job.occupying_attempts() as u32;
             if let Some(team) = teams.iter().position(|t| held > 0 && t.name == job.spec.team) {
-                usage[team] += team_amounts(&job.spec).multiplied_by(held);
+                usage[team] += quota_per_task(&job.spec).multiplied_by(held);
             }
         }
         usage
@@ -35,7 +35,7 @@
 
     /// The limit of a team, the `number`th in the settings: the lower of the settings' limit and, where limits are held in
     /// the state service, the leader's holding.
-    pub fn cap(&self, number: usize, team: &TeamSettings) -> QuotaLimit {
+    pub fn quota_limit(&self, number: usize, team: &TeamSettings) -> QuotaLimit {
         let cap = QuotaLimit::from_settings(team.cpus_max, team.gpus_max);
         let holding = self
             .quota_limits
@@ -46,7 +46,7 @@
 }
 
 /// What one task takes of its team's quota.
-pub fn team_amounts(spec: &JobSpec) -> ResourceQuantities {
+pub fn quota_per_task(spec: &JobSpec) -> ResourceQuantities {
     ResourceQuantities::from_request(spec.cpus, spec.gpus)
 }
 
@@ -86,9 +86,9 @@
 /// reports arrive is checked by [`Machine::update_reports_missing`], not here: when this looked at the time of the last
 /// report, every report that a loaded leader took in late made its machine unusable and lengthened the scheduling cycles,
 /// until the leader lost its lease.
-pub fn usable(machine: &Machine, now: Time, lease_ms: f64) -> bool {
+pub fn is_schedulable(machine: &Machine, now: Time, lease_ms: f64) -> bool {
     let is_silent = machine
-        .last_heard_at
+        .last_contact_at
         .is_none_or(|heard_at| now.saturating_sub(heard_at) as f64 > lease_ms * QUIET_SHARE);
     machine.state() == MachineState::Ready
         && machine.may_receive_work()
@@ -98,21 +98,21 @@
 
 /// Why the guard refuses a binding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum QuotaRefusal {
+pub enum BindingRefusal {
     /// The job is over or cancelled, its gang is not whole, or none of its tasks waits.
-    Closed,
+    JobNotReady,
     /// The machine or its type is not known, or the machine is not ready.
-    Machine,
+    MachineNotReady,
     /// The job does not allow the machine's type, zone or spot market, given where its other tasks are.
-    Place,
+    PlacementConstraint,
     /// The team's limit would be exceeded, or the team is not known.
-    Limit,
+    QuotaExceeded,
     /// The binding log is full: chunks must take some bindings over first.
-    Ledger,
+    BindingLogFull,
 }
 
 /// The guard, made from the cluster state at the moment of binding: no plan, policy or plug-in gets past it.
-pub struct QuotaGuard<'a> {
+pub struct BindingGuard<'a> {
     teams: &'a [TeamSettings],
     types: &'a [MachineType],
     /// What each team uses, bindings just made included.
@@ -120,15 +120,16 @@
     limits: Vec<QuotaLimit>,
 }
 
-impl<'a> QuotaGuard<'a> {
+impl<'a> BindingGuard<'a> {
     /// A guard that counts what teams use now.
     pub fn new(
         cluster_state: &ClusterState,
         teams: &'a [TeamSettings],
         types: &'a [MachineType],
-    ) -> QuotaGuard<'a> {
-        let limits = teams.iter().enumerate().map(|(n, team)| cluster_state.cap(n, team)).collect();
-        QuotaGuard { teams, types, usage: cluster_state.usage(teams), limits }
+    ) -> BindingGuard<'a> {
+        let limits =
+            teams.iter().enumerate().map(|(n, team)| cluster_state.quota_limit(n, team)).collect();
+        BindingGuard { teams, types, usage: cluster_state.quota_usage(teams), limits }
     }
 
     /// Whether a job's next waiting task may be bound to a machine. A `gang` is bound whole, even if that overfills the
@@ -139,54 +140,54 @@
         id: &JobId,
         machine: &MachineId,
         gang: bool,
-    ) -> Result<(), QuotaRefusal> {
-        let job = cluster_state.jobs.get(id).ok_or(QuotaRefusal::Closed)?;
+    ) -> Result<(), BindingRefusal> {
+        let job = cluster_state.jobs.get(id).ok_or(BindingRefusal::JobNotReady)?;
         if job.state() != JobState::Live
             || job.gang_state() != GangState::Whole
             || job.waiting.is_empty()
         {
-            return Err(QuotaRefusal::Closed);
+            return Err(BindingRefusal::JobNotReady);
         }
-        let machine = cluster_state.machines.get(machine).ok_or(QuotaRefusal::Machine)?;
+        let machine = cluster_state.machines.get(machine).ok_or(BindingRefusal::MachineNotReady)?;
         if machine.state() != MachineState::Ready {
-            return Err(QuotaRefusal::Machine);
+            return Err(BindingRefusal::MachineNotReady);
         }
         self.check_machine(&job.spec, machine)?;
         check_zones(cluster_state, job, machine)?;
         self.check_limit(&job.spec)?;
-        if !gang && cluster_state.binding_log.room() == 0 {
-            return Err(QuotaRefusal::Ledger);
+        if !gang && cluster_state.binding_log.remaining_capacity() == 0 {
+            return Err(BindingRefusal::BindingLogFull);
         }
         Ok(())
     }
 
     /// The machine's type, market and zone are those that the job allows.
-    fn check_machine(&self, spec: &JobSpec, machine: &Machine) -> Result<(), QuotaRefusal> {
+    fn check_machine(&self, spec: &JobSpec, machine: &Machine) -> Result<(), BindingRefusal> {
         let machine_type = self.types.iter().find(|t| t.name == machine.machine_type);
-        let machine_type = machine_type.ok_or(QuotaRefusal::Machine)?;
+        let machine_type = machine_type.ok_or(BindingRefusal::MachineNotReady)?;
         if machine.spot && !spec.spot
             || !machine_type.allows(spec)
             || spec.zone.as_ref().is_some_and(|zone| *zone != machine.zone)
         {
-            return Err(QuotaRefusal::Place);
+            return Err(BindingRefusal::PlacementConstraint);
         }
         Ok(())
     }
 
-    fn check_limit(&self, spec: &JobSpec) -> Result<(), QuotaRefusal> {
+    fn check_limit(&self, spec: &JobSpec) -> Result<(), BindingRefusal> {
         let team = self.teams.iter().position(|t| t.name == spec.team);
-        let team = team.ok_or(QuotaRefusal::Limit)?;
-        if self.limits[team].allows(self.usage[team], team_amounts(spec)) {
+        let team = team.ok_or(BindingRefusal::QuotaExceeded)?;
+        if self.limits[team].allows(self.usage[team], quota_per_task(spec)) {
             Ok(())
         } else {
-            Err(QuotaRefusal::Limit)
+            Err(BindingRefusal::QuotaExceeded)
         }
     }
 
     /// Counts a task just bound.
     pub fn count(&mut self, spec: &JobSpec) {
         if let Some(team) = self.teams.iter().position(|t| t.name == spec.team) {
-            self.usage[team] += team_amounts(spec);
+            self.usage[team] += quota_per_task(spec);
         }
     }
 }
@@ -196,7 +197,7 @@
     cluster_state: &ClusterState,
     job: &Job,
     machine: &Machine,
-) -> Result<(), QuotaRefusal> {
+) -> Result<(), BindingRefusal> {
     let spec = &job.spec;
     if !spec.spread && !spec.one_zone {
         return Ok(());
@@ -212,7 +213,7 @@
     let any_may_be_outside =
         occupying.any(|attempt| zone_of(&attempt.machine) != Some(&machine.zone));
     if spec.spread && at_most >= spec.max_tasks_per_zone() || spec.one_zone && any_may_be_outside {
-        return Err(QuotaRefusal::Place);
+        return Err(BindingRefusal::PlacementConstraint);
     }
     Ok(())
 }
--- a/crates/controller/src/cluster_state/reachability.rs
+++ b/crates/controller/src/cluster_state/reachability.rs
@@ -29,7 +29,7 @@
             InboundReachability::Suspected => {}
             InboundReachability::Unreachable => {
                 tracing::info!(machine = %id, sign = ?evidence, "machine unreachable inbound");
-                self.events.note("machine", "deaf", id, None);
+                self.events.record("machine", "deaf", id, None);
             }
         }
         self.withdraw_unreported_starts(id);
@@ -45,7 +45,7 @@
         if !machine.reports_missing() {
             return;
         }
-        self.events.note("machine", "mute", id, None);
+        self.events.record("machine", "mute", id, None);
         for (job, task) in self.withdraw_unreported_starts(id) {
             self.release_lost_task(&job, task, now);
         }
--- a/crates/controller/src/cluster_state/reconciliation.rs
+++ b/crates/controller/src/cluster_state/reconciliation.rs
@@ -21,9 +21,9 @@
 impl StartOutcomes {
     fn evidence(&self) -> Option<ReachabilityEvidence> {
         if self.any_followed {
-            return Some(ReachabilityEvidence::OrderFollowed);
+            return Some(ReachabilityEvidence::CommandExecuted);
         }
-        self.any_ignored.then_some(ReachabilityEvidence::OrderIgnored)
+        self.any_ignored.then_some(ReachabilityEvidence::CommandIgnored)
     }
 }
 
@@ -97,7 +97,7 @@
     fn note_running(&mut self, id: &AttemptId, received: &ReceivedReport) {
         let Some(job) = self.jobs.get(&id.job) else { return };
         let Some(attempt) = job.attempts.get(&id.task) else { return };
-        self.events.note("task", "runs", task_name(&id.job, id.task), Some(received.machine));
+        self.events.record("task", "runs", task_name(&id.job, id.task), Some(received.machine));
         let waited_ms = received.now.saturating_sub(job.eligible_at);
         let bound_ms = received.now.saturating_sub(attempt.bound_at);
         tracing::debug!(job = %id.job, task = id.task, machine = %received.machine, class = %job.spec.class, waited_ms, bound_ms, "task started");
@@ -129,7 +129,7 @@
             return;
         }
         let AttemptId { job, task, attempt } = id;
-        self.events.note("task", "gone", task_name(job, *task), Some(received.machine));
+        self.events.record("task", "gone", task_name(job, *task), Some(received.machine));
         tracing::debug!(job = %job, task, launch = attempt, machine = %received.machine, "attempt confirmed gone");
         self.release_lost_task(job, *task, received.now);
     }
--- a/crates/controller/src/cluster_state/run_queues.rs
+++ b/crates/controller/src/cluster_state/run_queues.rs
@@ -23,7 +23,7 @@
 
 impl RunQueues {
     /// The queue of a slot.
-    pub fn behind(&self, slot: &SlotId) -> impl Iterator<Item = &JobId> {
+    pub fn queue(&self, slot: &SlotId) -> impl Iterator<Item = &JobId> {
         self.by_slot.get(slot).into_iter().flatten()
     }
 
@@ -38,7 +38,7 @@
     }
 
     /// Whether another task may join a slot of at most `limit` tasks, the running one counted.
-    pub fn has_room(&self, slot: &SlotId, limit: usize) -> bool {
+    pub fn has_capacity(&self, slot: &SlotId, limit: usize) -> bool {
         self.by_slot.get(slot).map_or(0, VecDeque::len) + 1 < limit
     }
 
--- a/crates/controller/src/cluster_state/status_reports.rs
+++ b/crates/controller/src/cluster_state/status_reports.rs
@@ -100,10 +100,10 @@
         let is_report = source == ReportSource::StatusReport;
         let acknowledged = report.fencing_token == self.token;
         let Some(machine) = self.machines.get_mut(id) else { return };
-        let is_first = machine.last_heard_at.is_none();
+        let is_first = machine.last_contact_at.is_none();
         machine.last_message = MessageOrder::of(report);
         if acknowledged || !is_report {
-            machine.last_heard_at = Some(now);
+            machine.last_contact_at = Some(now);
         }
         if acknowledged && is_report {
             machine.last_report_at = Some(now);
@@ -112,7 +112,7 @@
         if is_report {
             machine.last_report = MessageOrder::of(report);
         }
-        let is_up = is_first && machine.last_heard_at.is_some();
+        let is_up = is_first && machine.last_contact_at.is_some();
         self.advance_registration(id, report, now);
         if is_up {
             tracing::debug!(machine = %id, "machine up");
@@ -132,20 +132,20 @@
             machine.advance(MachineState::Ready);
             machine.idle_since = now;
             self.needs_scheduling = true;
-            self.events.note("machine", "ready", id, Some(&report.machine_type));
+            self.events.record("machine", "ready", id, Some(&report.machine_type));
             tracing::debug!(machine = %id, kind = %report.machine_type, zone = %report.zone, "machine ready");
         }
     }
 
     /// The machine of a report, if that report has just been accepted as news and as proof of life.
-    pub fn machine_if_just_heard(
+    pub fn machine_if_report_accepted(
         &mut self,
         report: &StatusReport,
         now: Time,
     ) -> Option<&mut Machine> {
         let machine = self.machines.get_mut(report.machine.as_str())?;
         let is_newest = machine.last_message == MessageOrder::of(report);
-        (is_newest && machine.last_heard_at == Some(now)).then_some(machine)
+        (is_newest && machine.last_contact_at == Some(now)).then_some(machine)
     }
 
     /// Takes in a report that shows the same as the machine's last full one, of which `digest` is the hash. Returns false
@@ -169,7 +169,7 @@
             let evidence = machine.on_answered_report(order.session, self.lease_ms, now);
             machine.last_message = order;
             machine.last_report = order;
-            machine.last_heard_at = Some(now);
+            machine.last_contact_at = Some(now);
             machine.last_report_at = Some(now);
             let id = machine.id.clone();
             self.on_reachability_evidence(&id, evidence.filter(|_| self.lease_ms > 0.0), now);
@@ -182,7 +182,7 @@
     pub fn is_settled(&self, id: &str, now: Time) -> bool {
         self.machines
             .get(id)
-            .is_some_and(|m| m.last_heard_at == Some(now) && self.has_no_commands(m))
+            .is_some_and(|m| m.last_contact_at == Some(now) && self.has_no_commands(m))
     }
 
     fn has_no_commands(&self, machine: &Machine) -> bool {
--- a/crates/controller/src/cluster_state/task_exits.rs
+++ b/crates/controller/src/cluster_state/task_exits.rs
@@ -12,7 +12,7 @@
         let attempt = self.jobs.get(id).and_then(|job| job.attempts.get(&task));
         let Some(machine_id) = attempt.map(|attempt| attempt.machine.clone()) else { return };
         self.needs_scheduling = true;
-        self.events.note("task", cause.event_name(), task_name(id, task), Some(&machine_id));
+        self.events.record("task", cause.event_name(), task_name(id, task), Some(&machine_id));
         if cause == ExitCause::Completed {
             self.on_task_completed(id, task, &machine_id, now);
             return;
@@ -57,7 +57,7 @@
         let running_since = attempt.running_since.filter(|_| !attempt.from_previous_term);
         let ran_ms = running_since.map(|since| now.saturating_sub(since));
         job.mark_chunk_dirty(task, now);
-        job.succeeded();
+        job.on_task_succeeded();
         if let Some(machine) = self.machines.get_mut(machine_id) {
             machine.failed_jobs.clear();
             if let Some(ran_ms) = ran_ms {
@@ -74,7 +74,7 @@
         if !job.is_job_at_fault() {
             job.note_bad_machine(machine_id);
         }
-        if job.failed(now) {
+        if job.on_task_failed(now) {
             self.on_job_at_fault(id);
             return;
         }
@@ -88,7 +88,7 @@
         let Some(job) = self.jobs.get_mut(id) else { return };
         let blamed_machines = std::mem::take(&mut job.bad_machines);
         tracing::warn!(job = %id, machines = blamed_machines.len(), "job fails on every machine, limiting retries");
-        self.events.note("job", "mistaken", id, None);
+        self.events.record("job", "mistaken", id, None);
         self.run_queues.remove_job(id);
         for name in &blamed_machines {
             let Some(machine) = self.machines.get_mut(name) else { continue };
@@ -112,7 +112,7 @@
         };
         if machine.failed_jobs.len() >= enough_jobs && !machine.is_suspect {
             machine.is_suspect = true;
-            self.events.note("machine", "suspected", machine_id, None);
+            self.events.record("machine", "suspected", machine_id, None);
             tracing::warn!(machine = %machine_id, "machine cordoned: tasks of several jobs failed on it");
         }
     }
--- a/crates/controller/src/controller/archiving.rs
+++ b/crates/controller/src/controller/archiving.rs
@@ -30,7 +30,7 @@
             let is_unchanged = Precondition { key: keys::job(id), mod_revision: *mod_revision };
             transaction.preconditions.push(is_unchanged);
             transaction.mutations.push(Mutation::Delete { key: keys::job(id) });
-            transaction.mutations.push(chunks::put_change(keys::end(id), record));
+            transaction.mutations.push(chunks::put_change(keys::final_record(id), record));
         }
         state.is_archiving = true;
         let context = CallContext::ArchiveJobs { generation: state.generation, jobs };
@@ -58,7 +58,7 @@
 
     /// Deletes some bindings of finished jobs, if no other background call waits.
     pub(super) fn collect_stale_bindings(&mut self) {
-        let is_busy = self.store.queued()[CallPriority::Background as usize] > 0;
+        let is_busy = self.store.queue_lengths()[CallPriority::Background as usize] > 0;
         let Some(state) = &mut self.cluster_state else { return };
         if is_busy || state.stale_binding_keys.is_empty() {
             return;
--- a/crates/controller/src/controller/binding_log.rs
+++ b/crates/controller/src/controller/binding_log.rs
@@ -53,7 +53,7 @@
                 let Some(job) = self.jobs.get_mut(&id) else { continue };
                 for binding in bindings {
                     if job.restore_log_binding(binding, now) {
-                        self.binding_log.forget(&id, binding.task, None);
+                        self.binding_log.remove(&id, binding.task, None);
                         self.binding_log.put(number, &id, binding);
                     }
                 }
@@ -88,13 +88,13 @@
             self.add_segment(number, &mut write);
         }
         // The other part of this controller's writes is for users, final records and chunks.
-        let is_busy = ctx.store.queued()[CallPriority::Normal as usize] >= ENDS_QUEUED;
+        let is_busy = ctx.store.queue_lengths()[CallPriority::Normal as usize] >= ENDS_QUEUED;
         let part = if is_busy { BINDING_LOG_PART_BUSY } else { BINDING_LOG_PART };
         let pause_ms =
             write.in_flight.segments.len() as f64 * part * MS_PER_S / ctx.store.write_rate();
         self.binding_log.next_write_at = ctx.now + (pause_ms as u64).max(BINDING_LOG_MS);
         for AttemptId { job, task, attempt } in write.obsolete {
-            self.binding_log.forget(&job, task, Some(attempt));
+            self.binding_log.remove(&job, task, Some(attempt));
         }
         if write.in_flight.bindings.is_empty() && write.in_flight.returned_to_log.is_empty() {
             // All new bindings were released meanwhile.
@@ -140,7 +140,7 @@
             let bindings = record.bindings.entry(id.job.to_string()).or_default();
             bindings.push(attempt.binding(id.task));
         }
-        let key = keys::sheet(number);
+        let key = keys::log_segment(number);
         let mod_revision = segment.mod_revision;
         write.commit.preconditions.push(Precondition { key: key.clone(), mod_revision });
         write.commit.mutations.push(super::chunks::put_change(key, &record));
--- a/crates/controller/src/controller/capacity.rs
+++ b/crates/controller/src/controller/capacity.rs
@@ -68,7 +68,7 @@
             |machine: &&crate::machine::Machine| machine.state() == MachineState::Terminating;
         let terminating = state.machines.values().filter(is_terminating).count();
         let requested: usize =
-            state.provisioning.open_requests().map(|(request, _)| request.number as usize).sum();
+            state.provisioning.open_requests().map(|(request, _)| request.count as usize).sum();
         let expected = (state.machines.len() - terminating) + requested;
         self.max_machines().0.saturating_sub(expected)
     }
@@ -80,7 +80,7 @@
 
     /// Cuts provisioning requests to what these controllers can manage. They come in order of preference.
     pub(super) fn limit_to_headroom(&mut self, requests: &mut Vec<ProvisioningRequest>) {
-        let wanted: usize = requests.iter().map(|request| request.number as usize).sum();
+        let wanted: usize = requests.iter().map(|request| request.count as usize).sum();
         let mut left = self.machines_left();
         if wanted <= left {
             return;
@@ -92,9 +92,9 @@
             tracing::warn!(wanted, left, most, ?bound, "scale out limited by controller capacity");
         }
         for request in requests.iter_mut() {
-            request.number = request.number.min(left as u32);
-            left -= request.number as usize;
+            request.count = request.count.min(left as u32);
+            left -= request.count as usize;
         }
-        requests.retain(|request| request.number > 0);
+        requests.retain(|request| request.count > 0);
     }
 }
--- a/crates/controller/src/controller/chunks.rs
+++ b/crates/controller/src/controller/chunks.rs
@@ -76,7 +76,7 @@
         }
         due.sort();
         for (_, id) in due {
-            if ctx.store.queued()[CallPriority::Low as usize] >= COMPACTIONS_QUEUED {
+            if ctx.store.queue_lengths()[CallPriority::Low as usize] >= COMPACTIONS_QUEUED {
                 break;
             }
             self.flush(&id, ctx);
@@ -88,7 +88,7 @@
     /// only a few: with hundreds of such jobs, each would cost a write that final records and bindings wait for.
     fn relieve_binding_log(&mut self, now: Time) {
         let mut by_chunk: HashMap<(&JobId, u32), Takeover> = HashMap::new();
-        for (id, task) in self.binding_log.beyond(BINDING_LOG_KEPT) {
+        for (id, task) in self.binding_log.oldest_beyond(BINDING_LOG_KEPT) {
             let Some(job) = self.jobs.get(id) else { continue };
             let takeover = by_chunk
                 .entry((id, job.chunk_of(task)))
@@ -166,7 +166,7 @@
         in_flight: &mut InFlightTransaction,
     ) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let record = FinalRecord { state, done: done_count(job), at_wall: Some(ctx.wall_clock) };
+        let record = FinalRecord { state, done: done_count(job), ended_wall: Some(ctx.wall_clock) };
         commit.mutations.push(put_change(keys::job(id), &record));
         in_flight.final_record = Some(record);
         job.advance(JobState::Closing, ctx.now);
@@ -348,7 +348,7 @@
             tracing::debug!(job = %id, cancelled = job.is_cancelled(), "job finished");
         }
         // Not before the commit: jobs that depend on it may begin by this.
-        let outcome = record.fate(ctx.wall_clock);
+        let outcome = record.outcome(ctx.wall_clock);
         self.on_dependency_finished(id, outcome, ctx.now, ctx.wall_clock);
     }
 
@@ -370,13 +370,13 @@
             {
                 attempt.advance(AttemptPhase::Bound, now);
             }
-            self.binding_log.forget(id, task, Some(number));
+            self.binding_log.remove(id, task, Some(number));
         }
         for task in in_flight.done {
             let Some(attempt) = job.attempts.remove(&task) else { continue };
             job.done.insert(task);
             job.failures.remove(&task);
-            self.binding_log.forget(id, task, Some(attempt.number));
+            self.binding_log.remove(id, task, Some(attempt.number));
             if let Some(machine) = self.machines.get_mut(&attempt.machine) {
                 machine.remove_task(id, task, now);
             }
--- a/crates/controller/src/controller/deadline_planning.rs
+++ b/crates/controller/src/controller/deadline_planning.rs
@@ -3,7 +3,7 @@
 use super::dependency_lookup::JobLocation;
 use super::plugins::plugin_error_reply;
 use super::{CallContext, Controller, Reply, RequestId};
-use crate::cluster_state::{ClusterState, facts_of};
+use crate::cluster_state::{ClusterState, job_attributes};
 use crate::constants::{BOOT_UNKNOWN_MS, DISPATCH_MS, STORE_TIMEOUT_MS};
 use crate::job::{AttemptPhase, FinalState, Job, JobId, JobState, keys};
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
@@ -92,7 +92,7 @@
         for (id, job) in leader.jobs.iter().filter(|(_, j)| j.state() == JobState::Live) {
             let (left, why) = leader.predicted_run_time(job, now.monotonic);
             let work = StepJob {
-                facts: facts_of(id, &job.spec),
+                facts: job_attributes(id, &job.spec),
                 accepted_at_wall: job.accepted_wall,
                 expected_end_wall: left.map(|ms| now.wall_clock + ms.max(0.0) as u64),
                 wait_reason: why.into(),
@@ -110,7 +110,7 @@
                 }
                 phase => tracing::info!(arrival = %it.key, ?phase, "occurrence changed phase"),
             }
-            leader.events.note(
+            leader.events.record(
                 "arrival",
                 format!("{:?}", it.phase).to_lowercase(),
                 &it.key,
@@ -150,7 +150,7 @@
     }
 
     fn read_occurrence_job(&mut self, id: JobId, last_place: bool) {
-        let key = keys::place(&id, last_place);
+        let key = keys::job_or_final_record(&id, last_place);
         let until = RetryPolicy::OnceBefore(self.now.monotonic + STORE_TIMEOUT_MS);
         let purpose = CallContext::ReadOccurrenceJob { job: id, last_place };
         self.store.push(StoreCall::Get(key), purpose, CallPriority::Low, until);
--- a/crates/controller/src/controller/dependency_lookup.rs
+++ b/crates/controller/src/controller/dependency_lookup.rs
@@ -121,7 +121,7 @@
     fn known_dependency(&self, id: &JobId, freshness: CacheFreshness) -> Option<VisitedJob> {
         let wall = self.now.wall_clock;
         let known = match self.final_records.get(id) {
-            Some(record) => Some(VisitedJob::Ended(record.fate(wall))),
+            Some(record) => Some(VisitedJob::Ended(record.outcome(wall))),
             None => self.job_cache.dependency_state(id, wall),
         };
         known.filter(|state| {
@@ -132,7 +132,7 @@
     /// Whether another look-up may wait for a read (memory, and requests to the state service).
     fn has_lookup_room(&self) -> bool {
         self.dependency_lookups.open.len() < DEPENDENCY_LOOKUPS_MAX
-            && self.store.has_room(self.budget.waiting_store_calls)
+            && self.store.has_queue_capacity(self.budget.waiting_store_calls)
             && !self.store.is_unavailable()
     }
 
@@ -168,7 +168,7 @@
     }
 
     fn read_dependency_for_lookup(&mut self, lookup: u64, job: JobId, last_place: bool) {
-        let key = keys::place(&job, last_place);
+        let key = keys::job_or_final_record(&job, last_place);
         let policy = RetryPolicy::OnceBefore(self.now.monotonic + USER_STORE_TIMEOUT_MS);
         let context = CallContext::LookUpDependency { lookup, job, last_place };
         self.store.push(StoreCall::Get(key), context, CallPriority::Normal, policy);
@@ -236,7 +236,7 @@
 
     fn remember_located(&mut self, id: &JobId, record: FinalRecord) -> JobLocation {
         self.remember_final(id, record);
-        JobLocation::Found(VisitedJob::Ended(record.fate(self.now.wall_clock)))
+        JobLocation::Found(VisitedJob::Ended(record.outcome(self.now.wall_clock)))
     }
 
     /// The leader's part: works out effective deadlines, and looks up dependencies of which it knows nothing because
@@ -248,7 +248,7 @@
         state.propagate_deadlines(&types, now);
         for id in state.unknown_dependencies(now) {
             match self.final_records.get(&id) {
-                Some(record) => state.on_dependency_finished(&id, record.fate(wall), now, wall),
+                Some(record) => state.on_dependency_finished(&id, record.outcome(wall), now, wall),
                 None => read_dependency_as_leader(&mut self.store, state, id, false),
             }
         }
@@ -285,7 +285,7 @@
     job: JobId,
     last_place: bool,
 ) {
-    let key = keys::place(&job, last_place);
+    let key = keys::job_or_final_record(&job, last_place);
     let context = CallContext::ReadDependency { generation: state.generation, job, last_place };
     store.push(StoreCall::Get(key), context, CallPriority::Normal, RetryPolicy::UntilDefinite);
 }
--- a/crates/controller/src/controller/fleet_management.rs
+++ b/crates/controller/src/controller/fleet_management.rs
@@ -23,19 +23,19 @@
     now: Time,
 ) {
     for request in requests {
-        let mut remaining = request.number;
+        let mut remaining = request.count;
         for (request_id, open) in state.provisioning.unsent_requests(&request) {
-            let more = remaining.min(RENT_BATCH_MAX.saturating_sub(open.request.number));
-            if more > 0 && cloud.enlarge_queued_request(request_id, open.request.number + more) {
-                open.request.number += more;
+            let more = remaining.min(RENT_BATCH_MAX.saturating_sub(open.request.count));
+            if more > 0 && cloud.enlarge_queued_request(request_id, open.request.count + more) {
+                open.request.count += more;
                 remaining -= more;
             }
         }
         while remaining > 0 {
             let number = remaining.min(RENT_BATCH_MAX);
             remaining -= number;
-            tracing::info!(kind = %request.kind, zone = %request.zone, spot = request.spot, number, "scale out");
-            let part = ProvisioningRequest { number, ..request.clone() };
+            tracing::info!(kind = %request.machine_type, zone = %request.zone, spot = request.spot, number, "scale out");
+            let part = ProvisioningRequest { count: number, ..request.clone() };
             let request_id = state.provisioning.open_request(state.token, part.clone(), now);
             cloud.enqueue(CloudCall::Provision(part.to_wire(&request_id)));
         }
@@ -93,7 +93,7 @@
         let is_unreachable =
             matches!(reason, fleet::RETURN_REASON_UNREACHABLE | fleet::RETURN_REASON_NOT_REPORTING);
         if state.request_return(&id, reason, now) && is_unreachable {
-            state.provisioning.note_unreachable_return(now);
+            state.provisioning.record_unreachable_return(now);
         }
         if reason == fleet::RETURN_REASON_CANCELLED {
             state.provisioning.mark_urgent(&id);
--- a/crates/controller/src/controller/format_upgrade.rs
+++ b/crates/controller/src/controller/format_upgrade.rs
@@ -87,9 +87,9 @@
             return;
         }
         let transaction = Transaction {
-            preconditions: vec![Precondition { key: keys::FORM.into(), mod_revision: 0 }],
+            preconditions: vec![Precondition { key: keys::RECORD_FORMAT.into(), mod_revision: 0 }],
             mutations: vec![super::chunks::put_change(
-                keys::FORM.into(),
+                keys::RECORD_FORMAT.into(),
                 &FormatRecord { form: FORMAT_VERSION },
             )],
         };
--- a/crates/controller/src/controller/gpu_lending.rs
+++ b/crates/controller/src/controller/gpu_lending.rs
@@ -85,7 +85,7 @@
             if self.gpu_loans.request_loan(lender, by, machines, wall) {
                 let gpus: f64 = machines.iter().map(|m| m.1).sum();
                 tracing::info!(job = %lender, to = %by, machines = machines.len(), gpus, "accelerators lent");
-                self.events.note("job", "lends", lender, Some(by));
+                self.events.record("job", "lends", lender, Some(by));
             }
         }
         victims.into_iter().filter(|(id, _)| !lenders.contains_key(id)).collect()
--- a/crates/controller/src/controller/isolation.rs
+++ b/crates/controller/src/controller/isolation.rs
@@ -44,7 +44,7 @@
             return;
         }
         let should_report = |machine: &&crate::machine::Machine| {
-            machine.last_heard_at.is_some() || !machine.tasks.is_empty()
+            machine.last_contact_at.is_some() || !machine.tasks.is_empty()
         };
         let machines = state.machines.values().filter(should_report).count();
         let mut peer_ages =
--- a/crates/controller/src/controller/job_cache.rs
+++ b/crates/controller/src/controller/job_cache.rs
@@ -133,7 +133,7 @@
                 self.dependencies_of(id).as_deref().unwrap_or_default().to_vec(),
             )),
             CachedJob::Cancelled(..) => Some(VisitedJob::Ended(JobOutcome::Cancelled)),
-            CachedJob::Finished(record) => Some(VisitedJob::Ended(record.fate(wall))),
+            CachedJob::Finished(record) => Some(VisitedJob::Ended(record.outcome(wall))),
             CachedJob::Unreadable => None,
         }
     }
--- a/crates/controller/src/controller/leadership.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -92,7 +92,7 @@
     /// The keys under `term/` were read.
     fn on_term_page(&mut self, page: &KeyPage) {
         let held = LeaderKey::on_page(page);
-        let is_format = |entry: &&KeyValue| entry.key == keys::FORM;
+        let is_format = |entry: &&KeyValue| entry.key == keys::RECORD_FORMAT;
         let format = page.entries.iter().find(is_format).map(|entry| &entry.value);
         self.format_upgrade.on_format_record(format);
         self.cancellations.on_store_read(page.revision);
@@ -109,7 +109,7 @@
         self.watching_leader_key = false;
         let StoreOutcome::Changes(changes) = outcome else { return };
         for event in &changes.events {
-            if event.put_key.as_deref() == Some(keys::FORM) {
+            if event.put_key.as_deref() == Some(keys::RECORD_FORMAT) {
                 self.format_upgrade.on_format_record(Some(&event.value));
             }
             if let Some(key) = LeaderKey::put_by(event) {
@@ -290,8 +290,9 @@
         self.replicated_records.close(self.now.monotonic);
         self.set_store_rates(false);
         let ended = self.leadership.generation;
-        self.store
-            .forget(|context| context.generation().is_none_or(|generation| generation == ended));
+        self.store.retain_pending(|context| {
+            context.generation().is_none_or(|generation| generation == ended)
+        });
         self.cloud.clear_queue();
         self.pending_commands.clear();
         for (id, _) in std::mem::take(&mut self.deferred_reports) {
--- a/crates/controller/src/controller/machine_types.rs
+++ b/crates/controller/src/controller/machine_types.rs
@@ -31,7 +31,7 @@
         let is_leader = Precondition { key: keys::LEADER.into(), mod_revision: state.token };
         let transaction = Transaction {
             preconditions: vec![is_leader],
-            mutations: vec![chunks::put_change(keys::TYPES.into(), types)],
+            mutations: vec![chunks::put_change(keys::MACHINE_TYPES.into(), types)],
         };
         let context = CallContext::WriteMachineTypes { generation: state.generation };
         let retry_policy = RetryPolicy::OnceBefore(self.now.monotonic + CLOUD_TYPES_MS);
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -274,7 +274,7 @@
         };
         controller.read_leader_key();
         controller.store.push(
-            StoreCall::Get(keys::TYPES.into()),
+            StoreCall::Get(keys::MACHINE_TYPES.into()),
             CallContext::ReadMachineTypes,
             CallPriority::Normal,
             RetryPolicy::UntilDefinite,
--- a/crates/controller/src/controller/plan_application.rs
+++ b/crates/controller/src/controller/plan_application.rs
@@ -1,7 +1,7 @@
 //! Applies a placement plan to the cluster state. Every binding is checked once more against quotas, zones and machine
-//! types by the [`QuotaGuard`], whoever planned it; nothing else binds a task.
+//! types by the [`BindingGuard`], whoever planned it; nothing else binds a task.
 
-use crate::cluster_state::{ClusterState, QuotaGuard, RunQueue, SlotId, usable};
+use crate::cluster_state::{BindingGuard, ClusterState, RunQueue, SlotId, is_schedulable};
 use crate::constants::YIELD_HOLD_MS;
 use crate::job::{GangState, Job, JobId, JobSpec, MachineId};
 use crate::machine::{Machine, Resources};
@@ -39,7 +39,7 @@
 /// have the room. Jobs that do not fit wait again. Returns how many tasks were bound.
 pub(super) fn promote_queued_jobs(
     state: &mut ClusterState,
-    guard: &mut QuotaGuard,
+    guard: &mut BindingGuard,
     context: PlanningContext,
 ) -> usize {
     let is_waiting = |job: &&Job| job.tier.ordered && job.has_queued_tasks() && !job.is_cancelled();
@@ -52,7 +52,7 @@
 /// Binds the next job of a slot's run queue. Returns whether one was bound.
 fn promote_in_slot(
     state: &mut ClusterState,
-    guard: &mut QuotaGuard,
+    guard: &mut BindingGuard,
     context: PlanningContext,
     ordered: &OrderedJobs,
     slot: &SlotId,
@@ -60,7 +60,7 @@
     let mut queue: RunQueue = state.run_queues.take(slot);
     let machine_id = &slot.0;
     let lease_ms = context.lease_ms();
-    if !state.machines.get(machine_id).is_some_and(|m| usable(m, context.now, lease_ms)) {
+    if !state.machines.get(machine_id).is_some_and(|m| is_schedulable(m, context.now, lease_ms)) {
         return false;
     }
     // An earlier slot may have bound a task to the same machine.
@@ -89,7 +89,7 @@
 /// Applies a plan. Returns how many tasks were bound.
 pub(super) fn apply_plan(
     state: &mut ClusterState,
-    guard: &mut QuotaGuard,
+    guard: &mut BindingGuard,
     context: PlanningContext,
     plan: CyclePlan,
 ) -> usize {
@@ -103,7 +103,7 @@
 /// Applies one step of a plan. Returns how many tasks were bound.
 fn apply_step(
     state: &mut ClusterState,
-    guard: &mut QuotaGuard,
+    guard: &mut BindingGuard,
     context: PlanningContext,
     step: PlanStep,
 ) -> usize {
@@ -141,7 +141,7 @@
 /// binding was rejected, the gang is stopped and planned anew.
 fn bind_gang(
     state: &mut ClusterState,
-    guard: &mut QuotaGuard,
+    guard: &mut BindingGuard,
     context: PlanningContext,
     id: &JobId,
     machines: &[MachineId],
@@ -176,7 +176,7 @@
 /// Returns the task.
 fn bind(
     state: &mut ClusterState,
-    guard: &mut QuotaGuard,
+    guard: &mut BindingGuard,
     context: PlanningContext,
     id: &JobId,
     machine: &MachineId,
--- a/crates/controller/src/controller/plugins.rs
+++ b/crates/controller/src/controller/plugins.rs
@@ -425,8 +425,8 @@
         for event in state.events.take(has_receivers) {
             let event = ReportedEvent {
                 kind: event.kind.into(),
-                what: event.what,
-                of: event.of,
+                what: event.event,
+                of: event.subject,
                 detail: event.detail,
                 at_ms: self.now.wall_clock,
             };
--- a/crates/controller/src/controller/policy_evaluation.rs
+++ b/crates/controller/src/controller/policy_evaluation.rs
@@ -2,7 +2,7 @@
 //! for placement and fleet out. A set of plug-ins changes between passes, never within one.
 
 use super::{Controller, Now, Reply};
-use crate::cluster_state::{ClusterState, team_amounts};
+use crate::cluster_state::{ClusterState, quota_per_task};
 use crate::constants::{MS_PER_S, NO_DEADLINE_S};
 use crate::cycle_policy::{CyclePolicy, JobPolicy};
 use crate::job::{GangState, Job, JobId, JobKind, JobSpec, JobState, Priority};
@@ -69,7 +69,7 @@
         steering.job_overrides.clear();
         return;
     }
-    let usage = tables.usage(teams);
+    let usage = tables.quota_usage(teams);
     let mut advisor =
         PolicyEvaluator { policy, host, cluster, now: now.monotonic, orders: BTreeMap::new() };
     let names: Vec<String> = types.iter().map(|t| t.name.clone()).collect();
@@ -170,7 +170,7 @@
         let job = leader.jobs.get(id)?;
         let types: &[MachineType] = types.as_deref().map_or(&[], Vec::as_slice);
         let teams = &settings.settings.teams;
-        let usage = leader.usage(teams);
+        let usage = leader.quota_usage(teams);
         let (cluster, _) = cluster_of(leader, types, now.wall_clock);
         let names: Vec<String> = types.iter().map(|t| t.name.clone()).collect();
         let team = team_of(&job.spec, teams, &usage);
@@ -207,8 +207,8 @@
     usage: &[ResourceQuantities],
 ) -> serde_json::Value {
     let number = teams.iter().position(|t| t.name == job.spec.team);
-    let team = number.map(|n| (&teams[n], &usage[n], tables.cap(n, &teams[n])));
-    let each = team_amounts(&job.spec);
+    let team = number.map(|n| (&teams[n], &usage[n], tables.quota_limit(n, &teams[n])));
+    let each = quota_per_task(&job.spec);
     let limit = team.map(|(team, used, cap)| {
         serde_json::json!({
             "team": team.name,
@@ -450,7 +450,7 @@
         free,
         spot,
         cpus,
-        f64::from(tables.misses),
+        f64::from(tables.deadline_misses),
         (wall % DAY_MS) as f64 / MS_PER_S,
     ];
     (cluster_facts(&numbers), numbers)
--- a/crates/controller/src/controller/quota_accounts.rs
+++ b/crates/controller/src/controller/quota_accounts.rs
@@ -4,7 +4,7 @@
 
 use super::{CallContext, Controller};
 use crate::Time;
-use crate::cluster_state::{ClusterState, team_amounts};
+use crate::cluster_state::{ClusterState, quota_per_task};
 use crate::constants::{QUOTA_READ_MS, QUOTA_RETRY_MS};
 use crate::job::keys;
 use crate::quota_records::{self, KEY_PREFIX};
@@ -149,7 +149,9 @@
         let mut out: Vec<(usize, QuotaTransaction, bool)> = Vec::new();
         let teams = &self.settings.settings.teams;
         let used: BTreeMap<String, ResourceQuantities> = match &self.cluster_state {
-            Some(leader) => teams.iter().map(|t| t.name.clone()).zip(leader.usage(teams)).collect(),
+            Some(leader) => {
+                teams.iter().map(|t| t.name.clone()).zip(leader.quota_usage(teams)).collect()
+            }
             None => BTreeMap::new(),
         };
         for (n, settings) in self.quota_accounts.pages.iter().enumerate() {
@@ -253,15 +255,15 @@
 impl ClusterState {
     /// Stops arrays of teams that use more than they may, least work lost first, less what is being stopped.
     fn preempt_over_limit(&mut self, teams: &[TeamSettings], now: Time) {
-        let used = self.usage(teams);
+        let used = self.quota_usage(teams);
         let mut stops = Vec::new();
         for (n, team) in teams.iter().enumerate() {
-            let left = self.cap(n, team).remaining(used[n]);
+            let left = self.quota_limit(n, team).remaining(used[n]);
             let own = self.jobs.values().filter(|j| j.spec.team == team.name && !j.is_cancelled());
             let mut over = ResourceQuantities::default() - left;
             let mut found = Vec::new();
             for job in own {
-                let each = team_amounts(&job.spec);
+                let each = quota_per_task(&job.spec);
                 for (task, a) in job.attempts.iter().filter(|(_, a)| a.occupies_resources()) {
                     if a.stop_requested.is_some() {
                         over -= each;
--- a/crates/controller/src/controller/replicated_records.rs
+++ b/crates/controller/src/controller/replicated_records.rs
@@ -4,7 +4,7 @@
 use super::plugins::plugin_error_reply;
 use super::{CallContext, Controller, Reply, RequestId};
 use crate::Time;
-use crate::cluster_state::{ClusterState, facts_of};
+use crate::cluster_state::{ClusterState, job_attributes};
 use crate::constants::{RECORD_WRITE_TIMEOUT_MS, RECORDS_RETRY_MS, STORE_TIMEOUT_MS};
 use crate::job::{Job, JobId, keys};
 use crate::settings::StoreSettings;
@@ -98,7 +98,7 @@
         let on = operator.tiers.is_some() || operator.loans.durable || own_plan.is_some();
         ReplicatedRecords {
             sync: if on { RecordSync::Due(0) } else { RecordSync::Off },
-            records: RecordStore::new(keys::ORDER, limits(state), now),
+            records: RecordStore::new(keys::REPLICATED_RECORDS, limits(state), now),
             read_number: 0,
             is_watching: false,
             tiers: own_tiers.clone().unwrap_or_default(),
@@ -195,8 +195,8 @@
     }
 
     fn list_records(&mut self, from: Option<String>, purpose: CallContext, urgency: CallPriority) {
-        let from = from.map(|key| format!("{}{key}", keys::ORDER));
-        let call = StoreCall::List { prefix: keys::ORDER.into(), from };
+        let from = from.map(|key| format!("{}{key}", keys::REPLICATED_RECORDS));
+        let call = StoreCall::List { prefix: keys::REPLICATED_RECORDS.into(), from };
         let patience = match urgency {
             CallPriority::Leadership => RetryPolicy::UntilDefinite,
             _ => RetryPolicy::OnceBefore(self.now.monotonic + STORE_TIMEOUT_MS),
@@ -240,7 +240,9 @@
     }
 
     fn apply_record_page(&mut self, page: KeyPage) -> Option<String> {
-        let own = |key: String| key.strip_prefix(keys::ORDER).map(str::to_string).unwrap_or(key);
+        let own = |key: String| {
+            key.strip_prefix(keys::REPLICATED_RECORDS).map(str::to_string).unwrap_or(key)
+        };
         let pairs =
             page.entries.into_iter().map(|p| (own(p.key), p.value, p.mod_revision)).collect();
         self.replicated_records.records.on_page(pairs, page.revision, page.has_next)
@@ -255,7 +257,7 @@
         if std::mem::replace(&mut self.replicated_records.is_watching, true) {
             return;
         }
-        let call = StoreCall::Watch { prefix: keys::ORDER.into(), from };
+        let call = StoreCall::Watch { prefix: keys::REPLICATED_RECORDS.into(), from };
         let until = self.now.monotonic + STORE_TIMEOUT_MS;
         self.store.push(
             call,
@@ -284,7 +286,9 @@
             (CallContext::ReadRecords { .. }, _) => self.replicated_records.advance(again),
             (CallContext::WatchRecords, StoreOutcome::Changes(news)) => {
                 self.replicated_records.is_watching = false;
-                let own = |key: &str| key.strip_prefix(keys::ORDER).unwrap_or(key).to_string();
+                let own = |key: &str| {
+                    key.strip_prefix(keys::REPLICATED_RECORDS).unwrap_or(key).to_string()
+                };
                 let item = |item: WatchEvent| match (item.put_key, item.deleted_key) {
                     (Some(key), _) => Some((own(&key), Some(item.value), item.mod_revision)),
                     (None, Some(key)) => Some((own(&key), None, item.mod_revision)),
@@ -442,7 +446,7 @@
     pub(super) fn tier_for_submission(&self, id: &JobId, spec: &JobSpec) -> Option<String> {
         let on = self.replicated_records.is_enabled();
         on.then(|| {
-            self.replicated_records.tiers.accepting_tier_name(&facts_of(id, spec)).to_string()
+            self.replicated_records.tiers.accepting_tier_name(&job_attributes(id, spec)).to_string()
         })
     }
 
@@ -543,7 +547,7 @@
             return plugin_error_reply(404, format!("job `{id}` is not alive; poll it"));
         };
         let table = &self.replicated_records.tiers;
-        let judged = table.match_tier(&facts_of(&job.id, &job.spec));
+        let judged = table.match_tier(&job_attributes(&job.id, &job.spec));
         let line = leader.queue_order(&self.settings.settings.teams);
         let waits = |id: &str| leader.jobs.get(id).is_some_and(Job::has_queued_tasks);
         let ahead =
@@ -576,7 +580,7 @@
         &self,
         teams: &[crate::settings::TeamSettings],
     ) -> std::collections::BTreeMap<u8, Queue> {
-        let usage = self.usage(teams);
+        let usage = self.quota_usage(teams);
         let mut found: std::collections::BTreeMap<u8, Queue> = Default::default();
         for place in self.queue_order(teams) {
             let Some(job) = self.jobs.get(place.job_id()).filter(|j| j.has_queued_tasks()) else {
@@ -584,8 +588,8 @@
             };
             let team = teams.iter().position(|t| t.name == job.spec.team);
             let limited = team.is_some_and(|n| {
-                let each = crate::cluster_state::team_amounts(&job.spec);
-                !self.cap(n, &teams[n]).allows(usage[n], each)
+                let each = crate::cluster_state::quota_per_task(&job.spec);
+                !self.quota_limit(n, &teams[n]).allows(usage[n], each)
             });
             let queue = found.entry(job.tier.tier).or_default();
             queue.0 += 1;
--- a/crates/controller/src/controller/report_forwarding/mod.rs
+++ b/crates/controller/src/controller/report_forwarding/mod.rs
@@ -237,7 +237,7 @@
     ) -> ReportAnswer {
         let response = self.on_status_report(report, ReportSource::StatusReport, now, types);
         // A late copy says nothing of the present content, nor of which controller hears the worker.
-        if let Some(machine) = self.machine_if_just_heard(report, now) {
+        if let Some(machine) = self.machine_if_report_accepted(report, now) {
             machine.report_digest = Some(content_hash);
             machine.forwarded_by = Some(follower.clone());
         }
--- a/crates/controller/src/controller/report_forwarding/worker_distribution.rs
+++ b/crates/controller/src/controller/report_forwarding/worker_distribution.rs
@@ -53,7 +53,7 @@
         self.update_worker_distribution();
         let Some(state) = &self.cluster_state else { return };
         let own_name: Arc<str> = self.settings.host_name.as_str().into();
-        for machine in state.machines.values().filter(|m| m.last_heard_at.is_some()) {
+        for machine in state.machines.values().filter(|m| m.last_contact_at.is_some()) {
             let controller = machine.forwarded_by.clone().unwrap_or(own_name.clone());
             *self.workers_by_controller.entry(controller).or_default() += 1;
         }
--- a/crates/controller/src/controller/requests/admission.rs
+++ b/crates/controller/src/controller/requests/admission.rs
@@ -90,7 +90,7 @@
     fn has_room_for_submission(&self) -> bool {
         let free_calls =
             self.budget.waiting_store_calls.saturating_sub(self.job_cache.pending_submissions());
-        !self.store.is_unavailable() && self.store.has_room(free_calls)
+        !self.store.is_unavailable() && self.store.has_queue_capacity(free_calls)
     }
 
     fn new_record(&self, id: &JobId, spec: JobSpec, depends_on: Vec<JobId>) -> JobRecord {
@@ -144,7 +144,7 @@
         let transaction = Transaction {
             preconditions: vec![
                 Precondition { key: keys::job(id), mod_revision: 0 },
-                Precondition { key: keys::end(id), mod_revision: 0 },
+                Precondition { key: keys::final_record(id), mod_revision: 0 },
             ],
             mutations: vec![put_change(keys::job(id), record)],
         };
--- a/crates/controller/src/controller/requests/reads.rs
+++ b/crates/controller/src/controller/requests/reads.rs
@@ -49,7 +49,9 @@
             let freshness = CacheFreshness::MayPredateRequest;
             return self.accept_job(id, pending.request, record, freshness);
         }
-        if self.store.is_unavailable() || !self.store.has_room(self.budget.waiting_store_calls) {
+        if self.store.is_unavailable()
+            || !self.store.has_queue_capacity(self.budget.waiting_store_calls)
+        {
             return self.answer(pending.request, store_unavailable_reply());
         }
         if let ReadNeeded::Yes = self.join_read(id, pending) {
@@ -85,7 +87,7 @@
     }
 
     fn start_final_read(&mut self, id: JobId) {
-        let call = StoreCall::Get(keys::end(&id));
+        let call = StoreCall::Get(keys::final_record(&id));
         let policy = self.user_retry_policy();
         self.store.push(call, CallContext::ReadFinalRecord(id), CallPriority::Normal, policy);
     }
--- a/crates/controller/src/controller/scheduling_cycle.rs
+++ b/crates/controller/src/controller/scheduling_cycle.rs
@@ -5,7 +5,7 @@
 
 use super::plan_application::{apply_plan, promote_queued_jobs};
 use super::{Controller, fleet_management};
-use crate::cluster_state::{ClusterState, ProvisioningRequest, QuotaGuard};
+use crate::cluster_state::{BindingGuard, ClusterState, ProvisioningRequest};
 use crate::constants::{
     CYCLE_MS, CYCLE_REST_FACTOR, EVALUATION_US, LONG_CYCLE_MS, MS_PER_S, SCORE_US,
 };
@@ -40,7 +40,8 @@
 ) -> CycleResult {
     state.begin_cycle(context.now);
     state.count_free_resources(context.machine_types);
-    let mut guard = QuotaGuard::new(state, &context.settings.settings.teams, context.machine_types);
+    let mut guard =
+        BindingGuard::new(state, &context.settings.settings.teams, context.machine_types);
     let promoted = promote_queued_jobs(state, &mut guard, context);
     if promoted > 0 {
         state.count_free_resources(context.machine_types);
@@ -49,12 +50,12 @@
     let provisioning_requests = plan.provisioning_requests.take();
     let (scores_computed, targets_evaluated) = (plan.scores_computed, plan.targets_examined);
     if let Some(starved) = plan.unplaced_jobs.take() {
-        state.note_starved(starved, context.now);
+        state.record_starved(starved, context.now);
     }
     let bound = promoted + apply_plan(state, &mut guard, context, plan);
     if provisioning_requests.is_some() {
         state.last_round_at = context.now;
-        state.misses = 0;
+        state.deadline_misses = 0;
     }
     CycleResult { bound, scores_computed, targets_evaluated, provisioning_requests }
 }
@@ -69,7 +70,7 @@
         self.account_for_cycle(&result);
         let bound = result.bound;
         let mut requests = result.provisioning_requests.unwrap_or_default();
-        requests.sort_by_key(|request| Reverse(request.number));
+        requests.sort_by_key(|request| Reverse(request.count));
         self.limit_to_headroom(&mut requests);
         let now = self.now.monotonic;
         let Some(state) = &mut self.cluster_state else { return };
--- a/crates/controller/src/controller/state_loading.rs
+++ b/crates/controller/src/controller/state_loading.rs
@@ -16,7 +16,7 @@
         let now = self.now.monotonic;
         let generation = self.leadership.generation;
         let mut state = ClusterState::new(token, generation, now);
-        state.read_at = now;
+        state.jobs_current_as_of = now;
         state.lease_ms = self.settings.settings.workers.lease_s * MS_PER_S;
         state.tiers = self.replicated_records.tiers.clone();
         self.cancellations.clear_endorsements();
@@ -128,7 +128,7 @@
     pub(super) fn poll_job_changes(&mut self) {
         let now = self.now.monotonic;
         let Some(state) = &mut self.cluster_state else { return };
-        if now < state.read_at.max(state.changes_requested_at) + LEADER_POLL_MS {
+        if now < state.jobs_current_as_of.max(state.changes_requested_at) + LEADER_POLL_MS {
             return;
         }
         state.changes_requested_at = now;
@@ -145,7 +145,7 @@
         let (now, wall) = (self.now.monotonic, self.now.wall_clock);
         let Some(state) = &mut self.cluster_state else { return };
         state.apply_job_changes(changes, now, wall);
-        state.read_at = state.read_at.max(requested_at);
+        state.jobs_current_as_of = state.jobs_current_as_of.max(requested_at);
         self.cancellations.advance_required_revision(state.watched_revision);
     }
 
--- a/crates/controller/src/controller/status.rs
+++ b/crates/controller/src/controller/status.rs
@@ -1,7 +1,7 @@
 //! What the log says now and then of how much waits, runs and is free.
 
 use super::Controller;
-use crate::cluster_state::team_amounts;
+use crate::cluster_state::quota_per_task;
 use crate::constants::STATUS_MS;
 use crate::job::AttemptPhase;
 use crate::machine::MachineState;
@@ -50,10 +50,10 @@
         // Teams that their limit holds back: what they use, and how many of their tasks wait.
         let teams = &self.settings.settings.teams;
         let mut limits = Vec::new();
-        for (n, (team, used)) in teams.iter().zip(leader.usage(teams)).enumerate() {
-            let cap = leader.cap(n, team);
+        for (n, (team, used)) in teams.iter().zip(leader.quota_usage(teams)).enumerate() {
+            let cap = leader.quota_limit(n, team);
             let own = leader.jobs.values().filter(|j| j.spec.team == team.name);
-            let back = own.filter(|j| !cap.allows(used, team_amounts(&j.spec)));
+            let back = own.filter(|j| !cap.allows(used, quota_per_task(&j.spec)));
             let back: usize = back.map(|j| j.waiting.len()).sum();
             if back > 0 {
                 limits.push(format!("{} {:.0} CPUs, {back} wait", team.name, used.cpus.to_f64()));
@@ -65,7 +65,7 @@
         let late = leader.jobs.values().filter(|j| j.missed_deadline).count();
         let mistaken = leader.jobs.values().filter(|j| j.is_job_at_fault()).count();
         let machines = leader.machines.len();
-        let queued = self.store.queued();
+        let queued = self.store.queue_lengths();
         tracing::info!(
             jobs = leader.jobs.len(),
             late,
--- a/crates/controller/src/controller/worker_reports.rs
+++ b/crates/controller/src/controller/worker_reports.rs
@@ -55,7 +55,7 @@
                 self.now.monotonic,
                 types,
             );
-            if let Some(machine) = leader.machine_if_just_heard(&report, self.now.monotonic) {
+            if let Some(machine) = leader.machine_if_report_accepted(&report, self.now.monotonic) {
                 (machine.forwarded_by, machine.report_digest) = (None, None);
             }
             Reply::new(200, &orders)
@@ -157,8 +157,11 @@
     /// that a user was told of, by that or by others' word.
     fn cancellations_known_as_of(&self) -> (Option<Time>, Option<Time>) {
         // In doubt of its lead, a node has only others' word.
-        let read =
-            self.cluster_state.as_ref().filter(|_| self.is_lease_confirmed()).map(|l| l.read_at);
+        let read = self
+            .cluster_state
+            .as_ref()
+            .filter(|_| self.is_lease_confirmed())
+            .map(|l| l.jobs_current_as_of);
         let (from, now) = (self.endorsements_valid_from(), self.now.monotonic);
         (read, self.cancellations.known_as_of(read, from, self.settings.controllers(), now))
     }
--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -132,7 +132,7 @@
         }
         if let Some(seen) = tables.observe_machine(machine) {
             let members = tables.failure_detector.as_ref();
-            if members.is_some_and(|m| m.should_return(&machine.id, seen, now)) {
+            if members.is_some_and(|m| m.should_terminate(&machine.id, seen, now)) {
                 leave("it is silent");
             } else if deaf_left > 0
                 && machine.inbound.reachability() == InboundReachability::Unreachable
@@ -149,7 +149,7 @@
                 deaf_left -= 1;
                 leave(RETURN_REASON_NOT_REPORTING);
             }
-        } else if machine.last_heard_at.is_none() {
+        } else if machine.last_contact_at.is_none() {
             let boot = kind.map_or(BOOT_UNKNOWN_MS, |t| t.boot_ms);
             let late = (boot * BOOT_LATE_FACTOR).max(boot + BOOT_LATE_MS as f64) as u64;
             if now.saturating_sub(machine.rented_at.max(tables.leading_since)) > late {
--- a/crates/controller/src/job/failure_attribution.rs
+++ b/crates/controller/src/job/failure_attribution.rs
@@ -15,11 +15,11 @@
     New,
     /// It has failed on several machines and never succeeded. It is retried after a pause, since the evidence may be
     /// wrong.
-    Mistaken {
+    JobAtFault {
         /// When it is next retried.
-        again: Time,
+        retry_at: Time,
         /// The pause after that retry, ms.
-        pause_ms: u64,
+        next_backoff_ms: u64,
     },
     /// A task of it has succeeded: later failures are not the job's fault. Final.
     Proven,
@@ -33,7 +33,7 @@
 
     /// Whether it is assumed to be at fault for its failures.
     pub fn is_job_at_fault(&self) -> bool {
-        matches!(self.failure_attribution, FailureAttribution::Mistaken { .. })
+        matches!(self.failure_attribution, FailureAttribution::JobAtFault { .. })
     }
 
     /// The one function that changes the attribution. Once proven it stays so. Returns whether it changed.
@@ -50,7 +50,7 @@
     }
 
     /// A task of it has succeeded: tasks held back for its earlier failures wait again.
-    pub fn succeeded(&mut self) {
+    pub fn on_task_succeeded(&mut self) {
         if self.set_failure_attribution(FailureAttribution::Proven) {
             let held = std::mem::take(&mut self.backing_off);
             self.waiting.extend(held.into_keys());
@@ -59,20 +59,20 @@
 
     /// A task of it has failed by itself, on a machine noted before ([`Job::note_bad_machine`]). Returns whether this
     /// failure is the one by which the job is found to be at fault.
-    pub fn failed(&mut self, now: Time) -> bool {
+    pub fn on_task_failed(&mut self, now: Time) -> bool {
         match self.failure_attribution {
             FailureAttribution::New if self.bad_machines.len() >= JOB_AT_FAULT_MACHINES => {
-                let again = now + JOB_AT_FAULT_RETRY_MS;
-                self.set_failure_attribution(FailureAttribution::Mistaken {
-                    again,
-                    pause_ms: 2 * JOB_AT_FAULT_RETRY_MS,
+                let retry_at = now + JOB_AT_FAULT_RETRY_MS;
+                self.set_failure_attribution(FailureAttribution::JobAtFault {
+                    retry_at,
+                    next_backoff_ms: 2 * JOB_AT_FAULT_RETRY_MS,
                 })
             }
             // One failure counts for each retry: other tasks that were still running say nothing new.
-            FailureAttribution::Mistaken { again, pause_ms } if now >= again => {
-                self.set_failure_attribution(FailureAttribution::Mistaken {
-                    again: now + pause_ms,
-                    pause_ms: (pause_ms * 2).min(JOB_AT_FAULT_RETRY_MAX_MS),
+            FailureAttribution::JobAtFault { retry_at, next_backoff_ms } if now >= retry_at => {
+                self.set_failure_attribution(FailureAttribution::JobAtFault {
+                    retry_at: now + next_backoff_ms,
+                    next_backoff_ms: (next_backoff_ms * 2).min(JOB_AT_FAULT_RETRY_MAX_MS),
                 });
                 false
             }
@@ -83,13 +83,18 @@
     /// Limits how many tasks of a job at fault wait at once: a few, and none before its next retry. The others are held
     /// back, so that they neither take resources nor have machines rented.
     pub(super) fn limit_suspect_job(&mut self, now: Time) {
-        let FailureAttribution::Mistaken { again, .. } = self.failure_attribution else { return };
+        let FailureAttribution::JobAtFault { retry_at, .. } = self.failure_attribution else {
+            return;
+        };
         let tried_at_once = match self.spec.kind {
             JobKind::Gang => self.spec.tasks as usize,
             JobKind::Array | JobKind::Service => JOB_AT_FAULT_TASKS,
         };
-        let may_wait =
-            if now >= again { tried_at_once.saturating_sub(self.occupying_attempts()) } else { 0 };
+        let may_wait = if now >= retry_at {
+            tried_at_once.saturating_sub(self.occupying_attempts())
+        } else {
+            0
+        };
         while self.waiting.len() < may_wait
             && let Some((task, _)) = self.backing_off.pop_first()
         {
@@ -98,7 +103,7 @@
         while self.waiting.len() > may_wait
             && let Some(task) = self.waiting.pop_last()
         {
-            self.backing_off.insert(task, again.max(now + JOB_AT_FAULT_RETRY_MS));
+            self.backing_off.insert(task, retry_at.max(now + JOB_AT_FAULT_RETRY_MS));
         }
     }
 }
--- a/crates/controller/src/job/record.rs
+++ b/crates/controller/src/job/record.rs
@@ -21,15 +21,15 @@
     /// Prefix of plug-ins: their records, and their sources in parts.
     pub const PLUGINS: &str = "plug/";
     /// Prefix of replicated records: tiers, dispatch plan, loans.
-    pub const ORDER: &str = "order/";
+    pub const REPLICATED_RECORDS: &str = "order/";
     /// The record format in use, written once every controller reads it (`controller::format_upgrade`).
-    pub const FORM: &str = "term/form";
+    pub const RECORD_FORMAT: &str = "term/form";
     /// The leadership record. Its mod revision is the fencing token.
     pub const LEADER: &str = "term/leader";
     /// Prefix of the leadership record and the record format.
     pub const TERM: &str = "term/";
     /// The machine types.
-    pub const TYPES: &str = "types/all";
+    pub const MACHINE_TYPES: &str = "types/all";
 
     /// Key of a job that is not over, or whose final record has not been moved yet.
     pub fn job(id: &str) -> String {
@@ -37,18 +37,18 @@
     }
 
     /// Key of a segment of the binding log.
-    pub fn sheet(number: usize) -> String {
+    pub fn log_segment(number: usize) -> String {
         format!("{SHEETS}{number:03}")
     }
 
     /// Key of a final record that has been moved.
-    pub fn end(id: &str) -> String {
+    pub fn final_record(id: &str) -> String {
         format!("{FINALS}{id}")
     }
 
     /// Key of a job's final place if `last`, else of its first.
-    pub fn place(id: &str, last: bool) -> String {
-        if last { end(id) } else { job(id) }
+    pub fn job_or_final_record(id: &str, last: bool) -> String {
+        if last { final_record(id) } else { job(id) }
     }
 }
 
@@ -182,15 +182,15 @@
     /// Time of day of the end, ms: from then on jobs that depend on it count as waiting. None in records of earlier
     /// versions.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
-    pub at_wall: Option<u64>,
+    pub ended_wall: Option<u64>,
 }
 
 impl FinalRecord {
     /// What it means for jobs that depend on this one. `now_wall` (ms) stands in where an earlier version recorded no
     /// time of the end.
-    pub fn fate(&self, now_wall: u64) -> JobOutcome {
+    pub fn outcome(&self, now_wall: u64) -> JobOutcome {
         match self.state {
-            FinalState::Done => JobOutcome::Done(self.at_wall.unwrap_or(now_wall)),
+            FinalState::Done => JobOutcome::Done(self.ended_wall.unwrap_or(now_wall)),
             FinalState::Cancelled => JobOutcome::Cancelled,
         }
     }
--- a/crates/controller/src/machine/machine_type.rs
+++ b/crates/controller/src/machine/machine_type.rs
@@ -22,7 +22,7 @@
     /// Size of the image cache, GB.
     pub cache_gb: f64,
     /// Rate of image fetches, GB/s; above zero.
-    pub fetch: f64,
+    pub fetch_gb_per_s: f64,
     /// On-demand price an hour.
     pub price: f64,
     /// Spot price an hour.
@@ -42,7 +42,7 @@
             gpus: listed.gpus,
             memory_gb: listed.memory_gb,
             cache_gb: listed.cache_gb,
-            fetch: if rate > 0.0 { rate } else { DEFAULT_FETCH_GB_PER_S },
+            fetch_gb_per_s: if rate > 0.0 { rate } else { DEFAULT_FETCH_GB_PER_S },
             price: listed.price,
             spot_price: listed.spot_price,
             boot_ms: listed.boot_s * MS_PER_S,
@@ -66,7 +66,7 @@
 
     /// Time to fetch a job's image, ms.
     pub fn fetch_ms(&self, spec: &JobSpec) -> f64 {
-        spec.image_gb / self.fetch * MS_PER_S
+        spec.image_gb / self.fetch_gb_per_s * MS_PER_S
     }
 
     /// Resources of an empty machine.
--- a/crates/controller/src/machine/mod.rs
+++ b/crates/controller/src/machine/mod.rs
@@ -84,7 +84,7 @@
     /// Its newest report, answers to direct commands and probes not counted.
     pub last_report: MessageOrder,
     /// When a message last proved that its worker lives.
-    pub last_heard_at: Option<Time>,
+    pub last_contact_at: Option<Time>,
     /// When a report under this leader's token last came: only its response carries starts and renews the lease.
     pub last_report_at: Option<Time>,
     /// It answers probes while none of its reports arrives. Changed by [`Machine::update_reports_missing`] alone.
@@ -146,7 +146,7 @@
             state: MachineState::Expected,
             last_message: MessageOrder::default(),
             last_report: MessageOrder::default(),
-            last_heard_at: None,
+            last_contact_at: None,
             last_report_at: None,
             reports_missing: false,
             report_digest: None,
@@ -242,7 +242,7 @@
     /// Takes over what the cloud's list says of it. Its own reports know better: then only the listing is noted.
     pub fn apply_listing(&mut self, listed: &ListedMachine, now: Time) {
         self.listed_at = Some(now);
-        if self.last_heard_at.is_none() {
+        if self.last_contact_at.is_none() {
             self.invalidate_free_resources();
             self.machine_type.clone_from(&listed.machine_type);
             self.zone.clone_from(&listed.zone);
--- a/crates/controller/src/machine/report_evidence.rs
+++ b/crates/controller/src/machine/report_evidence.rs
@@ -48,7 +48,7 @@
     fn on_new_session(&mut self, lease_ms: f64, now: Time) -> Option<ReachabilityEvidence> {
         let answered_before = self.session_history.answered_reports;
         self.session_history = SessionHistory { since: now, answered_reports: 1 };
-        let silent_ms = self.last_heard_at.map_or(f64::MAX, |at| now.saturating_sub(at) as f64);
+        let silent_ms = self.last_contact_at.map_or(f64::MAX, |at| now.saturating_sub(at) as f64);
         let was_heard_lately = silent_ms < lease_ms * ANSWERED_LEASE_SHARE;
         (answered_before >= MIN_ANSWERED_REPORTS && was_heard_lately)
             .then_some(ReachabilityEvidence::SessionLostThoughAnswered)
@@ -60,7 +60,7 @@
         let no_reports = self.since_last_report_ms(now) > lease_ms * SILENT_RETURN_LEASE_SHARE;
         let is_recent =
             |at: Time| (now.saturating_sub(at) as f64) < lease_ms * ANSWERED_LEASE_SHARE;
-        let answers_probes = self.last_heard_at.is_some_and(is_recent);
+        let answers_probes = self.last_contact_at.is_some_and(is_recent);
         let missing = lease_ms > 0.0 && no_reports && answers_probes;
         std::mem::replace(&mut self.reports_missing, missing) != missing
     }
--- a/crates/controller/src/placement/cycle.rs
+++ b/crates/controller/src/placement/cycle.rs
@@ -48,10 +48,10 @@
     if full && !out.cut_short {
         let wish =
             |((kind, zone, spot), number): ((usize, usize, bool), u32)| ProvisioningRequest {
-                kind: types[kind].name.clone(),
+                machine_type: types[kind].name.clone(),
                 zone: zones[zone].clone(),
                 spot,
-                number,
+                count: number,
             };
         out.unplaced_jobs = Some(idle);
         out.provisioning_requests = Some(wishes.into_iter().map(wish).collect());
@@ -67,7 +67,7 @@
     /// If misses reach the toggle while passing tasks wait, tasks in lines at or below the
     /// threshold leave them.
     fn prune_queues(&mut self) {
-        if self.cluster_state.misses < self.view.policy.dropping_toggle {
+        if self.cluster_state.deadline_misses < self.view.policy.dropping_toggle {
             return;
         }
         let waits =
@@ -77,7 +77,7 @@
         }
         for slot in self.plan.run_queues.slots() {
             let Some((kind, mut end)) = self.executing_completion(&slot) else { continue };
-            let line: Vec<JobId> = self.plan.run_queues.behind(&slot).cloned().collect();
+            let line: Vec<JobId> = self.plan.run_queues.queue(&slot).cloned().collect();
             let mut keep = Vec::with_capacity(line.len());
             for id in &line {
                 let Some(job) = self.cluster_state.jobs.get(id) else { continue };
--- a/crates/controller/src/placement/gangs.rs
+++ b/crates/controller/src/placement/gangs.rs
@@ -169,7 +169,7 @@
         }
         let missing = c.remaining_tasks;
         let ledger = &self.cluster_state.binding_log;
-        let room = ledger.room().saturating_sub(self.bound_tasks);
+        let room = ledger.remaining_capacity().saturating_sub(self.bound_tasks);
         if room < missing as usize && !(ledger.is_empty() && self.bound_tasks == 0) {
             return;
         }
--- a/crates/controller/src/placement/mapping.rs
+++ b/crates/controller/src/placement/mapping.rs
@@ -278,7 +278,7 @@
                 self.plan.run_queues.push(slot.clone(), &c.id);
                 let end = self.completion_after(self.targets[index].completion_id, &c.id, kind);
                 self.targets[index].completion_id = end;
-                if !self.plan.run_queues.has_room(&slot, self.view.policy.queue_limit) {
+                if !self.plan.run_queues.has_capacity(&slot, self.view.policy.queue_limit) {
                     self.targets[index].free = Resources::default();
                 }
             }
--- a/crates/controller/src/placement/mapping_round.rs
+++ b/crates/controller/src/placement/mapping_round.rs
@@ -8,7 +8,7 @@
 use super::target::{NameIndex, PlacementTarget};
 use super::team_usage::TeamUsage;
 use super::victims::PreemptionCandidate;
-use crate::cluster_state::{ClusterState, team_amounts};
+use crate::cluster_state::{ClusterState, quota_per_task};
 use crate::constants::{BINDING_LOG_LOW, BINDING_LOG_MAX};
 use crate::job::{GangState, Job, JobId, JobSpec, JobState, MachineId, Priority};
 use crate::machine::MachineType;
@@ -80,19 +80,21 @@
 
     /// Whether a chooser's team stays within its guarantee with one more task of it.
     pub fn is_within_guarantee(&self, c: &PlacementCandidate) -> bool {
-        c.team_index.is_some_and(|t| self.team_usage[t].is_within_guarantee(team_amounts(&c.spec)))
+        c.team_index
+            .is_some_and(|t| self.team_usage[t].is_within_guarantee(quota_per_task(&c.spec)))
     }
 
     /// Whether its team's limit leaves room for so many tasks of a chooser.
     pub fn is_within_limit(&self, c: &PlacementCandidate, tasks: u32) -> bool {
-        c.team_index
-            .is_some_and(|n| self.team_usage[n].allows(team_amounts(&c.spec).multiplied_by(tasks)))
+        c.team_index.is_some_and(|n| {
+            self.team_usage[n].allows(quota_per_task(&c.spec).multiplied_by(tasks))
+        })
     }
 
     /// Counts what a plan would use.
     pub fn add_planned_usage(&mut self, c: &PlacementCandidate) {
         if let Some(team) = c.team_index {
-            self.team_usage[team].add_usage(team_amounts(&c.spec));
+            self.team_usage[team].add_usage(quota_per_task(&c.spec));
         }
     }
 
--- a/crates/controller/src/placement/preemption.rs
+++ b/crates/controller/src/placement/preemption.rs
@@ -7,7 +7,7 @@
 use super::target::TargetKind;
 use super::team_usage::TeamUsage;
 use super::victims::{PreemptionCandidate, PreemptionVictim};
-use crate::cluster_state::{team_amounts, usable};
+use crate::cluster_state::{is_schedulable, quota_per_task};
 use crate::constants::{
     FETCH_WEIGHT, GRADE_WEIGHT, GUARANTEE_S, LEND_AGE_MS, LEND_URGENT_MS, LEND_URGENT_PART,
     LEND_WAIT_MS, MS_PER_S, PREEMPT_GAIN_MS, PREEMPT_REPORTS, PREEMPT_WAIT_MS, RECLAIM_AFTER,
@@ -180,7 +180,7 @@
     /// Whether so many more tasks of a chooser stay within its team's limit, and within its guarantee if that
     /// is what it claims by.
     fn may_use_quota(&self, c: &PlacementCandidate, tasks: u32) -> bool {
-        let more = team_amounts(&c.spec).multiplied_by(tasks);
+        let more = quota_per_task(&c.spec).multiplied_by(tasks);
         let guaranteed =
             |t: usize| !c.claims_guarantee || self.team_usage[t].is_within_guarantee(more);
         c.team_index.is_some_and(|t| guaranteed(t) && self.team_usage[t].allows(more))
@@ -230,7 +230,9 @@
         let now = self.view.now;
         let lease = self.view.lease_ms();
         let mut found = Vec::new();
-        for machine in self.cluster_state.machines.values().filter(|m| usable(m, now, lease)) {
+        for machine in
+            self.cluster_state.machines.values().filter(|m| is_schedulable(m, now, lease))
+        {
             let Some(kind) = self.types.iter().position(|t| t.name == machine.machine_type) else {
                 continue;
             };
@@ -412,7 +414,7 @@
             && job.attempts.len() == spec.tasks as usize
             && job.attempts.values().all(runs);
         let may = sound && self.cluster_state.gpu_loans.may_preempt(&job.id, self.view.wall_now);
-        may.then(|| team_amounts(spec).multiplied_by(spec.tasks))
+        may.then(|| quota_per_task(spec).multiplied_by(spec.tasks))
     }
 
     /// Makes room for a gang of several tasks on as many machines at once, by stopping what others have borrowed or
--- a/crates/controller/src/placement/quota_limits.rs
+++ b/crates/controller/src/placement/quota_limits.rs
@@ -5,7 +5,7 @@
 use super::plan::{PlanStep, PlanningContext};
 use super::target::{PlacementTarget, TargetKind};
 use crate::Time;
-use crate::cluster_state::{ClusterState, team_amounts};
+use crate::cluster_state::{ClusterState, quota_per_task};
 use crate::constants::{MS_PER_S, QUIET_SHARE, SLACK};
 use crate::job::{Job, JobId, JobKind};
 use crate::machine::Machine;
@@ -49,8 +49,8 @@
         time_to_deadline_ms: due.filter(|due| *due > now).map(|due| (due - now) as f64),
         waiting_tasks: waiting,
         running_tasks: job.attempts.values().filter(|a| a.occupies_resources()).count() as f64,
-        per_task: team_amounts(&job.spec),
-        cpu_weight: team_amounts(&job.spec).cpus.to_f64(),
+        per_task: quota_per_task(&job.spec),
+        cpu_weight: quota_per_task(&job.spec).cpus.to_f64(),
         task_run_ms: run_ms,
         age_ms: now.saturating_sub(job.eligible_at) as f64,
         has_started: job.has_begun(),
@@ -75,7 +75,7 @@
                 .map(|n| &choosers[*n])
                 .map(|c| {
                     let waiting = self.cluster_state.jobs.get(&c.id).map_or(0, |j| j.waiting.len());
-                    team_amounts(&c.spec).multiplied_by(waiting as u32)
+                    quota_per_task(&c.spec).multiplied_by(waiting as u32)
                 })
                 .sum();
             if self.team_usage[team].allows(wants) {
@@ -133,7 +133,7 @@
             let services: Vec<_> = granted.filter(|(c, _)| c.is_service()).collect();
             let lacks = services.into_iter();
             let lacks: Vec<(&PlacementCandidate, ResourceQuantities)> = lacks
-                .map(|(c, n)| (c, team_amounts(&c.spec).multiplied_by(c.remaining_tasks - n)))
+                .map(|(c, n)| (c, quota_per_task(&c.spec).multiplied_by(c.remaining_tasks - n)))
                 .collect();
             self.release_quota_for_services(team, &lacks);
             for (n, grant) in own.into_iter().zip(grants) {
@@ -188,7 +188,7 @@
             while !enough(lacks)
                 && let Some(v) = found.pop_if(|v| lower(v))
             {
-                lacks -= team_amounts(&v.job.spec);
+                lacks -= quota_per_task(&v.job.spec);
                 victims.push((v.job.id.clone(), v.task));
             }
             if !victims.is_empty() {
@@ -250,7 +250,7 @@
         for (task, attempt) in &job.attempts {
             let Some(machine) = tables.machines.get(&attempt.machine) else { continue };
             let near = |at: Time| now.saturating_sub(at) as f64 <= quiet;
-            if machine.last_heard_at.is_some_and(near)
+            if machine.last_contact_at.is_some_and(near)
                 && attempt.occupies_resources()
                 && attempt.stop_requested.is_none()
             {
--- a/crates/controller/src/placement/scale_out.rs
+++ b/crates/controller/src/placement/scale_out.rs
@@ -68,13 +68,15 @@
             count.0 += u32::from(machine.state() == MachineState::Ready);
             let late = |at: Time| self.view.now.saturating_sub(at) as f64 > quiet;
             count.1 += u32::from(
-                machine.state() == MachineState::Ready && machine.last_heard_at.is_some_and(late),
+                machine.state() == MachineState::Ready && machine.last_contact_at.is_some_and(late),
             );
         }
         for (wish, _) in tables.provisioning.open_requests() {
-            let Some(kind) = types.iter().position(|t| t.name == wish.kind) else { continue };
+            let Some(kind) = types.iter().position(|t| t.name == wish.machine_type) else {
+                continue;
+            };
             let zone = self.zone_index(&wish.zone);
-            *zones.machine_counts.entry((kind, zone)).or_default() += wish.number;
+            *zones.machine_counts.entry((kind, zone)).or_default() += wish.count;
         }
         let most =
             silent.into_iter().filter(|(_, (up, late))| *up >= SILENT_ZONE_LEAST && late * 2 > *up);
--- a/crates/controller/src/placement/target_collection.rs
+++ b/crates/controller/src/placement/target_collection.rs
@@ -4,7 +4,7 @@
 use super::mapping_round::MappingRound;
 use super::target::{PlacementTarget, TargetKind};
 use crate::Time;
-use crate::cluster_state::{ClusterState, SlotId, usable};
+use crate::cluster_state::{ClusterState, SlotId, is_schedulable};
 use crate::completion_time::Pmf;
 use crate::constants::{END_STEP_MS, RESERVE_IMAGES, RESERVE_PER_IMAGE, SOON_MS};
 use crate::job::{JobId, JobKind, JobSpec, JobState, MachineId, Priority};
@@ -100,7 +100,7 @@
                 completion_id: 0,
                 images: Vec::new(),
             };
-            if !usable(machine, now, lease) {
+            if !is_schedulable(machine, now, lease) {
                 let waits =
                     matches!(machine.state(), MachineState::Expected | MachineState::Registering);
                 let comes =
@@ -145,11 +145,11 @@
             let Some(head) = self.cluster_state.jobs.get(&slot.1) else { continue };
             let mut size = Resources::for_task(&head.spec);
             size.add(&free);
-            if !self.plan.run_queues.has_room(&slot, cap) {
+            if !self.plan.run_queues.has_capacity(&slot, cap) {
                 continue;
             }
             let Some((kind, mut end)) = self.executing_completion(&slot) else { continue };
-            let line: Vec<JobId> = self.plan.run_queues.behind(&slot).cloned().collect();
+            let line: Vec<JobId> = self.plan.run_queues.queue(&slot).cloned().collect();
             for next in line {
                 end = self.completion_after(end, &next, kind);
             }
@@ -170,7 +170,9 @@
         }
         self.targets.extend(lines.into_iter().map(|l| l.1));
         for (wish, asked) in tables.provisioning.open_requests() {
-            let Some(kind) = types.iter().position(|t| t.name == wish.kind) else { continue };
+            let Some(kind) = types.iter().position(|t| t.name == wish.machine_type) else {
+                continue;
+            };
             let up = (asked as f64 + types[kind].boot_ms).max(now as f64);
             let place = PlacementTarget {
                 target_kind: TargetKind::BootingMachine,
@@ -185,7 +187,7 @@
                 completion_id: self.free_time_id(kind, up),
                 images: Vec::new(),
             };
-            self.targets.extend(std::iter::repeat_n(place, wish.number as usize));
+            self.targets.extend(std::iter::repeat_n(place, wish.count as usize));
         }
     }
 
--- a/crates/controller/src/placement/team_usage.rs
+++ b/crates/controller/src/placement/team_usage.rs
@@ -1,6 +1,6 @@
 //! Teams as a round sees them, and what their limits leave.
 
-use crate::cluster_state::{ClusterState, team_amounts};
+use crate::cluster_state::{ClusterState, quota_per_task};
 use crate::job::{Attempt, JobKind, JobSpec};
 use crate::settings::TeamSettings;
 use swiftsail_quota::{Quantity, QuotaLimit, ResourceQuantities};
@@ -23,10 +23,10 @@
 impl TeamUsage {
     /// All teams of the settings.
     pub fn from_cluster(tables: &ClusterState, teams: &[TeamSettings]) -> Vec<TeamUsage> {
-        let used = tables.usage(teams);
+        let used = tables.quota_usage(teams);
         let counts_gpus = teams.iter().any(|t| t.gpus > 0.0);
         let room = |((n, team), used): ((usize, &TeamSettings), ResourceQuantities)| TeamUsage {
-            limit: tables.cap(n, team),
+            limit: tables.quota_limit(n, team),
             guarantee: ResourceQuantities::from_limit(team.cpus, team.gpus),
             counts_gpus,
             used,
@@ -39,7 +39,7 @@
             let held = job.attempts.values().filter(|a| a.occupies_resources());
             let leaves = |a: &&Attempt| a.stop_requested.is_some() || job.is_cancelled();
             let (leaving, stays): (Vec<&Attempt>, Vec<&Attempt>) = held.partition(leaves);
-            let each = team_amounts(&job.spec);
+            let each = quota_per_task(&job.spec);
             all[n].being_stopped += each.multiplied_by(leaving.len() as u32);
             if job.spec.kind == JobKind::Service {
                 all[n].used_by_services += each.multiplied_by(stays.len() as u32);
@@ -93,16 +93,16 @@
 impl TeamAllowances {
     /// What each team's limit leaves.
     pub fn from_cluster(tables: &ClusterState, teams: &[TeamSettings]) -> TeamAllowances {
-        let used = tables.usage(teams);
+        let used = tables.quota_usage(teams);
         let left = |((n, team), used): ((usize, &TeamSettings), ResourceQuantities)| {
-            tables.cap(n, team).remaining(used)
+            tables.quota_limit(n, team).remaining(used)
         };
         TeamAllowances { remaining: teams.iter().enumerate().zip(used).map(left).collect() }
     }
 
     /// How many more tasks of a job its team may use, of `number` that fit somewhere and `want` that wait.
     pub fn take_tasks(&mut self, team: usize, spec: &JobSpec, want: u32, number: u32) -> u32 {
-        let each = team_amounts(spec);
+        let each = quota_per_task(spec);
         let most = want.min(number).min(self.remaining[team].times_covering(each));
         self.remaining[team] -= each.multiplied_by(most);
         most
--- a/crates/controller/src/store/mod.rs
+++ b/crates/controller/src/store/mod.rs
@@ -164,10 +164,10 @@
 impl TokenBucket {
     /// A full bucket that holds one second's worth.
     pub fn new(rate: f64, now: Time) -> TokenBucket {
-        TokenBucket::lasting(rate, 1.0, now)
+        TokenBucket::with_burst_seconds(rate, 1.0, now)
     }
     /// A full bucket that holds so many seconds' worth.
-    pub fn lasting(rate: f64, seconds: f64, now: Time) -> TokenBucket {
+    pub fn with_burst_seconds(rate: f64, seconds: f64, now: Time) -> TokenBucket {
         let most = (rate * seconds).max(1.0);
         TokenBucket { rate, most, held: most, at: now }
     }
@@ -184,7 +184,7 @@
     }
     /// Whether that many may be taken now, leaving `spare` for more urgent ones. More than the
     /// bucket can ever hold passes when it is full, and leaves a debt.
-    pub fn can(&mut self, wanted: f64, spare: f64, now: Time) -> bool {
+    pub fn can_take(&mut self, wanted: f64, spare: f64, now: Time) -> bool {
         self.fill(now);
         self.held + 1e-9 >= (wanted + spare).min(self.most)
     }
@@ -212,7 +212,7 @@
     /// When the service last did its work for this node.
     pub last_success_at: Option<Time>,
     /// When it last did not.
-    pub last_fail: Option<Time>,
+    pub last_failure_at: Option<Time>,
     /// When the latest call left that has an answer.
     answered_left: Option<Time>,
 }
@@ -234,7 +234,7 @@
             rps,
             write_rps,
             last_success_at: None,
-            last_fail: None,
+            last_failure_at: None,
             answered_left: None,
         }
     }
@@ -261,11 +261,11 @@
 
     /// Whether the service is known to be away: its latest word was a refusal.
     pub fn is_unavailable(&self) -> bool {
-        self.last_fail.is_some() && self.last_fail > self.last_success_at
+        self.last_failure_at.is_some() && self.last_failure_at > self.last_success_at
     }
 
     /// Whether the queues have room for another user's call, of so many.
-    pub fn has_room(&self, most: usize) -> bool {
+    pub fn has_queue_capacity(&self, most: usize) -> bool {
         self.queues.iter().map(VecDeque::len).sum::<usize>() < most
     }
 
@@ -273,11 +273,11 @@
     pub fn has_waiting_writes(&mut self, now: Time) -> bool {
         let level = CallPriority::High as usize;
         let spare = SPARE[level] * self.write_rps;
-        !self.queues[level].is_empty() || !self.writes.can(1.0, spare, now)
+        !self.queues[level].is_empty() || !self.writes.can_take(1.0, spare, now)
     }
 
     /// Calls that wait, by urgency.
-    pub fn queued(&self) -> [usize; 5] {
+    pub fn queue_lengths(&self) -> [usize; 5] {
         [0, 1, 2, 3, 4].map(|level: usize| self.queues[level].len())
     }
 
@@ -303,7 +303,7 @@
     }
 
     /// Drops what waits and no longer matters. Calls in flight still end with an outcome.
-    pub fn forget(&mut self, matters: impl Fn(&P) -> bool) {
+    pub fn retain_pending(&mut self, matters: impl Fn(&P) -> bool) {
         for queue in &mut self.queues {
             queue.retain(|p| matters(&p.context));
         }
@@ -353,9 +353,9 @@
         now >= pending.not_before
             && (term || now >= self.paused_until)
             && (term || self.flying.len() - self.follows < STORE_IN_FLIGHT_MAX)
-            && self.requests.can(1.0, spare * self.rps, now)
+            && self.requests.can_take(1.0, spare * self.rps, now)
             && (pending.call.write_count() == 0.0
-                || self.writes.can(pending.call.write_count(), spare * self.write_rps, now))
+                || self.writes.can_take(pending.call.write_count(), spare * self.write_rps, now))
     }
 
     /// Takes the outcome of a call that left. None if it will be tried again.
@@ -375,7 +375,7 @@
         // call that left later has its answer: one was lost, and who asks now is not to be sent away for it.
         let lost = outcome == StoreOutcome::Unknown && self.answered_left > Some(pending.left);
         if outcome != StoreOutcome::RateLimited && !follow && !lost {
-            self.last_fail = Some(now);
+            self.last_failure_at = Some(now);
         }
         if !follow && !lost {
             self.paused_until = now + self.pause;
--- a/crates/failure-detector/src/constants.rs
+++ b/crates/failure-detector/src/constants.rs
@@ -46,9 +46,9 @@
 pub const PARTITION_GRACE_FACTOR: f64 = 2.5;
 /// Reports in a row that show nothing of what the answers before them ordered, from which on a machine's hearing
 /// is doubted: one answer is lost now and then.
-pub const IGNORED_ORDERS_SUSPECT: u8 = 2;
+pub const IGNORED_COMMANDS_SUSPECT: u8 = 2;
 /// The same, from which on it is held not to hear: with a report every 4 to 5 s most of a lease has gone.
-pub const IGNORED_ORDERS_UNREACHABLE: u8 = 4;
+pub const IGNORED_COMMANDS_UNREACHABLE: u8 = 4;
 /// Time after a lease that was lost although it was answered within which another one is a relapse, ms: some
 /// leases, and a fetch.
 pub const RELAPSE_WINDOW_MS: u64 = 120_000;
--- a/crates/failure-detector/src/failure_detector.rs
+++ b/crates/failure-detector/src/failure_detector.rs
@@ -51,7 +51,7 @@
     /// A controller in its zone is heard: the zone is not cut off.
     pub zone_is_reachable: bool,
     /// When it was last heard under this term; none: not yet, and it should be up.
-    pub last_report_at: Option<Time>,
+    pub last_contact_at: Option<Time>,
     /// Production work is bound to it.
     pub has_production_work: bool,
     /// Its hearing or its numbers are in doubt: it is asked directly although it reports.
@@ -223,18 +223,18 @@
                 last_check: round,
             });
             member.last_check = round;
-            if let Some(heard) = seen.last_report_at {
+            if let Some(heard) = seen.last_contact_at {
                 member.record_report(heard);
             }
             let member = *member;
-            let (silent, usual) = self.silence_and_tolerance_ms(&member, seen.last_report_at, now);
+            let (silent, usual) = self.silence_and_tolerance_ms(&member, seen.last_contact_at, now);
             let silent = usize::from(silent > usual);
             let count = |entry: &mut (usize, usize)| {
                 entry.0 += 1;
                 entry.1 += silent;
             };
             count(zones.entry(seen.zone).or_default());
-            if seen.last_report_at.is_some() {
+            if seen.last_contact_at.is_some() {
                 count(vias.entry(seen.reporting_controller).or_default());
             }
         }
@@ -249,11 +249,11 @@
         let (mut ask, mut verdicts) = (Vec::new(), Vec::new());
         for (id, seen) in machines {
             let Some(&member) = self.machines.get(id) else { continue };
-            let (silent, usual) = self.silence_and_tolerance_ms(&member, seen.last_report_at, now);
+            let (silent, usual) = self.silence_and_tolerance_ms(&member, seen.last_contact_at, now);
             // All workers of a controller fall silent when it ends or is cut off from them; those that
             // live have found another by now, or will in a moment.
             let moving =
-                seen.last_report_at.is_some() && silent <= usual + 2.0 * CONTROLLER_FAILOVER_MS;
+                seen.last_contact_at.is_some() && silent <= usual + 2.0 * CONTROLLER_FAILOVER_MS;
             let deaf = moving && cut(vias.get(&seen.reporting_controller));
             let apart = !seen.zone_is_reachable && cut(zones.get(seen.zone));
             let state = if silent <= usual {
@@ -275,7 +275,7 @@
             };
             // Who was never heard under this term is asked before it is late: it may not have found this
             // leader yet, and a predecessor may have known that it is dead.
-            let early = seen.last_report_at.is_none() && silent > INITIAL_PROBE_DELAY_MS;
+            let early = seen.last_contact_at.is_none() && silent > INITIAL_PROBE_DELAY_MS;
             let pause = match state {
                 Liveness::Alive | Liveness::Late if early || seen.probe_requested => {
                     PROBE_INTERVAL_MS
@@ -303,9 +303,9 @@
 
     /// Whether a machine should be returned by now: a decision with a cost. What is dead holds capacity
     /// and work; what hangs or is cut off may go on, with what it has done.
-    pub fn should_return(&self, id: &K, seen: MachineObservation, now: Time) -> bool {
+    pub fn should_terminate(&self, id: &K, seen: MachineObservation, now: Time) -> bool {
         let Some(member) = self.machines.get(id) else { return false };
-        let (silent, usual) = self.silence_and_tolerance_ms(member, seen.last_report_at, now);
+        let (silent, usual) = self.silence_and_tolerance_ms(member, seen.last_contact_at, now);
         // Silence in a cut that has ended counts from its end: who lives reports soon.
         let silent = silent.min(now.saturating_sub(member.partition_ended_at) as f64);
         let detour = usual + REDIRECT_GRACE_MS;
--- a/crates/failure-detector/src/inbound_reachability.rs
+++ b/crates/failure-detector/src/inbound_reachability.rs
@@ -3,7 +3,7 @@
 //! place there is each time: empty, ready, its images held.
 
 use crate::Time;
-use crate::constants::{IGNORED_ORDERS_SUSPECT, IGNORED_ORDERS_UNREACHABLE, RELAPSE_WINDOW_MS};
+use crate::constants::{IGNORED_COMMANDS_SUSPECT, IGNORED_COMMANDS_UNREACHABLE, RELAPSE_WINDOW_MS};
 
 /// Where a machine's hearing stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -22,9 +22,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReachabilityEvidence {
     /// A report shows what the answer to an earlier one has ordered.
-    OrderFollowed,
+    CommandExecuted,
     /// A report shows nothing of what the answer to the one before has ordered.
-    OrderIgnored,
+    CommandIgnored,
     /// Its session ended although reports of the last lease were answered.
     SessionLostThoughAnswered,
     /// Its session has lasted for longer than a lease, on answers alone.
@@ -67,15 +67,17 @@
     /// The one function that changes what is held of a machine's hearing. True if it stands elsewhere now.
     pub fn apply_evidence(&mut self, sign: ReachabilityEvidence, now: Time) -> bool {
         let count = match sign {
-            ReachabilityEvidence::OrderIgnored => self.ignored_orders.saturating_add(1),
-            ReachabilityEvidence::OrderFollowed | ReachabilityEvidence::SessionOutlastedLease => 0,
+            ReachabilityEvidence::CommandIgnored => self.ignored_orders.saturating_add(1),
+            ReachabilityEvidence::CommandExecuted | ReachabilityEvidence::SessionOutlastedLease => {
+                0
+            }
             _ => self.ignored_orders,
         };
         let to = match (self.reachability, sign) {
             // An order that was carried out, or a lease that lives, is proof whatever was held before.
             (
                 _,
-                ReachabilityEvidence::OrderFollowed | ReachabilityEvidence::SessionOutlastedLease,
+                ReachabilityEvidence::CommandExecuted | ReachabilityEvidence::SessionOutlastedLease,
             ) => {
                 self.ignores_probe_answers = false;
                 InboundReachability::Reachable
@@ -91,13 +93,13 @@
                     InboundReachability::Suspected
                 }
             }
-            (InboundReachability::Reachable, ReachabilityEvidence::OrderIgnored)
-                if count >= IGNORED_ORDERS_SUSPECT =>
+            (InboundReachability::Reachable, ReachabilityEvidence::CommandIgnored)
+                if count >= IGNORED_COMMANDS_SUSPECT =>
             {
                 InboundReachability::Suspected
             }
-            (InboundReachability::Suspected, ReachabilityEvidence::OrderIgnored)
-                if count >= IGNORED_ORDERS_UNREACHABLE =>
+            (InboundReachability::Suspected, ReachabilityEvidence::CommandIgnored)
+                if count >= IGNORED_COMMANDS_UNREACHABLE =>
             {
                 InboundReachability::Unreachable
             }
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -82,7 +82,7 @@
             offers,
             machines: BTreeMap::new(),
             provisioned_by_request: BTreeMap::new(),
-            rate_limiter: TokenBucket::lasting(limits.rps, 2.0, now),
+            rate_limiter: TokenBucket::with_burst_seconds(limits.rps, 2.0, now),
             limits,
             rng,
             speed,
@@ -97,7 +97,7 @@
 
     /// Whether the limit lets a request through: bursts worth two seconds.
     pub fn admit(&mut self, now: u64) -> bool {
-        let open = self.rate_limiter.can(1.0, 0.0, now);
+        let open = self.rate_limiter.can_take(1.0, 0.0, now);
         if open {
             self.rate_limiter.take(1.0);
         }
--- a/crates/simulation/src/simulation/priority_inversions.rs
+++ b/crates/simulation/src/simulation/priority_inversions.rs
@@ -4,7 +4,7 @@
 
 use super::Simulation;
 use std::collections::BTreeSet;
-use swiftsail_controller::cluster_state::{ClusterState, rank_of, team_amounts};
+use swiftsail_controller::cluster_state::{ClusterState, priority_attribute, quota_per_task};
 use swiftsail_controller::controller::Controller;
 use swiftsail_controller::job::{AttemptPhase, Job, JobId, JobKind, JobState};
 use swiftsail_controller::machine::{Machine, Resources};
@@ -28,7 +28,7 @@
     let teams = &settings.settings.teams;
     let team = teams.iter().position(|t| t.name == spec.team);
     let allowed = team.is_some_and(|n| {
-        tables.cap(n, &teams[n]).allows(tables.usage(teams)[n], team_amounts(spec))
+        tables.quota_limit(n, &teams[n]).allows(tables.quota_usage(teams)[n], quota_per_task(spec))
     });
     room.fits_task(spec)
         && (!machine.spot || spec.spot)
@@ -73,7 +73,7 @@
             .values()
             .filter(|j| now_waiting.contains(&j.id) && self.waiting_in_last_cycle.contains(&j.id))
             .collect();
-        let key = |j: &Job| (std::cmp::Reverse(rank_of(j.spec.priority)), j.tier);
+        let key = |j: &Job| (std::cmp::Reverse(priority_attribute(j.spec.priority)), j.tier);
         let mut found = Vec::new();
         for job in tables.jobs.values() {
             for (task, a) in &job.attempts {
--- a/crates/simulation/src/store.rs
+++ b/crates/simulation/src/store.rs
@@ -100,8 +100,8 @@
     /// Whether the limits let a request with so many changes through.
     pub fn admit(&mut self, changes: usize, now: u64) -> bool {
         let changes = changes as f64;
-        let open = self.request_limiter.can(1.0, 0.0, now)
-            && (changes == 0.0 || self.mutation_limiter.can(changes, 0.0, now));
+        let open = self.request_limiter.can_take(1.0, 0.0, now)
+            && (changes == 0.0 || self.mutation_limiter.can_take(changes, 0.0, now));
         if open {
             self.request_limiter.take(1.0);
             self.mutation_limiter.take(changes);
--- a/tests/answer_linearizability/cases.rs
+++ b/tests/answer_linearizability/cases.rs
@@ -390,7 +390,7 @@
     /// A job's record says that it is done.
     fn end_job_now(&mut self, job: usize) {
         let key = keys::job(&self.ids[job]);
-        let last = FinalRecord { state: FinalState::Done, done: 1, at_wall: None };
+        let last = FinalRecord { state: FinalState::Done, done: 1, ended_wall: None };
         let value = serde_json::to_value(last).expect("our own record");
         let apply = vec![Mutation::Put { key, value, lease: None }];
         self.store.apply_transaction(&Transaction { preconditions: Vec::new(), mutations: apply });
--- a/tests/answer_linearizability/main.rs
+++ b/tests/answer_linearizability/main.rs
@@ -425,7 +425,7 @@
             return;
         }
         if let Some(before) = self.submit_after[job] {
-            let places = [keys::job(&self.ids[before]), keys::end(&self.ids[before])];
+            let places = [keys::job(&self.ids[before]), keys::final_record(&self.ids[before])];
             let found = places.iter().find_map(|key| self.store.get(key));
             let last =
                 found.and_then(|p| serde_json::from_value::<FinalRecord>(p.value.clone()).ok());
@@ -439,7 +439,7 @@
         if self.is_open(job) {
             self.count_fault("ended while asked about");
         }
-        let last = FinalRecord { state: FinalState::Done, done: 1, at_wall: None };
+        let last = FinalRecord { state: FinalState::Done, done: 1, ended_wall: None };
         let value = serde_json::to_value(last).expect("our own record");
         let apply = vec![Mutation::Put { key: key.clone(), value, lease: None }];
         self.store.apply_transaction(&Transaction {
@@ -452,7 +452,7 @@
     }
 
     fn move_record(&mut self, job: usize) {
-        let (key, last) = (keys::job(&self.ids[job]), keys::end(&self.ids[job]));
+        let (key, last) = (keys::job(&self.ids[job]), keys::final_record(&self.ids[job]));
         let Some(pair) = self.store.get(&key).cloned() else { return };
         if self.is_open(job) {
             self.count_fault("moved while asked about");
--- a/tests/consistent_answers.rs
+++ b/tests/consistent_answers.rs
@@ -46,7 +46,7 @@
     };
     let kind = match key {
         keys::LEADER => TransactionKind::LeaderKey,
-        keys::TYPES => TransactionKind::MachineTypes,
+        keys::MACHINE_TYPES => TransactionKind::MachineTypes,
         _ if key.starts_with(keys::SHEETS) => TransactionKind::Binding,
         _ if key.starts_with(keys::BINDINGS) => TransactionKind::Chunk,
         _ if key.starts_with(keys::FINALS) => TransactionKind::RecordMove,
--- a/tests/failovers.rs
+++ b/tests/failovers.rs
@@ -247,9 +247,12 @@
 
 /// Once all is calm each controller knows the records that there are, and loans are over where their jobs are.
 fn assert_records_consistent(world: &Simulation, what: &str) {
-    let page = world.store.list(keys::ORDER, None, 1_000);
-    let there: BTreeSet<String> =
-        page.entries.iter().filter_map(|p| Some(p.key.strip_prefix(keys::ORDER)?.into())).collect();
+    let page = world.store.list(keys::REPLICATED_RECORDS, None, 1_000);
+    let there: BTreeSet<String> = page
+        .entries
+        .iter()
+        .filter_map(|p| Some(p.key.strip_prefix(keys::REPLICATED_RECORDS)?.into()))
+        .collect();
     for (n, node) in world.controllers.iter().enumerate() {
         let Some(node) = node else { continue };
         let known: BTreeSet<String> = node.records().into_iter().collect();
@@ -405,9 +408,9 @@
         Some(_) if begins(keys::BINDINGS) => "chunk",
         None if begins(keys::JOBS) => "move",
         None if begins(keys::BINDINGS) => "sweep",
-        Some(_) if key == keys::TYPES => "types",
+        Some(_) if key == keys::MACHINE_TYPES => "types",
         _ if begins("order/loan") => "loan",
-        _ if begins(keys::ORDER) => "tiers and arrivals",
+        _ if begins(keys::REPLICATED_RECORDS) => "tiers and arrivals",
         _ if begins("amount/") => "amounts",
         _ => "other",
     }
--- a/tests/failure_detector.rs
+++ b/tests/failure_detector.rs
@@ -37,7 +37,7 @@
             zone: name,
             reporting_controller: via,
             zone_is_reachable: reached[zone],
-            last_report_at: heard,
+            last_contact_at: heard,
             has_production_work: n.is_multiple_of(2),
             probe_requested: false,
         }
@@ -81,7 +81,7 @@
     fn machines_declared_dead(&self, reached: &[bool; 3]) -> Vec<u32> {
         let up = |(n, at): (&u32, &Option<u64>)| {
             let seen = DetectorSimulation::evidence(*at, *n, reached);
-            self.detector.should_return(n, seen, self.now).then_some(*n)
+            self.detector.should_terminate(n, seen, self.now).then_some(*n)
         };
         self.heard.iter().filter_map(up).collect()
     }
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -280,7 +280,7 @@
         "j": serde_json::to_value(job_spec(JobKind::Array, 4, 1.0, "img")).expect("it has a form")});
     assert_eq!(StoredJob::read(&fixture), Some(StoredJob::Live(Box::new(job_record(&[])))));
     let over = StoredJob::read(&json!({"e": "d", "n": 4}));
-    let last = FinalRecord { state: FinalState::Done, done: 4, at_wall: None };
+    let last = FinalRecord { state: FinalState::Done, done: 4, ended_wall: None };
     assert_eq!(over, Some(StoredJob::Finished(last)));
     // Neither, or both: not read, never a panic.
     for field in ["p", "c", "at"] {
--- a/tests/out_of_order_reports.rs
+++ b/tests/out_of_order_reports.rs
@@ -283,7 +283,7 @@
                 self.now,
                 &[],
             );
-            if let Some(machine) = self.cluster_state.machine_if_just_heard(report, self.now) {
+            if let Some(machine) = self.cluster_state.machine_if_report_accepted(report, self.now) {
                 (machine.forwarded_by, machine.report_digest) = (None, None);
             }
             return Some(orders);
@@ -301,7 +301,7 @@
         }
         let orders =
             self.cluster_state.on_status_report(report, ReportSource::StatusReport, self.now, &[]);
-        if let Some(machine) = self.cluster_state.machine_if_just_heard(report, self.now) {
+        if let Some(machine) = self.cluster_state.machine_if_report_accepted(report, self.now) {
             (machine.report_digest, machine.forwarded_by) = (Some(number), Some("n1".into()));
         }
         self.forwarder_cache
--- a/tests/recorded_bytes/records.rs
+++ b/tests/recorded_bytes/records.rs
@@ -99,7 +99,7 @@
 }
 
 fn ends() -> Vec<Case> {
-    let end = |ending, done, at_wall| FinalRecord { state: ending, done, at_wall };
+    let end = |ending, done, at_wall| FinalRecord { state: ending, done, ended_wall: at_wall };
     vec![
         Case::record("end done", &end(FinalState::Done, 16, Some(1_700_000_000_903))),
         Case::record("end cancelled", &end(FinalState::Cancelled, 3, Some(1_700_000_000_904))),
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -55,7 +55,7 @@
             gpus: 0.0,
             memory_gb: 64.0,
             cache_gb: 50.0,
-            fetch: 0.5,
+            fetch_gb_per_s: 0.5,
             price,
             spot_price: price / 3.0,
             boot_ms: 20_000.0,
@@ -423,7 +423,7 @@
     assert!(!same(&mut bench, 10, 7), "nothing was shown whole through another controller");
     know(&mut bench, 7);
     assert!(same(&mut bench, 11, 7));
-    assert_eq!(bench.cluster_state.machines[id].last_heard_at, Some(bench.now));
+    assert_eq!(bench.cluster_state.machines[id].last_contact_at, Some(bench.now));
     assert!(!same(&mut bench, 12, 8), "it shows something else");
     assert!(
         !bench.cluster_state.on_unchanged_report(
--- a/tests/stale_store_responses.rs
+++ b/tests/stale_store_responses.rs
@@ -392,8 +392,7 @@
         ));
     };
     write(&mut alone, "order/loan/wk-old", Some(lent.clone()));
-    let order =
-        |call: &StoreCall| matches!(call, StoreCall::List { prefix, .. } if prefix == keys::ORDER);
+    let order = |call: &StoreCall| matches!(call, StoreCall::List { prefix, .. } if prefix == keys::REPLICATED_RECORDS);
     let mut first = true;
     alone.call_fate = Box::new(move |call| match call {
         call if order(call) && std::mem::take(&mut first) => CallFate::AnswerDelayed,
@@ -416,8 +415,7 @@
 #[test]
 fn a_lead_that_ends_while_it_reads_leaves_no_controller_blind() {
     let mut alone = SingleController::new(&parse_operator("[loans]\ndurable = true\n"));
-    let order =
-        |call: &StoreCall| matches!(call, StoreCall::List { prefix, .. } if prefix == keys::ORDER);
+    let order = |call: &StoreCall| matches!(call, StoreCall::List { prefix, .. } if prefix == keys::REPLICATED_RECORDS);
     let mut readings = 0;
     alone.call_fate = Box::new(move |call| {
         readings += u32::from(order(call));
--- a/tests/unreachable_inbound.rs
+++ b/tests/unreachable_inbound.rs
@@ -28,8 +28,8 @@
 #[test]
 fn hearing_goes_by_the_signs() {
     let signs = [
-        ReachabilityEvidence::OrderFollowed,
-        ReachabilityEvidence::OrderIgnored,
+        ReachabilityEvidence::CommandExecuted,
+        ReachabilityEvidence::CommandIgnored,
         ReachabilityEvidence::SessionLostThoughAnswered,
         ReachabilityEvidence::SessionOutlastedLease,
         ReachabilityEvidence::ProbeAnswered,
@@ -49,16 +49,16 @@
                 let moved = ear.apply_evidence(signs[n], now);
                 prop_assert_eq!(moved, before.reachability() != ear.reachability());
                 prop_assert!(!moved || ear.since() == now);
-                rows = if signs[n] == ReachabilityEvidence::OrderIgnored { rows + 1 } else { 0 };
+                rows = if signs[n] == ReachabilityEvidence::CommandIgnored { rows + 1 } else { 0 };
                 match signs[n] {
-                    ReachabilityEvidence::OrderFollowed
+                    ReachabilityEvidence::CommandExecuted
                     | ReachabilityEvidence::SessionOutlastedLease => {
                         prop_assert!(ear.is_reachable())
                     }
                     ReachabilityEvidence::SessionLostThoughAnswered => {
                         prop_assert!(!ear.is_reachable())
                     }
-                    ReachabilityEvidence::OrderIgnored
+                    ReachabilityEvidence::CommandIgnored
                         if before.is_reachable()
                             && rows == 1
                             && before == ReachabilityTracker::default() =>
@@ -237,7 +237,7 @@
         {
             let now = world.now;
             let ghosts = tables.machines.values().filter(|m| {
-                let lately = m.last_heard_at.is_some_and(|at| now < at + 3_000);
+                let lately = m.last_contact_at.is_some_and(|at| now < at + 3_000);
                 lately && world.cluster.workers.get(&*m.id).is_none_or(|w| w.is_terminated)
             });
             let ghosts: Vec<_> = ghosts.map(|m| m.id.to_string()).collect();
@@ -293,7 +293,7 @@
     let now = world.now;
     let late = |name: &String| {
         let machine = tables.machines.get(name.as_str());
-        machine.and_then(|m| m.last_heard_at).is_none_or(|at| now >= at + 6_000)
+        machine.and_then(|m| m.last_contact_at).is_none_or(|at| now >= at + 6_000)
     };
     // Who came up a moment ago has sent nothing yet.
     let long = |name: &String| now >= world.cluster.workers[name].up_at + 2_000;
--- a/tests/unreachable_machines.rs
+++ b/tests/unreachable_machines.rs
@@ -27,11 +27,11 @@
 /// Teams whose limit leaves their next task nothing, while a cancelled task of theirs is not proved gone.
 fn machines_held_back(tables: &ClusterState) -> BTreeSet<String> {
     let all = controller_settings(0).settings.teams.clone();
-    let usage = tables.usage(&all);
+    let usage = tables.quota_usage(&all);
     let mut found = BTreeSet::new();
     for (n, team) in all.iter().enumerate() {
         let its = || tables.jobs.values().filter(|j| j.spec.team == team.name);
-        let cap = tables.cap(n, team);
+        let cap = tables.quota_limit(n, team);
         let waits = its().filter(|j| !j.is_cancelled() && !j.waiting.is_empty());
         let each = |j: &swiftsail_controller::job::Job| {
             swiftsail_quota::ResourceQuantities::from_request(j.spec.cpus, j.spec.gpus)
@@ -232,7 +232,7 @@
                 let id = MachineId::from(name.as_str());
                 let Some(machine) = tables.machines.get(&id) else { continue };
                 asked +=
-                    usize::from(machine.last_heard_at.is_some_and(|at| at + 3_000 > world.now));
+                    usize::from(machine.last_contact_at.is_some_and(|at| at + 3_000 > world.now));
                 let waits = |a: &Attempt| {
                     a.machine == id && !a.is_reported && a.bound_at + 12_000 < world.now
                 };
