--- a/crates/controller/src/controller/binding_log.rs
+++ b/crates/controller/src/controller/binding_log.rs
@@ -90,7 +90,8 @@
             self.add_segment(number, &mut write);
         }
         // The other part of this controller's writes is for users, final records and chunks.
-        let is_busy = ctx.store.queue_lengths()[CallPriority::Normal as usize] >= MAX_QUEUED_FINAL_RECORDS;
+        let is_busy =
+            ctx.store.queue_lengths()[CallPriority::Normal as usize] >= MAX_QUEUED_FINAL_RECORDS;
         let part = if is_busy { BINDING_LOG_BUSY_PAUSE_FACTOR } else { BINDING_LOG_PAUSE_FACTOR };
         let pause_ms =
             write.in_flight.segments.len() as f64 * part * MS_PER_S / ctx.store.write_rate();
--- a/crates/controller/src/controller/replicated_records.rs
+++ b/crates/controller/src/controller/replicated_records.rs
@@ -447,7 +447,10 @@
     pub(super) fn tier_for_submission(&self, id: &JobId, spec: &JobSpec) -> Option<String> {
         let on = self.replicated_records.is_enabled();
         on.then(|| {
-            self.replicated_records.tier_table.accepting_tier_name(&job_attributes(id, spec)).to_string()
+            self.replicated_records
+                .tier_table
+                .accepting_tier_name(&job_attributes(id, spec))
+                .to_string()
         })
     }
 
