--- a/crates/controller/src/controller/plugins.rs
+++ b/crates/controller/src/controller/plugins.rs
@@ -425,8 +425,8 @@
         for event in state.events.take(has_receivers) {
             let event = ReportedEvent {
                 kind: event.kind.into(),
-                what: event.event,
-                of: event.subject,
+                event: event.event,
+                subject: event.subject,
                 detail: event.detail,
                 at_ms: self.now.wall_clock,
             };
@@ -435,11 +435,16 @@
     }
 
     /// Queues an event of leadership for event receivers.
-    pub(super) fn record_leadership_event(&mut self, what: &str, detail: &str) {
-        let of = self.leadership.token.to_string();
-        let (what, detail) = (what.to_string(), Some(detail.to_string()));
-        let event =
-            ReportedEvent { kind: "term".into(), what, of, detail, at_ms: self.now.wall_clock };
+    pub(super) fn record_leadership_event(&mut self, event: &str, detail: &str) {
+        let subject = self.leadership.token.to_string();
+        let (event, detail) = (event.to_string(), Some(detail.to_string()));
+        let event = ReportedEvent {
+            kind: "term".into(),
+            event,
+            subject,
+            detail,
+            at_ms: self.now.wall_clock,
+        };
         self.plugin_host.enqueue_event(&event);
     }
 }
--- a/crates/controller/src/controller/policy_evaluation.rs
+++ b/crates/controller/src/controller/policy_evaluation.rs
@@ -216,7 +216,7 @@
             "cpus_most": team.cpus_max,
             "gpus_used": used.gpus.to_f64(),
             "gpus_most": team.gpus_max,
-            "more_tasks": cap.remaining(*used).times_covering(each),
+            "more_tasks": cap.remaining(*used).fit_count(each),
         })
     });
     let held_back = team.is_some_and(|(_, used, cap)| !cap.allows(*used, each));
--- a/crates/controller/src/placement/team_usage.rs
+++ b/crates/controller/src/placement/team_usage.rs
@@ -103,7 +103,7 @@
     /// How many more tasks of a job its team may use, of `number` that fit somewhere and `want` that wait.
     pub fn take_tasks(&mut self, team: usize, spec: &JobSpec, want: u32, number: u32) -> u32 {
         let each = quota_per_task(spec);
-        let most = want.min(number).min(self.remaining[team].times_covering(each));
+        let most = want.min(number).min(self.remaining[team].fit_count(each));
         self.remaining[team] -= each.multiplied_by(most);
         most
     }
--- a/crates/policy/src/outbox.rs
+++ b/crates/policy/src/outbox.rs
@@ -20,9 +20,11 @@
     /// One of [`EVENT_KINDS`].
     pub kind: String,
     /// What happened: `runs`, `done`, `accepted`, ...
-    pub what: String,
+    #[serde(rename = "what")]
+    pub event: String,
     /// Of which task, job, machine, term or market.
-    pub of: String,
+    #[serde(rename = "of")]
+    pub subject: String,
     /// More, if there is any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub detail: Option<String>,
--- a/crates/quota/src/allocation.rs
+++ b/crates/quota/src/allocation.rs
@@ -253,7 +253,7 @@
     fn grant_tasks(&mut self, index: usize, max_tasks: u32) -> u32 {
         let claim = &self.claims[index];
         let wanted = (claim.waiting_tasks - self.granted_tasks[index]).min(max_tasks);
-        let fitting = wanted.min(self.remaining.times_covering(claim.per_task));
+        let fitting = wanted.min(self.remaining.fit_count(claim.per_task));
         if !claim.all_or_nothing || fitting == claim.waiting_tasks {
             self.granted_tasks[index] += fitting;
             self.remaining -= claim.per_task.multiplied_by(fitting);
--- a/crates/quota/src/quantities.rs
+++ b/crates/quota/src/quantities.rs
@@ -49,7 +49,7 @@
     }
 
     /// How many times `each` fits: 0 if this is negative, `u32::MAX` if `each` is zero or less.
-    pub fn times_covering(self, each: Quantity) -> u32 {
+    pub fn fit_count(self, each: Quantity) -> u32 {
         match each.0 {
             i64::MIN..=0 => u32::MAX,
             each => u32::try_from((self.0 / each).max(0)).unwrap_or(u32::MAX),
@@ -154,8 +154,8 @@
     }
 
     /// How many times `each` fits, by the scarcer resource.
-    pub fn times_covering(self, each: ResourceQuantities) -> u32 {
-        self.cpus.times_covering(each.cpus).min(self.gpus.times_covering(each.gpus))
+    pub fn fit_count(self, each: ResourceQuantities) -> u32 {
+        self.cpus.fit_count(each.cpus).min(self.gpus.fit_count(each.gpus))
     }
 }
 
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -526,8 +526,8 @@
     let mut outbox = EventOutbox::new(hook);
     let event = |kind: &str, n: usize| ReportedEvent {
         kind: kind.into(),
-        what: "runs".into(),
-        of: n.to_string(),
+        event: "runs".into(),
+        subject: n.to_string(),
         detail: None,
         at_ms: 0,
     };
--- a/tests/recorded_bytes/shown.rs
+++ b/tests/recorded_bytes/shown.rs
@@ -15,8 +15,8 @@
 fn event(detail: Option<&str>) -> ReportedEvent {
     ReportedEvent {
         kind: "task".into(),
-        what: "runs".into(),
-        of: "wk-1/0".into(),
+        event: "runs".into(),
+        subject: "wk-1/0".into(),
         detail: detail.map(str::to_string),
         at_ms: 1_700_000_000_001,
     }
