--- a/crates/controller/src/controller/requests/admission.rs
+++ b/crates/controller/src/controller/requests/admission.rs
@@ -1,5 +1,5 @@
-//! Submissions: a job is accepted by one transaction that creates its record, provided that neither its record nor its
-//! final record exists. Whoever repeats a submission is answered from the record.
+//! Job submissions. A job is accepted by one transaction that creates its record on the precondition that neither a
+//! record nor a final record of that id exists. A repeated submission is answered from the existing record.
 
 use super::replies::{
     accepted_reply, error_reply, final_reply, http_status, record_in_flight_reply,
@@ -15,6 +15,7 @@
 use swiftsail_protocol::users::{JobStatus, Submission, read_submission};
 
 impl Controller {
+    /// Handles a submission: checks it, and writes the job's record if the job is new and admissible.
     pub(super) fn on_submission(&mut self, request: RequestId, body: &[u8]) {
         let submission = match read_submission(body) {
             Ok(submission) => submission,
@@ -26,7 +27,7 @@
         if let Some(record) = self.final_records.get(&submission.id).copied() {
             return self.answer(request, final_reply(&submission.id, &record));
         }
-        // A known job is answered from its record, whatever this body says.
+        // A submission of a known job is answered from its record, even if this body would be rejected.
         if let Some(refusal) = self.submission_refusal(&submission) {
             return self.refuse_unless_known(submission.id, request, refusal);
         }
@@ -42,7 +43,7 @@
         self.accept_job(&id, request, record, CacheFreshness::MayPredateRequest);
     }
 
-    /// Why a submission cannot be accepted now, if its job is not known already.
+    /// Returns the error reply for a submission that cannot be accepted now, assuming that its job is new.
     fn submission_refusal(&mut self, submission: &Submission) -> Option<Reply> {
         let Submission { id, spec, depends_on } = submission;
         let refusal = match spec {
@@ -63,7 +64,8 @@
         None
     }
 
-    /// What speaks against a job itself, whoever submits it and when.
+    /// Checks a job against the settings of its team and the machine types. Returns the error reply if it cannot be
+    /// accepted.
     fn validate_admission(&self, spec: &JobSpec) -> Option<Reply> {
         let Some(team) = self.settings.team(&spec.team) else {
             let error = format!("team `{}` is unknown; name one of the settings", spec.team);
@@ -86,7 +88,8 @@
         None
     }
 
-    /// Submissions that wait for a cache read become store calls later, so they count as such.
+    /// Whether another submission may be queued. Submissions that wait for a cache read become store calls later, so
+    /// they are counted as store calls here.
     fn has_room_for_submission(&self) -> bool {
         let free_calls =
             self.budget.waiting_store_calls.saturating_sub(self.job_cache.pending_submissions());
@@ -106,10 +109,10 @@
         }
     }
 
-    /// Whether a cache read should first tell a repeat from a new job. A repeat's transaction would fail and still
-    /// count against the store's write rate, and repeats are as many as new jobs. So where the write would have to
-    /// wait for its turn, one read that serves all who wait comes first. Dependencies are looked up in any case, and
-    /// the same read shows what became of them.
+    /// Whether a cache read should precede the write, to distinguish a repeat from a new job. The transaction of a
+    /// repeat fails but still counts against the store's write rate, and there are as many repeats as new jobs. So if
+    /// the write would be queued, one read that serves all waiting requests is done first. The dependencies of a job
+    /// have to be looked up in any case, and the same read returns their states.
     fn is_read_before_create(&mut self, record: &JobRecord) -> bool {
         let worth_reading =
             !record.depends_on.is_empty() || self.store.has_waiting_writes(self.now.monotonic);
@@ -118,7 +121,7 @@
             && self.pending_cache_requests() < self.budget.waiting_polls
     }
 
-    /// Accepts a job, unless it is known, or depends on one that was never accepted.
+    /// Accepts a job, unless it is already known or depends on a job that was never accepted.
     pub(super) fn accept_job(
         &mut self,
         id: &JobId,
@@ -133,7 +136,8 @@
         }
     }
 
-    /// Writes a job's record, unless the job is known. `status`: what its user is told if it commits.
+    /// Creates a job's record, unless the job is already known. `status` is returned to the user if the transaction
+    /// commits.
     pub(in crate::controller) fn create_job(
         &mut self,
         id: &JobId,
@@ -153,7 +157,7 @@
         self.store.push(StoreCall::Commit(transaction), context, CallPriority::High, policy);
     }
 
-    /// The transaction that creates a job's record has ended.
+    /// Handles the outcome of the transaction that creates a job's record.
     pub(super) fn on_job_created(
         &mut self,
         request: RequestId,
@@ -169,11 +173,12 @@
             StoreOutcome::Conflict(_) => {
                 self.refuse_unless_known(id, request, record_in_flight_reply())
             }
-            // It may be accepted or not: a read tells, or the user's retry finds out.
+            // The transaction may or may not have committed. A read shows which; if that fails too, the user's retry
+            // does.
             StoreOutcome::Unknown => {
                 self.read_job(&id, PendingRequest::answer_or(request, unconfirmed_write_reply()))
             }
-            // Too large for the state service, now and ever; but a known job is answered from its record.
+            // Too large for the state service, so a retry cannot succeed. A known job is still answered from its record.
             StoreOutcome::Malformed(_) => {
                 let error = "the job is too large; name fewer types, or fewer jobs that it awaits";
                 let refusal = error_reply(http_status::BAD_REQUEST, error.into());
@@ -183,7 +188,7 @@
         }
     }
 
-    /// Refuses a submission, unless its job is known: then it is a repeat and answered with the job's status.
+    /// Rejects a submission, unless its job is already known: then it is a repeat and answered with the job's status.
     pub(in crate::controller) fn refuse_unless_known(
         &mut self,
         id: JobId,
--- a/crates/controller/src/controller/requests/cancellations.rs
+++ b/crates/controller/src/controller/requests/cancellations.rs
@@ -1,5 +1,5 @@
-//! Cancellations by users: a transaction marks the job's record, and the user is told once enough controllers hold the
-//! cancellation, so that a leader which the state service refuses learns of it from them
+//! Cancellations by users. A transaction marks the job's record as cancelled. The cancellation is confirmed to the user
+//! once a quorum of controllers holds it, so that a leader that cannot reach the state service learns of it from them
 //! (`leadership::cancellation_quorum`).
 
 use super::replies::{TaskCounts, status_reply, unconfirmed_write_reply};
@@ -12,20 +12,20 @@
 use swiftsail_protocol::state::{Mutation, Precondition, Transaction};
 use swiftsail_protocol::users::JobStatus;
 
-/// An answer "cancelled" that waits until enough controllers hold the cancellation.
+/// A reply that confirms a cancellation and waits until enough controllers hold the cancellation.
 #[derive(Debug)]
 pub(super) struct PendingCancelReply {
     job: JobId,
-    /// Revision at which the cancellation was committed or read.
+    /// Store revision at which the cancellation was committed or read.
     revision: u64,
     request: RequestId,
     task_counts: Option<TaskCounts>,
-    /// When the user is told to try again instead.
+    /// When the user is asked to retry instead.
     deadline: Time,
 }
 
 impl PendingCancelReply {
-    /// An answer whose deadline is not set yet.
+    /// Creates a reply without a deadline; [`Controller::answer_when_cancellation_replicated`] sets it.
     pub fn new(
         job: &JobId,
         revision: u64,
@@ -37,7 +37,7 @@
 }
 
 impl Controller {
-    /// Marks a live job as cancelled, provided that its record has not changed since it was read.
+    /// Marks a live job as cancelled on the precondition that its record is still at `mod_revision`.
     pub(super) fn cancel_job(
         &mut self,
         id: &JobId,
@@ -46,7 +46,7 @@
         requests: Vec<CancelRequest>,
     ) {
         if let Some(waiting) = self.requests.cancels.get_mut(id) {
-            // The write under way serves these too.
+            // The write in flight serves these requests too.
             waiting.extend(requests);
             return;
         }
@@ -66,7 +66,8 @@
         self.store.push(StoreCall::Commit(transaction), context, CallPriority::High, policy);
     }
 
-    /// The transaction that marks a job as cancelled, at that time of day, has ended.
+    /// Handles the outcome of the transaction that marks a job as cancelled. `wall` is the wall-clock time of the
+    /// cancellation, ms.
     pub(super) fn on_cancel_written(&mut self, id: &JobId, wall: u64, outcome: &StoreOutcome) {
         let waiting = self.requests.cancels.remove(id).unwrap_or_default();
         for CancelRequest { request, conflicts } in waiting {
@@ -80,7 +81,7 @@
                     let intent = RequestIntent::Cancel { conflicts: conflicts + 1 };
                     self.read_job(id, PendingRequest { request, intent });
                 }
-                // Committed or not: a read tells, and there is time to try once more.
+                // The write may or may not have committed. A read shows which, and there is time for one more attempt.
                 StoreOutcome::Unknown if may_retry => {
                     let intent = RequestIntent::Cancel { conflicts: CANCEL_CONFLICTS_MAX };
                     self.read_job(id, PendingRequest { request, intent });
@@ -90,8 +91,9 @@
         }
     }
 
-    /// Keeps an answer "cancelled" until enough controllers hold the cancellation. Every such answer goes this way but
-    /// those about jobs that are over, of which nothing is left on any machine.
+    /// Holds back a confirmation until enough controllers hold the cancellation. All replies with the status
+    /// "cancelled" must pass through here, except those about finished jobs, which have no task left on any machine,
+    /// and about jobs cancelled by dependency, of which no task has ever started.
     pub(super) fn answer_when_cancellation_replicated(
         &mut self,
         reply: PendingCancelReply,
@@ -108,28 +110,28 @@
             None => self.add_pending_termination(&reply.job, wall),
         }
         let deadline = self.now.monotonic + USER_STORE_TIMEOUT_MS;
-        self.requests.unconfirmed_cancels.push(PendingCancelReply { deadline, ..reply });
+        self.requests.unreplicated_cancels.push(PendingCancelReply { deadline, ..reply });
     }
 
-    /// Answers the cancellations that enough controllers hold by now, and sends a heartbeat ahead of time for those
+    /// Confirms the cancellations that enough controllers now hold, and sends an expedited heartbeat if there are others
     /// that no heartbeat has carried yet.
     pub(in crate::controller) fn answer_replicated_cancellations(&mut self) {
-        if self.requests.unconfirmed_cancels.is_empty() {
+        if self.requests.unreplicated_cancels.is_empty() {
             return;
         }
         let (now, controllers) = (self.now.monotonic, self.settings.controllers());
         let mut needs_heartbeat = false;
-        for pending in std::mem::take(&mut self.requests.unconfirmed_cancels) {
+        for pending in std::mem::take(&mut self.requests.unreplicated_cancels) {
             if self.cancellations.is_replicated(&pending.job, pending.revision, controllers) {
                 let reply = status_reply(&pending.job, JobStatus::Cancelled, pending.task_counts);
                 self.answer(pending.request, reply);
             } else if now >= pending.deadline {
-                // It may be committed; a repeat is answered by what is read then.
+                // The cancellation may be committed; a retry is answered from what is read then.
                 let reply = Reply::retry_later("too few controllers are heard");
                 self.answer(pending.request, reply);
             } else {
                 needs_heartbeat |= self.cancellations.awaits_first_heartbeat(&pending.job);
-                self.requests.unconfirmed_cancels.push(pending);
+                self.requests.unreplicated_cancels.push(pending);
             }
         }
         if needs_heartbeat && now >= self.expedited_heartbeat_at + EXPEDITED_HEARTBEAT_MS {
--- a/crates/controller/src/controller/requests/mod.rs
+++ b/crates/controller/src/controller/requests/mod.rs
@@ -1,15 +1,15 @@
-//! Users' requests: submissions, polls, cancellations, health checks.
+//! User requests: submissions, polls, cancellations and health checks.
 //!
-//! Every answer about a job that is not over comes from a store read that began after the request came; identical
-//! reads are merged. Final states are answered from memory, since they never change.
+//! To keep answers linearizable, every answer about an unfinished job is based on a store read that began after the
+//! request arrived; identical reads are merged. Final states are answered from memory, since they never change.
 //!
-//! Owns [`Requests`]: who waits for which read or write. Calls the state service, and [`super::job_cache`] where one
-//! read can serve many. Jobs with dependencies go through [`super::dependency_lookup`].
+//! Owns [`Requests`], the requests that wait for a read or a write. Calls the state service, and [`super::job_cache`]
+//! where one read can serve many requests. Jobs with dependencies are handled by [`super::dependency_lookup`].
 //!
 //! - [`admission`]: checks a submission and writes the job's record
-//! - [`reads`]: reads a job's record and answers who waits for it
-//! - [`cancellations`]: writes a cancellation, and answers once enough controllers hold it
-//! - [`replies`]: statuses and bodies
+//! - [`reads`]: reads a job's record and answers the requests that wait for it
+//! - [`cancellations`]: writes a cancellation and confirms it once enough controllers hold it
+//! - [`replies`]: HTTP statuses and response bodies
 
 mod admission;
 mod cancellations;
@@ -27,26 +27,26 @@
 use std::collections::HashMap;
 use swiftsail_protocol::users::is_valid_job_id;
 
-/// What to do once a job's record is known.
+/// What a request asks for, to be done once the job's record has been read.
 #[derive(Debug)]
 enum RequestIntent {
-    /// Answer with its status.
+    /// Return the job's status.
     Poll {
-        /// An earlier poll for the same job was rejected for overload.
+        /// An earlier poll of the same job was rejected because of overload.
         is_retry: bool,
     },
-    /// Answer with its status if it is known, else with this reply.
+    /// Return the job's status if the job is known, else this reply.
     AnswerOr(Reply),
-    /// Answer with its status if it is known, else accept it.
+    /// Return the job's status if the job is known, else accept it.
     Create(Box<JobRecord>),
-    /// Cancel it.
+    /// Cancel the job.
     Cancel {
-        /// Writes of the cancellation so far that conflicted with another.
+        /// Number of cancellation writes so far that conflicted with another write.
         conflicts: u32,
     },
 }
 
-/// A user's request that waits for a store read.
+/// A user request that waits for a store read.
 #[derive(Debug)]
 pub(super) struct PendingRequest {
     pub request: RequestId,
@@ -54,7 +54,7 @@
 }
 
 impl PendingRequest {
-    /// Whether it gives way to a poll whose predecessor was rejected.
+    /// Whether the request may be evicted in favour of a retried poll.
     pub fn yields_to_retried_poll(&self) -> bool {
         matches!(self.intent, RequestIntent::Poll { is_retry: false })
     }
@@ -68,42 +68,44 @@
     }
 }
 
-/// A request for a cancellation whose write is under way.
+/// A cancellation request whose write is in flight.
 #[derive(Debug)]
 struct CancelRequest {
     request: RequestId,
-    /// Writes so far that conflicted with another.
+    /// Number of writes so far that conflicted with another write.
     conflicts: u32,
 }
 
-/// Users' requests that wait for the state service or for other controllers.
+/// User requests that wait for the state service or for other controllers.
 #[derive(Debug, Default)]
 pub struct Requests {
     reads: HashMap<JobId, PendingRead>,
+    /// Requests served by the cancellation write of each job that is in flight.
     cancels: HashMap<JobId, Vec<CancelRequest>>,
-    unconfirmed_cancels: Vec<PendingCancelReply>,
+    /// Confirmations that wait until enough controllers hold the cancellation.
+    unreplicated_cancels: Vec<PendingCancelReply>,
 }
 
 impl Controller {
-    pub(super) fn on_user_request(&mut self, request: RequestId, ask: UserRequest) {
-        match ask {
+    pub(super) fn on_user_request(&mut self, id: RequestId, request: UserRequest) {
+        match request {
             UserRequest::Health => {
                 let reply = if self.is_healthy() {
                     Reply::new(http_status::OK, &())
                 } else {
                     Reply::retry_later("this node is without the state service")
                 };
-                self.answer(request, reply);
+                self.answer(id, reply);
             }
-            UserRequest::Submit(body) => self.on_submission(request, &body),
-            UserRequest::Poll(id) => {
-                self.on_job_request(request, &id, RequestIntent::Poll { is_retry: false })
+            UserRequest::Submit(body) => self.on_submission(id, &body),
+            UserRequest::Poll(job) => {
+                self.on_job_request(id, &job, RequestIntent::Poll { is_retry: false })
             }
-            UserRequest::RetriedPoll(id) => {
-                self.on_job_request(request, &id, RequestIntent::Poll { is_retry: true })
+            UserRequest::RetriedPoll(job) => {
+                self.on_job_request(id, &job, RequestIntent::Poll { is_retry: true })
             }
-            UserRequest::Cancel(id) => {
-                self.on_job_request(request, &id, RequestIntent::Cancel { conflicts: 0 })
+            UserRequest::Cancel(job) => {
+                self.on_job_request(id, &job, RequestIntent::Cancel { conflicts: 0 })
             }
         }
     }
@@ -123,27 +125,27 @@
         if !self.job_cache.is_complete() {
             return self.read_job(&id, pending);
         }
-        let full = self.pending_cache_requests() >= self.budget.waiting_polls;
-        if self.store.is_unavailable() || full && !(is_retry && self.evict_poll_for_retry()) {
+        let is_full = self.pending_cache_requests() >= self.budget.waiting_polls;
+        if self.store.is_unavailable() || is_full && !(is_retry && self.evict_poll_for_retry()) {
             return self.answer(request, store_unavailable_reply());
         }
         self.wait_for_cache_read(id, pending);
     }
 
-    /// Routes the outcome of a store call that was made for a user.
-    pub(super) fn on_user_store_response(&mut self, end: FinishedCall<CallContext>) {
-        match end.context {
+    /// Dispatches the outcome of a store call that was made for a user request.
+    pub(super) fn on_user_store_response(&mut self, call: FinishedCall<CallContext>) {
+        match call.context {
             CallContext::CreateJob { request, job, status } => {
-                self.on_job_created(request, job, status, &end.outcome)
+                self.on_job_created(request, job, status, &call.outcome)
             }
-            CallContext::ReadJob(id) => self.on_job_read(id, &end.outcome),
-            CallContext::ReadFinalRecord(id) => self.on_final_record_read(&id, end.outcome),
-            CallContext::CancelJob(id, wall) => self.on_cancel_written(&id, wall, &end.outcome),
+            CallContext::ReadJob(id) => self.on_job_read(id, &call.outcome),
+            CallContext::ReadFinalRecord(id) => self.on_final_record_read(&id, call.outcome),
+            CallContext::CancelJob(id, wall) => self.on_cancel_written(&id, wall, &call.outcome),
             _ => {}
         }
     }
 
-    /// A store call for a user is worth making only while the user still waits.
+    /// Retry policy of store calls for users: a call is made only while its user still waits.
     fn user_retry_policy(&self) -> RetryPolicy {
         RetryPolicy::OnceBefore(self.now.monotonic + USER_STORE_TIMEOUT_MS)
     }
--- a/crates/controller/src/controller/requests/reads.rs
+++ b/crates/controller/src/controller/requests/reads.rs
@@ -1,8 +1,8 @@
-//! Reads of a job's record for users. At most one read of a job is under way; a request that comes meanwhile waits for
-//! the next, because what the first one finds may be older than the request.
+//! Reads of a job's record for users. At most one read of a job is in flight. A request that arrives meanwhile waits
+//! for the next read, because the result of the first one may be older than the request.
 //!
 //! A job's record moves from `job/` to `end/` in one transaction and never back, so reading the two keys in this order
-//! misses none.
+//! cannot miss it.
 
 use super::cancellations::PendingCancelReply;
 use super::replies::{
@@ -15,24 +15,25 @@
 use crate::store::{CallPriority, StoreCall, StoreOutcome};
 use swiftsail_protocol::users::JobStatus;
 
-/// The reads of one job's record.
+/// The read of one job's record that is in flight, and the requests that wait for it or for the next one.
 #[derive(Debug, Default)]
 pub(super) struct PendingRead {
-    /// Whom the read under way serves.
+    /// Requests that the read in flight serves.
     serving: Vec<PendingRequest>,
-    /// Who came later and needs a fresh one.
+    /// Requests that arrived after it began and need a new read.
     waiting: Vec<PendingRequest>,
 }
 
-/// Whether a request that waits for a job's record needs a read to be started.
+/// Whether a read has to be started for a request that waits for a job's record.
 enum ReadNeeded {
     Yes,
-    /// One is under way, and the next starts when it ends.
+    /// A read is in flight, and the next one starts when it ends.
     No,
 }
 
 impl Controller {
-    /// Serves a request by the next cache read, or, without a complete cache, by a read of the job's own key.
+    /// Serves a request by the next cache read if the cache is complete and can take the request, else by a read of the
+    /// job's own key.
     pub(super) fn look_up_job(&mut self, id: JobId, pending: PendingRequest) {
         if self.job_cache.is_complete()
             && !self.store.is_unavailable()
@@ -43,7 +44,8 @@
         self.read_job(&id, pending);
     }
 
-    /// Serves a request by a read of the job's own key. A submission needs none: its transaction compares.
+    /// Serves a request by a read of the job's own key. A submission needs no read, since the preconditions of its
+    /// transaction detect a known job.
     pub(in crate::controller) fn read_job(&mut self, id: &JobId, pending: PendingRequest) {
         if let RequestIntent::Create(record) = pending.intent {
             let freshness = CacheFreshness::MayPredateRequest;
@@ -57,7 +59,8 @@
         }
     }
 
-    /// A cache read shows that no such job is live: it is over and moved, or was never accepted.
+    /// Serves a request for a job that a cache read has not found. The job has either finished and its record has moved
+    /// to the final key, or it was never accepted.
     pub(in crate::controller) fn on_job_not_live(&mut self, id: &JobId, pending: PendingRequest) {
         if let RequestIntent::Create(record) = pending.intent {
             let freshness = CacheFreshness::ReadAfterRequest;
@@ -68,6 +71,7 @@
         }
     }
 
+    /// Adds a request to the pending read of its job, or registers a new read that the caller must start.
     fn join_read(&mut self, id: &JobId, pending: PendingRequest) -> ReadNeeded {
         if let Some(read) = self.requests.reads.get_mut(id) {
             read.waiting.push(pending);
@@ -90,7 +94,7 @@
         self.store.push(call, CallContext::ReadFinalRecord(id), CallPriority::Normal, policy);
     }
 
-    /// Ends a read: returns those it served, and starts the next for those who came later.
+    /// Ends a read: returns the requests that it served, and starts the next read if others wait.
     fn finish_read(&mut self, id: &JobId) -> Vec<PendingRequest> {
         let Some(read) = self.requests.reads.get_mut(id) else { return Vec::new() };
         let served = std::mem::take(&mut read.serving);
@@ -110,7 +114,7 @@
                 Some(StoredJob::Finished(record)) => self.on_finished_job(&id, record),
                 None => self.on_read_failed(&id),
             },
-            // Over, or never accepted.
+            // Finished and moved, or never accepted.
             StoreOutcome::Missing { .. } => self.start_final_read(id),
             _ => self.on_read_failed(&id),
         }
@@ -162,7 +166,7 @@
     fn on_unknown_job(&mut self, id: &JobId) {
         for pending in self.finish_read(id) {
             let reply = match pending.intent {
-                RequestIntent::AnswerOr(otherwise) => otherwise,
+                RequestIntent::AnswerOr(reply) => reply,
                 _ => unknown_job_reply(id),
             };
             self.answer(pending.request, reply);
@@ -175,7 +179,7 @@
         }
     }
 
-    /// Answers a request from what a cache read that began after it shows of its job.
+    /// Answers a request from the job's state in a cache read that began after the request arrived.
     pub(in crate::controller) fn answer_from_cache(
         &mut self,
         id: &JobId,
@@ -203,15 +207,15 @@
         }
     }
 
-    /// Answers about a job that is neither over nor cancelled, by its user or by dependency.
+    /// Answers a request about a job that has neither finished nor been cancelled, by its user or by dependency.
     pub(in crate::controller) fn answer_live(&mut self, id: &JobId, pending: &PendingRequest) {
         let counts = TaskCounts::from(self.task_counts_of(id));
         let status = if counts.running > 0 { JobStatus::Running } else { JobStatus::Pending };
         self.answer(pending.request, status_reply(id, status, Some(counts)));
     }
 
-    /// Answers about a job that is cancelled by dependency. No task of it has ever run or will, so unlike with a
-    /// user's cancellation no quorum of controllers has to hold it.
+    /// Answers a request about a job that is cancelled by dependency. None of its tasks has run or ever will, so unlike a
+    /// cancellation by a user it need not be held by a quorum of controllers.
     pub(in crate::controller) fn answer_cancelled_by_dependency(
         &mut self,
         id: &JobId,
--- a/crates/controller/src/controller/requests/replies.rs
+++ b/crates/controller/src/controller/requests/replies.rs
@@ -1,33 +1,34 @@
-//! Replies to users: the HTTP statuses in use, and one function per kind of reply. Pure: values in, a [`Reply`] out.
+//! Replies to users: the HTTP statuses in use, and one function per kind of reply. Pure functions that build a
+//! [`Reply`].
 
 use super::super::Reply;
 use crate::job::{FinalRecord, FinalState, JobId};
 use swiftsail_protocol::users::{ErrorResponse, JobStatus, JobStatusResponse};
 
-/// The HTTP statuses of replies, by their meaning to who asked.
+/// The HTTP statuses in use, each with its meaning to the client.
 pub(in crate::controller) mod http_status {
-    /// Done, or known.
+    /// The request succeeded.
     pub const OK: u16 = 200;
-    /// The job is accepted.
+    /// The job has been accepted.
     pub const CREATED: u16 = 201;
     /// The request is malformed; a retry does not help.
     pub const BAD_REQUEST: u16 = 400;
-    /// Nothing is known by that name.
+    /// There is no such job or object.
     pub const NOT_FOUND: u16 = 404;
-    /// The request does not apply to the present state.
+    /// The request does not apply to the current state.
     pub const CONFLICT: u16 = 409;
-    /// Another controller has to be asked.
+    /// The request must be sent to another controller.
     pub const MISDIRECTED: u16 = 421;
-    /// Well formed, and can never be done.
+    /// The request is well formed but can never be fulfilled.
     pub const UNPROCESSABLE: u16 = 422;
-    /// To be retried later.
+    /// The client should retry later.
     pub const UNAVAILABLE: u16 = 503;
 }
 
-/// Most characters of a user's text that a reply repeats.
-const ECHOED_CHARS: usize = 80;
+/// Maximum number of characters of a user's text that a reply repeats.
+const MAX_ECHOED_CHARS: usize = 80;
 
-/// Task counts of a job, for display.
+/// Numbers of tasks of a job, for display only.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TaskCounts {
     pub done: u32,
@@ -40,7 +41,7 @@
     }
 }
 
-/// A refusal with its cause and remedy.
+/// An error reply. `error` states the cause and the remedy.
 pub(in crate::controller) fn error_reply(status: u16, error: String) -> Reply {
     Reply::new(status, &ErrorResponse { error })
 }
@@ -49,7 +50,7 @@
     Reply::retry_later("the state service does not answer")
 }
 
-/// The state service may have executed the write or not.
+/// For a write that the state service may or may not have executed.
 pub(super) fn unconfirmed_write_reply() -> Reply {
     Reply::retry_later("the state service did not confirm")
 }
@@ -59,7 +60,7 @@
 }
 
 pub(super) fn unknown_job_reply(id: &str) -> Reply {
-    let shown: String = id.chars().take(ECHOED_CHARS).collect();
+    let shown: String = id.chars().take(MAX_ECHOED_CHARS).collect();
     error_reply(http_status::NOT_FOUND, format!("job `{shown}` is unknown; check its id"))
 }
 
--- a/crates/controller/src/leadership/answer_authority.rs
+++ b/crates/controller/src/leadership/answer_authority.rs
@@ -1,25 +1,26 @@
-//! On what grounds a leader answers its workers. A leader may answer only while it knows every cancellation that
-//! users were told of; when that ends, it stops, and
-//! their leases run out. Pure; it calls nobody.
+//! The basis on which a leader may answer workers' reports. A leader may answer only while it is certain to know every
+//! cancellation that has been confirmed to a user. When it no longer is, it stops answering and the workers' leases
+//! expire. Pure state, without I/O.
 
 use crate::Time;
 
-/// On what grounds a leader answers its workers. Its `Debug` form is written to the log.
+/// The basis on which a leader answers workers' reports. Its `Debug` form is written to the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum AnswerAuthority {
-    /// It has itself read all changes of jobs from the state service recently enough.
+    /// The leader has read all job changes from the state service recently enough.
     #[default]
     OwnReads,
-    /// It has not, but enough controllers endorse that it knows every cancellation that users were told of.
+    /// The leader's own read is too old, but enough controllers endorse that it knows every cancellation confirmed to
+    /// a user.
     Endorsed,
-    /// On none: it answers no worker, and their leases end.
+    /// Neither holds: the leader answers no worker, and the workers' leases expire.
     Lost,
 }
 
 impl AnswerAuthority {
-    /// The authority of a leader whose latest successful read of the jobs began at `read_at`, and which knows all
-    /// cancellations that users were told of before `known_as_of`, by that read or by endorsements. Either counts
-    /// for `validity_ms`.
+    /// Returns the authority of a leader at `now`. `read_at` is the start of its latest successful read of the jobs.
+    /// It knows, by that read or by endorsements, all cancellations confirmed to users before `known_as_of`. Each of
+    /// the two times is valid for `validity_ms`.
     pub fn of(
         read_at: Option<Time>,
         known_as_of: Option<Time>,
@@ -36,7 +37,7 @@
         }
     }
 
-    /// The one function that changes it. True if it has changed.
+    /// Sets the authority; every change goes through this function. Returns whether it has changed.
     pub fn advance(&mut self, to: AnswerAuthority) -> bool {
         std::mem::replace(self, to) != to
     }
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -1,13 +1,13 @@
-//! Leadership of this controller: which phase of an election it is in, under which lease and fencing token it
-//! leads, and the highest token it has seen.
+//! Leader election and leadership state of this controller: the phase of the election, the lease and fencing token
+//! under which it leads, and the highest token it has seen.
 //!
-//! The leader is whoever wrote the key `term/leader`, which is attached to a lease of the state service. The mod
-//! revision of that key is the *fencing token*: it rises with every election, so that workers and the state
-//! service can refuse a deposed leader. This module owns the state and its transitions and calls nobody; the
-//! calls to the state service are made by `controller::leadership` and `controller::pause_detection`.
+//! The leader is the controller that wrote the key `term/leader`, which is attached to a lease of the state service.
+//! The mod revision of that key is the *fencing token*. It rises with every election, so that workers and the state
+//! service can reject requests of a deposed leader. This module owns the state and its transitions and does no I/O;
+//! `controller::leadership` and `controller::pause_detection` make the calls to the state service.
 //!
-//! Below it: [`CancellationQuorum`], which cancellations a leader must know before it answers workers, and
-//! [`AnswerAuthority`], on what grounds it answers them.
+//! [`CancellationQuorum`] tracks the cancellations that a leader must know before it answers workers, and
+//! [`AnswerAuthority`] is the basis on which it answers them.
 
 mod answer_authority;
 mod cancellation_quorum;
@@ -22,76 +22,76 @@
 use crate::constants::{LEASE_MARGIN_MS, LEASE_TTL_MS};
 use serde::{Deserialize, Serialize};
 
-/// Value of the leader's key, `term/leader`. Stored: its field names are part of the record format.
+/// Value of the leader key, `term/leader`. It is stored: the serialized field names are part of the record format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// Host name of the leading controller.
     pub node: String,
-    /// Incarnation of its process, by which a controller tells its own key from that of a process that ran on
-    /// the same host before it.
+    /// Incarnation of its process. It distinguishes a controller's own key from one written by an earlier process on
+    /// the same host.
     #[serde(rename = "process")]
     pub incarnation: u64,
-    /// Lease to which the key is attached. Each campaign has its own, so it tells which campaign of a process
-    /// wrote the key.
+    /// Lease to which the key is attached. Each campaign requests a new lease, so the lease identifies the campaign
+    /// that wrote the key.
     #[serde(default)]
     #[serde(rename = "grant")]
     pub lease: u64,
 }
 
-/// Phase of leadership and election. Changed only by [`Leadership::advance`].
+/// Phase of the election and of leadership. Changed only by [`Leadership::advance`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeadershipPhase {
-    /// The leader's key has not been read, or has to be read again.
+    /// The leader key has not been read, or has to be read again.
     Unknown,
     /// Another controller holds the key.
     Following,
-    /// Nobody holds the key; this controller campaigns at this time.
+    /// No controller holds the key. This controller starts a campaign at the given time.
     Vacant(Time),
-    /// Campaigning: it has requested a lease.
+    /// Campaigning: a lease has been requested.
     GrantingLease,
-    /// Campaigning: it tries to create the key, attached to this lease.
+    /// Campaigning: the transaction that writes the key, attached to this lease, is in flight.
     Acquiring(u64),
-    /// Holds the key; loads the cluster state from the state service.
+    /// This controller holds the key and loads the cluster state from the state service.
     Loading,
-    /// Holds the key, has loaded the cluster state, and commands workers.
+    /// This controller holds the key, has loaded the cluster state, and commands workers.
     Leading,
 }
 
-/// Whether the lease of a controller that holds the key is known to be alive.
+/// Whether the lease of a controller that holds the leader key is known to be alive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseValidity {
-    /// Nothing suggests that it has ended.
+    /// There is no indication that the lease has expired.
     Confirmed,
-    /// The process was paused for so long that the lease may have ended, and resumed at this time. Another
-    /// controller may lead by now. Only a renewal requested at this time or later confirms the lease again.
+    /// The process was paused for so long that the lease may have expired, and resumed at the given time. Another
+    /// controller may be the leader by now. Only a renewal requested at or after that time confirms the lease again.
     Unconfirmed(Time),
 }
 
-/// This controller's view of who leads, and its own leadership.
+/// This controller's election state and its view of the current leader.
 #[derive(Debug)]
 pub struct Leadership {
     phase: LeadershipPhase,
-    /// Highest fencing token seen: in the leader's key, in heartbeats and in reports of workers.
+    /// Highest fencing token seen in the leader key, in heartbeats and in workers' reports.
     pub highest_token: u64,
-    /// Host name of the controller that leads under [`highest_token`](Self::highest_token); none if unknown, or
-    /// if nobody does.
+    /// Host name of the controller that leads under [`highest_token`](Self::highest_token). None if it is unknown or
+    /// there is no leader.
     pub known_leader: Option<String>,
     /// This controller's own fencing token while it holds the key, else 0.
     pub token: u64,
-    /// Lease to which its key is attached. Meaningful only while it holds the key.
+    /// Lease to which the key is attached. Meaningful only while this controller holds the key.
     pub lease: u64,
-    /// When the latest request was sent that granted or renewed the lease.
+    /// When the latest successful request to grant or renew the lease was sent.
     renewed_at: Time,
     lease_validity: LeaseValidity,
-    /// Whether the leader's key has been read since this process began.
+    /// Whether the leader key has been read since this process started.
     pub leader_key_known: bool,
-    /// Mod revision of the key that a campaign replaces, which was written by an earlier process on this host.
-    /// 0: the campaign creates the key, on condition that there is none.
+    /// Mod revision of the leader key that a campaign replaces because an earlier process on this host wrote it.
+    /// 0: the campaign creates the key on the precondition that it does not exist.
     pub replaced_revision: u64,
     /// When the next renewal of the lease is due.
     pub renew_at: Time,
-    /// Counts this controller's changes of phase, the last step to [`LeadershipPhase::Leading`] excepted. A
-    /// response of the state service to a call of an earlier generation is stale and is dropped.
+    /// Number of phase changes so far, not counting the change to [`LeadershipPhase::Leading`]. A response of the state
+    /// service to a call made in an earlier generation is stale and is dropped.
     pub generation: u64,
 }
 
@@ -119,13 +119,14 @@
         self.phase
     }
 
-    /// Whether this controller holds the leader's key, as far as it knows.
+    /// Whether this controller holds the leader key, as far as it knows.
     pub fn holds_key(&self) -> bool {
         matches!(self.phase, LeadershipPhase::Loading | LeadershipPhase::Leading)
     }
 
-    /// The one function that changes the phase. False, and nothing changes, if the transition is not allowed:
-    /// phases of a campaign come in their order, and nobody leads under a token below the highest seen.
+    /// Changes the phase; every change goes through this function. Returns false, and changes nothing, if the
+    /// transition is not allowed: the phases of a campaign must follow each other in order, and a controller must not
+    /// lead under a token below the highest one seen.
     pub fn advance(&mut self, to: LeadershipPhase) -> bool {
         if !self.allows(to) {
             return false;
@@ -133,7 +134,7 @@
         if self.phase == to {
             return true;
         }
-        // What a new leader requested while it was loading is still its own when it leads.
+        // Responses to calls that a new leader made while loading are still valid once it leads.
         if to != LeadershipPhase::Leading {
             self.generation += 1;
         }
@@ -159,8 +160,8 @@
         }
     }
 
-    /// Records a fencing token seen anywhere. True if it is above the token of this controller, which holds the
-    /// key: another has been elected since, and this one must step down.
+    /// Records a fencing token seen in any message. Returns true if this controller holds the key under a lower token:
+    /// another controller has been elected since, and this one must step down.
     pub fn observe_token(&mut self, token: u64) -> bool {
         if token > self.highest_token {
             self.highest_token = token;
@@ -171,7 +172,7 @@
         self.holds_key() && self.highest_token > self.token
     }
 
-    /// Records that this controller leads under this token, unless a higher token has been seen.
+    /// Records that `controller` leads under `token`, unless a higher token has been seen.
     pub fn observe_leader(&mut self, controller: &str, token: u64) {
         if token >= self.highest_token {
             self.highest_token = token;
@@ -184,19 +185,20 @@
         self.lease_validity
     }
 
-    /// The process was paused until now, or the lease's age is otherwise in question. If this controller holds the
-    /// key and its lease may have ended meanwhile, the lease is unconfirmed from now on. True if it is so.
+    /// Called when the process resumes after a pause, or when the lease's age is otherwise in question. If this
+    /// controller holds the key and its lease may have expired, marks the lease as unconfirmed and returns true.
     pub fn on_resume(&mut self, now: Time) -> bool {
-        let may_have_ended = now.saturating_sub(self.renewed_at) + LEASE_MARGIN_MS >= LEASE_TTL_MS;
-        let must_confirm = self.holds_key() && may_have_ended;
+        let may_have_expired =
+            now.saturating_sub(self.renewed_at) + LEASE_MARGIN_MS >= LEASE_TTL_MS;
+        let must_confirm = self.holds_key() && may_have_expired;
         if must_confirm {
             self.lease_validity = LeaseValidity::Unconfirmed(now);
         }
         must_confirm
     }
 
-    /// The lease was granted or renewed by a request sent at `requested_at`. A request sent before the pause may
-    /// have been served before it too, and confirms nothing.
+    /// Called when the lease has been granted or renewed by a request sent at `requested_at`. A request sent before a
+    /// pause may also have been served before it, so it does not confirm the lease.
     pub fn on_lease_renewed(&mut self, requested_at: Time) {
         self.renewed_at = self.renewed_at.max(requested_at);
         if let LeaseValidity::Unconfirmed(resumed_at) = self.lease_validity
@@ -207,14 +209,14 @@
     }
 }
 
-/// What another controller's latest heartbeat said about the state service and the leadership.
+/// Connectivity and leadership information from another controller's latest heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerHealth {
     /// When the heartbeat was received.
     pub heartbeat_at: Time,
-    /// Time between the state service's last answer to that controller and the sending of the heartbeat, ms; 0 if
-    /// it reaches the state service.
+    /// Time from the state service's last response to that controller until the heartbeat was sent, ms. 0 if the
+    /// controller reaches the state service.
     pub store_age_ms: u64,
-    /// Highest fencing token that the controller had seen.
+    /// Highest fencing token that the controller has seen.
     pub highest_token: u64,
 }
