--- a/crates/controller/src/controller/peers.rs
+++ b/crates/controller/src/controller/peers.rs
@@ -1,7 +1,8 @@
-//! Heartbeats between controllers: what this controller's own contains, and what those of its peers change here.
+//! Heartbeats between controllers: builds this controller's own and applies those of its peers.
 //!
-//! Owns the latest state of each peer ([`Peer`]). A received heartbeat feeds `leadership` (fencing tokens, who leads),
-//! the cancellation quorum, the pending terminations and, from the leader, the counts for display.
+//! Owns the latest state of each peer ([`Peer`]). A received heartbeat updates `leadership` (fencing tokens and the
+//! known leader), the cancellation quorum, the pending terminations and, if it comes from the leader, the task counts
+//! for display.
 
 use super::Controller;
 use crate::constants::{FORMAT_VERSION, HEARTBEAT_FRESH_MS};
@@ -11,18 +12,18 @@
 /// State of another controller, from its latest heartbeat that was not stale.
 pub(super) struct Peer {
     pub health: PeerHealth,
-    /// Whether it leads, by its own word.
+    /// Whether the peer states that it leads.
     pub is_leader: bool,
-    /// Whether it, leading, has workers served by all controllers.
+    /// Whether the peer, as the leader, distributes workers over all controllers.
     pub distributes_workers: bool,
-    /// Share of its processor that it uses; none if it does not know.
-    pub load: Option<f64>,
-    /// The part of `load` that machines cost, whatever is placed on them.
+    /// Share of its processor that the peer uses; none if it does not know.
+    pub cpu_load: Option<f64>,
+    /// The part of `cpu_load` that managing machines costs, independent of what is placed on them.
     pub baseline_load: Option<f64>,
 }
 
 impl Controller {
-    /// This controller's heartbeat. An abridged one leaves out what is for display.
+    /// Builds this controller's next heartbeat. An abridged one omits the task counts and the cluster attributes.
     pub fn build_heartbeat(&mut self, abridged: bool) -> Heartbeat {
         let cluster_attributes =
             if abridged { Vec::new() } else { self.cluster_attributes_for_peers() };
@@ -51,8 +52,9 @@
         heartbeat
     }
 
-    /// Time since the state service last answered, ms; 0 while it is available. Also 0 if the known leader is of an
-    /// earlier version: it would take any other age for an endorsement that no user was told of a cancellation.
+    /// Time since the state service last answered, ms; 0 while it is available. Also 0 if the known leader runs an
+    /// earlier version: such a leader would treat any other age as an endorsement that no cancellation has been
+    /// confirmed to a user.
     fn store_age_for_peers(&self) -> u64 {
         let is_available = !self.store.is_unavailable() && self.store.last_success_at.is_some();
         let leader = self.leadership.known_leader.as_ref();
@@ -63,7 +65,7 @@
         self.now.monotonic.saturating_sub(self.store.last_success_at.unwrap_or(0))
     }
 
-    /// Applies a peer's heartbeat. One of a controller that the settings do not name is ignored.
+    /// Applies a peer's heartbeat. A heartbeat of a controller that is not in the settings is ignored.
     pub(super) fn on_heartbeat(&mut self, heartbeat: &Heartbeat) {
         let sender = &heartbeat.controller;
         if !self.settings.others.iter().any(|other| other.host_name == *sender) {
@@ -71,11 +73,11 @@
         }
         self.format_upgrade.on_peer_version(sender, heartbeat.format_version);
         let is_stale = self.apply_cancellations(heartbeat);
-        // Only now: stepping down records which terminations are pending, those just learnt of included.
+        // After the cancellations: stepping down records the pending terminations, including those just received.
         if self.leadership.observe_token(heartbeat.fencing_token) {
             self.step_down("another controller knows a newer token");
         }
-        // A delayed heartbeat still reports cancellations, but not the present state of its sender.
+        // A delayed heartbeat still reports cancellations, but not the current state of its sender.
         if is_stale {
             return;
         }
@@ -91,13 +93,13 @@
             },
             is_leader: heartbeat.is_leader,
             distributes_workers: heartbeat.distributes_workers,
-            load: share(heartbeat.cpu_load_permille),
+            cpu_load: share(heartbeat.cpu_load_permille),
             baseline_load: share(heartbeat.machine_cpu_load_permille),
         };
         self.peers.insert(sender.clone(), peer);
     }
 
-    /// Applies the cancellations and the endorsement in a heartbeat. True if the heartbeat is stale.
+    /// Applies the cancellations and the endorsement in a heartbeat. Returns whether the heartbeat is stale.
     fn apply_cancellations(&mut self, heartbeat: &Heartbeat) -> bool {
         let endorsements_from = self.endorsements_valid_from();
         let progress = self.cluster_state.as_ref().map(|state| LeaderProgress {
@@ -126,7 +128,7 @@
         outcome.is_stale
     }
 
-    /// Takes over what the leader's heartbeat says of itself and the cluster.
+    /// Adopts the state of the leader and of the cluster from the leader's heartbeat.
     fn follow_leader(&mut self, heartbeat: &Heartbeat) {
         self.leadership.observe_leader(&heartbeat.controller, heartbeat.fencing_token);
         self.cancellations.advance_required_revision(heartbeat.applied_through);
@@ -139,9 +141,10 @@
         }
     }
 
-    /// Whether the load balancer should send users here: not while this controller alone lacks the state service, as
-    /// its heartbeats tell. A controller that reaches neither the state service nor a peer cannot know that, and is of
-    /// no use to users. In an outage of the state service the peers are heard, and every controller stays healthy.
+    /// Whether the load balancer should route users to this controller. It is unhealthy while it cannot reach the state
+    /// service and a peer's fresh heartbeat shows that the peer can. A controller that receives no fresh heartbeat either
+    /// cannot tell, but cannot serve users, so it is unhealthy too. In an outage of the state service, heartbeats still
+    /// arrive and all controllers stay healthy.
     pub fn is_healthy(&self) -> bool {
         if self.store.last_success_at.is_none() {
             return false;
--- a/crates/controller/src/controller/report_forwarding/forwarder.rs
+++ b/crates/controller/src/controller/report_forwarding/forwarder.rs
@@ -1,5 +1,5 @@
-//! A follower's side of forwarding as a state machine: the queue of reports, the batches under way, and which reports
-//! it may answer by delegation. Sends nothing itself.
+//! The follower's side of report forwarding as a state machine without I/O: the queue of reports, the batches in
+//! flight, and the decision which reports may be answered by delegation.
 
 use crate::Time;
 use crate::constants::{
@@ -13,87 +13,90 @@
 use swiftsail_protocol::controllers::{ForwardedReport, ForwardedReports, LocallyAnsweredReport};
 use swiftsail_protocol::workers::StatusReport;
 
-/// A report that waits to be forwarded, or for its answer.
+/// A report that waits to be forwarded or to be answered by the leader.
 #[derive(Debug)]
 pub(super) struct QueuedReport {
     pub request: RequestId,
     pub report: Box<StatusReport>,
-    /// Hash of its content without the sequence number.
+    /// Hash of the report's content, see [`report_digest`].
     pub digest: u64,
     pub queued_at: Time,
-    /// Whom it is forwarded to.
+    /// Name of the controller to forward the report to.
     pub leader: String,
-    /// The leader has asked for it in full.
+    /// The leader has requested the report in full.
     pub must_be_full: bool,
-    /// A newer message of the machine has come here before: it says nothing of the present content.
+    /// This controller has already received a newer message of the machine, so the report does not show the machine's
+    /// current state.
     pub is_stale: bool,
 }
 
-/// A batch on its way to the leader.
+/// A batch sent to the leader and not yet answered.
 #[derive(Debug)]
 pub(super) struct InFlightBatch {
     pub sent_at: Time,
-    /// The highest token known when it was sent: under a later one nobody answers it any more.
+    /// Highest fencing token known when the batch was sent. Once a higher one is known the batch is no longer answered.
     token: u64,
     pub reports: Vec<QueuedReport>,
 }
 
-/// A batch to be sent.
+/// A batch to be sent to the leader.
 pub(super) struct OutgoingBatch {
     pub number: u64,
     pub leader: String,
     pub reports: ForwardedReports,
 }
 
-/// The last report of a machine that the leader answered.
+/// The last report of a machine that the leader has answered.
 #[derive(Debug)]
 pub(super) struct AnsweredReport {
     pub digest: u64,
     pub session: u64,
-    /// The token of the leader that answered it.
+    /// Fencing token of the leader that answered it.
     pub fencing_token: u64,
-    /// The machine needs no commands while its content stays the same.
+    /// The machine needs no commands while the content of its reports stays the same.
     pub is_settled: bool,
 }
 
 impl AnsweredReport {
-    /// Whether a report has the same content, from a worker that has seen the answer's token.
+    /// Whether `report` has the same content and comes from a worker that has seen the token of the answer.
     fn is_repeated_by(&self, report: &StatusReport, digest: u64) -> bool {
         (self.digest, self.session, self.fencing_token)
             == (digest, report.session, report.fencing_token)
     }
 }
 
-/// Identity of an unchanged report that was answered here.
+/// An unchanged report that this follower has answered by delegation.
 #[derive(Debug)]
-struct SelfAnswered {
+struct LocallyAnswered {
     session: u64,
     sequence: u64,
     digest: u64,
 }
 
-/// What a follower forwards, and what it answers by delegation.
+/// The follower's queue of reports, its batches in flight and its delegation.
 #[derive(Debug, Default)]
 pub(in crate::controller) struct ReportForwarder {
     pub(super) queue: VecDeque<QueuedReport>,
+    /// Batches in flight, by their number.
     pub(super) in_flight: BTreeMap<u64, InFlightBatch>,
     last_batch: u64,
+    /// By machine name.
     pub(super) answered_reports: HashMap<String, AnsweredReport>,
     pub(super) delegation: DelegatedAnswering,
-    /// Unchanged reports answered here of which the leader has not been informed, by machine.
-    self_answered: BTreeMap<String, SelfAnswered>,
+    /// Reports answered by delegation of which the leader has not been informed yet, by machine name.
+    locally_answered: BTreeMap<String, LocallyAnswered>,
     summary_sent_at: Time,
-    /// Number of reports answered here by delegation.
-    pub(super) answered_count: u64,
+    /// Number of reports answered by delegation so far.
+    pub(super) delegated_answer_count: u64,
 }
 
 impl ReportForwarder {
-    /// Whether fewer than `max_reports` wait.
+    /// Whether fewer than `max_reports` reports are queued.
     pub fn has_room(&self, max_reports: usize) -> bool {
         self.queue.len() < max_reports
     }
 
-    /// Queues a report for the leader. `is_stale`: a newer message of the machine has come here before.
+    /// Queues a report for the leader. `is_stale`: this controller has already received a newer message of the machine.
     pub fn push(
         &mut self,
         request: RequestId,
@@ -113,46 +116,47 @@
         });
     }
 
-    /// Decides whether an unchanged report may be answered by delegation, and returns the token to answer with. The
-    /// leader is informed later, and sends what commands it has then in answer to a report that it demands.
+    /// Decides whether a report is unchanged and may be answered by delegation, and returns the fencing token to answer
+    /// with, or none if it must be forwarded. The leader is informed later by a summary. If it then has commands for the
+    /// machine, it requests the machine's next report and answers that with them.
     pub(super) fn answer_unchanged(&mut self, report: &StatusReport, now: Time) -> Option<u64> {
         let token = self.delegation.valid_fencing_token(now)?;
-        let known = self.answered_reports.get(&report.machine)?;
+        let last_answered = self.answered_reports.get(&report.machine)?;
         let digest = report_digest(report);
-        let may_answer = known.is_settled
-            && known.is_repeated_by(report, digest)
+        let may_answer = last_answered.is_settled
+            && last_answered.is_repeated_by(report, digest)
             && report.fencing_token == token
             && report.reclaim_in_s.is_none();
         if !may_answer {
             return None;
         }
         let StatusReport { session, sequence, .. } = *report;
-        let answered = SelfAnswered { session, sequence, digest };
-        self.self_answered.insert(report.machine.clone(), answered);
-        self.answered_count += 1;
+        let answered = LocallyAnswered { session, sequence, digest };
+        self.locally_answered.insert(report.machine.clone(), answered);
+        self.delegated_answer_count += 1;
         Some(token)
     }
 
-    /// Ends the delegation, and forgets what only it allowed.
+    /// Ends the delegation and discards the state that depends on it.
     pub fn drop_delegation(&mut self) {
         self.delegation.apply_event(DelegationEvent::Invalidated);
-        self.self_answered.clear();
-        for known in self.answered_reports.values_mut() {
-            known.is_settled = false;
+        self.locally_answered.clear();
+        for answered in self.answered_reports.values_mut() {
+            answered.is_settled = false;
         }
     }
 
-    /// The next batch, if one is due. `gathers`: the leader distributes workers, so reports wait a little to be sent
-    /// together.
+    /// Takes the next batch from the queue, if one is due. `delays_batches`: the leader distributes workers, so reports
+    /// wait up to [`FORWARD_GATHER_MS`] to be sent together.
     pub(super) fn next_batch(
         &mut self,
         own_name: &str,
         token: u64,
-        gathers: bool,
+        delays_batches: bool,
         now: Time,
     ) -> Option<OutgoingBatch> {
         let first = self.queue.front()?;
-        let is_due = !gathers
+        let is_due = !delays_batches
             || first.must_be_full
             || self.queue.len() >= FORWARD_BATCH_MAX
             || now >= first.queued_at + FORWARD_GATHER_MS;
@@ -163,13 +167,14 @@
         let (mut items, mut reports, mut bytes) = (Vec::new(), Vec::new(), 0);
         while let Some(queued) = self.queue.front() {
             let is_unchanged = self.may_send_as_hash(queued);
-            let size = REPORT_BYTES
+            let report_bytes = REPORT_BYTES
                 + if is_unchanged { 0 } else { TASK_STATUS_BYTES * queued.report.tasks.len() };
-            let is_full = items.len() >= FORWARD_BATCH_MAX || bytes + size > FORWARD_BATCH_BYTES;
+            let is_full =
+                items.len() >= FORWARD_BATCH_MAX || bytes + report_bytes > FORWARD_BATCH_BYTES;
             if queued.leader != leader || is_full && !items.is_empty() {
                 break;
             }
-            bytes += size;
+            bytes += report_bytes;
             reports.push(queued.to_forwarded(is_unchanged));
             items.extend(self.queue.pop_front());
         }
@@ -177,12 +182,14 @@
         let batch = ForwardedReports {
             controller: own_name.to_string(),
             reports,
-            locally_answered: self.take_self_answered(spare_bytes / UNCHANGED_MACHINE_BYTES, now),
+            locally_answered: self
+                .take_locally_answered(spare_bytes / UNCHANGED_MACHINE_BYTES, now),
         };
         let number = self.on_batch_sent(items, token, now);
         Some(OutgoingBatch { number, leader, reports: batch })
     }
 
+    /// Whether the leader can be sent the hash of a report instead of the full report.
     fn may_send_as_hash(&self, queued: &QueuedReport) -> bool {
         let report = &queued.report;
         !queued.must_be_full
@@ -191,12 +198,12 @@
             && self
                 .answered_reports
                 .get(&report.machine)
-                .is_some_and(|known| known.is_repeated_by(report, queued.digest))
+                .is_some_and(|answered| answered.is_repeated_by(report, queued.digest))
     }
 
-    /// A batch without reports, if the leader has not been informed for a while of those answered here: it also asks
-    /// for a longer delegation.
-    pub(super) fn summary(
+    /// Returns a batch without reports if the last summary of the reports answered by delegation was sent at least
+    /// [`SUMMARY_MS`] ago. The leader's answer to it also extends the delegation.
+    pub(super) fn next_summary(
         &mut self,
         own_name: &str,
         token: u64,
@@ -212,21 +219,22 @@
         let reports = ForwardedReports {
             controller: own_name.to_string(),
             reports: Vec::new(),
-            locally_answered: self.take_self_answered(max_machines, now),
+            locally_answered: self.take_locally_answered(max_machines, now),
         };
         let number = self.on_batch_sent(Vec::new(), token, now);
         Some(OutgoingBatch { number, leader: leader.to_string(), reports })
     }
 
+    /// Records a batch as in flight and returns its number.
     fn on_batch_sent(&mut self, reports: Vec<QueuedReport>, token: u64, now: Time) -> u64 {
         self.last_batch += 1;
         self.in_flight.insert(self.last_batch, InFlightBatch { sent_at: now, token, reports });
         self.last_batch
     }
 
-    /// Numbers of the batches that nobody will answer: whoever received them has ended or no longer leads. Without
-    /// this their workers would wait for 4 s and one more, and a leader that ends a few times in a row would cost them
-    /// their leases.
+    /// Numbers of the batches that will not be answered, because their receiver has terminated or is no longer the
+    /// leader. Giving them up early keeps workers from waiting for their timeout of 4 s plus a pause of 1 s: if leaders
+    /// failed a few times in a row, those waits would cost the workers their leases.
     pub(super) fn lost_batches(&self, token: u64, now: Time) -> Vec<u64> {
         let is_lost = |batch: &InFlightBatch| {
             batch.token < token || now >= batch.sent_at + FORWARD_TIMEOUT_MS
@@ -235,20 +243,25 @@
         lost.map(|(number, _)| *number).collect()
     }
 
-    /// Takes at most `max_machines` of the reports answered here, to inform the leader of them. Only with each summary
-    /// and not with each batch, so that a machine is named once in a while however often it reports.
-    fn take_self_answered(&mut self, max_machines: usize, now: Time) -> Vec<LocallyAnsweredReport> {
+    /// Takes up to `max_machines` of the reports answered by delegation, to inform the leader of them. Returns none
+    /// until the next summary is due, so that a machine is listed at most once per summary interval and not with every
+    /// batch, however often it reports.
+    fn take_locally_answered(
+        &mut self,
+        max_machines: usize,
+        now: Time,
+    ) -> Vec<LocallyAnsweredReport> {
         if now < self.summary_sent_at + SUMMARY_MS {
             return Vec::new();
         }
-        let mut taken = Vec::with_capacity(self.self_answered.len().min(max_machines));
+        let mut taken = Vec::with_capacity(self.locally_answered.len().min(max_machines));
         while taken.len() < max_machines
-            && let Some((machine, answered)) = self.self_answered.pop_first()
+            && let Some((machine, answered)) = self.locally_answered.pop_first()
         {
-            let SelfAnswered { session, sequence, digest } = answered;
+            let LocallyAnswered { session, sequence, digest } = answered;
             taken.push(LocallyAnsweredReport { machine, session, sequence, content_hash: digest });
         }
-        if self.self_answered.is_empty() {
+        if self.locally_answered.is_empty() {
             self.summary_sent_at = now;
         }
         taken
@@ -272,11 +285,12 @@
     }
 }
 
-/// Hash of a report's content without its session, sequence number, token and spot notice.
+/// Hash of a report's content: its tasks, address, machine type, zone and spot flag. The session, the sequence number,
+/// the token and the spot interruption notice are not included.
 fn report_digest(report: &StatusReport) -> u64 {
     let mut hasher = DefaultHasher::new();
     report.tasks.hash(&mut hasher);
     (&report.address, &report.machine_type, &report.zone, report.spot).hash(&mut hasher);
-    // Every reader of the wire takes integers below 2^63.
+    // Below 2^63, since not every reader of the wire format accepts larger integers.
     hasher.finish() >> 1
 }
--- a/crates/controller/src/controller/report_forwarding/mod.rs
+++ b/crates/controller/src/controller/report_forwarding/mod.rs
@@ -1,12 +1,12 @@
-//! Forwarding of workers' reports between controllers. A follower batches the reports that reach it, sends them to the
-//! leader and returns the leader's answers; a report with the same content as the last goes as a hash. Where workers
-//! are many the leader distributes them, so that no controller holds all their connections, and lets followers answer
-//! unchanged reports themselves for a while (delegated answering). What is proof of a task's absence, and what starts
-//! one, is the same as when a worker reports to the leader itself.
+//! Forwarding of workers' reports between controllers. A follower batches the reports that it receives, sends them to
+//! the leader and returns the leader's answers. A report with the same content as the previous one is sent as a hash.
+//! If there are many workers, the leader distributes them, so that no controller holds all their connections, and lets
+//! followers answer unchanged reports on its behalf for a limited time (delegated answering). A forwarded report proves
+//! the absence of a task, or leads to the start of one, under the same conditions as a report sent to the leader itself.
 //!
-//! - [`forwarder`]: a follower's queue, its messages under way and what it may answer itself
-//! - [`worker_distribution`]: when the leader distributes workers, and which it redirects
-//! - here: messages between controllers in both directions
+//! - [`forwarder`]: the follower's queue, its batches in flight and its delegation
+//! - [`worker_distribution`]: when the leader distributes workers, and which of them it redirects
+//! - this module: the messages between controllers in both directions
 
 mod forwarder;
 mod worker_distribution;
@@ -27,9 +27,9 @@
 use swiftsail_protocol::controllers::{ForwardedAnswers, ForwardedReport, ForwardedReports};
 use swiftsail_protocol::workers::{Command, HeartbeatResponse, StatusReport};
 
-/// Follower: sends reports to the leader, and passes its answers on to the workers.
+/// The follower's side: sends reports to the leader and passes its answers on to the workers.
 impl Controller {
-    /// Sends the batches that are due, and gives up those that nobody will answer.
+    /// Sends the batches that are due and gives up those that will not be answered.
     pub(super) fn forward_queued_reports(&mut self) {
         let now = self.now.monotonic;
         self.report_forwarder.delegation.apply_event(DelegationEvent::TimePassed(now));
@@ -39,20 +39,22 @@
         }
         let leader = self.leadership.known_leader.as_ref();
         let peer = leader.and_then(|leader| Some((leader, self.peers.get(leader)?)));
-        let gathers = peer.is_some_and(|(_, peer)| peer.distributes_workers);
+        let delays_batches = peer.is_some_and(|(_, peer)| peer.distributes_workers);
         let own_name = &self.settings.host_name;
-        while let Some(outgoing) = self.report_forwarder.next_batch(own_name, token, gathers, now) {
+        while let Some(outgoing) =
+            self.report_forwarder.next_batch(own_name, token, delays_batches, now)
+        {
             self.actions.push(outgoing.into_action());
         }
         if let Some((leader, _)) =
             peer.filter(|(_, peer)| peer.distributes_workers && peer.is_leader)
-            && let Some(outgoing) = self.report_forwarder.summary(own_name, token, leader, now)
+            && let Some(outgoing) = self.report_forwarder.next_summary(own_name, token, leader, now)
         {
             self.actions.push(outgoing.into_action());
         }
     }
 
-    /// Answers an unchanged report by delegation. False: it must go to the leader.
+    /// Answers an unchanged report by delegation. Returns false if the report must be forwarded to the leader.
     pub(super) fn answer_delegated(&mut self, id: RequestId, report: &StatusReport) -> bool {
         let now = self.now.monotonic;
         let Some(fencing_token) = self.report_forwarder.answer_unchanged(report, now) else {
@@ -62,7 +64,8 @@
         true
     }
 
-    /// The leader's answers to a batch have come; none: there will be none, and each worker is told where to go.
+    /// Passes the leader's answers to a batch on to the workers. `answers` is none if the batch will not be answered:
+    /// then each worker is redirected to the current leader.
     pub(super) fn on_forwarded_answers(&mut self, number: u64, answers: Option<ForwardedAnswers>) {
         let Some(batch) = self.report_forwarder.in_flight.remove(&number) else { return };
         let Some(answers) = answers.filter(|a| a.commands.len() == batch.reports.len()) else {
@@ -85,14 +88,15 @@
             }
         }
         for machine in answers.must_forward_machines {
-            if let Some(known) = self.report_forwarder.answered_reports.get_mut(&machine) {
-                known.is_settled = false;
+            if let Some(answered) = self.report_forwarder.answered_reports.get_mut(&machine) {
+                answered.is_settled = false;
             }
         }
     }
 
     fn on_batch_unanswered(&mut self, batch: InFlightBatch) {
-        // The leader may not have received which machines were answered here; their next reports go to it.
+        // The leader may not have been informed of the machines answered by delegation, so their next reports are
+        // forwarded to it.
         self.report_forwarder.drop_delegation();
         for queued in batch.reports {
             let reply = self.redirect_to_leader();
@@ -100,10 +104,11 @@
         }
     }
 
-    /// Takes over for how long the leader delegates answering, counted from when the batch that it answers was sent.
+    /// Applies the delegation granted by the leader's answer to a batch. Its duration is counted from `sent_at`, when
+    /// that batch was sent.
     fn apply_delegation(&mut self, answers: &ForwardedAnswers, sent_at: Time) {
         let ForwardedAnswers { fencing_token, delegation_ms, .. } = *answers;
-        // A newer token ends a delegation under an older one, whoever answers.
+        // A newer token ends any delegation under an older one.
         let event = if fencing_token < self.leadership.highest_token {
             DelegationEvent::Invalidated
         } else if delegation_ms == 0 {
@@ -121,7 +126,7 @@
         commands: Vec<Command>,
         is_settled: bool,
     ) {
-        // The next report may go as a hash only if the worker then shows this token.
+        // The worker's next report may be sent as a hash only if it contains this token.
         let answered = AnsweredReport {
             digest: queued.digest,
             session: queued.report.session,
@@ -134,9 +139,9 @@
         self.answer(queued.request, heartbeat_reply(fencing_token, commands));
     }
 
-    /// The leader does not know the content that a hash stands for: the report goes again in full.
+    /// Queues a report again, to be sent in full, because the leader does not know the content behind its hash.
     fn forward_in_full(&mut self, mut queued: QueuedReport) {
-        // It was refused in full, or its worker will have given up by the time of the answer.
+        // It has already been sent in full, or its worker will have timed out by the time of the answer.
         if queued.must_be_full || self.now.monotonic >= queued.queued_at + FORWARD_TIMEOUT_MS {
             let reply = self.redirect_to_leader();
             return self.answer(queued.request, reply);
@@ -145,16 +150,16 @@
         self.report_forwarder.queue.push_front(queued);
     }
 
-    /// Number of reports that this controller has answered by delegation.
+    /// Number of reports that this controller has answered by delegation so far.
     pub fn delegated_answer_count(&self) -> u64 {
-        self.report_forwarder.answered_count
+        self.report_forwarder.delegated_answer_count
     }
 }
 
-/// Leader: answers what followers forward.
+/// The leader's side: answers forwarded reports.
 impl Controller {
-    /// A follower forwards reports. A controller that does not lead refuses them and never forwards them again: two
-    /// that disagree on who leads would send them to and fro.
+    /// Answers a batch of a follower. A controller that does not lead rejects it and never forwards it again: otherwise
+    /// two controllers that disagree on who leads would send it back and forth.
     pub(super) fn on_forwarded_reports(&mut self, request: RequestId, batch: &ForwardedReports) {
         let worker_tokens = batch.reports.iter().filter_map(|forwarded| match forwarded {
             ForwardedReport::Full { report, .. } => Some(report.fencing_token),
@@ -177,15 +182,15 @@
         self.close_finished_jobs();
     }
 
-    /// For how long a follower may answer for this leader: a worker's lease that is granted at the end of it still
-    /// ends before any cancellation falls due that the leader has not heard of.
+    /// Time for which a follower may answer for this leader, ms. A worker's lease granted at the end of it still expires
+    /// before any cancellation that the leader does not know must have taken effect.
     fn delegation_ms(&self) -> u64 {
         self.remaining_answer_ms().min(MAX_DELEGATION_MS)
     }
 }
 
 impl ClusterState {
-    /// Applies a follower's batch. The answers do not yet say for how long answering is delegated.
+    /// Applies a follower's batch and returns the answers, except for the duration of the delegation.
     fn answer_forwarded(
         &mut self,
         batch: &ForwardedReports,
@@ -236,7 +241,7 @@
         now: Time,
     ) -> ReportAnswer {
         let response = self.on_status_report(report, ReportSource::StatusReport, now, types);
-        // A late copy says nothing of the present content, nor of which controller hears the worker.
+        // A stale copy shows neither the current content nor the controller to which the worker reports.
         if let Some(machine) = self.machine_if_just_heard(report, now) {
             machine.report_digest = Some(content_hash);
             machine.forwarded_by = Some(follower.clone());
@@ -249,7 +254,7 @@
 /// The leader's answer to one forwarded report.
 struct ReportAnswer {
     commands: Vec<Command>,
-    /// The machine needs no commands: its unchanged reports may be answered by delegation.
+    /// The machine needs no commands, so its unchanged reports may be answered by delegation.
     is_settled: bool,
 }
 
--- a/crates/controller/src/controller/report_forwarding/worker_distribution.rs
+++ b/crates/controller/src/controller/report_forwarding/worker_distribution.rs
@@ -1,5 +1,5 @@
-//! Distribution of workers over the controllers, by the leader: begins when they are too many for it alone, and
-//! redirects one worker after the other until each controller has its part.
+//! Distribution of workers over the controllers by the leader. It starts when there are too many workers for the leader
+//! alone, and redirects one worker after another until each controller serves its share.
 
 use crate::constants::{
     DISTRIBUTE_ABOVE, DISTRIBUTE_LOAD, DISTRIBUTE_SLACK, HEARTBEAT_FRESH_MS, LOAD_SLACK,
@@ -15,26 +15,26 @@
 /// A controller that could take over a worker.
 struct RedirectTarget {
     name: String,
-    /// Workers that report to it.
+    /// Number of workers that report to it.
     workers: usize,
-    /// Its processor load, if known.
+    /// Its CPU load as a share of its processor, if known.
     cpu_load: Option<f64>,
 }
 
 impl Controller {
-    /// Whether this controller leads and the workers are too many for it alone, by their connections or by what they
-    /// cost its processor.
+    /// Whether this controller leads and there are too many workers for it alone, either by their connections or by the
+    /// CPU load that they cause.
     pub(in crate::controller) fn distributes_workers(&self) -> bool {
         self.cluster_state.is_some() && self.distributes_workers
     }
 
-    /// Workers whose connections this controller's memory allows before they are distributed.
+    /// Number of workers that this controller serves alone, limited by the memory for their connections.
     fn max_own_workers(&self) -> usize {
         let memory_kb = self.settings.settings.machine_limits.mem_mb * 1024.0;
         (memory_kb * DISTRIBUTE_ABOVE) as usize / CONNECTION_KB
     }
 
-    /// Begins to distribute workers, or ceases to well below where it began.
+    /// Starts to distribute workers above the limits, or stops well below them (hysteresis).
     fn update_worker_distribution(&mut self) {
         let machines = self.cluster_state.as_ref().map_or(0, |state| state.machines.len());
         let machine_load = self.cpu.baseline_load().unwrap_or(0.0);
@@ -47,7 +47,7 @@
             self.settings.controllers() > 1 && (machines > max_machines || machine_load > max_load);
     }
 
-    /// Counts workers by the controller that they report to.
+    /// Recounts the workers by the controller to which they report.
     pub(in crate::controller) fn count_workers_by_controller(&mut self) {
         self.workers_by_controller.clear();
         self.update_worker_distribution();
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Redirects a worker that reports to the leader itself, if the leader has more than its part and another
-    /// controller has fewer.
+    /// Redirects a worker that reports to the leader itself, if the leader serves more than its share and a peer serves
+    /// fewer. Returns the reply, or none if the worker stays.
     pub(in crate::controller) fn redirect_to_less_loaded(
         &mut self,
         report: &StatusReport,
@@ -76,7 +76,7 @@
             return None;
         }
         let machine = self.cluster_state.as_mut()?.machines.get_mut(report.machine.as_str())?;
-        // Nobody waits for the response to a late copy: its worker is elsewhere.
+        // The response to a stale copy is not received: the worker has already sent a newer report.
         if MessageOrder::of(report) <= machine.last_message {
             return None;
         }
@@ -92,29 +92,31 @@
     /// The follower with the fewest workers among those whose heartbeats are fresh and show this leader's token.
     fn least_loaded_peer(&self) -> Option<RedirectTarget> {
         let now = self.now.monotonic;
-        let able = self.peers.iter().filter(|(_, peer)| {
+        let candidates = self.peers.iter().filter(|(_, peer)| {
             let is_fresh = now.saturating_sub(peer.health.heartbeat_at) <= HEARTBEAT_FRESH_MS;
             is_fresh && !peer.is_leader && peer.health.highest_token == self.leadership.token
         });
-        let targets = able.map(|(name, peer)| RedirectTarget {
+        let targets = candidates.map(|(name, peer)| RedirectTarget {
             name: name.clone(),
             workers: self.workers_by_controller.get(name.as_str()).copied().unwrap_or(0),
-            cpu_load: peer.load,
+            cpu_load: peer.cpu_load,
         });
         targets.min_by_key(|target| target.workers)
     }
 
+    /// Whether the leader, with `own_workers`, should redirect a worker to `target`: it serves more than its share of the
+    /// workers, or its CPU load is higher.
     fn should_redirect(&self, own_workers: usize, target: &RedirectTarget) -> bool {
-        let fair_part =
+        let fair_share =
             self.workers_by_controller.values().sum::<usize>() / self.settings.controllers();
-        let slack = 1 + fair_part / DISTRIBUTE_SLACK;
-        if own_workers > fair_part + slack && target.workers + slack < own_workers {
+        let slack = 1 + fair_share / DISTRIBUTE_SLACK;
+        if own_workers > fair_share + slack && target.workers + slack < own_workers {
             return true;
         }
-        // Equal parts would leave the leader the busiest, since placement is its alone.
+        // Equal shares would leave the leader with the highest load, since only the leader does placement.
         let max_connections = self.budget.connections.saturating_sub(RESERVED_CONNECTIONS);
         let loads = self.cpu.load().zip(target.cpu_load);
-        loads.is_some_and(|(own, theirs)| own > theirs + LOAD_SLACK)
+        loads.is_some_and(|(own, peer)| own > peer + LOAD_SLACK)
             && own_workers > slack
             && target.workers < max_connections
     }
