--- a/crates/controller/src/controller/dependency_lookup.rs
+++ b/crates/controller/src/controller/dependency_lookup.rs
@@ -1,11 +1,12 @@
-//! DAG dependencies of jobs, looked up in the records of the jobs before them.
+//! Lookup of a job's DAG dependencies in the records of the jobs that it depends on.
 //!
-//! A job with dependencies is accepted once all of them are known, and a question about it is answered by what became
-//! of them. Whether such a job is cancelled by dependency follows from the records alone, so any controller can tell
-//! by reads of its own that began after the question; the leader writes the end down later.
+//! A job with dependencies is accepted once all of them are known to have been accepted, and a request about it is
+//! answered according to their outcomes. Whether such a job is cancelled by dependency follows from the records alone.
+//! Any controller can therefore determine it by store reads that began after the request; the leader writes the job's
+//! final state later.
 //!
-//! Owns [`DependencyLookups`], the look-ups under way. Calls the state service for what neither the final records in
-//! memory nor the job cache show; the traversal itself is [`swiftsail_dag::DependencyTraversal`].
+//! Owns [`DependencyLookups`], the lookups in progress. Reads from the state service what neither the final record
+//! cache nor the job cache contains. The traversal itself is [`swiftsail_dag::DependencyTraversal`].
 
 use super::requests::PendingRequest;
 use super::requests::replies::{error_reply, http_status, store_unavailable_reply};
@@ -19,21 +20,21 @@
 use swiftsail_protocol::state::KeyValue;
 use swiftsail_protocol::users::{JobStatus, is_valid_job_id};
 
-/// How the read that the job cache shows relates in time to a user's request.
+/// Whether the latest read of the job cache began after a user's request arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CacheFreshness {
-    /// It began after the request came: what it shows of live jobs may be told.
+    /// The read began after the request arrived, so its states of live jobs may be used for the answer.
     ReadAfterRequest,
-    /// It may be older than the request: only what is final may be taken from it.
+    /// The read may be older than the request, so only final states may be used for the answer.
     MayPredateRequest,
 }
 
-/// Whom a look-up serves.
+/// The request that a lookup serves.
 #[derive(Debug)]
 enum LookupRequester {
     /// A submission, whose job is accepted if all its dependencies are known.
     Accept(RequestId, Box<JobRecord>),
-    /// A question about a job that was read and found neither over nor cancelled.
+    /// A request about a job whose record shows it as neither finished nor cancelled.
     Answer(PendingRequest),
 }
 
@@ -46,6 +47,7 @@
     }
 }
 
+/// A lookup of the dependencies of one job.
 #[derive(Debug)]
 struct DependencyLookup {
     job: JobId,
@@ -54,25 +56,25 @@
     freshness: CacheFreshness,
 }
 
-/// Look-ups that wait for a store read, by their number.
+/// Lookups that wait for a store read.
 #[derive(Debug, Default)]
 pub(super) struct DependencyLookups {
+    /// By lookup number.
     open: HashMap<u64, DependencyLookup>,
     last_number: u64,
 }
 
-/// What a read of one of a job's two keys shows.
+/// Result of a read of one of a job's two keys, `job/` and `end/`.
 pub(super) enum JobReadOutcome {
     Found(VisitedJob),
-    /// The job is not live: it is over and moved, or was never accepted.
+    /// There is no record at `job/`: the job has finished and its record has moved to `end/`, or it was never accepted.
     NotLive,
-    /// The read failed, or its result is unreadable.
+    /// The read failed, or the record cannot be parsed.
     Failed,
 }
 
 impl Controller {
-    /// Accepts a job with dependencies that was not known when it was looked up. The jobs that it names must have been
-    /// accepted, at any controller.
+    /// Accepts a new job with dependencies, provided that each of them has been accepted by some controller.
     pub(super) fn accept_dependent_job(
         &mut self,
         id: &JobId,
@@ -86,7 +88,7 @@
         self.continue_lookup(DependencyLookup { job, traversal, requester, freshness });
     }
 
-    /// Answers about a job with dependencies that a read begun after the request has found to be live.
+    /// Answers a request about a job with dependencies that is live according to a read begun after the request arrived.
     pub(super) fn answer_dependent_job(
         &mut self,
         id: &JobId,
@@ -100,7 +102,7 @@
         self.continue_lookup(DependencyLookup { job, traversal, requester, freshness });
     }
 
-    /// Continues a look-up as far as memory goes; then one job is read, or the look-up ends.
+    /// Continues a lookup as far as possible without store reads. Then it reads one job, or finishes the lookup.
     fn continue_lookup(&mut self, mut lookup: DependencyLookup) {
         while let Some(id) = lookup.traversal.next_job().cloned() {
             let known = if is_valid_job_id(&id) {
@@ -117,7 +119,7 @@
         self.finish_lookup(lookup);
     }
 
-    /// What is known of a job without a read.
+    /// The state of a job that is known without a store read, if any.
     fn known_dependency(&self, id: &JobId, freshness: CacheFreshness) -> Option<VisitedJob> {
         let wall = self.now.wall_clock;
         let known = match self.final_records.get(id) {
@@ -129,7 +131,7 @@
         })
     }
 
-    /// Whether another look-up may wait for a read (memory, and requests to the state service).
+    /// Whether another lookup may wait for a store read. Bounds memory and the number of store calls.
     fn has_lookup_room(&self) -> bool {
         self.dependency_lookups.open.len() < DEPENDENCY_LOOKUPS_MAX
             && self.store.has_room(self.budget.waiting_store_calls)
@@ -174,7 +176,7 @@
         self.store.push(StoreCall::Get(key), context, CallPriority::Normal, policy);
     }
 
-    /// The read of a dependency for a look-up has ended.
+    /// Handles the outcome of the read of a dependency for a lookup.
     pub(super) fn on_dependency_read(
         &mut self,
         number: u64,
@@ -198,9 +200,9 @@
         }
     }
 
-    /// What a read of one of a job's two keys shows of it; `final_key`: it was the key of the final record. A final
-    /// record is remembered. A job's record moves from the first key to the last in one transaction and never back, so
-    /// reading them in this order misses none.
+    /// Interprets the outcome of a read of one of a job's two keys, and adds a final record to the cache. `final_key`:
+    /// the key read was that of the final record. A job's record moves from `job/` to `end/` in one transaction and never
+    /// back, so reading the keys in this order cannot miss it.
     pub(super) fn process_job_read(
         &mut self,
         id: &JobId,
@@ -208,9 +210,9 @@
         outcome: &StoreOutcome,
     ) -> JobReadOutcome {
         match outcome {
-            StoreOutcome::Found(pair) if final_key => self.locate_finished(id, pair),
+            StoreOutcome::Found(pair) if final_key => self.process_final_record(id, pair),
             StoreOutcome::Found(pair) => match StoredJob::read(&pair.value) {
-                Some(StoredJob::Finished(record)) => self.remember_located(id, record),
+                Some(StoredJob::Finished(record)) => self.cache_final_record(id, record),
                 Some(StoredJob::Live(record)) if record.cancelled => {
                     JobReadOutcome::Found(VisitedJob::Ended(JobOutcome::Cancelled))
                 }
@@ -227,20 +229,20 @@
         }
     }
 
-    fn locate_finished(&mut self, id: &JobId, pair: &KeyValue) -> JobReadOutcome {
+    fn process_final_record(&mut self, id: &JobId, pair: &KeyValue) -> JobReadOutcome {
         match serde_json::from_value(pair.value.clone()) {
-            Ok(record) => self.remember_located(id, record),
+            Ok(record) => self.cache_final_record(id, record),
             Err(_) => JobReadOutcome::Failed,
         }
     }
 
-    fn remember_located(&mut self, id: &JobId, record: FinalRecord) -> JobReadOutcome {
+    fn cache_final_record(&mut self, id: &JobId, record: FinalRecord) -> JobReadOutcome {
         self.remember_final(id, record);
         JobReadOutcome::Found(VisitedJob::Ended(record.fate(self.now.wall_clock)))
     }
 
-    /// The leader's part: works out effective deadlines, and looks up dependencies of which it knows nothing because
-    /// they ended before it led.
+    /// As the leader: updates the effective deadlines, and reads the dependencies that the cluster state does not contain
+    /// because they ended before this controller became the leader.
     pub(super) fn update_dependencies(&mut self) {
         let types = self.machine_types.clone().unwrap_or_default();
         let (now, wall) = (self.now.monotonic, self.now.wall_clock);
@@ -254,7 +256,7 @@
         }
     }
 
-    /// The leader's read of a dependency has ended.
+    /// Handles the outcome of the leader's read of a dependency.
     pub(super) fn on_leader_dependency_read(
         &mut self,
         id: &JobId,
@@ -271,7 +273,7 @@
             JobReadOutcome::NotLive => {
                 read_dependency_as_leader(&mut self.store, state, id.clone(), true)
             }
-            // The leader's watch has brought it meanwhile, or it cannot be read for now.
+            // The leader's watch has delivered the job meanwhile, or it cannot be read for now.
             JobReadOutcome::Found(_) | JobReadOutcome::Failed => {
                 state.retry_unknown_dependencies(id, now)
             }
--- a/crates/controller/src/controller/final_records.rs
+++ b/crates/controller/src/controller/final_records.rs
@@ -1,10 +1,10 @@
-//! The final records of finished jobs that this controller has seen: polls of them need no read of the store, since a
-//! final record never changes.
+//! Cache of the final records of finished jobs. Polls of these jobs need no store read, since a final record never
+//! changes.
 
 use crate::job::{FinalRecord, JobId};
 use std::collections::{HashMap, VecDeque};
 
-/// A bounded cache of final records; the oldest entry is evicted first.
+/// A bounded cache of final records. The entry inserted first is evicted first (FIFO).
 #[derive(Debug)]
 pub(super) struct FinalRecordCache {
     records: HashMap<JobId, FinalRecord>,
@@ -13,7 +13,7 @@
 }
 
 impl FinalRecordCache {
-    /// An empty cache for at most this many records.
+    /// Creates an empty cache that holds at most `capacity` records.
     pub fn new(capacity: usize) -> FinalRecordCache {
         FinalRecordCache { records: HashMap::new(), insertion_order: VecDeque::new(), capacity }
     }
@@ -28,7 +28,7 @@
         self.records.contains_key(id)
     }
 
-    /// Adds a final record, or replaces it, and evicts the oldest one if there are too many.
+    /// Inserts or replaces a final record. Evicts the oldest entry if the capacity is exceeded.
     pub fn insert(&mut self, id: &JobId, record: FinalRecord) {
         if self.records.insert(id.clone(), record).is_some() {
             return;
--- a/crates/controller/src/controller/job_cache.rs
+++ b/crates/controller/src/controller/job_cache.rs
@@ -1,10 +1,10 @@
-//! Cache of all jobs in the state service, kept by every controller so that polls cost the store little: one
-//! incremental read of the changes answers everybody who asked before it began. A storm of polls then costs the state
-//! service a few requests a second, however many ask, and submissions keep their part.
+//! Cache of all jobs in the state service. Every controller keeps one, so that polls cost the store little: one
+//! incremental read of the changes answers all requests that arrived before it began. However many users poll, this
+//! costs the state service a few requests per second, and capacity remains for submissions.
 //!
-//! Owns [`JobCache`]: each job's state as of one revision, and who waits for the next read. It is filled by a listing
-//! and kept fresh by incremental reads, not by a watch. Calls the state service; answers go through
-//! [`super::requests`].
+//! Owns [`JobCache`]: the state of each job as of one revision, and the requests that wait for the next read. The cache
+//! is filled by a listing and refreshed by incremental reads, not by a watch. Calls the state service; answers are sent
+//! through [`super::requests`].
 
 use super::requests::PendingRequest;
 use super::requests::replies::store_unavailable_reply;
@@ -21,56 +21,58 @@
 use swiftsail_dag::{JobOutcome, VisitedJob};
 use swiftsail_protocol::state::{KeyPage, WatchEvent, WatchResponse};
 
-/// Of which jobs the cache knows the state. Revisions are the store's.
+/// Which jobs the cache covers. Revisions are those of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CacheCoverage {
-    /// Of none: each poll reads its job's own key.
+    /// No jobs: each poll reads its job's own key.
     Nothing,
-    /// A listing is under way; the changes since this revision are still to be read.
+    /// A listing is in progress; the changes since this revision are still to be read.
     Listing(u64),
-    /// Of all jobs, as of this revision.
+    /// All jobs as of this revision.
     Complete(u64),
 }
 
-/// A job as its key shows it.
+/// State of a job according to its key.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum CachedJob {
-    /// Accepted, and neither over nor cancelled.
+    /// Accepted, neither finished nor cancelled.
     Live,
-    /// Cancelled by its user and not over: the revision at which that was read, and the time of day of the
+    /// Cancelled by its user but not finished: the mod revision of the record, and the wall-clock time of the
     /// cancellation, ms.
     Cancelled(u64, u64),
-    /// Over.
+    /// Finished.
     Finished(FinalRecord),
-    /// There, and unreadable for this version: its own key is read whenever somebody asks.
+    /// The record exists but this version cannot read it. Each request reads the job's own key.
     Unreadable,
 }
 
 /// A request that waits for a cache read to show this job.
 type WaitingRequest = (JobId, PendingRequest);
 
-/// The jobs as of the latest read, and who waits for the next.
+/// The jobs as of the latest read, and the requests that wait for the next one.
 #[derive(Debug)]
 pub(super) struct JobCache {
     coverage: CacheCoverage,
     jobs: HashMap<JobId, CachedJob>,
-    /// The dependencies of live and of cancelled jobs that have any.
+    /// Dependencies of the unfinished jobs that have any.
     dependencies: HashMap<JobId, Arc<[JobId]>>,
-    /// Jobs found to be over since they were last handed to the memory of final records.
+    /// Finished jobs found by reads and not yet added to the final record cache.
     newly_finished: Vec<(JobId, FinalRecord)>,
     max_jobs: usize,
-    /// Whom the read under way serves; none: no read is under way.
+    /// Requests that the read in flight serves. None if no read is in flight.
     serving: Option<Vec<WaitingRequest>>,
-    /// Who came later and needs a fresh one.
+    /// Requests that arrived after that read began and need a new one.
     waiting: Vec<WaitingRequest>,
+    /// When the latest read of changes, or the latest listing, was started.
     requested_at: Time,
+    /// When the latest response arrived.
     read_at: Time,
-    /// No listing before that: there were more jobs than it holds.
+    /// Earliest time of the next listing, set after there were more jobs than the cache holds.
     next_listing_at: Time,
 }
 
 impl JobCache {
-    /// An empty cache that holds at most so many jobs.
+    /// Creates an empty cache that holds at most `max_jobs` jobs.
     pub fn new(max_jobs: usize) -> JobCache {
         JobCache {
             coverage: CacheCoverage::Nothing,
@@ -86,8 +88,8 @@
         }
     }
 
-    /// The one function that changes the coverage; returns whether the change is allowed. Coverage is complete only
-    /// after a listing, and its revision never goes back.
+    /// Changes the coverage; every change goes through this function. Returns false, and changes nothing, if the change
+    /// is not allowed: coverage becomes complete only after a listing, and its revision never decreases.
     fn advance(&mut self, to: CacheCoverage) -> bool {
         let allowed = match (self.coverage, to) {
             (_, CacheCoverage::Nothing) | (CacheCoverage::Nothing, CacheCoverage::Listing(_)) => {
@@ -110,23 +112,23 @@
         true
     }
 
-    /// Whether requests may wait for the next read.
+    /// Whether the cache covers all jobs, so that requests may wait for its next read.
     pub fn is_complete(&self) -> bool {
         matches!(self.coverage, CacheCoverage::Complete(_))
     }
 
-    /// Whether a job is known to have been accepted, whatever has become of it since.
+    /// Whether the cache shows that a job has been accepted, whatever its state is now.
     pub fn contains(&self, id: &str) -> bool {
         self.is_complete() && self.jobs.contains_key(id)
     }
 
-    /// The dependencies of a job that is not over, if it has any.
+    /// The dependencies of an unfinished job, if it has any.
     pub fn dependencies_of(&self, id: &str) -> Option<Arc<[JobId]>> {
         self.dependencies.get(id).cloned()
     }
 
-    /// What the latest read shows of a job for those that depend on it; none: it is not known here. `wall`: time of
-    /// day now, ms.
+    /// State of a job according to the latest read, as needed by the jobs that depend on it. None if the cache does not
+    /// know it. `wall` is the current wall-clock time, ms.
     pub fn dependency_state(&self, id: &str, wall: u64) -> Option<VisitedJob> {
         match self.jobs.get(id).filter(|_| self.is_complete())? {
             CachedJob::Live => Some(VisitedJob::Live(
@@ -138,13 +140,13 @@
         }
     }
 
-    /// Number of submissions that wait for a read to tell whether they are repeats.
+    /// Number of submissions that wait for a read to show whether they are repeats.
     pub fn pending_submissions(&self) -> usize {
         let requests = self.waiting.iter().chain(self.serving.iter().flatten());
         requests.filter(|(_, pending)| pending.is_submission()).count()
     }
 
-    /// Takes over a page of the listing.
+    /// Applies a page of the listing.
     fn on_listing_page(&mut self, page: &KeyPage) {
         if self.coverage == CacheCoverage::Nothing {
             self.advance(CacheCoverage::Listing(page.revision));
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Takes over the changes up to a revision.
+    /// Applies all changes up to `revision`.
     fn apply_changes(&mut self, events: &[WatchEvent], revision: u64) {
         for event in events {
             match (&event.put_key, &event.deleted_key) {
@@ -177,18 +179,19 @@
         if self.jobs.len() > self.max_jobs {
             self.invalidate_for_size();
         } else if !self.advance(CacheCoverage::Complete(revision)) {
-            // The store's revision went back: nothing known holds any more.
+            // The store's revision has decreased: nothing in the cache is valid any more.
             self.advance(CacheCoverage::Nothing);
         }
     }
 
-    /// There are more jobs than it holds. The next listing waits: one in vain costs as many requests as a useful one,
-    /// and the number of jobs changes slowly.
+    /// Empties the cache because there are more jobs than it holds. The next listing is delayed, since a listing that
+    /// finds too many jobs again costs many requests, and the number of jobs changes slowly.
     fn invalidate_for_size(&mut self) {
         self.advance(CacheCoverage::Nothing);
         self.next_listing_at = self.read_at + JOB_CACHE_FULL_MS;
     }
 
+    /// Records the state of a job from its key and value.
     fn record(&mut self, key: &str, value: &serde_json::Value, mod_revision: u64) {
         let Some(id) = key.strip_prefix(keys::JOBS) else { return };
         let stored = StoredJob::read(value);
@@ -212,29 +215,29 @@
         self.jobs.insert(JobId::from(id), cached);
     }
 
-    /// Takes out the poll that gives way to a retried one: of the latest that yield, first one whose job is asked
-    /// about by another that waits.
+    /// Removes the waiting poll to be evicted in favour of a retried one: the latest poll that is no retry and whose job
+    /// an earlier waiting request asks for too, else the latest poll that is no retry.
     fn take_yielding_poll(&mut self) -> Option<PendingRequest> {
         let waiting = &mut self.waiting;
         let yields = |index: &usize| waiting[*index].1.yields_to_retried_poll();
         let is_duplicate =
             |index: &usize| waiting[..*index].iter().any(|(id, _)| *id == waiting[*index].0);
-        // Of very many, only the latest are looked at (processor).
+        // Only the latest requests are considered, to bound the CPU time.
         let first = waiting.len().saturating_sub(DISPLACED_OF);
-        let yielding = (first..waiting.len()).rev().filter(yields);
-        let index = yielding.clone().find(is_duplicate).or_else(|| yielding.clone().next())?;
+        let candidates = (first..waiting.len()).rev().filter(yields);
+        let index = candidates.clone().find(is_duplicate).or_else(|| candidates.clone().next())?;
         Some(waiting.remove(index).1)
     }
 }
 
 impl Controller {
-    /// Lets a request wait for the next read of the changes.
+    /// Queues a request for the next read of the changes.
     pub(super) fn wait_for_cache_read(&mut self, id: JobId, pending: PendingRequest) {
         self.job_cache.waiting.push((id, pending));
         self.refresh_job_cache();
     }
 
-    /// Makes room for a retried poll in place of a first one, which is rejected. False: none gives way.
+    /// Rejects a waiting poll that is no retry, to make room for a retried one. Returns false if there is none to evict.
     pub(super) fn evict_poll_for_retry(&mut self) -> bool {
         let Some(evicted) = self.job_cache.take_yielding_poll() else { return false };
         let reply = Reply::retry_later("others have waited longer for the state service");
@@ -242,12 +245,12 @@
         true
     }
 
-    /// Number of requests that wait for a read, or for the response to one.
+    /// Number of requests that wait for a read to start or to end.
     pub(super) fn pending_cache_requests(&self) -> usize {
         self.job_cache.waiting.len() + self.job_cache.serving.as_ref().map_or(0, Vec::len)
     }
 
-    /// Starts the next read if none is under way and it is due: of the changes if the cache is complete, else the
+    /// Starts the next read if none is in flight and it is due: a read of the changes if the cache is complete, else a
     /// listing.
     pub(super) fn refresh_job_cache(&mut self) {
         let now = self.now.monotonic;
@@ -259,7 +262,7 @@
             return self.reject_overdue_cache_requests();
         }
         match cache.coverage {
-            // After a long time without reads the changes could be very many in one response; the pages of a listing
+            // After a long time without reads one response could hold very many changes, whereas the pages of a listing
             // are bounded.
             CacheCoverage::Complete(_) if now >= cache.read_at + JOB_CACHE_STALE_MS => {
                 cache.advance(CacheCoverage::Nothing);
@@ -276,8 +279,8 @@
         }
     }
 
-    /// The store became unavailable after these requests came. Once they have waited for as long as a user's call may
-    /// take they are rejected, since another controller may reach the store.
+    /// Rejects the requests that were waiting when the store became unavailable, once they have waited as long as a call
+    /// for a user may take. Another controller may still reach the store.
     fn reject_overdue_cache_requests(&mut self) {
         if self.now.monotonic < self.job_cache.requested_at + USER_STORE_TIMEOUT_MS {
             return;
@@ -287,7 +290,7 @@
         }
     }
 
-    /// Reads the changes after a revision, if somebody waits for them or it has been a while.
+    /// Reads the changes after a revision if the read interval has passed. The interval is shorter while requests wait.
     fn read_cache_changes(&mut self, from: u64) {
         let now = self.now.monotonic;
         let cache = &mut self.job_cache;
@@ -299,7 +302,7 @@
         cache.serving = Some(std::mem::take(&mut cache.waiting));
         let call = StoreCall::ReadChanges { prefix: keys::JOBS.into(), from };
         let policy = RetryPolicy::OnceBefore(now + USER_STORE_TIMEOUT_MS);
-        // Before reads of single keys: it serves all who wait, and without it each would read a key of its own.
+        // Takes precedence over reads of single keys, since it serves all waiting requests at once.
         self.store.push(call, CallContext::ReadCacheChanges, CallPriority::High, policy);
     }
 
@@ -308,15 +311,16 @@
         self.job_cache.serving = Some(Vec::new());
         let call = StoreCall::List { prefix: keys::JOBS.into(), from };
         let policy = RetryPolicy::OnceBefore(self.now.monotonic + STORE_TIMEOUT_MS);
-        // While it lasts polls read single keys, as many as there are: behind those it would never end.
+        // Takes precedence over the reads of single keys that polls make during the listing: queued behind a stream of
+        // those it would never end.
         self.store.push(call, CallContext::ListJobCache, CallPriority::High, policy);
     }
 
-    /// A read for the cache has ended.
+    /// Handles the outcome of a read for the cache.
     pub(super) fn on_cache_response(&mut self, outcome: &StoreOutcome) {
         let served = self.job_cache.serving.take().unwrap_or_default();
         self.serve_cache_requests(outcome, served);
-        // Final records never change: later questions cost nothing, also once the record has moved.
+        // Final records never change, so later requests need no read, even after the record has moved to its final key.
         for (id, record) in std::mem::take(&mut self.job_cache.newly_finished) {
             self.remember_final(&id, record);
         }
@@ -327,8 +331,8 @@
         match outcome {
             StoreOutcome::Page(page) => self.on_cache_page(page),
             StoreOutcome::Changes(changes) => self.on_cache_changes(changes, served),
-            // The store no longer retains all changes since the last read: the jobs are listed anew, and each request
-            // reads its own key.
+            // The store no longer retains all changes since the last read: the jobs are listed again, and each waiting
+            // request reads its job's own key.
             StoreOutcome::Compacted => {
                 self.job_cache.advance(CacheCoverage::Nothing);
                 self.fall_back_to_key_reads(served);
@@ -356,7 +360,7 @@
     fn on_cache_changes(&mut self, changes: &WatchResponse, served: Vec<WaitingRequest>) {
         self.job_cache.read_at = self.now.monotonic;
         self.job_cache.apply_changes(&changes.events, changes.revision);
-        // Only of a complete cache does absence say that a job is not live.
+        // Absence from the cache shows that a job is not live only if the cache is complete.
         if !self.job_cache.is_complete() {
             return self.fall_back_to_key_reads(served);
         }
@@ -368,7 +372,7 @@
         }
     }
 
-    /// The cache knows nothing: each request, served or waiting, reads its job's own key.
+    /// Serves all requests, served or waiting, by reads of their jobs' own keys, because the cache is not complete.
     fn fall_back_to_key_reads(&mut self, served: Vec<WaitingRequest>) {
         let waiting = std::mem::take(&mut self.job_cache.waiting);
         for (id, pending) in served.into_iter().chain(waiting) {
--- a/crates/controller/src/controller/report_forwarding/worker_distribution.rs
+++ b/crates/controller/src/controller/report_forwarding/worker_distribution.rs
@@ -28,7 +28,7 @@
         self.cluster_state.is_some() && self.distributes_workers
     }
 
-    /// Number of workers that this controller serves alone, limited by the memory for their connections.
+    /// Maximum number of workers that this controller serves alone, from the memory for their connections.
     fn max_own_workers(&self) -> usize {
         let memory_kb = self.settings.settings.machine_limits.mem_mb * 1024.0;
         (memory_kb * DISTRIBUTE_ABOVE) as usize / CONNECTION_KB
--- a/crates/overload-control/src/admission.rs
+++ b/crates/overload-control/src/admission.rs
@@ -1,25 +1,26 @@
-//! Admission control: which requests are admitted, before their bodies are read. Each priority may fill a part of the
-//! memory for bodies, so that the least urgent requests are rejected first and no worker's lease is lost for a poll.
+//! Admission control: decides which requests are admitted before their bodies are read. Each priority may fill a share
+//! of the memory for bodies, so that the least urgent requests are rejected first and no worker loses its lease because
+//! of polls.
 
 use crate::constants::{ADMISSION_SHARES, REQUEST_BYTES, UNKNOWN_BODY_BYTES};
 use crate::load_level::LoadLevel;
 
-/// Priority of a request, the most urgent first. The order indexes [`ADMISSION_SHARES`].
+/// Priority of a request, the most urgent first. The order is the index into [`ADMISSION_SHARES`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPriority {
-    /// Between controllers: heartbeats with endorsements, forwarded reports.
+    /// Messages between controllers: heartbeats with endorsements, forwarded reports.
     Controllers,
-    /// Workers' reports: they renew leases, and carry exits and stops.
+    /// Workers' reports, which renew leases and report exits and stops of tasks.
     Reports,
     /// Cancellations and health checks.
     Cancellations,
-    /// Polls.
+    /// Polls of a job's status.
     Polls,
-    /// Submissions: their users retry for a minute.
+    /// Submissions. The least urgent, since users retry them for a minute.
     Submissions,
 }
 
-/// Memory that admitted requests hold, bounded by a share of the budget for each priority.
+/// Tracks the memory of admitted requests and bounds it by a share of the budget for each priority.
 #[derive(Debug)]
 pub struct AdmissionGate {
     max_bytes: usize,
@@ -27,14 +28,15 @@
 }
 
 impl AdmissionGate {
-    /// An empty gate; all admitted requests together may hold `max_bytes`.
+    /// Creates a gate without admitted requests. All admitted requests together may hold at most `max_bytes`.
     pub fn new(max_bytes: usize) -> AdmissionGate {
         AdmissionGate { max_bytes, admitted_bytes: 0 }
     }
 
-    /// Admits a request and returns how many bytes it holds until it is [released](AdmissionGate::release), or rejects
-    /// it (none). `content_length`: the length of its body in bytes, if the request states it. A retried poll that
-    /// [takes precedence](crate::rejected_polls) is admitted like a cancellation: the caller passes that priority.
+    /// Admits a request and returns the number of bytes that it holds until it is
+    /// [released](AdmissionGate::release). Returns none if the request is rejected. `content_length` is the length of
+    /// its body in bytes, if the request states it. For a retried poll that
+    /// [takes precedence](crate::rejected_polls) the caller passes the priority of a cancellation.
     pub fn try_admit(
         &mut self,
         priority: RequestPriority,
@@ -52,12 +54,12 @@
         Some(bytes)
     }
 
-    /// Gives back the bytes of a request that was answered or whose connection is gone.
+    /// Releases the bytes of a request that has been answered or whose connection has closed.
     pub fn release(&mut self, bytes: usize) {
         self.admitted_bytes = self.admitted_bytes.saturating_sub(bytes);
     }
 
-    /// Bytes that admitted requests hold.
+    /// Number of bytes held by admitted requests.
     pub fn admitted_bytes(&self) -> usize {
         self.admitted_bytes
     }
--- a/crates/overload-control/src/delegated_answering.rs
+++ b/crates/overload-control/src/delegated_answering.rs
@@ -1,29 +1,29 @@
-//! Delegated answering: for how long a follower may answer unchanged reports for the leader.
+//! Delegated answering: for how long a follower may answer unchanged reports on behalf of the leader.
 //!
-//! The leader grants it with each answer to a message of the follower, for a time that counts from when that message
-//! *was sent*: a grant that the network held back is worth nothing. It ends at once when a message finds no answer or
-//! when another leader or a higher token is seen, and by itself when the time is over.
+//! The leader grants a delegation with each answer to a message of the follower. Its duration is counted from when that
+//! message *was sent*, so that a grant that the network has delayed expires early or is void. A delegation ends at once
+//! when a message is not answered or a higher fencing token is seen, and otherwise when its duration has passed.
 
 use crate::Time;
 
-/// State of the delegation at a follower.
+/// State of a follower's delegation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum DelegatedAnswering {
-    /// Every report goes to the leader.
+    /// Every report is forwarded to the leader.
     #[default]
     NotDelegated,
-    /// Unchanged reports may be answered with this token.
+    /// Unchanged reports may be answered with the leader's token.
     Delegated {
         /// The leader's fencing token.
         fencing_token: u64,
         /// End of the delegation by the follower's own clock.
         expires_at: Time,
     },
-    /// The leader did not answer in time, or a message to it was lost.
+    /// A delegation has expired or been invalidated, and the leader has not granted a new one since.
     Lapsed,
 }
 
-/// What changes the delegation.
+/// An event that changes the delegation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DelegationEvent {
     /// The leader answered a message and delegates answering.
@@ -32,19 +32,19 @@
         fencing_token: u64,
         /// When the answered message was sent.
         sent_at: Time,
-        /// For how long from then, ms.
+        /// Duration of the delegation from then on, ms.
         duration_ms: u64,
     },
-    /// The leader answered and delegates nothing.
+    /// The leader answered without delegating.
     Refused,
-    /// A message found no answer, or another token was seen.
+    /// A message was not answered, or a higher token was seen.
     Invalidated,
     /// Time has passed.
     TimePassed(Time),
 }
 
 impl DelegatedAnswering {
-    /// The one function that changes the delegation.
+    /// Applies an event; every change of the delegation goes through this function.
     pub fn apply_event(&mut self, event: DelegationEvent) {
         *self = match event {
             DelegationEvent::Granted { fencing_token, sent_at, duration_ms } => {
@@ -66,22 +66,25 @@
 
     fn extended(self, fencing_token: u64, expires_at: Time) -> DelegatedAnswering {
         match self {
-            // An older leader's late grant ends nothing that a newer one has granted.
-            DelegatedAnswering::Delegated { fencing_token: held, .. } if fencing_token < held => {
+            // A late grant of an earlier leader does not replace the grant of a newer one.
+            DelegatedAnswering::Delegated { fencing_token: current, .. }
+                if fencing_token < current =>
+            {
                 self
             }
-            // Answers may overtake each other.
-            DelegatedAnswering::Delegated { fencing_token: held, expires_at: until }
-                if fencing_token == held =>
+            // Answers may arrive out of order.
+            DelegatedAnswering::Delegated { fencing_token: current, expires_at: current_end }
+                if fencing_token == current =>
             {
-                let expires_at = until.max(expires_at);
+                let expires_at = current_end.max(expires_at);
                 DelegatedAnswering::Delegated { fencing_token, expires_at }
             }
             _ => DelegatedAnswering::Delegated { fencing_token, expires_at },
         }
     }
 
-    /// The token with which an unchanged report may be answered now; none: it must go to the leader.
+    /// The fencing token with which an unchanged report may be answered at `now`. None if it must be forwarded to the
+    /// leader.
     pub fn valid_fencing_token(&self, now: Time) -> Option<u64> {
         match *self {
             DelegatedAnswering::Delegated { fencing_token, expires_at } if now < expires_at => {
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -1,13 +1,13 @@
-//! What keeps a controller from collapsing under load, as pure values and state machines: nothing here reads a clock,
-//! does I/O or knows what is scheduled. The runtime and the controller ask before they take work in.
+//! Overload control of a controller, as pure values and state machines: nothing here reads a clock, does I/O or depends
+//! on what is scheduled. The runtime and the controller consult it before they accept work.
 //!
-//! - [`memory_budget`]: the memory that the platform gives, divided among the parts that hold it
-//! - [`load_level`]: how far behind a controller is, measured by how long work waits
-//! - [`admission`]: which requests are admitted, by priority, before their bodies are read
-//! - [`fleet_limit`]: how many machines the controllers can lead
-//! - [`delegated_answering`]: for how long a follower may answer unchanged reports for the leader
-//! - [`retry_budget`]: how many calls may be retried, and after which backoff
-//! - [`rejected_polls`]: polls that were rejected, whose retries take precedence
+//! - [`memory_budget`]: division of the available memory among the parts of a controller
+//! - [`load_level`]: load level, derived from how long work waits for the processor
+//! - [`admission`]: admission of requests by priority, before their bodies are read
+//! - [`fleet_limit`]: limit on the number of machines that the controllers can manage
+//! - [`delegated_answering`]: for how long a follower may answer unchanged reports on behalf of the leader
+//! - [`retry_budget`]: limit on retries, and backoff
+//! - [`rejected_polls`]: rejected polls, whose retries take precedence
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/overload-control/src/load_level.rs
+++ b/crates/overload-control/src/load_level.rs
@@ -1,7 +1,7 @@
-//! How far behind a controller is, from the time that work waits for the processor, and how much it does and accepts
-//! at that level. The idea is CoDel's (Nichols and Jacobson, "Controlling Queue Delay", 2012): a queue that empties now
-//! and then does no harm, however long it is for a moment; one whose least delay over an interval stays above a target
-//! is a standing queue, and load must be shed.
+//! Load level of a controller, derived from how long work waits for the processor, and the amount of work that it does
+//! and accepts at each level. This follows CoDel (Nichols and Jacobson, "Controlling Queue Delay", 2012): a queue that
+//! empties now and then is harmless, however long it is for a moment. A queue whose minimum delay over an interval stays
+//! above a target is a standing queue, and load must be shed.
 
 use crate::Time;
 use crate::constants::{
@@ -13,28 +13,29 @@
 /// Load level of a controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LoadLevel {
-    /// Work is done as it comes.
+    /// All work is done as it arrives.
     Normal,
-    /// Scheduling cycles are smaller and rarer, so that nothing else is late.
+    /// Scheduling cycles are smaller and less frequent, so that other work is not delayed.
     Elevated,
-    /// Users are rejected for some seconds too: leases, proofs of absence and stops need the whole processor.
+    /// In addition, users' requests are rejected for some seconds, because lease renewals, proofs of task absence and
+    /// stops need the whole processor.
     Overloaded,
 }
 
-/// Derives the load level from observed delays.
+/// Derives the load level from the observed delays.
 #[derive(Debug)]
 pub struct LoadMonitor {
     level: LoadLevel,
-    /// Least delay of the interval under way, ms.
+    /// Minimum delay in the current interval, ms.
     min_delay_ms: Option<u64>,
-    /// Start of that interval.
+    /// Start of the current interval.
     interval_started_at: Time,
-    /// Intervals in a row that would allow a lower level.
+    /// Number of consecutive intervals that would allow a lower level.
     relief_intervals: u32,
 }
 
 impl LoadMonitor {
-    /// A monitor without observations, at the normal level.
+    /// Creates a monitor without observations, at the normal level.
     pub fn new(now: Time) -> LoadMonitor {
         LoadMonitor {
             level: LoadLevel::Normal,
@@ -44,15 +45,15 @@
         }
     }
 
-    /// The present level.
+    /// The current level.
     pub fn level(&self) -> LoadLevel {
         self.level
     }
 
-    /// Records how long a piece of work waited for the processor, ms. Returns whether the level has changed, which
-    /// happens at the end of an interval only.
+    /// Records how long a piece of work waited for the processor, ms. Returns whether the level has changed, which is
+    /// possible only at the end of an interval.
     pub fn record_delay(&mut self, delay_ms: u64, now: Time) -> bool {
-        self.min_delay_ms = Some(self.min_delay_ms.map_or(delay_ms, |least| least.min(delay_ms)));
+        self.min_delay_ms = Some(self.min_delay_ms.map_or(delay_ms, |min| min.min(delay_ms)));
         if now < self.interval_started_at + DELAY_INTERVAL_MS {
             return false;
         }
@@ -63,10 +64,10 @@
         self.level != before
     }
 
-    /// The one function that changes the level: up at once, as far as the delay demands; down one step after
-    /// [`RELIEF_INTERVALS`] in a row with at most half of the delay that led there.
+    /// Updates the level at the end of an interval. The level rises at once to that of the standing delay. It falls by
+    /// one step after [`RELIEF_INTERVALS`] consecutive intervals with at most half of the delay threshold of the level.
     fn update_level(&mut self, standing_delay_ms: u64) {
-        let demanded = if standing_delay_ms > OVERLOADED_DELAY_MS {
+        let target = if standing_delay_ms > OVERLOADED_DELAY_MS {
             LoadLevel::Overloaded
         } else if standing_delay_ms > ELEVATED_DELAY_MS {
             LoadLevel::Elevated
@@ -78,8 +79,8 @@
             LoadLevel::Elevated => (ELEVATED_DELAY_MS / 2, LoadLevel::Normal),
             LoadLevel::Overloaded => (OVERLOADED_DELAY_MS / 2, LoadLevel::Elevated),
         };
-        if demanded > self.level {
-            (self.level, self.relief_intervals) = (demanded, 0);
+        if target > self.level {
+            (self.level, self.relief_intervals) = (target, 0);
         } else if self.level > LoadLevel::Normal && standing_delay_ms <= relief_delay_ms {
             self.relief_intervals += 1;
             if self.relief_intervals >= RELIEF_INTERVALS {
@@ -90,7 +91,8 @@
         }
     }
 
-    /// The bound of a scheduling cycle at this level; `usual`: at the normal one. Never 0.
+    /// Scales a limit on the work of a scheduling cycle to the current level. `usual` is the limit at the normal level.
+    /// The result is at least 1, except at the normal level, which returns `usual` itself.
     pub fn scaled_work(&self, usual: usize) -> usize {
         let share = match self.level {
             LoadLevel::Normal => return usual,
@@ -100,7 +102,7 @@
         ((usual as f64 * share) as usize).max(1)
     }
 
-    /// The period of mapping rounds at this level, ms; `usual_ms`: at the normal one.
+    /// The period of mapping rounds at the current level, ms. `usual_ms` is the period at the normal level.
     pub fn scaled_period_ms(&self, usual_ms: u64) -> u64 {
         let factor = match self.level {
             LoadLevel::Normal => 1,
@@ -110,8 +112,8 @@
         usual_ms * factor
     }
 
-    /// After how many seconds a rejected user should retry. `jitter`, random from 0 to 1, keeps users that were
-    /// rejected together from retrying together.
+    /// Number of seconds after which a rejected user should retry. `jitter` is a random number from 0 to 1 that keeps
+    /// users that were rejected together from retrying together.
     pub fn retry_after_s(&self, jitter: f64) -> u32 {
         let max_s = match self.level {
             LoadLevel::Normal => return 1,
--- a/crates/overload-control/src/memory_budget.rs
+++ b/crates/overload-control/src/memory_budget.rs
@@ -1,5 +1,5 @@
-//! The memory that the platform gives, divided among connections, bodies, queues, calls, caches and the cluster state.
-//! Whoever holds a part rejects or sheds what is beyond its share.
+//! Division of the available memory among connections, request bodies, queues, calls, caches and the cluster state. Each
+//! part of a controller rejects or sheds work beyond its share.
 
 use crate::constants::{
     BASE_MEMORY_MB, BODIES_SHARE, CACHED_JOB_BYTES, CACHES_SHARE, CLUSTER_STATE_SHARE,
@@ -8,14 +8,14 @@
     REPORT_BYTES, REQUEST_BYTES, SCHEDULING_CYCLE_SHARE, STORE_CALL_BYTES, STORE_CALLS_SHARE,
 };
 
-/// The most that each part of a controller may hold.
+/// Maximum amounts that the parts of a controller may hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemoryBudget {
-    /// Connections of one listener at once.
+    /// Concurrent connections of one listener.
     pub connections: usize,
-    /// Bytes of admitted requests with their bodies.
+    /// Bytes of admitted requests, including their bodies.
     pub body_bytes: usize,
-    /// Reports that wait to be forwarded, or for a new leader that still reads the store.
+    /// Reports that wait to be forwarded, or for a new leader that is still reading the store.
     pub waiting_reports: usize,
     /// Queued calls to the state service.
     pub waiting_store_calls: usize,
@@ -23,37 +23,37 @@
     pub waiting_polls: usize,
     /// Jobs in the job cache.
     pub cached_jobs: usize,
-    /// Final records in memory.
+    /// Final records in the cache.
     pub cached_final_records: usize,
-    /// Machines in a leader's cluster state, with what runs on them.
+    /// Machines in a leader's cluster state, including their tasks.
     pub machines: usize,
     /// Working memory of a scheduling cycle, bytes.
     pub scheduling_cycle_bytes: usize,
 }
 
 impl MemoryBudget {
-    /// Divides `mem_mb` MB of memory; connections are also bounded by the number of `sockets`.
+    /// Divides `mem_mb` MB of memory. Connections are also bounded by the number of `sockets`.
     pub fn divide(mem_mb: f64, sockets: usize) -> MemoryBudget {
         let total = ((mem_mb - BASE_MEMORY_MB).max(1.0) * MB as f64) as usize;
-        let part = |share: f64, item_bytes: usize| {
+        let capacity = |share: f64, item_bytes: usize| {
             ((total as f64 * share) as usize / item_bytes).max(MIN_CAPACITY)
         };
         let listener_sockets = (sockets as f64 * LISTENER_SOCKETS_SHARE) as usize;
         MemoryBudget {
-            connections: part(CONNECTIONS_SHARE, CONNECTION_KB * KB)
+            connections: capacity(CONNECTIONS_SHARE, CONNECTION_KB * KB)
                 .min(listener_sockets.max(MIN_CAPACITY)),
-            body_bytes: part(BODIES_SHARE, 1).max(MIN_CAPACITY * REQUEST_BYTES),
-            waiting_reports: part(FORWARDED_REPORTS_SHARE, REPORT_BYTES),
-            waiting_store_calls: part(STORE_CALLS_SHARE, STORE_CALL_BYTES),
-            waiting_polls: part(POLLS_SHARE, POLL_BYTES),
-            cached_jobs: part(JOB_CACHE_SHARE, CACHED_JOB_BYTES),
-            cached_final_records: part(CACHES_SHARE, FINAL_RECORD_BYTES),
-            machines: part(CLUSTER_STATE_SHARE, MACHINE_BYTES),
-            scheduling_cycle_bytes: part(SCHEDULING_CYCLE_SHARE, 1),
+            body_bytes: capacity(BODIES_SHARE, 1).max(MIN_CAPACITY * REQUEST_BYTES),
+            waiting_reports: capacity(FORWARDED_REPORTS_SHARE, REPORT_BYTES),
+            waiting_store_calls: capacity(STORE_CALLS_SHARE, STORE_CALL_BYTES),
+            waiting_polls: capacity(POLLS_SHARE, POLL_BYTES),
+            cached_jobs: capacity(JOB_CACHE_SHARE, CACHED_JOB_BYTES),
+            cached_final_records: capacity(CACHES_SHARE, FINAL_RECORD_BYTES),
+            machines: capacity(CLUSTER_STATE_SHARE, MACHINE_BYTES),
+            scheduling_cycle_bytes: capacity(SCHEDULING_CYCLE_SHARE, 1),
         }
     }
 
-    /// The most that all parts together hold, bytes.
+    /// Maximum memory of all parts together, bytes.
     pub fn total_bytes(&self) -> usize {
         self.connections * CONNECTION_KB * KB
             + self.body_bytes
