--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -1,37 +1,37 @@
-//! Messages between the controllers and the cloud that rents machines: MessagePack maps of
-//! the protocol's section "Controller nodes -> cloud". Types only.
+//! Messages between the controllers and the cloud provider that rents out machines: MessagePack maps of the protocol's
+//! section "Controller nodes -> cloud". Types only.
 
 use serde::{Deserialize, Serialize};
 
-/// Paths of this interface, below the cloud's address.
+/// Paths of this interface, relative to the cloud's address.
 pub mod path {
     /// `GET`: all machine types ([`MachineTypes`](super::MachineTypes)).
     pub const MACHINE_TYPES: &str = "/machine_types";
-    /// `POST` rents machines ([`ProvisionMachinesRequest`](super::ProvisionMachinesRequest)); `GET`
-    /// lists them by pages ([`MachinePage`](super::MachinePage)).
+    /// `POST` rents machines ([`ProvisionMachinesRequest`](super::ProvisionMachinesRequest)); `GET` lists them page by
+    /// page ([`MachinePage`](super::MachinePage)).
     pub const MACHINES: &str = "/machines";
-    /// `POST`: returns machines ([`MachineNames`](super::MachineNames)). Its 200 proves that
-    /// nothing runs on them any more.
+    /// `POST`: releases machines ([`MachineNames`](super::MachineNames)). Status 200 proves that nothing runs on them
+    /// any more.
     pub const RELEASE_MACHINES: &str = "/machines/return";
 }
 
-/// Every machine type that the cloud offers.
+/// All machine types that the cloud offers.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// The types, each name once. Wire: `hulls`.
+    /// The machine types, with unique names. Wire: `hulls`.
     #[serde(rename = "hulls")]
     pub machine_types: Vec<ListedMachineType>,
 }
 
-/// A machine type: its resources, its prices and where it is offered.
+/// A machine type: its resources, its prices and the zones that offer it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachineType {
-    /// Name of the type, unique. Wire: `sku`.
+    /// Unique name of the type. Wire: `sku`.
     #[serde(rename = "sku")]
     pub name: String,
-    /// CPUs of a machine.
+    /// Number of CPUs of a machine.
     pub cpus: f64,
-    /// GPUs of a machine. Wire: `accelerators`.
+    /// Number of GPUs of a machine. Wire: `accelerators`.
     #[serde(default, rename = "accelerators")]
     pub gpus: f64,
     /// Memory of a machine, GB.
@@ -39,7 +39,7 @@
     /// Size of a machine's image cache, GB.
     #[serde(default)]
     pub cache_gb: f64,
-    /// Rate at which a machine fetches images, GB per second. Wire: `fetch_gb_per_s`.
+    /// Rate at which a machine downloads images, GB per second. Wire: `fetch_gb_per_s`.
     #[serde(default, rename = "fetch_gb_per_s")]
     pub image_fetch_gb_per_s: f64,
     /// On-demand price per hour.
@@ -48,7 +48,7 @@
     /// Current spot price per hour. Wire: `market_price`.
     #[serde(default, rename = "market_price")]
     pub spot_price: f64,
-    /// Usual time from the rental request to the first report, seconds.
+    /// Typical time from the rental request to the worker's first report, seconds.
     #[serde(default)]
     pub boot_s: f64,
     /// Zones in which the type is offered. Wire: `docks`.
@@ -59,25 +59,25 @@
 /// Request to rent machines of one type in one zone.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ProvisionMachinesRequest {
-    /// Idempotency key: a repeat with the same key rents nothing more. Never used for two requests.
+    /// Idempotency key, unique to the request: repeating the request with the same key rents no further machines.
     /// Wire: `charter`.
     #[serde(rename = "charter")]
     pub request_id: String,
     /// Name of the machine type. Wire: `hull`.
     #[serde(rename = "hull")]
     pub machine_type: String,
-    /// Zone in which to rent. Wire: `dock`.
+    /// Zone in which to rent the machines. Wire: `dock`.
     #[serde(rename = "dock")]
     pub zone: String,
-    /// Whether spot machines are rented, which the cloud may reclaim. Wire: `driftwood`.
+    /// Whether to rent spot machines, which the cloud may reclaim. Wire: `driftwood`.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// Most machines to rent; the cloud may rent fewer. Wire: `number`.
+    /// Maximum number of machines to rent; the cloud may rent out fewer. Wire: `number`.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// Machines by name: those just rented (response), or those to return (request).
+/// Names of machines: those just rented (response) or those to release (request).
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct MachineNames {
     /// Names of the machines. Wire: `berths`.
@@ -88,33 +88,33 @@
 /// A page of the list of rented machines.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct MachinePage {
-    /// Machines in the order of their names. Wire: `berths`.
+    /// Machines, ordered by name. Wire: `berths`.
     #[serde(default, rename = "berths")]
     pub machines: Vec<ListedMachine>,
-    /// Whether another page follows after the last name of this one.
+    /// Whether another page follows, starting after the last name of this one.
     #[serde(default)]
     pub has_next: bool,
 }
 
-/// A rented machine as the cloud lists it.
+/// A rented machine as listed by the cloud.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Name of the machine, never used for another. Wire: `name_id`.
+    /// Name of the machine; names are never reused. Wire: `name_id`.
     #[serde(rename = "name_id")]
     pub name: String,
-    /// Address of its worker; empty while it boots. Wire: `addr`.
+    /// Address of the machine's worker; empty while the machine boots. Wire: `addr`.
     #[serde(default, rename = "addr")]
     pub address: String,
-    /// Name of its machine type. Wire: `hull`.
+    /// Name of the machine type. Wire: `hull`.
     #[serde(rename = "hull")]
     pub machine_type: String,
-    /// Zone it stands in. Wire: `dock`.
+    /// Zone in which the machine is located. Wire: `dock`.
     #[serde(rename = "dock")]
     pub zone: String,
     /// Whether it is a spot machine. Wire: `driftwood`.
     #[serde(default, rename = "driftwood")]
     pub spot: bool,
-    /// Its state.
+    /// State of the machine.
     pub status: ListedMachineStatus,
     /// Time since the rental request, seconds. Wire: `held_s`.
     #[serde(default, rename = "held_s")]
@@ -124,20 +124,20 @@
 /// State of a rented machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListedMachineStatus {
-    /// It boots, as far as the list knows: the list lags. Wire: `starting`.
+    /// The machine boots, or has booted so recently that the list, which lags, does not show it yet. Wire: `starting`.
     #[serde(rename = "starting")]
     Booting,
-    /// It is up, or died less than about 30 s ago. Wire: `running`.
+    /// The machine is up, or failed less than about 30 s ago. Wire: `running`.
     #[serde(rename = "running")]
     Running,
-    /// It stopped by itself: no longer charged, and listed until it is returned. Wire: `failed`.
+    /// The machine stopped by itself. It is no longer charged, and stays listed until it is released. Wire: `failed`.
     #[serde(rename = "failed")]
     Failed,
-    /// A state that this version does not know. Wire: `unknown`.
+    /// A state unknown to this version. Wire: `unknown`.
     #[serde(other, rename = "unknown")]
     Unknown,
 }
 
-/// Text of the cloud's error when it has none of the machines asked for: to be retried later or
-/// elsewhere.
+/// Error text of the cloud when it has none of the requested machines. The request can be retried later, or for another
+/// zone or machine type.
 pub const NO_CAPACITY: &str = "no capacity";
--- a/crates/protocol/src/controllers.rs
+++ b/crates/protocol/src/controllers.rs
@@ -1,5 +1,5 @@
-//! Messages between controllers: heartbeats, and workers' reports that followers forward to the leader.
-//! Types only. Controllers of two versions exchange them during a rolling restart, so new fields have defaults.
+//! Messages between controllers: heartbeats, and workers' reports that followers forward to the leader. Types only.
+//! During a rolling upgrade controllers of two versions exchange them, so new fields have defaults.
 
 use crate::workers::{Command, StatusReport};
 use serde::{Deserialize, Serialize, Serializer};
@@ -8,75 +8,75 @@
 pub mod path {
     /// `POST`: a [`Heartbeat`](super::Heartbeat).
     pub const HEARTBEAT: &str = "/beat";
-    /// `POST`: workers' reports that a follower forwards to the leader
-    /// ([`ForwardedReports`](super::ForwardedReports)), answered by
-    /// [`ForwardedAnswers`](super::ForwardedAnswers).
+    /// `POST`: workers' reports that a follower forwards to the leader ([`ForwardedReports`](super::ForwardedReports)).
+    /// The response is [`ForwardedAnswers`](super::ForwardedAnswers).
     pub const FORWARDED_REPORTS: &str = "/relay";
 }
 
-/// Heartbeat between controllers: what the sender knows of the leadership, of the state service and
-/// of cancellations.
+/// Heartbeat between controllers: the sender's view of the leadership, of the state service and of cancellations.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Name of the sender. Wire: `node`.
     #[serde(rename = "node")]
     pub controller: String,
-    /// Highest fencing token that it has seen. Wire: `token`.
+    /// Highest fencing token that the sender has seen. Wire: `token`.
     #[serde(rename = "token")]
     pub fencing_token: u64,
-    /// Whether it leads under that token. Wire: `leads`.
+    /// Whether the sender leads under that token. Wire: `leads`.
     #[serde(rename = "leads")]
     pub is_leader: bool,
-    /// Time since the state service last answered it, ms. Wire: `store_age_ms`.
+    /// Time since the state service last answered the sender, ms; 0 while the service is available.
+    /// Wire: `store_age_ms`.
     #[serde(rename = "store_age_ms")]
     pub since_store_response_ms: u64,
-    /// From the leader: followers serve workers for good and forward their reports. Wire: `shares`.
+    /// From the leader: workers are distributed over all controllers, so followers serve workers permanently and
+    /// forward their reports. Wire: `shares`.
     #[serde(default, skip_serializing_if = "std::ops::Not::not", rename = "shares")]
     pub distributes_workers: bool,
-    /// Smoothed processor load, in thousandths; none while it is not known. Wire: `load`.
+    /// Smoothed CPU load, in thousandths; none while it is unknown. Wire: `load`.
     #[serde(default, skip_serializing_if = "Option::is_none", rename = "load")]
     pub cpu_load_permille: Option<u32>,
-    /// The part of the load that machines cost, whatever is placed, in thousandths. Wire: `upkeep`.
+    /// The part of the CPU load that managing machines costs, independent of what is placed on them, in thousandths.
+    /// Wire: `upkeep`.
     #[serde(default, skip_serializing_if = "Option::is_none", rename = "upkeep")]
     pub machine_cpu_load_permille: Option<u32>,
-    /// From the leader: (job id, tasks done, tasks running), for display. Wire: `counts`.
+    /// From the leader: (job id, tasks done, tasks running), for display only. Wire: `counts`.
     #[serde(default, rename = "counts")]
     pub job_counts: Vec<(String, u32, u32)>,
-    /// From the leader, where plug-ins advise on admission: attributes of the cluster, in the order
-    /// in which they are documented. Wire: `cluster`.
+    /// From the leader, if plug-ins advise on admission: attributes of the cluster, in their documented order.
+    /// Wire: `cluster`.
     #[serde(default, skip_serializing_if = "Vec::is_empty", rename = "cluster")]
     pub cluster_attributes: Vec<f64>,
-    /// Random number of the sender's process; 0: a version that sends none of the following fields.
+    /// Random number of the sender's process. 0: the sender's version sends none of the following fields.
     /// Wire: `process`.
     #[serde(default, rename = "process")]
     pub incarnation: u64,
     /// Sequence number of the heartbeat within the incarnation. Wire: `number`.
     #[serde(default, rename = "number")]
     pub sequence: u64,
-    /// Revision up to which the sender holds no pending cancellations: it endorses only a leader
-    /// that has read as far. None: it has not read the state service yet. Wire: `floor`.
+    /// Revision up to which the sender keeps no pending cancellations; it endorses only a leader that has read the store
+    /// up to this revision. None: the sender has not read the state service yet. Wire: `floor`.
     #[serde(default, rename = "floor")]
     pub required_leader_revision: Option<u64>,
-    /// From the leader: the revision up to which it has applied all changes of jobs. Wire: `read`.
+    /// From the leader: revision up to which it has applied all job changes. Wire: `read`.
     #[serde(default, rename = "read")]
     pub applied_through: u64,
-    /// All cancellations committed after `required_leader_revision` that the sender holds: (job id,
-    /// revision, time of day of the cancellation in ms). Wire: `cancelled`.
+    /// All cancellations committed after `required_leader_revision` that the sender holds: (job id, revision, wall-clock
+    /// time of the cancellation in ms). Wire: `cancelled`.
     #[serde(default, skip_serializing_if = "Vec::is_empty", rename = "cancelled")]
     pub pending_cancellations: Vec<(String, u64, u64)>,
-    /// From the leader: machines on which a cancelled task is not proved gone: (machine name, time
-    /// of day of the cancellation in ms). Wire: `owed`.
+    /// From the leader: machines on which a cancelled task is not yet proved to be gone: (machine name, wall-clock time of
+    /// the cancellation in ms). Wire: `owed`.
     #[serde(default, skip_serializing_if = "Vec::is_empty", rename = "owed")]
     pub pending_terminations: Vec<(String, u64)>,
-    /// The latest heartbeat applied of each other controller: (its name, incarnation, sequence
-    /// number). Wire: `taken`.
+    /// The latest heartbeat applied of each other controller: (name, incarnation, sequence number). Wire: `taken`.
     #[serde(default, skip_serializing_if = "Vec::is_empty", rename = "taken")]
     pub acknowledged_heartbeats: Vec<(String, u64, u64)>,
-    /// The record format that the sender reads; 0: it knows of no dependencies between jobs.
+    /// Version of the record format that the sender can read. 0: it does not support dependencies between jobs.
     /// Wire: `form`.
     #[serde(default, rename = "form")]
     pub format_version: u32,
-    /// Sent without counts and attributes: the receiver keeps those it has. Wire: `brief`.
+    /// The heartbeat omits `job_counts` and `cluster_attributes`; the receiver keeps its previous values. Wire: `brief`.
     #[serde(default, skip_serializing_if = "std::ops::Not::not", rename = "brief")]
     pub is_abridged: bool,
 }
@@ -87,16 +87,15 @@
     /// Name of the follower. Wire: `node`.
     #[serde(rename = "node")]
     pub controller: String,
-    /// The reports, in the order in which they came.
+    /// The reports, in the order of their arrival.
     pub reports: Vec<ForwardedReport>,
-    /// Unchanged reports that the follower has answered itself by delegation, each machine at most
-    /// once. Wire: `well`.
+    /// Unchanged reports that the follower has answered by delegation, each machine at most once. Wire: `well`.
     #[serde(default, skip_serializing_if = "Vec::is_empty", rename = "well")]
     pub locally_answered: Vec<LocallyAnsweredReport>,
 }
 
-/// A machine whose unchanged report a follower has answered by delegation. On the wire it is a sequence of the four
-/// values in the order of the fields.
+/// An unchanged report of a machine that a follower has answered by delegation. On the wire it is a sequence of the four
+/// values, in the order of the fields.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(from = "(String, u64, u64, u64)")]
 pub struct LocallyAnsweredReport {
@@ -106,7 +105,7 @@
     pub session: u64,
     /// Sequence number of the report.
     pub sequence: u64,
-    /// Hash of its content without the sequence number.
+    /// Hash of the report's content, without the sequence number.
     pub content_hash: u64,
 }
 
@@ -122,19 +121,19 @@
     }
 }
 
-/// A forwarded report: in full, or as a hash if the machine's report is unchanged.
+/// A forwarded report: in full, or as a hash if its content is unchanged.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum ForwardedReport {
-    /// In full.
+    /// The full report.
     Full {
         /// The report.
         report: Box<StatusReport>,
-        /// Hash of its content without the sequence number. Wire: `shown`.
+        /// Hash of the report's content, without the sequence number. Wire: `shown`.
         #[serde(rename = "shown")]
         content_hash: u64,
     },
-    /// With the same content as the last report of the machine that the leader answered.
+    /// A report with the same content as the last one of the machine that the leader answered.
     Unchanged {
         /// Name of the machine. Wire: `berth`.
         #[serde(rename = "berth")]
@@ -142,10 +141,10 @@
         /// Number of the worker's session. Wire: `watch`.
         #[serde(rename = "watch")]
         session: u64,
-        /// Sequence number of the message. Wire: `tick`.
+        /// Sequence number of the report. Wire: `tick`.
         #[serde(rename = "tick")]
         sequence: u64,
-        /// Hash of its content without the sequence number. Wire: `shown`.
+        /// Hash of the report's content, without the sequence number. Wire: `shown`.
         #[serde(rename = "shown")]
         content_hash: u64,
     },
@@ -157,19 +156,19 @@
     /// The leader's fencing token. Wire: `helm`.
     #[serde(rename = "helm")]
     pub fencing_token: u64,
-    /// Commands for each report, in the order of the reports; none: that report must be forwarded
-    /// in full. Wire: `orders`.
+    /// Commands for each report, in the order of the reports. None: the report must be forwarded again in full.
+    /// Wire: `orders`.
     #[serde(rename = "orders")]
     pub commands: Vec<Option<Vec<Command>>>,
-    /// Ascending indices of the reports whose machines need no commands: while their content stays
+    /// Ascending indices of the reports whose machines need no commands. While the content of a machine's reports stays
     /// the same, the follower may answer them by delegation. Wire: `calm`.
     #[serde(default, skip_serializing_if = "Vec::is_empty", rename = "calm")]
     pub delegable_reports: Vec<usize>,
-    /// Machines whose next report must be forwarded, whatever its content. Wire: `look`.
+    /// Machines whose next report must be forwarded even if it is unchanged. Wire: `look`.
     #[serde(default, skip_serializing_if = "Vec::is_empty", rename = "look")]
     pub must_forward_machines: Vec<String>,
-    /// Time for which the follower may answer unchanged reports itself, ms, counted from when it
-    /// sent the message answered here; 0: not at all. Wire: `duty_ms`.
+    /// Time for which the follower may answer unchanged reports by delegation, ms, counted from when it sent the message
+    /// that this one answers. 0: not at all. Wire: `duty_ms`.
     #[serde(default, skip_serializing_if = "is_zero", rename = "duty_ms")]
     pub delegation_ms: u64,
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,13 +1,13 @@
-//! The messages of every interface, exactly as they travel, and the checks on what users submit.
+//! The wire format of all interfaces, and the validation of submissions.
 //!
-//! This is the only place that knows the protocol's own words (`helm`, `berth`, `hulls`): they stand in serde
-//! attributes, and each doc comment names the wire word of its field. Everywhere else the code uses the terms of
-//! `docs/glossary.md`. Nothing here keeps state or does I/O.
+//! Only this crate contains the field names of the wire format (such as `helm`, `berth`, `hulls`). They appear in serde
+//! attributes, and each doc comment states the wire name of its field if it differs. The rest of the code uses the terms
+//! of `docs/glossary.md`. Nothing here keeps state or does I/O.
 //!
-//! - [`users`]: jobs, their status, errors; [`submission`] reads and writes what users submit
-//! - [`workers`]: reports (heartbeats) and commands
+//! - [`users`]: jobs, their status, and errors; [`submission`] reads and writes submissions
+//! - [`workers`]: status reports (heartbeats) and commands
 //! - [`controllers`]: heartbeats and forwarded reports between controllers
-//! - [`cloud`]: machine types, rental, return and the machine list
+//! - [`cloud`]: machine types, renting and releasing machines, and the machine list
 //! - [`state`]: keys, transactions, leases and watches of the state service
 
 #![forbid(unsafe_code)]
@@ -23,30 +23,30 @@
 
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Why a request body was refused. The text is for the user who sent it: cause and remedy.
+/// Why a request body was rejected. The text is sent to the user and states the cause and the remedy.
 #[derive(Debug, thiserror::Error)]
 pub enum ProtocolError {
-    /// The body has that many bytes, more than the interface allows.
+    /// The body is larger than [`MAX_BODY_BYTES`](constants::MAX_BODY_BYTES); its size in bytes.
     #[error("the body has {0} bytes, more than the limit; send less")]
     TooLarge(usize),
-    /// The body is not MessagePack of the expected form.
+    /// The body is not valid MessagePack of the expected form; the details.
     #[error("the body cannot be read: {0}; send a MessagePack map as the protocol describes")]
     Malformed(String),
-    /// A field (by its wire name) is missing or has a value that it cannot have; what is wrong with it.
+    /// A field is missing or has an invalid value; its wire name and what is wrong with it.
     #[error("field `{0}`: {1}")]
     InvalidField(&'static str, &'static str),
 }
 
-/// Reads a MessagePack body. Unknown fields are ignored.
+/// Decodes a MessagePack body. Unknown fields are ignored.
 ///
 /// # Errors
-/// [`ProtocolError::Malformed`] if it has not the form of `T`.
+/// [`ProtocolError::Malformed`] if the body cannot be decoded as `T`.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, ProtocolError> {
     rmp_serde::from_slice(body).map_err(|e| ProtocolError::Malformed(e.to_string()))
 }
 
-/// Writes a MessagePack body: structs as maps keyed by field name. The types of this package can always be written;
-/// should one fail nevertheless the body is empty, which every reader refuses.
+/// Encodes a MessagePack body, with structs as maps keyed by field name. Encoding the types of this crate does not fail.
+/// If it did, the body would be empty, which every reader rejects.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     rmp_serde::to_vec_named(value).unwrap_or_default()
 }
--- a/crates/protocol/src/submission.rs
+++ b/crates/protocol/src/submission.rs
@@ -1,8 +1,8 @@
-//! Submissions as bytes: reads and checks the MessagePack map that a user sends, and writes one. A submission is
-//! not decoded by serde as a whole, because a bad field must not hide the job's id: a known job is answered from its
-//! record, whatever the body of a repeat says.
+//! Parsing, validation and encoding of submissions, the MessagePack maps in which users submit jobs. A submission is not
+//! decoded by serde as a whole, because the job's id must be readable even if another field is invalid: a known job is
+//! answered from its record, whatever the body of a repeat contains.
 //!
-//! Pure: owns no state and calls nobody. The words of the protocol's submission stand here and nowhere else.
+//! Pure functions, without state or I/O. The wire names of a submission's fields appear only here.
 
 use crate::ProtocolError;
 use crate::constants::{
@@ -14,31 +14,32 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// A submission whose id could be read. The id alone tells a repeat for a known job from a bad request.
+/// A submission with a valid id. The id suffices to distinguish a repeat for a known job from a bad request.
 #[derive(Debug)]
 pub struct Submission {
     /// The job's id.
     pub id: Arc<str>,
-    /// What the job asks for, or the first fault found in the body.
+    /// The job's specification, or the first error found in the body.
     pub spec: Result<JobSpec, ProtocolError>,
-    /// The DAG dependencies: jobs that must be done before any of its tasks starts, each once. Their number and
-    /// length is checked here, but not whether they are valid ids or known jobs. Wire: `awaits`.
+    /// The DAG dependencies, without duplicates: jobs that must be done before any task of this job starts. Their number
+    /// and length have been checked, but not whether they are valid ids or known jobs. Wire: `awaits`.
     pub depends_on: Vec<Arc<str>>,
 }
 
-/// Whether a text has the form of a job id (`wk-000412`): the prefix `wk-`, then ASCII letters and digits, at most
+/// Whether a text is a valid job id (such as `wk-000412`): the prefix `wk-`, then ASCII letters and digits, at most
 /// [`MAX_JOB_ID_BYTES`] in all.
 pub fn is_valid_job_id(text: &str) -> bool {
-    let Some(("wk", rest)) = text.split_once('-') else { return false };
-    let is_word = !rest.is_empty() && rest.bytes().all(|byte| byte.is_ascii_alphanumeric());
-    is_word && text.len() <= MAX_JOB_ID_BYTES
+    let Some(("wk", suffix)) = text.split_once('-') else { return false };
+    let is_alphanumeric =
+        !suffix.is_empty() && suffix.bytes().all(|byte| byte.is_ascii_alphanumeric());
+    is_alphanumeric && text.len() <= MAX_JOB_ID_BYTES
 }
 
-/// Reads a submission.
+/// Parses and validates a submission.
 ///
 /// # Errors
-/// The body is too large, no MessagePack map, or has no valid `name_id`. Any other fault stands in
-/// [`Submission::spec`].
+/// Returns an error if the body is too large, is not a MessagePack map, or has no valid `name_id`. Any other error is
+/// returned in [`Submission::spec`].
 pub fn read_submission(body: &[u8]) -> Result<Submission, ProtocolError> {
     if body.len() > MAX_BODY_BYTES {
         return Err(ProtocolError::TooLarge(body.len()));
@@ -66,8 +67,8 @@
     Ok(Submission { id: Arc::from(id.as_str()), spec, depends_on })
 }
 
-/// The fields of a submission by their wire names. Each accessor checks the type and bounds of one field; null is as
-/// good as missing.
+/// The fields of a submission by their wire names. Each accessor checks the type and bounds of one field. A null value
+/// is treated as a missing field.
 struct SubmissionFields(Vec<(Value, Value)>);
 
 impl SubmissionFields {
@@ -116,11 +117,11 @@
 
     fn task_count(&self) -> Result<u32, ProtocolError> {
         let value = self.required("shards")?;
-        // Some MessagePack libraries write a whole number as a float.
-        let whole = || value.as_f64().filter(|count| count.fract() == 0.0 && *count >= 0.0);
+        // Some MessagePack libraries encode an integer as a float.
+        let from_float = || value.as_f64().filter(|count| count.fract() == 0.0 && *count >= 0.0);
         let count = value
             .as_u64()
-            .or_else(|| whole().map(|count| count as u64))
+            .or_else(|| from_float().map(|count| count as u64))
             .ok_or(ProtocolError::InvalidField("shards", "is not a count"))?;
         if count == 0 || count > MAX_TASKS {
             return Err(ProtocolError::InvalidField("shards", "must be from 1 to 100000"));
@@ -140,7 +141,7 @@
     fn dependencies(&self) -> Result<Vec<Arc<str>>, ProtocolError> {
         let mut distinct: Vec<Arc<str>> = Vec::new();
         for id in self.texts("awaits", MAX_DEPENDENCIES)?.unwrap_or_default() {
-            if !distinct.iter().any(|known| **known == *id) {
+            if !distinct.iter().any(|other| **other == *id) {
                 distinct.push(id.into());
             }
         }
@@ -171,7 +172,7 @@
         "service" => JobKind::Service,
         _ => return Err(ProtocolError::InvalidField("shape", "is none of array, gang, service")),
     };
-    let priority = priority_named(&fields.text("rank")?)
+    let priority = priority_from_name(&fields.text("rank")?)
         .ok_or(ProtocolError::InvalidField("rank", "is no known priority"))?;
     let tasks = fields.task_count()?;
     let zone = fields.optional_text("dock")?;
@@ -198,7 +199,7 @@
     })
 }
 
-/// The name of a priority in a submission (`rank`).
+/// The wire name of a priority in a submission (field `rank`).
 fn priority_name(priority: Priority) -> &'static str {
     match priority {
         Priority::Production => "production",
@@ -208,12 +209,12 @@
     }
 }
 
-fn priority_named(name: &str) -> Option<Priority> {
+fn priority_from_name(name: &str) -> Option<Priority> {
     let all = [Priority::Production, Priority::High, Priority::Normal, Priority::Low];
     all.into_iter().find(|priority| priority_name(*priority) == name)
 }
 
-/// A submission as it is written: the wire's fields in the wire's order.
+/// A submission to be encoded. The fields are in the order of the wire format.
 #[derive(Serialize)]
 struct SubmissionBody<'a> {
     #[serde(rename = "name_id")]
@@ -257,7 +258,7 @@
     depends_on: Vec<&'a str>,
 }
 
-/// Writes the submission of a job with these DAG dependencies, as a user of the protocol sends it.
+/// Encodes the submission of a job with DAG dependencies, as a user sends it.
 pub fn write_submission(id: &str, spec: &JobSpec, depends_on: &[Arc<str>]) -> Vec<u8> {
     crate::encode(&SubmissionBody {
         id,
