--- a/crates/controller/src/controller/dependency_lookup.rs
+++ b/crates/controller/src/controller/dependency_lookup.rs
@@ -12,7 +12,7 @@
 use super::requests::replies::{error_reply, http_status, store_unavailable_reply};
 use super::{CallContext, Controller, RequestId};
 use crate::cluster_state::ClusterState;
-use crate::constants::{DEPENDENCY_LOOKUPS_MAX, USER_STORE_TIMEOUT_MS};
+use crate::constants::{MAX_DEPENDENCY_LOOKUPS, USER_STORE_TIMEOUT_MS};
 use crate::job::{FinalRecord, JobId, JobRecord, StoredJob, keys};
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreClient, StoreOutcome};
 use std::collections::HashMap;
@@ -133,7 +133,7 @@
 
     /// Whether another lookup may wait for a store read. Bounds memory and the number of store calls.
     fn has_lookup_room(&self) -> bool {
-        self.dependency_lookups.open.len() < DEPENDENCY_LOOKUPS_MAX
+        self.dependency_lookups.open.len() < MAX_DEPENDENCY_LOOKUPS
             && self.store.has_room(self.budget.waiting_store_calls)
             && !self.store.is_unavailable()
     }
@@ -237,7 +237,7 @@
     }
 
     fn cache_final_record(&mut self, id: &JobId, record: FinalRecord) -> JobReadOutcome {
-        self.remember_final(id, record);
+        self.cache_final_record(id, record);
         JobReadOutcome::Found(VisitedJob::Ended(record.fate(self.now.wall_clock)))
     }
 
--- a/crates/controller/src/controller/job_cache.rs
+++ b/crates/controller/src/controller/job_cache.rs
@@ -11,8 +11,8 @@
 use super::{CallContext, Controller, Reply};
 use crate::Time;
 use crate::constants::{
-    DISPLACED_OF, JOB_CACHE_FULL_MS, JOB_CACHE_IDLE_MS, JOB_CACHE_MS, JOB_CACHE_STALE_MS,
-    STORE_TIMEOUT_MS, USER_STORE_TIMEOUT_MS,
+    JOB_CACHE_IDLE_READ_INTERVAL_MS, JOB_CACHE_OVERFLOW_RETRY_MS, JOB_CACHE_READ_INTERVAL_MS,
+    JOB_CACHE_RELIST_AFTER_MS, POLL_DISPLACEMENT_WINDOW, STORE_TIMEOUT_MS, USER_STORE_TIMEOUT_MS,
 };
 use crate::job::{FinalRecord, JobId, StoredJob, keys};
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
@@ -188,7 +188,7 @@
     /// finds too many jobs again costs many requests, and the number of jobs changes slowly.
     fn invalidate_for_size(&mut self) {
         self.advance(CacheCoverage::Nothing);
-        self.next_listing_at = self.read_at + JOB_CACHE_FULL_MS;
+        self.next_listing_at = self.read_at + JOB_CACHE_OVERFLOW_RETRY_MS;
     }
 
     /// Records the state of a job from its key and value.
@@ -223,7 +223,7 @@
         let is_duplicate =
             |index: &usize| waiting[..*index].iter().any(|(id, _)| *id == waiting[*index].0);
         // Only the latest requests are considered, to bound the CPU time.
-        let first = waiting.len().saturating_sub(DISPLACED_OF);
+        let first = waiting.len().saturating_sub(POLL_DISPLACEMENT_WINDOW);
         let candidates = (first..waiting.len()).rev().filter(yields);
         let index = candidates.clone().find(is_duplicate).or_else(|| candidates.clone().next())?;
         Some(waiting.remove(index).1)
@@ -264,13 +264,16 @@
         match cache.coverage {
             // After a long time without reads one response could hold very many changes, whereas the pages of a listing
             // are bounded.
-            CacheCoverage::Complete(_) if now >= cache.read_at + JOB_CACHE_STALE_MS => {
+            CacheCoverage::Complete(_) if now >= cache.read_at + JOB_CACHE_RELIST_AFTER_MS => {
                 cache.advance(CacheCoverage::Nothing);
                 self.fall_back_to_key_reads(Vec::new());
             }
             CacheCoverage::Complete(from) => self.read_cache_changes(from),
             CacheCoverage::Nothing
-                if now >= cache.next_listing_at.max(cache.requested_at + JOB_CACHE_IDLE_MS) =>
+                if now
+                    >= cache
+                        .next_listing_at
+                        .max(cache.requested_at + JOB_CACHE_IDLE_READ_INTERVAL_MS) =>
             {
                 cache.requested_at = now;
                 self.list_job_cache(None);
@@ -294,7 +297,11 @@
     fn read_cache_changes(&mut self, from: u64) {
         let now = self.now.monotonic;
         let cache = &mut self.job_cache;
-        let interval = if cache.waiting.is_empty() { JOB_CACHE_IDLE_MS } else { JOB_CACHE_MS };
+        let interval = if cache.waiting.is_empty() {
+            JOB_CACHE_IDLE_READ_INTERVAL_MS
+        } else {
+            JOB_CACHE_READ_INTERVAL_MS
+        };
         if now < cache.requested_at + interval {
             return;
         }
@@ -322,7 +329,7 @@
         self.serve_cache_requests(outcome, served);
         // Final records never change, so later requests need no read, even after the record has moved to its final key.
         for (id, record) in std::mem::take(&mut self.job_cache.newly_finished) {
-            self.remember_final(&id, record);
+            self.cache_final_record(&id, record);
         }
         self.refresh_job_cache();
     }
--- a/crates/controller/src/leadership/cancellation_quorum.rs
+++ b/crates/controller/src/leadership/cancellation_quorum.rs
@@ -29,7 +29,7 @@
 //! `controller::peers` passes heartbeats in and out.
 
 use crate::Time;
-use crate::constants::{HEARTBEATS_REMEMBERED, PENDING_CANCELLATIONS_MAX, STORE_TIMEOUT_MS};
+use crate::constants::{MAX_HEARTBEAT_HISTORY, MAX_PENDING_CANCELLATIONS, STORE_TIMEOUT_MS};
 use crate::job::JobId;
 use std::collections::{BTreeMap, VecDeque};
 use swiftsail_protocol::controllers::Heartbeat;
@@ -124,7 +124,7 @@
     pending: BTreeMap<JobId, PendingCancellation>,
     /// Number of heartbeats built, which is the sequence number of the latest one.
     heartbeats_built: u64,
-    /// The latest heartbeats built, oldest first; at most [`HEARTBEATS_REMEMBERED`].
+    /// The latest heartbeats built, oldest first; at most [`MAX_HEARTBEAT_HISTORY`].
     sent: VecDeque<SentHeartbeat>,
     /// State of each peer, by host name.
     peers: BTreeMap<String, PeerCancellations>,
@@ -158,7 +158,7 @@
         if self.requires_leader_to_have_read(revision) || self.pending.contains_key(job) {
             return true;
         }
-        if self.pending.len() >= PENDING_CANCELLATIONS_MAX && !self.drop_oldest() {
+        if self.pending.len() >= MAX_PENDING_CANCELLATIONS && !self.drop_oldest() {
             return false;
         }
         let heartbeats_before = self.heartbeats_built;
@@ -210,7 +210,7 @@
     pub fn fill_heartbeat(&mut self, heartbeat: &mut Heartbeat, now: Time) {
         self.heartbeats_built += 1;
         self.sent.push_back(SentHeartbeat { sequence: self.heartbeats_built, sent_at: now });
-        if self.sent.len() > HEARTBEATS_REMEMBERED {
+        if self.sent.len() > MAX_HEARTBEAT_HISTORY {
             self.sent.pop_front();
         }
         heartbeat.sequence = self.heartbeats_built;
@@ -276,9 +276,9 @@
         &mut self,
         heartbeat: &Heartbeat,
     ) -> (Vec<ReportedCancellation>, bool) {
-        let mut all_held = heartbeat.pending_cancellations.len() <= PENDING_CANCELLATIONS_MAX;
+        let mut all_held = heartbeat.pending_cancellations.len() <= MAX_PENDING_CANCELLATIONS;
         let mut reported = Vec::new();
-        let bounded = heartbeat.pending_cancellations.iter().take(PENDING_CANCELLATIONS_MAX);
+        let bounded = heartbeat.pending_cancellations.iter().take(MAX_PENDING_CANCELLATIONS);
         for (id, revision, cancelled_wall) in bounded {
             if is_valid_job_id(id) {
                 let job = JobId::from(id.as_str());
