--- a/crates/controller/src/controller/dependency_lookup.rs
+++ b/crates/controller/src/controller/dependency_lookup.rs
@@ -212,7 +212,7 @@
         match outcome {
             StoreOutcome::Found(pair) if final_key => self.process_final_record(id, pair),
             StoreOutcome::Found(pair) => match StoredJob::read(&pair.value) {
-                Some(StoredJob::Finished(record)) => self.cache_final_record(id, record),
+                Some(StoredJob::Finished(record)) => self.finished_read_outcome(id, record),
                 Some(StoredJob::Live(record)) if record.cancelled => {
                     JobReadOutcome::Found(VisitedJob::Ended(JobOutcome::Cancelled))
                 }
@@ -231,12 +231,12 @@
 
     fn process_final_record(&mut self, id: &JobId, pair: &KeyValue) -> JobReadOutcome {
         match serde_json::from_value(pair.value.clone()) {
-            Ok(record) => self.cache_final_record(id, record),
+            Ok(record) => self.finished_read_outcome(id, record),
             Err(_) => JobReadOutcome::Failed,
         }
     }
 
-    fn cache_final_record(&mut self, id: &JobId, record: FinalRecord) -> JobReadOutcome {
+    fn finished_read_outcome(&mut self, id: &JobId, record: FinalRecord) -> JobReadOutcome {
         self.cache_final_record(id, record);
         JobReadOutcome::Found(VisitedJob::Ended(record.fate(self.now.wall_clock)))
     }
--- a/crates/controller/src/controller/report_forwarding/forwarder.rs
+++ b/crates/controller/src/controller/report_forwarding/forwarder.rs
@@ -148,7 +148,7 @@
     }
 
     /// Takes the next batch from the queue, if one is due. `delays_batches`: the leader distributes workers, so reports
-    /// wait up to [`FORWARD_GATHER_MS`] to be sent together.
+    /// wait up to [`FORWARD_BATCH_WINDOW_MS`] to be sent together.
     pub(super) fn next_batch(
         &mut self,
         own_name: &str,
@@ -203,7 +203,7 @@
     }
 
     /// Returns a batch without reports if the last summary of the reports answered by delegation was sent at least
-    /// [`SUMMARY_MS`] ago. The leader's answer to it also extends the delegation.
+    /// [`UNCHANGED_SUMMARY_INTERVAL_MS`] ago. The leader's answer to it also extends the delegation.
     pub(super) fn next_summary(
         &mut self,
         own_name: &str,
--- a/crates/controller/src/leadership/cancellation_quorum.rs
+++ b/crates/controller/src/leadership/cancellation_quorum.rs
@@ -270,7 +270,7 @@
     }
 
     /// Records the cancellations in a heartbeat. Returns those with a valid job id, and whether this controller now
-    /// holds all of them. Only the first [`PENDING_CANCELLATIONS_MAX`] are processed: a heartbeat with more than any
+    /// holds all of them. Only the first [`MAX_PENDING_CANCELLATIONS`] are processed: a heartbeat with more than any
     /// controller may hold is never acknowledged.
     fn record_reported_cancellations(
         &mut self,
--- a/crates/protocol/src/workers.rs
+++ b/crates/protocol/src/workers.rs
@@ -103,7 +103,7 @@
     /// The task was stopped by a command. Wire: `halted`.
     #[serde(rename = "halted")]
     Stopped,
-    /// Another task of the gang has ended or is unreachable. Wire: `mates_gone`.
+    /// The gang has lost another of its tasks. Wire: `mates_gone`.
     #[serde(rename = "mates_gone")]
     GangMemberLost,
     /// The gang was not complete in time. Wire: `alone`.
