--- a/tests/consistent_answers.rs
+++ b/tests/consistent_answers.rs
@@ -282,7 +282,7 @@
             .partitions
             .push(NetworkPartition { store: true, ..NetworkPartition::of(leader, 40_000, 14_000) });
         if seed % 2 == 0 {
-            // Only one follower reads the cancellation, and it i..partition off from its peers. The leader depends on the
+            // Only one follower reads the cancellation, and it is cut off from its peers. The leader depends on the
             // endorsement of the other follower.
             let (isolated, other) = ((leader + 1) % 3, (leader + 2) % 3);
             simulation.partitions.push(NetworkPartition {
