--- a/crates/controller/src/controller/dependency_lookup.rs
+++ b/crates/controller/src/controller/dependency_lookup.rs
@@ -123,7 +123,7 @@
     fn known_dependency(&self, id: &JobId, freshness: CacheFreshness) -> Option<VisitedJob> {
         let wall = self.now.wall_clock;
         let known = match self.final_records.get(id) {
-            Some(record) => Some(VisitedJob::Ended(record.fate(wall))),
+            Some(record) => Some(VisitedJob::Ended(record.outcome(wall))),
             None => self.job_cache.dependency_state(id, wall),
         };
         known.filter(|state| {
@@ -134,7 +134,7 @@
     /// Whether another lookup may wait for a store read. Bounds memory and the number of store calls.
     fn has_lookup_room(&self) -> bool {
         self.dependency_lookups.open.len() < MAX_DEPENDENCY_LOOKUPS
-            && self.store.has_room(self.budget.waiting_store_calls)
+            && self.store.has_queue_capacity(self.budget.waiting_store_calls)
             && !self.store.is_unavailable()
     }
 
@@ -170,7 +170,7 @@
     }
 
     fn read_dependency_for_lookup(&mut self, lookup: u64, job: JobId, final_key: bool) {
-        let key = keys::place(&job, final_key);
+        let key = keys::job_or_final_record(&job, final_key);
         let policy = RetryPolicy::OnceBefore(self.now.monotonic + USER_STORE_TIMEOUT_MS);
         let context = CallContext::LookUpDependency { lookup, job, final_key };
         self.store.push(StoreCall::Get(key), context, CallPriority::Normal, policy);
@@ -238,7 +238,7 @@
 
     fn finished_read_outcome(&mut self, id: &JobId, record: FinalRecord) -> JobReadOutcome {
         self.cache_final_record(id, record);
-        JobReadOutcome::Found(VisitedJob::Ended(record.fate(self.now.wall_clock)))
+        JobReadOutcome::Found(VisitedJob::Ended(record.outcome(self.now.wall_clock)))
     }
 
     /// As the leader: updates the effective deadlines, and reads the dependencies that the cluster state does not contain
@@ -250,7 +250,7 @@
         state.propagate_deadlines(&types, now);
         for id in state.unknown_dependencies(now) {
             match self.final_records.get(&id) {
-                Some(record) => state.on_dependency_finished(&id, record.fate(wall), now, wall),
+                Some(record) => state.on_dependency_finished(&id, record.outcome(wall), now, wall),
                 None => read_dependency_as_leader(&mut self.store, state, id, false),
             }
         }
@@ -287,7 +287,7 @@
     job: JobId,
     final_key: bool,
 ) {
-    let key = keys::place(&job, final_key);
+    let key = keys::job_or_final_record(&job, final_key);
     let context = CallContext::ReadDependency { generation: state.generation, job, final_key };
     store.push(StoreCall::Get(key), context, CallPriority::Normal, RetryPolicy::UntilDefinite);
 }
--- a/crates/controller/src/controller/report_forwarding/mod.rs
+++ b/crates/controller/src/controller/report_forwarding/mod.rs
@@ -242,7 +242,7 @@
     ) -> ReportAnswer {
         let response = self.on_status_report(report, ReportSource::StatusReport, now, types);
         // A stale copy shows neither the current content nor the controller to which the worker reports.
-        if let Some(machine) = self.machine_if_just_heard(report, now) {
+        if let Some(machine) = self.machine_if_report_accepted(report, now) {
             machine.report_digest = Some(content_hash);
             machine.forwarded_by = Some(follower.clone());
         }
--- a/tests/answer_linearizability/cases.rs
+++ b/tests/answer_linearizability/cases.rs
@@ -402,7 +402,7 @@
     /// Replaces a job's record by a final record with the state done.
     fn write_final_record(&mut self, job: usize) {
         let key = keys::job(&self.ids[job]);
-        let final_record = FinalRecord { state: FinalState::Done, done: 1, at_wall: None };
+        let final_record = FinalRecord { state: FinalState::Done, done: 1, ended_wall: None };
         let value = serde_json::to_value(final_record).expect("a final record is valid JSON");
         let mutations = vec![Mutation::Put { key, value, lease: None }];
         self.store.apply_transaction(&Transaction { preconditions: Vec::new(), mutations });
--- a/tests/answer_linearizability/main.rs
+++ b/tests/answer_linearizability/main.rs
@@ -425,7 +425,7 @@
             return;
         }
         if let Some(before) = self.submit_after[job] {
-            let record_keys = [keys::job(&self.ids[before]), keys::end(&self.ids[before])];
+            let record_keys = [keys::job(&self.ids[before]), keys::final_record(&self.ids[before])];
             let found = record_keys.iter().find_map(|key| self.store.get(key));
             let final_record =
                 found.and_then(|p| serde_json::from_value::<FinalRecord>(p.value.clone()).ok());
@@ -439,7 +439,7 @@
         if self.has_pending_request(job) {
             self.count_fault("finished during a request");
         }
-        let final_record = FinalRecord { state: FinalState::Done, done: 1, at_wall: None };
+        let final_record = FinalRecord { state: FinalState::Done, done: 1, ended_wall: None };
         let value = serde_json::to_value(final_record).expect("a final record is valid JSON");
         let mutations = vec![Mutation::Put { key: key.clone(), value, lease: None }];
         self.store.apply_transaction(&Transaction {
@@ -452,7 +452,7 @@
     }
 
     fn move_record(&mut self, job: usize) {
-        let (key, final_key) = (keys::job(&self.ids[job]), keys::end(&self.ids[job]));
+        let (key, final_key) = (keys::job(&self.ids[job]), keys::final_record(&self.ids[job]));
         let Some(pair) = self.store.get(&key).cloned() else { return };
         if self.has_pending_request(job) {
             self.count_fault("moved during a request");
