--- a/crates/quota/src/account.rs
+++ b/crates/quota/src/account.rs
@@ -1,12 +1,12 @@
-//! One partition's account of one quota page: the part that must never be wrong. It moves quota by conditional
-//! transactions, each over the records on both sides, and says what may be used meanwhile.
+//! One partition's account of one quota page. The safety of limits rests on this module alone: it moves quota by
+//! conditional transactions, each over the records of both sides, and computes how much may be used meanwhile.
 //!
-//! It is escrow (O'Neil, "The escrow transactional method", 1986) with the demarcation protocol (Barbará and
-//! Garcia-Molina, 1992), and the state service as the record: only the holder of quota gives it away, after it has
-//! ceased to use it, and whoever receives it gets it in the same transaction. So no message, clock or second opinion
-//! is needed to stay within a limit.
+//! It implements escrow (O'Neil, "The escrow transactional method", 1986) with the demarcation protocol (Barbará and
+//! Garcia-Molina, 1992), with the records in the state service. Only the holder of quota gives it away, after it has
+//! stopped using it, and the receiver gets it in the same transaction. So staying within a limit depends on no
+//! message, no clock and no agreement with other controllers.
 //!
-//! An account owns its copy of the page and the one in-flight transaction. Its owner reads pages, sends transactions
+//! An account owns its copy of the page and the one in-flight transaction. The caller reads pages, sends transactions
 //! and reports their outcomes.
 
 use crate::constants::UNLIMITED_QUANTITY;
@@ -17,7 +17,7 @@
 };
 use std::collections::BTreeMap;
 
-/// What an account may do.
+/// Phase of an account, which determines what it may do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AccountPhase {
     /// The page has not been read yet: nothing may be used.
@@ -26,31 +26,31 @@
     Open,
     /// A transaction is in flight.
     InFlight,
-    /// A transaction's outcome is unknown: it may have been committed, or may yet be.
+    /// The outcome of a transaction is unknown: it may have been committed, or may still be.
     InDoubt,
-    /// Another controller holds the partition: nothing may be used, for good.
+    /// Another controller holds the partition: nothing may be used any more. Final.
     Closed,
 }
 
-/// How a transaction ended.
+/// Outcome of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum TransactionOutcome {
     /// Committed at this revision.
     Committed(u64),
-    /// Rejected: these keys did not have the expected mod revision.
+    /// Rejected, since these keys did not have their expected mod revisions.
     Conflict(Vec<QuotaKey>),
-    /// No answer came.
+    /// No answer arrived in time.
     Unknown,
 }
 
-/// What the owner of an account is to do next.
+/// What the caller must do next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AccountStep {
-    /// Nothing.
+    /// Nothing, until the next outcome or page.
     Wait,
     /// Read the page again.
     ReadPage,
-    /// Send this again. Its conditions ensure that it is committed at most once.
+    /// Send this transaction again. Its conditions ensure that it is committed at most once.
     Resend(QuotaTransaction),
 }
 
@@ -66,7 +66,8 @@
 }
 
 impl QuotaAccount {
-    /// The account of a partition whose holder has this fencing token. Its page must be read first.
+    /// The account of a partition whose holder has this fencing token. Nothing may be used before
+    /// [`on_page`](QuotaAccount::on_page).
     pub fn new(partition: &str, fencing_token: u64) -> QuotaAccount {
         QuotaAccount {
             partition: partition.to_string(),
@@ -78,35 +79,35 @@
         }
     }
 
-    /// What the account may do now.
+    /// The current phase.
     pub fn phase(&self) -> AccountPhase {
         self.phase
     }
 
-    /// The page as last read or committed.
+    /// The page as last read, with the transactions committed since.
     pub fn page(&self) -> &QuotaPage {
         &self.page
     }
 
-    /// The one function that changes the phase. [`AccountPhase::Closed`] is never left.
+    /// Changes the phase; nothing else does. [`AccountPhase::Closed`] is final.
     fn advance_phase(&mut self, to: AccountPhase) {
         if self.phase != AccountPhase::Closed {
             self.phase = to;
         }
     }
 
-    /// This partition's record and its mod revision.
+    /// This partition's holding and its mod revision.
     fn own_holding(&self) -> (QuotaHolding, u64) {
         self.page.holdings.get(&self.partition).cloned().unwrap_or_default()
     }
 
-    /// Quota of a team that this partition holds, by the page as last known.
+    /// Quota of a team that this partition holds according to the known page.
     pub fn held_amount(&self, team: &str) -> ResourceQuantities {
         let own = self.page.holdings.get(&self.partition);
         own.and_then(|(holding, _)| holding.held.get(team)).copied().unwrap_or_default()
     }
 
-    /// Quota of a team that may be used now: the lower of what is held before and after the in-flight transaction.
+    /// Quota of a team that may be used now: the lower of the amounts held before and after the in-flight transaction.
     pub fn usable_amount(&self, team: &str) -> ResourceQuantities {
         if matches!(self.phase, AccountPhase::Reading | AccountPhase::Closed) {
             return ResourceQuantities::default();
@@ -123,8 +124,8 @@
         held_after.next().map_or(held, |after| held.zip_with(after, Quantity::min))
     }
 
-    /// This partition's part, rounded up, of what the limit in force exceeds the limit wanted by: it is to be given
-    /// back as soon as it is unused.
+    /// Quota of a team that this partition must return because the limit was lowered: its proportional part, rounded up,
+    /// of the difference between the limit in force and the configured limit. It is returned as soon as it is unused.
     pub fn owed_amount(&self, team: &str) -> ResourceQuantities {
         let Some(quota) = self.page.pool.0.teams.get(team) else {
             return ResourceQuantities::ZERO;
@@ -136,18 +137,18 @@
         }
     }
 
-    /// A limit as the settings name it; 0 there means no limit, which moves as a very large quantity.
+    /// A limit from the settings, where 0 means no limit; that is represented by [`UNLIMITED_QUANTITY`].
     pub fn limits_from_settings(cpus: f64, gpus: f64) -> ResourceQuantities {
-        let most = UNLIMITED_QUANTITY;
-        let bounded = |limit: f64| if limit > 0.0 { limit.min(most) } else { most };
+        let max = UNLIMITED_QUANTITY;
+        let bounded = |limit: f64| if limit > 0.0 { limit.min(max) } else { max };
         ResourceQuantities::from_limit(bounded(cpus), bounded(gpus))
     }
 
     // ---- transactions ---------------------------------------------------------------------------
 
-    /// Writes down the limits that this holder's settings name, and changes the limits in force where that is allowed:
-    /// a limit is lowered as soon as any holder's settings are lower, and raised only when all holders' are higher.
-    /// None: nothing to change, or the account is not open.
+    /// Records the limits in this holder's settings, and sets each limit to the lowest that any holder has configured: it
+    /// is lowered as soon as one holder's settings are lower, and raised only when those of all holders are higher.
+    /// Returns `None` if nothing changes or the account is not open.
     pub fn reconcile_limits(
         &mut self,
         settings: &BTreeMap<TeamName, ResourceQuantities>,
@@ -176,11 +177,11 @@
         if own == recorded && pool == self.page.pool.0 && mod_revision > 0 {
             return None;
         }
-        // The pool is always part of the transaction: of two holders that write at once one must read again.
+        // The pool is always part of the transaction, so that of two concurrent writers one has a conflict.
         Some(self.begin_transaction(own, Some(pool), None))
     }
 
-    /// The lowest limit that any holder's settings name for a team; zero if none names it.
+    /// The lowest limit that any holder has configured for a team; zero if no settings contain the team.
     fn lowest_configured_limit(&self, team: &str, own: &QuotaHolding) -> ResourceQuantities {
         let others = self.page.holdings.iter().filter(|(other, _)| **other != self.partition);
         others
@@ -191,7 +192,8 @@
             .unwrap_or_default()
     }
 
-    /// Takes from the pool what it has of what is wanted. None: it has nothing of it, or the account is not open.
+    /// Takes the wanted amounts from the pool, or as much of them as is free. Returns `None` if nothing of them is free or
+    /// the account is not open.
     pub fn take_from_pool(
         &mut self,
         wanted: &BTreeMap<TeamName, ResourceQuantities>,
@@ -201,21 +203,21 @@
         let mut takes_any = false;
         for (team, wanted) in wanted {
             let Some(quota) = pool.teams.get_mut(team) else { continue };
-            let part = non_negative_min(*wanted, quota.free);
-            takes_any |= !part.is_zero();
-            quota.free -= part;
-            *own.held.entry(team.clone()).or_default() += part;
+            let amount = non_negative_min(*wanted, quota.free);
+            takes_any |= !amount.is_zero();
+            quota.free -= amount;
+            *own.held.entry(team.clone()).or_default() += amount;
         }
         takes_any.then(|| self.begin_transaction(own, Some(pool), None))
     }
 
-    /// Gives quota to another partition, or back to the pool (`to` none or this partition): at most what is not in
-    /// `used`, which must count everything that is not proved gone. None: nothing to give, the receiver is not on the
-    /// page, or the account is not open.
+    /// Transfers quota to another partition, or returns it to the pool if `to` is `None` or this partition. At most the
+    /// quota beside `used` is transferred; `used` must include all tasks that are not confirmed terminated. Returns
+    /// `None` if there is nothing to transfer, the receiver is not on the page, or the account is not open.
     pub fn transfer_holding(
         &mut self,
         to: Option<&str>,
-        gifts: &BTreeMap<TeamName, ResourceQuantities>,
+        amounts: &BTreeMap<TeamName, ResourceQuantities>,
         used: &BTreeMap<TeamName, ResourceQuantities>,
     ) -> Option<QuotaTransaction> {
         let mut own = self.holding_if_open()?;
@@ -224,28 +226,28 @@
             Some(to) => Some((to.to_string(), self.page.holdings.get(to)?.clone())),
             None => None,
         };
-        let mut gives_any = false;
-        for (team, gift) in gifts {
+        let mut transfers_any = false;
+        for (team, requested) in amounts {
             let (Some(held), Some(quota)) = (own.held.get_mut(team), pool.teams.get_mut(team))
             else {
                 continue;
             };
             let unused = held.excess_over(used.get(team).copied().unwrap_or_default());
-            let part = non_negative_min(*gift, unused);
-            if part.is_zero() {
+            let amount = non_negative_min(*requested, unused);
+            if amount.is_zero() {
                 continue;
             }
-            gives_any = true;
-            *held -= part;
+            transfers_any = true;
+            *held -= amount;
             match &mut receiver {
-                Some((_, (holding, _))) => *holding.held.entry(team.clone()).or_default() += part,
+                Some((_, (holding, _))) => *holding.held.entry(team.clone()).or_default() += amount,
                 None => {
-                    quota.free += part;
+                    quota.free += amount;
                     lower_limit_by_free(quota);
                 }
             }
         }
-        if !gives_any {
+        if !transfers_any {
             return None;
         }
         own.held.retain(|_, held| !held.is_zero());
@@ -253,8 +255,8 @@
         Some(self.begin_transaction(own, pool, receiver))
     }
 
-    /// Deletes the record of a partition that holds nothing: its settings then no longer count. None: it holds
-    /// something, has no record, or the account is not open.
+    /// Deletes this partition's holding, which must be empty; its configured limits then no longer count. Returns `None`
+    /// if the partition holds quota, has no record, or the account is not open.
     pub fn remove_holding(&mut self) -> Option<QuotaTransaction> {
         let own = self.holding_if_open()?;
         if !own.held.is_empty() || self.own_holding().1 == 0 {
@@ -267,12 +269,13 @@
         Some(transaction)
     }
 
-    /// This partition's record, if a transaction may begin.
+    /// This partition's holding, if a transaction may begin.
     fn holding_if_open(&self) -> Option<QuotaHolding> {
         (self.phase == AccountPhase::Open).then(|| self.own_holding().0)
     }
 
-    /// Begins a transaction over the own record and at most one other, conditional on both and on the fencing token.
+    /// Begins a transaction over this partition's holding and the pool or another holding, conditional on their mod
+    /// revisions and on the fencing token.
     fn begin_transaction(
         &mut self,
         mut own: QuotaHolding,
@@ -303,8 +306,8 @@
 
     // ---- outcomes and pages ----------------------------------------------------------------------
 
-    /// The outcome of the transaction with this id; any but the in-flight one is ignored. After a conflict the page
-    /// must be read: an earlier attempt of the same transaction may have caused it.
+    /// Handles the outcome of the transaction with this id; outcomes of other than the in-flight transaction are ignored.
+    /// After a conflict the page must be read: an earlier attempt of the same transaction may have been committed.
     pub fn on_outcome(&mut self, id: (u64, u64), outcome: &TransactionOutcome) -> AccountStep {
         let Some(transaction) = self.in_flight.clone().filter(|in_flight| in_flight.id == id)
         else {
@@ -336,7 +339,7 @@
         }
     }
 
-    /// Takes the page as read. Records older than what is known are ignored.
+    /// Updates the known page from a read. Records older than the known ones are ignored.
     pub fn on_page(&mut self, page: &QuotaPage) {
         if self.phase == AccountPhase::Closed {
             return;
@@ -344,7 +347,7 @@
         if page.pool.1 >= self.page.pool.1 {
             self.page.pool = page.pool.clone();
         }
-        // What is no longer on the page was deleted, unless our own later transaction wrote it.
+        // A holding missing from the page was deleted, unless a later transaction of this account wrote it.
         let newest = page.holdings.values().map(|holding| holding.1).fold(page.pool.1, u64::max);
         self.page.holdings.retain(|partition, (_, mod_revision)| {
             page.holdings.contains_key(partition) || *mod_revision > newest
@@ -361,8 +364,8 @@
         self.advance_phase(phase);
     }
 
-    /// Whether the page shows that the in-flight transaction was committed, or never can be since a condition of it no
-    /// longer holds. Otherwise it may yet be.
+    /// Whether the known page shows that the in-flight transaction was committed, or that it never can be because one of
+    /// its conditions no longer holds. Otherwise it may still be committed.
     fn is_in_flight_settled(&self) -> bool {
         let Some(transaction) = &self.in_flight else { return false };
         let mod_revision = |key: &QuotaKey| match key {
@@ -377,12 +380,12 @@
         self.own_holding().0.last_transaction == transaction.id || can_never_commit
     }
 
-    /// The mod revision of a partition's record as last known; 0: it has none.
+    /// The known mod revision of a partition's holding; 0 means that there is none.
     fn holding_mod_revision(&self, partition: &str) -> u64 {
         self.page.holdings.get(partition).map_or(0, |(_, mod_revision)| *mod_revision)
     }
 
-    /// Another controller holds the partition now.
+    /// Closes the account, because another controller holds the partition.
     pub fn close(&mut self) {
         self.in_flight = None;
         self.advance_phase(AccountPhase::Closed);
@@ -406,14 +409,14 @@
     }
 }
 
-/// Takes what is free off a limit that is to be lower.
+/// Reduces a limit that is above its target by the free quota.
 fn lower_limit_by_free(quota: &mut TeamQuota) {
     let reduction = quota.limit.excess_over(quota.target).zip_with(quota.free, Quantity::min);
     quota.limit -= reduction;
     quota.free -= reduction;
 }
 
-/// The lower of two quantities, per resource, and never below zero.
+/// The lower of two quantities per resource, but not below zero.
 fn non_negative_min(one: ResourceQuantities, other: ResourceQuantities) -> ResourceQuantities {
     one.zip_with(other, |one, other| one.min(other).max(Quantity::ZERO))
 }
--- a/crates/quota/src/allocation.rs
+++ b/crates/quota/src/allocation.rs
@@ -1,20 +1,22 @@
-//! Divides what a team's limit leaves among its jobs, when they want more than that.
+//! Divides a team's remaining quota among its jobs when they request more than that.
 //!
-//! By priority; within a priority what runs until it is cancelled first; then every job class its share, so that a
-//! larger class starves none; within a class the jobs that can still meet their deadline, the soonest first, then
-//! those with least work left.
+//! Jobs are served by priority. Within a priority, jobs that run until they are cancelled (services) come first. Then each
+//! job class gets its share, so that a large class does not starve the others. Within a class, jobs that can still meet
+//! their deadline are served by earliest deadline, then the other jobs by least remaining work.
 //!
-//! Least work first postpones the largest jobs, and for ever where work keeps coming. So jobs that have waited long
-//! are served first: each one task at once, and then a part of their class's share, the oldest first. It is the aging
-//! of time-sharing systems (Corbató and others, 1962), by a clock that survives changes of leader.
+//! Serving the least remaining work first starves the largest jobs while new work keeps arriving. Jobs above an age
+//! threshold are therefore served first: each starts with one task, and a fraction of their class's share is reserved
+//! for them, oldest first. This is the aging of time-sharing systems (Corbató et al., 1962). Ages are based on the
+//! acceptance time and so survive changes of leader.
 //!
-//! Without an order every job of a team at its limit would get a little at a time, and all would end late. Which jobs
-//! can all be done in time is decided by Moore's rule ("An n job, one machine sequencing algorithm for minimizing the
-//! number of late jobs", 1968), with the class's share as the machine: in the order of deadlines, and whenever one
-//! would be late, the largest so far is postponed. It leaves the fewest late. The shares are max-min fair: no class
-//! gets less so that one with more gets more yet. Where GPUs are limited too, a class's share is counted in the
-//! resource of which it takes the largest part (dominant resource fairness; Ghodsi and others, 2011): a class of GPU
-//! work and one of CPU work then each have what they lack most of.
+//! If all jobs of a team at its limit made progress at once, all would finish late. The jobs that can meet their
+//! deadlines are selected by Moore's algorithm ("An n job, one machine sequencing algorithm for minimizing the number
+//! of late jobs", 1968), with the class's share as the machine: jobs are added by deadline, and whenever one would be
+//! late, the one with the most remaining work so far is postponed. This minimises the number of late jobs.
+//!
+//! Shares are max-min fair: no class's share is reduced to give more to a class that already has more. If GPUs are
+//! limited too, a class's share is counted in its dominant resource (dominant resource fairness, Ghodsi et al., 2011),
+//! so that classes of GPU work and of CPU work each get a share of the resource that they need most.
 
 use crate::constants::{
     AGED_JOBS_SHARE, AGING_THRESHOLD_MS, BUSY_TIME_FACTOR, MAX_JOB_TIME_MS,
@@ -24,58 +26,58 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What a job uses and wants of its team's limit.
+/// A job's usage of and demand on its team's quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QuotaClaim {
-    /// Number that stands for its job class.
+    /// Number that identifies its job class.
     pub class: usize,
-    /// Rank of its priority: the highest is served first.
+    /// Rank of its priority; higher ranks are served first.
     pub priority_rank: u8,
-    /// Its tasks are replicas that run until they are cancelled; they are served before what ends by itself.
+    /// Whether its tasks are service replicas, which run until they are cancelled. They are served before finite jobs.
     pub runs_until_cancelled: bool,
-    /// Its tasks start together or not at all, so what is left is reserved for it until all fit.
+    /// Whether its tasks start together or not at all (a gang). Quota can be reserved for it until all of them fit.
     pub all_or_nothing: bool,
-    /// Time left to its deadline, or else to the objective of its class, ms; none: it has neither, or it has passed.
+    /// Time to its deadline, or else to the objective of its class, ms; `None` if it has neither or the time has passed.
     pub time_to_deadline_ms: Option<f64>,
-    /// Tasks that wait to be placed.
+    /// Number of tasks that wait to be placed.
     pub waiting_tasks: u32,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running_tasks: f64,
-    /// Resources that each task takes.
+    /// Resources of each task.
     pub per_task: ResourceQuantities,
-    /// The same as one number, in CPUs: its part of the resource of which it takes the largest part.
+    /// Resources of each task as one number: its share of the dominant resource, converted to CPUs.
     pub cpu_weight: f64,
     /// Mean run time of a task, ms.
     pub task_run_ms: f64,
     /// Time since the job was accepted, ms.
     pub age_ms: f64,
-    /// At least one of its tasks runs or has run.
+    /// Whether at least one of its tasks runs or has run.
     pub has_started: bool,
 }
 
 impl QuotaClaim {
-    /// Whether it has waited so long that it is served before jobs that could meet their deadline.
+    /// Whether it has waiting tasks and has reached [`AGING_THRESHOLD_MS`].
     fn has_waited_too_long(&self) -> bool {
         self.waiting_tasks > 0 && self.age_ms >= AGING_THRESHOLD_MS
     }
 
-    /// Whether it could start if only replicas ran; `finite_capacity` is what those leave.
-    fn fits_after_draining(&self, finite_capacity: ResourceQuantities) -> bool {
+    /// Whether it could start if only service replicas ran; they leave `finite_capacity`.
+    fn fits_beside_services(&self, finite_capacity: ResourceQuantities) -> bool {
         !self.all_or_nothing
             || finite_capacity.covers(self.per_task.multiplied_by(self.waiting_tasks))
     }
 
-    /// What it uses, in CPUs by its weight.
+    /// CPUs that its running tasks use, by weight.
     fn used_cpus(&self) -> f64 {
         self.running_tasks * self.cpu_weight
     }
 
-    /// What it uses and wants, in CPUs by its weight.
+    /// CPUs that its running and waiting tasks need, by weight.
     fn demanded_cpus(&self) -> f64 {
         self.used_cpus() + f64::from(self.waiting_tasks) * self.cpu_weight
     }
 
-    /// What it still has to compute, in CPU milliseconds by its weight.
+    /// Estimated remaining work, in CPU milliseconds by weight.
     fn remaining_work(&self) -> f64 {
         let tasks =
             f64::from(self.waiting_tasks) + self.running_tasks * RUNNING_TASK_REMAINING_SHARE;
@@ -83,9 +85,9 @@
     }
 }
 
-/// Divides `remaining`, what a team's limit leaves, among its jobs: how many tasks of each claim may start, by the
-/// claims' indices. `finite_capacity` is what the limit lets the team's finite jobs use at once. Among equal claims
-/// the first is served first.
+/// Divides a team's `remaining` quota among its jobs. Returns the number of tasks that may start, per claim in the order
+/// of `claims`. `finite_capacity` is the quota that the team's finite jobs may use at a time, including their running
+/// tasks. Equal claims are served in the given order.
 pub fn allocate_quota(
     remaining: ResourceQuantities,
     finite_capacity: ResourceQuantities,
@@ -110,7 +112,7 @@
     allocation.granted_tasks
 }
 
-/// Serves the claims of one priority.
+/// Serves the claims of one priority rank.
 fn allocate_rank(allocation: &mut Allocation, rank: u8) {
     for index in
         allocation.indices_where(|claim| claim.priority_rank == rank && claim.runs_until_cancelled)
@@ -145,19 +147,20 @@
     allocation.unclaimed_cpus -= demands.iter().sum::<f64>().min(allocation.unclaimed_cpus);
 }
 
-/// The division of one team's quota while it is being worked out. Claims go by their index.
+/// State of the allocation of one team's quota. Claims are identified by their index.
 struct Allocation {
     claims: Vec<QuotaClaim>,
-    /// What may still be granted now.
+    /// Quota that may still be granted.
     remaining: ResourceQuantities,
-    /// What the limit lets finite jobs use at once, beside the replicas granted so far.
+    /// Quota that finite jobs may use at a time, without the service replicas granted so far.
     finite_capacity: ResourceQuantities,
-    /// CPUs that higher priorities leave to be divided into shares.
+    /// CPUs not demanded by higher priorities, to be divided into shares.
     unclaimed_cpus: f64,
-    /// What all-or-nothing claims with a reservation need, and which claims those are.
+    /// Quota reserved for all-or-nothing claims.
     reserved: ResourceQuantities,
+    /// Whether quota is reserved for a claim, by claim.
     has_reservation: Vec<bool>,
-    /// Tasks that may start, by claim.
+    /// Number of tasks that may start, by claim.
     granted_tasks: Vec<u32>,
 }
 
@@ -166,18 +169,18 @@
         (0..self.claims.len()).filter(|index| condition(&self.claims[*index])).collect()
     }
 
-    /// What cannot start while the team's services run wants nothing yet. Services end when their users say so, and
-    /// all claims behind it would wait as long if quota were reserved for it or counted as its share.
+    /// Ignores the demand of claims that cannot start while the team's services run. Services run until their users cancel
+    /// them, and all later claims would wait that long if quota were reserved for such a claim or counted as its share.
     fn drop_blocked_demand(&mut self, finite: &[usize]) {
         for index in finite {
             let claim = &mut self.claims[*index];
-            if !claim.fits_after_draining(self.finite_capacity) {
+            if !claim.fits_beside_services(self.finite_capacity) {
                 claim.waiting_tasks = 0;
             }
         }
     }
 
-    /// Those of some claims that have waited too long, the oldest first.
+    /// The claims among `indices` that have waited too long, oldest first.
     fn aged_by_age(&self, indices: &[usize]) -> Vec<usize> {
         let claims = &self.claims;
         let mut aged: Vec<usize> =
@@ -186,10 +189,10 @@
         aged
     }
 
-    /// Lets every aged claim that has not started begin with one task. Of the all-or-nothing claims only the oldest
-    /// has quota reserved: what it cannot use yet others may.
+    /// Grants one task to every aged claim that has not started. Of the all-or-nothing claims only the oldest is served
+    /// here, and has quota reserved if it does not fit.
     fn start_aged(&mut self, aged: &[usize]) {
-        let mut has_reserved = false;
+        let mut gang_served = false;
         for &index in aged {
             let claim = &self.claims[index];
             if claim.has_started {
@@ -197,29 +200,30 @@
             }
             if !claim.all_or_nothing {
                 self.grant_tasks(index, 1);
-            } else if !has_reserved {
-                has_reserved = true;
+            } else if !gang_served {
+                gang_served = true;
                 self.grant_tasks(index, u32::MAX);
             }
         }
     }
 
-    /// Divides a class's share: a part of it by age, then all of it in service order.
+    /// Divides a class's share: a fraction of it among aged claims by age, then the rest in service order.
     fn grant_class(&mut self, members: &[usize], share: f64, aged: &[usize]) {
         let mut used_cpus = self.used_or_granted_cpus(members);
-        // All-or-nothing claims have had their turn by age: otherwise small ones would wait for the largest.
+        // All-or-nothing claims are not served by age again: otherwise small ones would wait for the largest.
         let aged: Vec<usize> = aged
             .iter()
             .copied()
             .filter(|index| members.contains(index) && !self.claims[*index].all_or_nothing)
             .collect();
-        let mut aged_room = (share * AGED_JOBS_SHARE - self.used_or_granted_cpus(&aged)).max(0.0);
+        let mut aged_cpus_left =
+            (share * AGED_JOBS_SHARE - self.used_or_granted_cpus(&aged)).max(0.0);
         let rate = if aged.is_empty() { share } else { share * (1.0 - AGED_JOBS_SHARE) };
         let in_service_order = service_order(rate, &self.claims, members);
         for index in aged {
-            let granted_cpus = self.grant_cpus(index, aged_room.min(share - used_cpus));
+            let granted_cpus = self.grant_cpus(index, aged_cpus_left.min(share - used_cpus));
             used_cpus += granted_cpus;
-            aged_room -= granted_cpus;
+            aged_cpus_left -= granted_cpus;
         }
         for index in in_service_order {
             used_cpus += self.grant_cpus(index, share - used_cpus);
@@ -234,22 +238,23 @@
         indices.iter().map(cpus).sum()
     }
 
-    /// Grants tasks for so many CPUs, and returns the CPUs of those granted. The last task may exceed `room` by less
-    /// than itself: otherwise a task larger than its share would never start.
-    fn grant_cpus(&mut self, index: usize, room: f64) -> f64 {
+    /// Grants tasks of a claim for up to `max_cpus`, and returns the CPUs of the granted tasks. The last task may exceed
+    /// `max_cpus`: otherwise a task larger than its class's share would never start.
+    fn grant_cpus(&mut self, index: usize, max_cpus: f64) -> f64 {
         let claim = &self.claims[index];
         let cpus_per_task = claim.cpu_weight;
-        let tasks = (room / cpus_per_task).ceil().clamp(0.0, f64::from(u32::MAX)) as u32;
+        let tasks = (max_cpus / cpus_per_task).ceil().clamp(0.0, f64::from(u32::MAX)) as u32;
         let tasks = if claim.all_or_nothing && tasks > 0 { u32::MAX } else { tasks };
         f64::from(self.grant_tasks(index, tasks)) * cpus_per_task
     }
 
-    /// Grants a claim up to so many tasks more of what remains, and returns how many.
+    /// Grants a claim up to `max_tasks` further tasks from the remaining quota, and returns the number granted.
     ///
-    /// For an all-or-nothing claim that does not fit, quota is reserved: others then have what the limit leaves beside
-    /// it, their running tasks counted, and so never delay it. Not counted are claims that came sooner or rank higher
-    /// and have nothing waiting: they end by themselves, and nothing takes their place. It is the backfilling of batch
-    /// schedulers (Lifka, "The ANL/IBM SP scheduling system", 1995), by quantities instead of times.
+    /// If an all-or-nothing claim does not fit, quota is reserved for it: the other claims may then use only the quota
+    /// beside the reservation, with their running tasks counted, and so never delay it. Older or higher-ranked claims
+    /// without waiting tasks are not counted, since they end by themselves and no other task replaces theirs. This is
+    /// the backfilling of batch schedulers (Lifka, "The ANL/IBM SP scheduling system", 1995), with quantities instead
+    /// of times.
     fn grant_tasks(&mut self, index: usize, max_tasks: u32) -> u32 {
         let claim = &self.claims[index];
         let wanted = (claim.waiting_tasks - self.granted_tasks[index]).min(max_tasks);
@@ -259,7 +264,7 @@
             self.remaining -= claim.per_task.multiplied_by(fitting);
             return fitting;
         }
-        // Where nothing is left nothing need be kept from others.
+        // Without remaining quota there is nothing to withhold from other claims.
         if wanted > 0 && self.remaining.cpus > Quantity::ZERO && !self.has_reservation[index] {
             self.has_reservation[index] = true;
             self.reserved += claim.per_task.multiplied_by(wanted);
@@ -270,8 +275,8 @@
         0
     }
 
-    /// What the finite claims other than this one use or were granted, without those that will be gone by the time it
-    /// starts.
+    /// Quota that the other finite claims use or were granted, without the claims that will have ended by the time this
+    /// one starts.
     fn lasting_usage(&self, index: usize) -> ResourceQuantities {
         let claim = &self.claims[index];
         let ends_first = |other: &QuotaClaim| {
@@ -289,9 +294,9 @@
             .sum()
     }
 
-    /// Grants what is still left, by priority and age: what higher priorities want and cannot have yet leaves lower
-    /// ones no share, but something may be left for them. All-or-nothing claims have had their turn: now they take
-    /// only what they fit into, and nothing more is reserved.
+    /// Grants the quota that is still left, by priority and age. Demand of higher priorities that cannot be granted yet
+    /// leaves lower priorities no share, but quota may be left for them. All-or-nothing claims are granted here only if
+    /// they fit; nothing more is reserved.
     fn grant_leftovers(&mut self) {
         let claims = &self.claims;
         let mut order: Vec<usize> = (0..claims.len()).collect();
@@ -301,20 +306,20 @@
         });
         for index in order {
             let claim = &self.claims[index];
-            let whole = claim.per_task.multiplied_by(claim.waiting_tasks);
-            if !claim.all_or_nothing || self.remaining.covers(whole) {
+            let all_waiting = claim.per_task.multiplied_by(claim.waiting_tasks);
+            if !claim.all_or_nothing || self.remaining.covers(all_waiting) {
                 self.grant_tasks(index, u32::MAX);
             }
         }
     }
 }
 
-/// Max-min fair shares of a whole: each gets what it demands, or as much as any that demands more.
-fn max_min_fair_shares(whole: f64, demands: &[f64]) -> Vec<f64> {
+/// Max-min fair shares of `total`: each demand is met, or gets as much as any larger demand.
+fn max_min_fair_shares(total: f64, demands: &[f64]) -> Vec<f64> {
     let mut shares = vec![0.0; demands.len()];
     let mut by_demand: Vec<usize> = (0..demands.len()).collect();
     by_demand.sort_by(|a, b| demands[*a].total_cmp(&demands[*b]));
-    let mut left = whole.max(0.0);
+    let mut left = total.max(0.0);
     for (served, index) in by_demand.iter().enumerate() {
         shares[*index] = demands[*index].min(left / (demands.len() - served) as f64);
         left -= shares[*index];
@@ -322,8 +327,8 @@
     shares
 }
 
-/// The order in which some of the claims are served: those that can meet their deadline, by deadline, then the others,
-/// by remaining work. `rate`: CPUs at which they are worked off.
+/// The order in which the claims among `indices` are served: those that can meet their deadline, by deadline, then the
+/// others, by remaining work. `rate` is the number of CPUs available to them.
 fn service_order(rate: f64, claims: &[QuotaClaim], indices: &[usize]) -> Vec<usize> {
     let is_feasible = feasible_deadlines(rate, claims, indices);
     let sort_key = |index: usize| match is_feasible[index] {
@@ -338,10 +343,11 @@
     order
 }
 
-/// Which of some claims can all meet their deadline, by Moore's rule; by index, false for all others.
+/// Whether each claim belongs to the claims among `indices` that can meet their deadlines together, by Moore's
+/// algorithm. Indexed like `claims`; false for claims not in `indices`.
 fn feasible_deadlines(rate: f64, claims: &[QuotaClaim], indices: &[usize]) -> Vec<bool> {
     let mut is_feasible = vec![false; claims.len()];
-    // A claim whose task could not end in time even if it began now is not waited for.
+    // A claim is excluded if a task of it could not end in time even if it started now.
     let time_left = |index: &usize| {
         let claim = &claims[*index];
         let time_left_ms = claim.time_to_deadline_ms?;
@@ -354,13 +360,13 @@
         let work = claims[index].remaining_work();
         (work / rate.max(f64::MIN_POSITIVE)).min(MAX_JOB_TIME_MS) as u64
     };
-    // What has nothing waiting runs to its end whatever is postponed.
+    // Claims without waiting tasks run to their end in any case.
     let mut busy_ms: u64 = indices
         .iter()
         .filter(|index| claims[**index].waiting_tasks == 0)
         .map(|index| run_ms(*index))
         .sum();
-    // The claim with most work on top; among equals the later is postponed.
+    // A max-heap by estimated run time; among equals the later claim is postponed.
     let mut accepted: BinaryHeap<(u64, usize)> = BinaryHeap::new();
     for (time_left_ms, index) in by_deadline {
         let own_ms = run_ms(index);
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,13 +1,14 @@
-//! Quota of teams: exact limits and guarantees, who gets what a limit leaves, and how quota moves between the holders
-//! of several partitions of the machines. Pure: pages, messages, demands and time come in; what may be used, and what
-//! to send, goes out.
+//! Team quotas: exact limits and guarantees, allocation of the remaining quota among a team's jobs, and transfer of
+//! quota between partitions, the disjoint sets of machines that are scheduled independently. The crate does no I/O and
+//! reads no clock: quota pages, messages, demands and the time are its inputs; usable amounts and the transactions and
+//! messages to send are its outputs.
 //!
-//! - [`quantities`]: CPUs and GPUs as whole numbers, so that no sum drifts.
-//! - [`allocation`]: which jobs of a team get what its limit leaves, when that is less than they want.
+//! - [`quantities`]: fixed-point amounts of CPUs and GPUs, so that sums accumulate no rounding error.
+//! - [`allocation`]: divides a team's remaining quota among its jobs when they request more than that.
 //! - [`records`]: the quota records in the state service.
-//! - [`account`]: what one partition holds; quota moves by conditional transactions.
-//! - [`planner`]: when a partition takes, gives and asks for quota.
-//! - [`rate_loans`]: rates (requests per second) shared by all controllers, lent where they are not used.
+//! - [`account`]: the quota that one partition holds, and the conditional transactions that move it.
+//! - [`planner`]: decides when a partition takes, returns, requests and transfers quota.
+//! - [`rate_loans`]: rate limits (requests per second) shared by all controllers, with unused rate lent to others.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -23,5 +24,5 @@
 pub use account::QuotaAccount;
 pub use quantities::{Quantity, QuotaLimit, ResourceQuantities};
 
-/// Monotonic time in ms.
+/// Monotonic time, ms.
 pub type Time = u64;
--- a/crates/quota/src/planner/messages.rs
+++ b/crates/quota/src/planner/messages.rs
@@ -1,92 +1,93 @@
-//! Messages between the planners of partitions, and the effects that a planner requests of its owner.
+//! Messages between the planners of partitions, and the actions that a planner requests from its caller.
 
 use crate::quantities::ResourceQuantities;
 use crate::records::{PartitionId, QuotaTransaction, TeamName};
 use std::collections::BTreeMap;
 
-/// Number of urgency levels. Level 0 is production, level 1 work that can still meet its deadline, level 2 the rest.
+/// Number of urgency levels. Level 0 is production work, level 1 is work that can still meet its deadline, level 2 is
+/// all other work.
 pub const URGENCY_LEVELS: usize = 3;
 
-/// What a team's work on one partition's machines uses and wants, by urgency level.
+/// Resources that a team's work on one partition's machines uses and wants, by urgency level.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TeamDemand {
-    /// Resources of all tasks that are not proved gone.
+    /// Resources of all tasks that are not confirmed terminated.
     pub used: [ResourceQuantities; URGENCY_LEVELS],
-    /// Resources that waiting tasks would take in addition.
+    /// Resources that waiting tasks request in addition.
     pub wanted: [ResourceQuantities; URGENCY_LEVELS],
 }
 
 impl TeamDemand {
-    /// What is used at all levels together.
+    /// Resources used at all levels together.
     pub fn total_used(&self) -> ResourceQuantities {
         self.used.iter().copied().sum()
     }
 
-    /// What is wanted at all levels together.
+    /// Resources wanted at all levels together.
     pub(super) fn total_wanted(&self) -> ResourceQuantities {
         self.wanted.iter().copied().sum()
     }
 
-    /// What is used or wanted at this level and all more urgent ones.
+    /// Resources used or wanted at this level and all more urgent ones.
     pub(super) fn used_or_wanted_up_to(&self, level: usize) -> ResourceQuantities {
         self.used[..=level].iter().chain(&self.wanted[..=level]).copied().sum()
     }
 
-    /// The most urgent level at which something is wanted.
+    /// The most urgent level at which resources are wanted; `None` if no level wants any.
     pub(super) fn most_urgent_level(&self) -> Option<usize> {
         self.wanted.iter().position(|wanted| !wanted.is_zero())
     }
 }
 
-/// What a partition reports of a team to the others.
+/// A team's usage in one partition, as reported to the other partitions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedTeamUsage {
-    /// Quota that it holds.
+    /// Quota of the team that the partition holds.
     pub held: ResourceQuantities,
-    /// What its work uses and wants.
+    /// Resources that the team's work there uses and wants.
     pub demand: TeamDemand,
 }
 
-/// A message between the holders of two partitions. Losing, delaying or repeating one does no harm: limits are kept
-/// by transactions alone.
+/// A message between the holders of two partitions. Lost, delayed or duplicated messages are harmless: limits are
+/// enforced by transactions alone.
 #[derive(Debug, Clone, PartialEq)]
 pub enum QuotaMessage {
-    /// What the sender holds and needs, of teams of which it holds or needs something.
+    /// Usage of all teams for which the sender holds quota or has demand.
     Usage(BTreeMap<TeamName, ReportedTeamUsage>),
-    /// The sender wants more of a team's quota.
+    /// A request for more of a team's quota.
     TransferRequest {
-        /// Team.
+        /// The team.
         team: TeamName,
-        /// Urgency level of the work that needs it.
+        /// Urgency level of the work that needs the quota.
         level: usize,
-        /// How much more.
+        /// Requested amount.
         amount: ResourceQuantities,
-        /// What the sender holds and needs of this team.
+        /// The team's usage at the sender.
         usage: ReportedTeamUsage,
     },
-    /// Work within another team's guarantee finds no room: the receiver is to stop work of this team, which uses more
-    /// than its own guarantee.
+    /// A request to stop work of a team that uses more than its guarantee, since work within another team's guarantee
+    /// cannot be placed.
     RevocationRequest {
-        /// The team that borrowed.
+        /// The team that uses more than its guarantee.
         team: TeamName,
-        /// How much is to be stopped.
+        /// Resources of the work to stop.
         amount: ResourceQuantities,
     },
-    /// What a [`QuotaMessage::RevocationRequest`] named is proved gone.
+    /// Confirms that the work stopped for a [`QuotaMessage::RevocationRequest`] has terminated.
     Revoked {
-        /// The team that borrowed.
+        /// The team that uses more than its guarantee.
         team: TeamName,
     },
-    /// The sender can give nothing.
+    /// The sender cannot give any quota of this team.
     Refusal {
-        /// Team.
+        /// The team.
         team: TeamName,
-        /// Time before which it is not to be asked again, ms.
+        /// Time to wait before the next request, ms.
         retry_after_ms: u64,
     },
 }
 
-/// An effect that the planner's owner is to carry out.
+/// An action that the planner's caller must carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum QuotaAction {
     /// Send a transaction to the state service.
@@ -95,13 +96,13 @@
     ReadPage,
     /// Send a message to the holder of a partition.
     SendMessage(PartitionId, QuotaMessage),
-    /// Stop tasks of a team, those that lose least first.
+    /// Stop tasks of a team, beginning with those that lose the least work.
     StopWork {
-        /// Team.
+        /// The team.
         team: TeamName,
-        /// Only tasks of a less urgent level than this.
+        /// Only tasks of a level less urgent than this are stopped.
         level: usize,
-        /// How much their resources come to at least.
+        /// Minimum total resources of the tasks to stop.
         amount: ResourceQuantities,
     },
 }
--- a/crates/quota/src/planner/mod.rs
+++ b/crates/quota/src/planner/mod.rs
@@ -1,16 +1,17 @@
-//! When one partition takes, gives and asks for quota. The planner goes by what other partitions last reported,
-//! however old or wrong: staying within a limit does not depend on it ([`crate::account`] alone ensures that).
+//! Decides when one partition takes, returns, requests and transfers quota. The planner relies on the last reports of
+//! other partitions, which may be outdated or wrong: limits do not depend on them, since [`crate::account`] alone
+//! enforces limits.
 //!
-//! - What a team's work wants is taken from the pool first.
-//! - Where the pool has none, the partition that seems to have most to spare is asked (`transfers`). It gives at
-//!   once what it does not use, or answers when to ask again.
-//! - For production of a team elsewhere, less urgent tasks of the team are stopped. For work as urgent, quota is given
-//!   as tasks end, until both partitions have the same share of what they want.
-//! - What is not used for a while goes back to the pool before anybody asks for it.
-//! - What a team has borrowed beyond its guarantee is revoked where most of it is used (`revocation`).
+//! - Missing quota is taken from the pool first.
+//! - If the pool has too little, the planner requests quota from the partition that seems to have the most to spare
+//!   (`transfers`). That partition transfers its unused quota at once, or answers when to ask again.
+//! - For a team's production work in another partition, less urgent tasks of the team are stopped. For other work, quota
+//!   is transferred as tasks end, until both partitions have quota in proportion to their needs.
+//! - Quota that stays unused returns to the pool without being requested.
+//! - Quota that a team uses beyond its guarantee is revoked where the team uses the most (`revocation`).
 //!
-//! It owns the partition's [`QuotaAccount`] and what is known of demands, here and elsewhere. It sends nothing itself:
-//! its owner carries out the [`QuotaAction`]s.
+//! The planner owns the partition's [`QuotaAccount`] and the known demands of this and other partitions. It sends nothing
+//! itself: the caller carries out the [`QuotaAction`]s.
 
 mod messages;
 mod revocation;
@@ -42,34 +43,35 @@
 /// The planner of one partition.
 #[derive(Debug)]
 pub struct QuotaPlanner {
-    /// What this partition holds.
+    /// Account of the quota that this partition holds.
     pub account: QuotaAccount,
     partition: PartitionId,
     configured_limits: BTreeMap<TeamName, ResourceQuantities>,
     demands: BTreeMap<TeamName, TeamDemand>,
     peer_usage: BTreeMap<PartitionId, PeerUsage>,
-    /// What others have asked for, by team and requester.
+    /// Transfers requested by other partitions, by team and requester.
     outgoing_transfers: BTreeMap<(TeamName, PartitionId), OutgoingTransfer>,
-    /// What this partition was asked to stop, by the team that borrowed.
+    /// Revocations in this partition, by the team whose work is stopped.
     local_revocations: BTreeMap<TeamName, QuotaRevocation>,
-    /// Revocations under way at this planner's request, here or elsewhere, with the time at which it gives each up.
+    /// Revocations requested by this planner, in this or another partition, by team, with the time at which each is
+    /// given up.
     requested_revocations: BTreeMap<TeamName, Time>,
-    /// When a partition may be asked again for a team's quota.
+    /// Earliest time of the next transfer request for a team to a partition.
     next_request_at: BTreeMap<(TeamName, PartitionId), Time>,
-    /// When this partition last received some of a team's quota.
+    /// Time at which this partition last received quota of a team.
     last_received_at: BTreeMap<TeamName, Time>,
-    /// Since when some of a team's quota is unused.
+    /// Time since which some of a team's quota has been unused.
     unused_since: BTreeMap<TeamName, Time>,
-    /// When work was last stopped because a limit was lowered.
+    /// Time at which work of a team was last stopped for a lowered limit.
     stopped_for_limit_at: BTreeMap<TeamName, Time>,
     usage_sent_at: Time,
-    /// Transactions are paced, as the state service allows only few writes per second.
+    /// Minimum time between transactions, since the state service allows only a few writes per second.
     transaction_interval_ms: u64,
     last_transaction_at: Time,
 }
 
 impl QuotaPlanner {
-    /// The planner of a partition whose holder has this fencing token. Two transactions are at least
+    /// The planner of a partition whose holder has this fencing token. Transactions are at least
     /// `transaction_interval_ms` apart.
     pub fn new(partition: &str, fencing_token: u64, transaction_interval_ms: u64) -> QuotaPlanner {
         QuotaPlanner {
@@ -91,12 +93,12 @@
         }
     }
 
-    /// Sets the limits that the settings name, for all teams.
+    /// Sets the configured limits of all teams.
     pub fn set_limits(&mut self, limits: BTreeMap<TeamName, ResourceQuantities>) {
         self.configured_limits = limits;
     }
 
-    /// Sets what a team's work uses and wants now.
+    /// Sets a team's current demand in this partition.
     pub fn set_demand(&mut self, team: &str, demand: TeamDemand) {
         if demand == TeamDemand::default() {
             self.demands.remove(team);
@@ -109,15 +111,16 @@
         self.demands.get(team).copied().unwrap_or_default()
     }
 
-    /// How much more of a team's work of this level may be bound: within what may be used, and within what is left
-    /// while quota is being given away, revoked, or owed for a lowered limit.
+    /// Resources of a team's additional work of this level that may be bound now: within the usable quota, and within the
+    /// lower ceiling that applies while quota is being transferred, revoked, or returned for a lowered limit.
     pub fn bindable_amount(&self, team: &str, level: usize) -> ResourceQuantities {
         let usable = self.account.usable_amount(team);
         let ceiling = self.usage_ceiling(team, level).unwrap_or(usable);
         usable.zip_with(ceiling, Quantity::min).excess_over(self.demand_of(team).total_used())
     }
 
-    /// What work of a level may use here while quota is being given away, revoked, or owed for a lowered limit.
+    /// The most that work of a level may use here while quota is being transferred, revoked, or returned for a lowered
+    /// limit; `None` if none of these applies.
     fn usage_ceiling(&self, team: &str, level: usize) -> Option<ResourceQuantities> {
         let after_transfers = self
             .outgoing_transfers
@@ -137,7 +140,7 @@
             .reduce(|lowest, other| lowest.zip_with(other, Quantity::min))
     }
 
-    /// Takes a message from the holder of another partition.
+    /// Handles a message from the holder of another partition.
     pub fn on_message(&mut self, from: &str, message: QuotaMessage, now: Time) -> Vec<QuotaAction> {
         match message {
             QuotaMessage::Usage(teams) => {
@@ -162,7 +165,7 @@
         }
     }
 
-    /// With every timer step: what is to be done. At most one transaction is in flight.
+    /// Handles a timer tick and returns the actions to carry out. At most one transaction is in flight.
     pub fn tick(&mut self, now: Time) -> Vec<QuotaAction> {
         let mut actions = Vec::new();
         match self.account.phase() {
@@ -187,7 +190,7 @@
         actions
     }
 
-    /// Now and then reports to every other partition what is held and needed here.
+    /// Reports this partition's usage to all others, once per [`USAGE_BROADCAST_INTERVAL_MS`].
     fn broadcast_usage(&mut self, now: Time, actions: &mut Vec<QuotaAction>) {
         if now < self.usage_sent_at + USAGE_BROADCAST_INTERVAL_MS {
             return;
@@ -208,7 +211,7 @@
         ReportedTeamUsage { held: self.account.held_amount(team), demand: self.demand_of(team) }
     }
 
-    /// The usage of every team of which something is held or needed here.
+    /// The usage of every team for which this partition holds quota or has demand.
     fn usage_summary(&self) -> BTreeMap<TeamName, ReportedTeamUsage> {
         let teams = self.account.page().pool.0.teams.keys();
         teams
@@ -217,8 +220,8 @@
             .collect()
     }
 
-    /// The most important transaction that there is to send: limits first, then what others were promised, then what
-    /// is wanted here, then the return of what is unused.
+    /// The next transaction to send, by priority: limit changes, transfers to other partitions, quota missing here, return
+    /// of unused quota.
     fn next_transaction(&mut self, now: Time) -> Option<QuotaTransaction> {
         if let Some(transaction) = self.account.reconcile_limits(&self.configured_limits) {
             return Some(transaction);
@@ -239,8 +242,8 @@
         self.return_unused_quota(&used, now)
     }
 
-    /// Returns to the pool what has been unused for [`UNUSED_RETURN_DELAY_MS`], and at once what is owed for a lowered
-    /// limit.
+    /// Returns quota to the pool that has been unused for [`UNUSED_RETURN_DELAY_MS`], or at once where the limit was
+    /// lowered.
     fn return_unused_quota(
         &mut self,
         used: &BTreeMap<TeamName, ResourceQuantities>,
@@ -273,8 +276,8 @@
         quota.is_some_and(|quota| quota.limit != quota.target)
     }
 
-    /// What a team neither uses nor wants, less a small reserve while it has demand and its limit is not lowered.
-    /// None: too little for a transaction.
+    /// Quota that a team neither uses nor wants, less a small reserve while it has demand and its limit is not lowered.
+    /// `None` if that is too little for a transaction.
     fn returnable_amount(
         &self,
         team: &str,
@@ -293,8 +296,8 @@
         is_worth_returning.then_some(spare)
     }
 
-    /// Where a limit was lowered below what is used, stops work of the team for this partition's part of it. It is
-    /// repeated after [`LIMIT_STOP_INTERVAL_MS`], by when what was stopped should be proved gone.
+    /// Where a limit was lowered below a team's usage, stops work of the team for this partition's part of the excess.
+    /// Repeats after [`LIMIT_STOP_INTERVAL_MS`], when the stopped tasks should be confirmed terminated.
     fn stop_work_over_limit(&mut self, now: Time, actions: &mut Vec<QuotaAction>) {
         self.stopped_for_limit_at.retain(|_, at| now < *at + LIMIT_STOP_INTERVAL_MS);
         for (team, demand) in &self.demands {
@@ -308,7 +311,7 @@
         }
     }
 
-    /// Takes the page as read from the state service.
+    /// Updates the account with a page read from the state service.
     pub fn on_page(&mut self, page: &QuotaPage, now: Time) {
         let held_before: Vec<(TeamName, ResourceQuantities)> = page
             .pool
--- a/crates/quota/src/planner/revocation.rs
+++ b/crates/quota/src/planner/revocation.rs
@@ -1,6 +1,6 @@
-//! Guarantees across partitions. A team's usage is summed over all of them, and where work within a guarantee finds
-//! no room, quota that another team has borrowed is revoked where most of it is used. A revocation is confirmed only
-//! when the stopped work is proved gone.
+//! Guarantees across partitions. A team's usage is summed over all partitions. If work within a guarantee cannot be
+//! placed, quota that another team uses beyond its guarantee ("borrowed" quota) is revoked in the partition where that
+//! team uses the most. A revocation is confirmed only when the stopped tasks are confirmed terminated.
 
 use super::{QuotaAction, QuotaMessage, QuotaPlanner};
 use crate::Time;
@@ -9,12 +9,13 @@
 use crate::records::{PartitionId, TeamName};
 use std::collections::BTreeMap;
 
-/// How far a revocation has come in the partition that stops the work.
+/// Phase of a revocation in the partition that stops the work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RevocationPhase {
-    /// Work is being stopped; it counts as used until it is proved gone.
+    /// Work is being stopped. It counts as used until it is confirmed terminated.
     Stopping,
-    /// Proved gone at this time. For [`REVOCATION_HOLD_MS`] the room is not filled with the same team's work again.
+    /// The work was confirmed terminated at this time. For [`REVOCATION_HOLD_MS`] the freed capacity is not used by the
+    /// same team again.
     Confirmed(Time),
 }
 
@@ -23,13 +24,13 @@
 pub(super) struct QuotaRevocation {
     phase: RevocationPhase,
     requester: PartitionId,
-    /// What the team may use here meanwhile, production excepted.
+    /// The most that the team's work other than production may use here meanwhile.
     pub usage_limit: ResourceQuantities,
     started_at: Time,
 }
 
 impl QuotaRevocation {
-    /// The one function that changes the phase: a confirmed revocation stays so.
+    /// Changes the phase; nothing else does. [`RevocationPhase::Confirmed`] is final.
     fn advance_phase(&mut self, to: RevocationPhase) {
         if self.phase == RevocationPhase::Stopping {
             self.phase = to;
@@ -38,7 +39,7 @@
 }
 
 impl QuotaPlanner {
-    /// What a team uses in all partitions. One that has reported nothing lately counts with all that it holds.
+    /// A team's usage in all partitions. A partition without a current report counts with all the quota that it holds.
     pub fn total_usage(&self, team: &str) -> ResourceQuantities {
         let others = self.other_partitions().into_iter();
         others
@@ -56,7 +57,8 @@
         holding.and_then(|(holding, _)| holding.held.get(team)).copied().unwrap_or_default()
     }
 
-    /// Whether a team stays within its CPU guarantee with `more` in addition, by its usage in all partitions.
+    /// Whether a team's usage in all partitions, with `more` in addition, stays within its guarantee. Only CPUs are
+    /// compared.
     pub fn is_within_guarantee(
         &self,
         team: &str,
@@ -66,9 +68,9 @@
         guarantee.cpus >= self.total_usage(team).cpus + more.cpus
     }
 
-    /// To be called when work within a guarantee finds no room for `missing`: asks the partition in which the team that
-    /// has borrowed most uses most to stop some of that team's work. None: nothing can be revoked now. There is one
-    /// revocation per borrowing team at a time.
+    /// Called when work within a guarantee cannot be placed for lack of `missing`. Selects the team that exceeds its
+    /// guarantee by most, and has some of its work stopped in the partition where it uses the most. Returns `None` if
+    /// nothing can be revoked now. At most one revocation per team is in progress.
     pub fn revoke_borrowed_quota(
         &mut self,
         guarantees: &BTreeMap<TeamName, ResourceQuantities>,
@@ -103,7 +105,7 @@
         Some(QuotaAction::SendMessage(partition, QuotaMessage::RevocationRequest { team, amount }))
     }
 
-    /// Begins to stop work of a team for a requester, which is refused if less than that is used here.
+    /// Starts a revocation of `amount` in this partition. The request is refused if the team uses less than that here.
     pub(super) fn start_local_revocation(
         &mut self,
         requester: &str,
@@ -116,7 +118,7 @@
             let refusal = QuotaMessage::Refusal { team, retry_after_ms: REVOCATION_TIMEOUT_MS };
             return vec![QuotaAction::SendMessage(requester.to_string(), refusal)];
         }
-        // A repeated request must not stop as much a second time.
+        // A repeated request must not stop the same amount of work again.
         if self.local_revocations.contains_key(&team) {
             return Vec::new();
         }
@@ -130,7 +132,8 @@
         vec![QuotaAction::StopWork { team, level: 0, amount }]
     }
 
-    /// Confirms revocations whose work is proved gone to their requesters, and ends those that are over.
+    /// Confirms finished revocations to their requesters, and removes those that have timed out or whose hold time is
+    /// over.
     pub(super) fn advance_revocations(&mut self, now: Time, actions: &mut Vec<QuotaAction>) {
         let used_by_team: Vec<(TeamName, ResourceQuantities)> = self
             .local_revocations
@@ -146,7 +149,7 @@
                     let confirmation = QuotaMessage::Revoked { team };
                     actions.push(QuotaAction::SendMessage(requester, confirmation));
                 }
-                // What cannot be stopped (replicas) is not waited for.
+                // Some work, such as service replicas, cannot be stopped: the revocation is given up.
                 RevocationPhase::Stopping
                     if now >= revocation.started_at + REVOCATION_TIMEOUT_MS =>
                 {
--- a/crates/quota/src/planner/transfers.rs
+++ b/crates/quota/src/planner/transfers.rs
@@ -1,5 +1,5 @@
-//! Transfers between partitions: requests to others for what the pool does not have, and what is given to those
-//! that ask here. A request counts until it is served, refused or [`TRANSFER_REQUEST_TTL_MS`] old.
+//! Transfers between partitions: requests to other partitions for quota that the pool lacks, and the handling of their
+//! requests. A request is valid until it is served, refused or [`TRANSFER_REQUEST_TTL_MS`] old.
 
 use super::{
     QuotaAction, QuotaMessage, QuotaPlanner, ReportedTeamUsage, TeamDemand, URGENCY_LEVELS,
@@ -13,31 +13,31 @@
 use crate::records::{PartitionId, QuotaTransaction, TeamName};
 use std::collections::BTreeMap;
 
-/// How far the transfer to a partition that asked has come.
+/// Phase of a transfer to a requesting partition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransferPhase {
-    /// Asked for; nothing has been done yet.
+    /// Requested; nothing has been done yet.
     Requested,
-    /// New work is held back, and less urgent work stopped, until enough is proved gone.
+    /// New work is deferred and less urgent work stopped, until enough of it is confirmed terminated.
     Freeing,
-    /// A transaction with a part of the amount has been sent.
+    /// A transaction with some of the amount has been sent.
     Transferring,
 }
 
-/// What another partition has asked for.
+/// A transfer requested by another partition.
 #[derive(Debug, Clone)]
 pub(super) struct OutgoingTransfer {
     phase: TransferPhase,
-    /// Urgency level of the work for which it was asked.
+    /// Urgency level of the work that needs the quota.
     pub level: usize,
-    /// What is still to be given.
+    /// Amount still to be transferred.
     amount: ResourceQuantities,
     requester_usage: ReportedTeamUsage,
     pub requested_at: Time,
 }
 
 impl OutgoingTransfer {
-    /// A request as it has arrived.
+    /// A transfer for a request that has just been received.
     pub(super) fn requested(
         level: usize,
         amount: ResourceQuantities,
@@ -52,26 +52,28 @@
             requested_at: now,
         }
     }
-    /// The one function that changes the phase.
+
+    /// Changes the phase; nothing else does.
     fn advance_phase(&mut self, to: TransferPhase) {
         self.phase = to;
     }
 }
 
-/// What a team lacks in this partition.
+/// Quota that a team lacks in this partition.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct MissingQuota {
-    /// The most urgent level that lacks something.
+    /// The most urgent level at which quota is wanted.
     level: usize,
     pub amount: ResourceQuantities,
 }
 
-/// The smallest difference, of what is held, for which two partitions that both lack quota are evened out.
+/// The smallest amount that is moved between two partitions that both lack quota, given the giver's holding.
 fn rebalance_threshold(held: Quantity) -> Quantity {
     Quantity::from_units(held.units() / REBALANCE_DIVISOR)
 }
 
-/// One partition's share of what two hold together, in proportion to what each needs.
+/// One partition's share of the quota that two partitions hold together: its need, or if `total` is too little for both,
+/// its part of `total` in proportion to the needs.
 fn proportional_share(total: Quantity, own_need: Quantity, other_need: Quantity) -> Quantity {
     let total_need = (own_need + other_need).to_f64();
     if total_need <= total.to_f64() {
@@ -82,9 +84,9 @@
 }
 
 impl QuotaPlanner {
-    /// What this partition is to keep of a team's quota once it has given to one that asked: what its own work of the
-    /// requested urgency and above needs, or, if both need more than there is, its share in proportion. Never less
-    /// than what it holds without the requested amount.
+    /// The quota of a team that this partition keeps after the transfer: the amount that its own work of the requested
+    /// urgency and above needs or, if both partitions together need more than they hold, its share in proportion. Never
+    /// less than its holding without the requested amount.
     pub(super) fn balanced_holding(
         &self,
         team: &str,
@@ -101,7 +103,7 @@
         fair.zip_with(held - transfer.amount, Quantity::max).zip_with(held, Quantity::min)
     }
 
-    /// Another partition wants more of a team's quota. It is refused at once if nothing can be given.
+    /// Handles a transfer request from another partition. It is refused at once if too little can be given.
     pub(super) fn on_transfer_request(
         &mut self,
         from: &str,
@@ -110,14 +112,14 @@
         now: Time,
     ) -> Vec<QuotaAction> {
         let held = self.account.held_amount(&team);
-        let gift = held - self.balanced_holding(&team, &transfer);
+        let transferable = held - self.balanced_holding(&team, &transfer);
         let is_production = transfer.level == 0;
-        // What was just received is not given away again, or it would go back and forth.
-        let received_lately =
+        // Except to production, quota received recently is not transferred again, or it would oscillate.
+        let received_recently =
             self.last_received_at.get(&team).is_some_and(|at| now < at + RECEIVED_QUOTA_HOLD_MS)
                 && !is_production;
         let key = (team, from.to_string());
-        if received_lately || !self.is_worth_giving(&key.0, &transfer, gift) {
+        if received_recently || !self.is_worth_transferring(&key.0, &transfer, transferable) {
             self.outgoing_transfers.remove(&key);
             let (team, requester) = key;
             let refusal =
@@ -127,9 +129,9 @@
         let known_phase = self.outgoing_transfers.get(&key).map(|known| known.phase);
         let has_begun = known_phase.is_some_and(|phase| phase != TransferPhase::Requested);
         let mut actions = Vec::new();
-        // For production less urgent work is stopped; otherwise what ends by itself is given.
+        // For production, less urgent work is stopped. For other work, quota is transferred as tasks end by themselves.
         let unused = held.excess_over(self.demand_of(&key.0).total_used());
-        let to_stop = gift.excess_over(unused);
+        let to_stop = transferable.excess_over(unused);
         if is_production && !has_begun && !to_stop.is_zero() {
             actions.push(QuotaAction::StopWork {
                 team: key.0.clone(),
@@ -145,34 +147,35 @@
         actions
     }
 
-    /// Whether a gift is large enough for a transaction. Where this partition lacks quota too, the gift must also
-    /// even out a noticeable difference, production excepted.
-    fn is_worth_giving(
+    /// Whether an amount is large enough for a transaction. For work other than production, and if this partition would
+    /// lack quota itself, the amount must also reach the rebalance threshold.
+    fn is_worth_transferring(
         &self,
         team: &str,
         transfer: &OutgoingTransfer,
-        gift: ResourceQuantities,
+        transferable: ResourceQuantities,
     ) -> bool {
         let held = self.account.held_amount(team);
         let own_need = self.demand_of(team).used_or_wanted_up_to(transfer.level);
-        let is_contested = !(held - gift).covers(own_need);
+        let is_contested = !(held - transferable).covers(own_need);
         let min_transfer = self.min_transfer(team);
-        let least = if transfer.level > 0 && is_contested {
-            min_transfer.zip_with(held, |least, held| least.max(rebalance_threshold(held)))
+        let min_amount = if transfer.level > 0 && is_contested {
+            min_transfer.zip_with(held, |min, held| min.max(rebalance_threshold(held)))
         } else {
             min_transfer
         };
-        gift.cpus >= least.cpus || gift.gpus > Quantity::ZERO && gift.gpus >= least.gpus
+        transferable.cpus >= min_amount.cpus
+            || transferable.gpus > Quantity::ZERO && transferable.gpus >= min_amount.gpus
     }
 
-    /// The smallest amount that is worth a transaction: a small part of the team's limit.
+    /// The smallest amount that is worth a transaction: the team's limit divided by [`MIN_TRANSFER_DIVISOR`].
     pub(super) fn min_transfer(&self, team: &str) -> ResourceQuantities {
         self.account.page().pool.0.teams.get(team).map_or(ResourceQuantities::ZERO, |quota| {
             quota.limit.map(|limit| Quantity::from_units(limit.units() / MIN_TRANSFER_DIVISOR))
         })
     }
 
-    /// What each team lacks here.
+    /// The quota that each team lacks in this partition; only teams that lack some.
     pub(super) fn missing_by_team(&self) -> BTreeMap<TeamName, MissingQuota> {
         let missing = |(team, demand): (&TeamName, &TeamDemand)| {
             let level = demand.most_urgent_level()?;
@@ -183,7 +186,7 @@
         self.demands.iter().filter_map(missing).collect()
     }
 
-    /// A transaction for the first partition whose request can be served now, with everything that it asked for.
+    /// A transaction for the first requester to which quota can be transferred now, for all teams that it requested.
     pub(super) fn transfer_to_requester(
         &mut self,
         used: &BTreeMap<TeamName, ResourceQuantities>,
@@ -192,27 +195,27 @@
             let amount = self.transferable_amount(team, transfer, used);
             (!amount.is_zero()).then(|| to.clone())
         })?;
-        let mut gifts = BTreeMap::new();
+        let mut amounts = BTreeMap::new();
         let requests =
             self.outgoing_transfers.iter().filter(|((_, requester), _)| *requester == to);
         for ((team, _), transfer) in requests {
-            gifts.insert(team.clone(), self.transferable_amount(team, transfer, used));
+            amounts.insert(team.clone(), self.transferable_amount(team, transfer, used));
         }
-        gifts.retain(|_, gift| !gift.is_zero());
-        let transaction = self.account.transfer_holding(Some(&to), &gifts, used)?;
-        for (team, gift) in gifts {
+        amounts.retain(|_, transferable| !transferable.is_zero());
+        let transaction = self.account.transfer_holding(Some(&to), &amounts, used)?;
+        for (team, transferable) in amounts {
             if let Some(transfer) = self.outgoing_transfers.get_mut(&(team, to.clone())) {
                 transfer.advance_phase(TransferPhase::Transferring);
-                // What has been sent counts as theirs: only the rest is still to be given.
-                transfer.amount = transfer.amount.excess_over(gift);
-                transfer.requester_usage.held += gift;
+                // The transferred quota counts as the requester's; only the rest is still to be transferred.
+                transfer.amount = transfer.amount.excess_over(transferable);
+                transfer.requester_usage.held += transferable;
             }
         }
         self.outgoing_transfers.retain(|_, transfer| !transfer.amount.is_zero());
         Some(transaction)
     }
 
-    /// What can be given now: no more than is unused, and nothing that is not worth a transaction.
+    /// The amount that can be transferred now: at most the unused quota, and zero if it is not worth a transaction.
     fn transferable_amount(
         &self,
         team: &str,
@@ -220,22 +223,25 @@
         used: &BTreeMap<TeamName, ResourceQuantities>,
     ) -> ResourceQuantities {
         let held = self.account.held_amount(team);
-        let to_give = held.excess_over(self.balanced_holding(team, transfer));
+        let excess = held.excess_over(self.balanced_holding(team, transfer));
         let used = used.get(team).copied().unwrap_or_default();
-        let gift = to_give
-            .zip_with(held - used, |to_give, unused| to_give.min(unused).max(Quantity::ZERO));
-        let least = self.min_transfer(team).zip_with(transfer.amount, Quantity::min);
-        gift.zip_with(least, |gift, least| if gift < least { Quantity::ZERO } else { gift })
+        let transferable =
+            excess.zip_with(held - used, |excess, unused| excess.min(unused).max(Quantity::ZERO));
+        let min_amount = self.min_transfer(team).zip_with(transfer.amount, Quantity::min);
+        transferable.zip_with(min_amount, |transferable, min_amount| {
+            if transferable < min_amount { Quantity::ZERO } else { transferable }
+        })
     }
 
-    /// Asks others for what the pool does not have: for each team the partition that seems to have most to spare.
+    /// For each team, requests the quota that the pool lacks from the partition that seems to have the most to spare.
     pub(super) fn request_transfers(&mut self, now: Time, actions: &mut Vec<QuotaAction>) {
         for (team, missing) in self.missing_by_team() {
             let Some(quota) = self.account.page().pool.0.teams.get(&team) else { continue };
             let amount = missing.amount - quota.free;
-            let least = self.min_transfer(&team);
-            let is_small =
-                missing.level > 0 && amount.cpus < least.cpus && amount.gpus <= Quantity::ZERO;
+            let min_transfer = self.min_transfer(&team);
+            let is_small = missing.level > 0
+                && amount.cpus < min_transfer.cpus
+                && amount.gpus <= Quantity::ZERO;
             if is_small || ResourceQuantities::ZERO.covers(amount) {
                 continue;
             }
@@ -252,8 +258,8 @@
         self.next_request_at.retain(|_, at| now < *at + TRANSFER_REQUEST_TTL_MS);
     }
 
-    /// Of the partitions that hold some of a team's quota and may be asked now, the one with most CPUs to spare; among
-    /// equals the one that holds most.
+    /// Of the partitions that hold quota of a team and may be asked now, the one with the most CPUs to spare; among equals
+    /// the one that holds the most.
     fn partition_with_most_to_spare(
         &self,
         team: &str,
@@ -261,7 +267,7 @@
         now: Time,
     ) -> Option<PartitionId> {
         let candidate = |partition: PartitionId| {
-            let may_ask = self
+            let may_request = self
                 .next_request_at
                 .get(&(team.to_string(), partition.clone()))
                 .is_none_or(|at| now >= *at);
@@ -269,12 +275,12 @@
             let spare = reported.map_or(Quantity::ZERO, |usage| {
                 (usage.held - usage.demand.used_or_wanted_up_to(level)).cpus
             });
-            // One that reported nothing has nothing of the team, or its message was lost: then the page says.
+            // Without a report the partition may have no quota of the team, or the message was lost: the page decides.
             let recorded = self.account.page().holdings.get(&partition)?.0.held.get(team)?.cpus;
             let held = reported.map_or(recorded, |usage| usage.held.cpus);
-            may_ask.then_some((spare, held, partition))
+            may_request.then_some((spare, held, partition))
         };
-        let best = self.other_partitions().into_iter().filter_map(candidate).max();
-        best.map(|(_, _, partition)| partition)
+        let most_to_spare = self.other_partitions().into_iter().filter_map(candidate).max();
+        most_to_spare.map(|(_, _, partition)| partition)
     }
 }
--- a/crates/quota/src/quantities.rs
+++ b/crates/quota/src/quantities.rs
@@ -1,11 +1,11 @@
-//! Quantities of CPUs and GPUs as whole numbers of billionths. Sums of decimal numbers in binary drift with every
-//! addition: a hundred tasks of 0.1 CPUs that come and go leave a limit of 10 a little short, or over.
+//! Fixed-point quantities of CPUs and GPUs, in billionths. Floating-point sums accumulate rounding errors: after many
+//! tasks of 0.1 CPUs have started and ended, the usage counted against a limit of 10 would be slightly wrong.
 
 use crate::constants::{ROUNDING_TOLERANCE, UNITS_PER_RESOURCE};
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 
-/// A number of CPUs or GPUs, in billionths of one. Sums, differences and products saturate; it may be negative.
+/// A number of CPUs or GPUs, in billionths. May be negative. Addition, subtraction and multiplication saturate.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -13,12 +13,12 @@
 pub struct Quantity(i64);
 
 impl Quantity {
-    /// Nothing.
+    /// Zero.
     pub const ZERO: Quantity = Quantity(0);
-    /// The largest quantity: it stands for "no limit".
+    /// The largest quantity, which represents "no limit".
     pub const MAX: Quantity = Quantity(i64::MAX);
 
-    /// What a task requests, rounded up, so that a sum of tasks is never counted too small.
+    /// A quantity requested by a task, rounded up, so that the usage of many tasks is never underestimated.
     pub fn from_request(number: f64) -> Quantity {
         Quantity((number * UNITS_PER_RESOURCE - ROUNDING_TOLERANCE).ceil() as i64)
     }
@@ -28,27 +28,27 @@
         Quantity((number * UNITS_PER_RESOURCE + ROUNDING_TOLERANCE).floor() as i64)
     }
 
-    /// The quantity in billionths.
+    /// This quantity, in billionths.
     pub const fn units(self) -> i64 {
         self.0
     }
 
-    /// A quantity of so many billionths.
+    /// A quantity given in billionths.
     pub const fn from_units(units: i64) -> Quantity {
         Quantity(units)
     }
 
-    /// As a decimal number, for display and estimates only: sums of these drift.
+    /// This quantity as a floating-point number, for display and estimates only: sums of these accumulate errors.
     pub fn to_f64(self) -> f64 {
         self.0 as f64 / UNITS_PER_RESOURCE
     }
 
-    /// This quantity `count` times.
+    /// This quantity multiplied by `count`.
     pub fn multiplied_by(self, count: u32) -> Quantity {
         Quantity(self.0.saturating_mul(i64::from(count)))
     }
 
-    /// How many times `each` fits: 0 if this is negative, `u32::MAX` if `each` is zero or less.
+    /// How many times `each` fits into this quantity: 0 if this is negative, `u32::MAX` if `each` is not positive.
     pub fn fit_count(self, each: Quantity) -> u32 {
         match each.0 {
             i64::MIN..=0 => u32::MAX,
@@ -89,21 +89,21 @@
     }
 }
 
-/// Quantities of both resources that limits count.
+/// Quantities of the resources that are subject to quota.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ResourceQuantities {
-    /// CPUs.
+    /// Number of CPUs.
     pub cpus: Quantity,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: Quantity,
 }
 
 impl ResourceQuantities {
-    /// Nothing of either.
+    /// Zero of both resources.
     pub const ZERO: ResourceQuantities =
         ResourceQuantities { cpus: Quantity::ZERO, gpus: Quantity::ZERO };
 
-    /// What a task requests, rounded up.
+    /// Quantities requested by a task, rounded up.
     pub fn from_request(cpus: f64, gpus: f64) -> ResourceQuantities {
         ResourceQuantities {
             cpus: Quantity::from_request(cpus),
@@ -111,17 +111,17 @@
         }
     }
 
-    /// A limit or guarantee, rounded down.
+    /// Limits or guarantees, rounded down.
     pub fn from_limit(cpus: f64, gpus: f64) -> ResourceQuantities {
         ResourceQuantities { cpus: Quantity::from_limit(cpus), gpus: Quantity::from_limit(gpus) }
     }
 
-    /// Applies a function to each resource.
+    /// Applies `function` to each resource.
     pub fn map(self, function: impl Fn(Quantity) -> Quantity) -> ResourceQuantities {
         ResourceQuantities { cpus: function(self.cpus), gpus: function(self.gpus) }
     }
 
-    /// Combines each resource with the same one of `other`.
+    /// Combines each resource with the same resource of `other` by `function`.
     pub fn zip_with(
         self,
         other: ResourceQuantities,
@@ -138,22 +138,22 @@
         self == ResourceQuantities::ZERO
     }
 
-    /// By how much each resource exceeds the other's: the difference, but never below zero.
+    /// The difference to `other` per resource, or zero where `other` is larger.
     pub fn excess_over(self, other: ResourceQuantities) -> ResourceQuantities {
         self.zip_with(other, |own, other| (own - other).max(Quantity::ZERO))
     }
 
-    /// These quantities `count` times.
+    /// These quantities multiplied by `count`.
     pub fn multiplied_by(self, count: u32) -> ResourceQuantities {
         self.map(|quantity| quantity.multiplied_by(count))
     }
 
-    /// Whether this is at least as much of both resources.
+    /// Whether both resources are at least those of `other`.
     pub fn covers(self, other: ResourceQuantities) -> bool {
         self.cpus >= other.cpus && self.gpus >= other.gpus
     }
 
-    /// How many times `each` fits, by the scarcer resource.
+    /// How many times `each` fits into these quantities; the scarcer resource decides.
     pub fn fit_count(self, each: ResourceQuantities) -> u32 {
         self.cpus.fit_count(each.cpus).min(self.gpus.fit_count(each.gpus))
     }
@@ -191,12 +191,12 @@
     }
 }
 
-/// A team's limit, per resource; [`Quantity::MAX`] where there is none.
+/// A team's limit, per resource; [`Quantity::MAX`] means no limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuotaLimit(ResourceQuantities);
 
 impl QuotaLimit {
-    /// The limit that a team's settings name; 0 there means no limit.
+    /// The limit from a team's settings, where 0 means no limit.
     pub fn from_settings(cpus: f64, gpus: f64) -> QuotaLimit {
         let limit =
             |limit: f64| if limit > 0.0 { Quantity::from_limit(limit) } else { Quantity::MAX };
@@ -208,7 +208,8 @@
         QuotaLimit(self.0.zip_with(held, Quantity::min))
     }
 
-    /// What the limit leaves beside what is used, negative if more is used. An unlimited resource stays unlimited.
+    /// The quota that remains beside `used`, negative if `used` exceeds the limit. A resource without a limit stays
+    /// [`Quantity::MAX`].
     pub fn remaining(&self, used: ResourceQuantities) -> ResourceQuantities {
         self.0.zip_with(
             used,
@@ -218,12 +219,12 @@
         )
     }
 
-    /// Whether `more` may be used in addition.
+    /// Whether `more` may be used in addition to `used`.
     pub fn allows(&self, used: ResourceQuantities, more: ResourceQuantities) -> bool {
         self.remaining(used).covers(more)
     }
 
-    /// The limit as quantities; [`Quantity::MAX`] where there is none.
+    /// The limit per resource; [`Quantity::MAX`] means no limit.
     pub fn limit(&self) -> ResourceQuantities {
         self.0
     }
