--- a/crates/dag/src/dependency_graph.rs
+++ b/crates/dag/src/dependency_graph.rs
@@ -1,17 +1,17 @@
-//! The leader's jobs with dependencies, and what becomes of them as those end. Owns [`DependencyGraph`]; the caller
-//! reports jobs and their committed ends, and acts on the changes of state that come back.
+//! The leader's [`DependencyGraph`]: jobs with dependencies, and their states as the dependencies end. The caller
+//! reports jobs and committed outcomes, and acts on the returned state changes.
 
 use crate::{JobId, JobOutcome};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// State of a job by its dependencies.
+/// State of a job according to its dependencies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum DependencyState {
-    /// At least one is not known to be done.
+    /// At least one dependency is not known to be done.
     Waiting,
-    /// All are done, the last at that time of day, ms: the job may begin.
+    /// All dependencies are done, so the job may start. Contains the time of day at which the last one ended, ms.
     Ready(u64),
-    /// One is cancelled, by its user or by dependency: the job never begins.
+    /// At least one dependency is cancelled, by its user or by dependency, so the job never starts.
     CancelledByDependency,
 }
 
@@ -20,12 +20,13 @@
     state: DependencyState,
     /// Dependencies that are not known to be done.
     unfinished: BTreeSet<JobId>,
-    /// When the last of the other dependencies was done, time of day in ms.
+    /// Latest end of the other dependencies, time of day in ms.
     last_done_wall: u64,
 }
 
 impl DependentJob {
-    /// The one function that changes the state; returns whether it did. `Ready` and `CancelledByDependency` are final.
+    /// Changes the state, and returns whether it did; nothing else changes it. `Ready` and `CancelledByDependency` are
+    /// final.
     fn advance_state(&mut self, to: DependencyState) -> bool {
         let allowed = self.state == DependencyState::Waiting && to != DependencyState::Waiting;
         if allowed {
@@ -35,16 +36,16 @@
     }
 }
 
-/// Jobs with dependencies, by both ends of each edge.
+/// Jobs with dependencies, indexed by both ends of each edge.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct DependencyGraph {
     dependents: BTreeMap<JobId, DependentJob>,
-    /// The dependents of each job that is not known to be done.
+    /// Dependents of each job that is not known to be done.
     dependents_of: BTreeMap<JobId, BTreeSet<JobId>>,
 }
 
 impl DependencyGraph {
-    /// Adds a job with its dependencies. A job that is known already stays as it is.
+    /// Adds a job with its dependencies. Has no effect without dependencies, or if the job is in the graph already.
     pub fn add_job(&mut self, job: &JobId, depends_on: &[JobId]) {
         if depends_on.is_empty() || self.dependents.contains_key(job) {
             return;
@@ -58,7 +59,8 @@
         self.dependents.insert(job.clone(), dependent);
     }
 
-    /// A job has ended. Returns the jobs whose state changed by that, directly or through others, with the new state.
+    /// Handles the end of a job. Returns all jobs whose state it changed, directly or transitively, with the new
+    /// states.
     pub fn on_job_ended(
         &mut self,
         job: &JobId,
@@ -100,7 +102,7 @@
         changed
     }
 
-    /// Removes a job that is over, as a dependent. Its own dependents are updated by
+    /// Removes a finished job as a dependent. Its own dependents are updated by
     /// [`on_job_ended`](DependencyGraph::on_job_ended).
     pub fn remove_job(&mut self, job: &JobId) {
         let Some(removed) = self.dependents.remove(job) else { return };
@@ -113,7 +115,7 @@
         }
     }
 
-    /// State of a job; none: it has no dependencies, or is not known.
+    /// State of a job; `None` if it has no dependencies or is not in the graph.
     pub fn state_of(&self, job: &str) -> Option<DependencyState> {
         self.dependents.get(job).map(|dependent| dependent.state)
     }
@@ -123,18 +125,18 @@
         self.dependents.get(job).into_iter().flat_map(|dependent| &dependent.unfinished)
     }
 
-    /// Dependents of a job that still wait; none if the job is known to be done.
+    /// Dependents of a job that are still waiting; empty if the job is known to be done.
     pub fn waiting_dependents(&self, job: &str) -> impl Iterator<Item = &JobId> {
         let is_waiting = |id: &&JobId| self.state_of(id) == Some(DependencyState::Waiting);
         self.dependents_of.get(job).into_iter().flatten().filter(is_waiting)
     }
 
-    /// Jobs that others wait for, whether or not they are known here themselves.
+    /// Jobs with waiting dependents, including jobs that are not in the graph as dependents themselves.
     pub fn unfinished_jobs_with_dependents(&self) -> impl Iterator<Item = &JobId> {
         self.dependents_of.keys().filter(|job| self.waiting_dependents(job).next().is_some())
     }
 
-    /// Whether no job depends on one that is not known to be done.
+    /// Whether no job in the graph has an unfinished dependency.
     pub fn is_empty(&self) -> bool {
         self.dependents_of.is_empty()
     }
--- a/crates/dag/src/dependency_traversal.rs
+++ b/crates/dag/src/dependency_traversal.rs
@@ -1,47 +1,48 @@
-//! What becomes of one job by the jobs before it, worked out by the controller that is asked, from reads of its own:
-//! a breadth-first traversal of the dependencies. Does no reads itself: it names the next job, and the caller passes
-//! its state.
+//! Determines whether one job is cancelled by dependency, on the controller that received the request: a breadth-first
+//! traversal of the job's transitive dependencies. It does no I/O: it returns the id of the next job, and the caller
+//! reads that job and passes its state.
 
 use crate::constants::MAX_TRAVERSED_JOBS;
 use crate::{JobId, JobOutcome};
 use std::collections::{BTreeSet, VecDeque};
 
-/// State of a job as a read shows it.
+/// State of a visited job, as read by the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum VisitedJob {
-    /// It is over, or cancelled by its user and about to be over.
+    /// It has ended, or its user has cancelled it and its end is not recorded yet.
     Ended(JobOutcome),
-    /// It is not over; these are its own dependencies.
+    /// It has not ended. Contains its dependencies.
     Live(Vec<JobId>),
     /// It was never accepted.
     NeverAccepted,
 }
 
-/// What follows for the job that the traversal is about.
+/// Result of a traversal.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum DependencyVerdict {
-    /// No job before it is cancelled.
+    /// No upstream job is cancelled.
     NotCancelled,
-    /// A job before it is cancelled.
+    /// An upstream job is cancelled.
     CancelledByDependency,
-    /// It names this job, which was never accepted.
+    /// The job depends directly on this job, which was never accepted.
     UnknownDependency(JobId),
 }
 
-/// A traversal under way: pass the state of [`next_job`](DependencyTraversal::next_job) until there is none, then ask for
-/// the [`verdict`](DependencyTraversal::verdict).
+/// A traversal in progress. Pass the state of [`next_job`](DependencyTraversal::next_job) to
+/// [`on_job_state`](DependencyTraversal::on_job_state) until there is no next job, then read the
+/// [`verdict`](DependencyTraversal::verdict).
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct DependencyTraversal {
     pending: VecDeque<JobId>,
     visited: BTreeSet<JobId>,
-    /// Number of the job's own dependencies still to be visited: each must have been accepted, whatever became of the
-    /// others, so they are all visited even after one was found cancelled.
+    /// Number of direct dependencies still to be visited. All of them are visited even after a cancelled job was found,
+    /// since each must have been accepted.
     direct_remaining: usize,
     verdict: Option<DependencyVerdict>,
 }
 
 impl DependencyTraversal {
-    /// A traversal for a job with these dependencies.
+    /// A traversal for a job with these direct dependencies.
     pub fn new(depends_on: &[JobId]) -> DependencyTraversal {
         let mut traversal = DependencyTraversal {
             pending: VecDeque::new(),
@@ -56,19 +57,19 @@
 
     fn enqueue(&mut self, depends_on: &[JobId]) {
         for id in depends_on {
-            // A job on several paths, and one that a record claims to depend on itself, is visited once.
+            // Each job is visited once, even if it is on several paths or a corrupt record forms a cycle.
             if self.visited.len() < MAX_TRAVERSED_JOBS && self.visited.insert(id.clone()) {
                 self.pending.push_back(id.clone());
             }
         }
     }
 
-    /// The job to visit next; none: the verdict is known.
+    /// The job to visit next; `None` once the verdict is known.
     pub fn next_job(&self) -> Option<&JobId> {
         self.pending.front().filter(|_| self.direct_remaining > 0 || self.verdict.is_none())
     }
 
-    /// Visits the next job, which is in this state.
+    /// Handles the state of the next job.
     pub fn on_job_state(&mut self, state: &VisitedJob) {
         let Some(id) = self.pending.pop_front() else { return };
         let is_direct = self.direct_remaining > 0;
@@ -82,12 +83,12 @@
             VisitedJob::NeverAccepted if is_direct => {
                 self.verdict = Some(DependencyVerdict::UnknownDependency(id))
             }
-            // Jobs before an accepted job were accepted: whatever hides this one, it is not known to be cancelled.
+            // Every upstream job of an accepted job was accepted. If one is not found, it is not known to be cancelled.
             VisitedJob::NeverAccepted => {}
         }
     }
 
-    /// The verdict; none while a job is still to be visited.
+    /// The verdict; `None` while jobs are still to be visited.
     pub fn verdict(&self) -> Option<DependencyVerdict> {
         match self.next_job() {
             Some(_) => None,
--- a/crates/dag/src/effective_deadlines.rs
+++ b/crates/dag/src/effective_deadlines.rs
@@ -1,39 +1,39 @@
-//! Effective deadlines and priorities: by when a job has to be done for the jobs that depend on it, and how urgent it is
-//! for their sake. Computed backward along the dependencies, from run-time distributions. Pure.
+//! Effective deadlines and priorities: by when a job must be done for the jobs that depend on it, and the priority that
+//! it inherits from them. Computed backward along the dependencies from run-time distributions.
 
 use crate::constants::{DOWNSTREAM_PROBABILITY, MAX_DEPENDENCY_DEPTH};
 use crate::{DependencyGraph, JobId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Distribution of how long something takes.
+/// Probability distribution of a duration.
 pub trait DurationDistribution: Clone {
-    /// The distribution of this and then `next` (convolution).
+    /// Distribution of the sum of this duration and `next` (convolution).
     fn followed_by(&self, next: &Self) -> Self;
-    /// The time within which it is over with this probability, ms.
+    /// Quantile of the duration, ms: it ends within this time with the given probability.
     fn quantile(&self, probability: f64) -> f64;
 }
 
-/// What a job requires by itself.
+/// A job's own deadline, priority and duration.
 #[derive(Debug, Clone)]
 pub struct JobRequirements<P, S> {
-    /// Its own deadline, ms of whatever clock the caller uses throughout.
+    /// Its own deadline, ms. All deadlines must be of the same clock.
     pub deadline: Option<u64>,
     /// Its own priority.
     pub priority: P,
-    /// How long it takes from when it may begin.
+    /// Time from when it may start until it is done.
     pub duration: S,
 }
 
-/// What the jobs that depend on a job require of it.
+/// Deadline and priority that a job inherits from its dependents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EffectiveRequirements<P> {
-    /// By when it has to be done for the others to meet their deadlines; none: nothing that depends on it has one.
+    /// Time by which it must be done for downstream jobs to meet their deadlines, ms; `None` if none of them has one.
     pub effective_deadline: Option<u64>,
-    /// The highest priority of what depends on it, its own included.
+    /// The highest priority among the job itself and its downstream jobs.
     pub priority: P,
 }
 
-/// A deadline, and how long everything takes that has to be done until then.
+/// A downstream deadline, and the duration of all jobs that must be done before it.
 #[derive(Debug, Clone)]
 struct DeadlineAhead<S> {
     deadline: u64,
@@ -41,14 +41,14 @@
 }
 
 impl<S: DurationDistribution> DeadlineAhead<S> {
-    /// When the job before must be done for the rest to meet the deadline.
+    /// Time by which the upstream job must be done for the downstream jobs to meet the deadline.
     fn latest_end(&self) -> u64 {
         self.deadline.saturating_sub(self.duration.quantile(DOWNSTREAM_PROBABILITY) as u64)
     }
 
-    /// The same for a job that itself takes `own`. Where too little time is left for all, it is divided in proportion to
-    /// the durations: were the first job simply overdue, it would be served after everybody else, and the rest could
-    /// only be late.
+    /// Like [`latest_end`](Self::latest_end), for an upstream job with the duration `own`. If too little time is left
+    /// for all jobs, it is divided in proportion to their durations. Otherwise the upstream job would count as overdue
+    /// and be served last, which would make the downstream jobs late for certain.
     fn latest_end_sharing_slack(&self, own: Option<&S>, now: u64) -> u64 {
         let own_ms = own.map_or(0.0, |own| own.quantile(DOWNSTREAM_PROBABILITY));
         let share = own_ms / (own_ms + self.duration.quantile(DOWNSTREAM_PROBABILITY)).max(1.0);
@@ -57,10 +57,10 @@
     }
 }
 
-/// What comes after a job, on the path that leaves it the least time.
+/// The downstream path that leaves a job the least time.
 #[derive(Debug, Clone)]
 struct DownstreamPath<P, S> {
-    /// None: no path ends in a deadline.
+    /// `None` if no downstream job has a deadline.
     tightest: Option<DeadlineAhead<S>>,
     priority: P,
 }
@@ -77,9 +77,9 @@
     }
 }
 
-/// For each job with waiting dependents, what those require of it. Deadlines are propagated backward by the run times of
-/// the jobs in between, convolved along each path. `now` is of the clock of the deadlines. A job of which `required`
-/// knows nothing requires nothing.
+/// Computes the effective requirements of each job with waiting dependents. Deadlines are propagated backward by the
+/// run times of the jobs in between, convolved along each path. `now` must be of the same clock as the deadlines. Jobs
+/// for which `required` returns `None` are ignored.
 pub fn effective_requirements<P: Ord + Copy, S: DurationDistribution>(
     graph: &DependencyGraph,
     now: u64,
@@ -105,13 +105,13 @@
     search.known.into_iter().filter_map(effective).collect()
 }
 
-/// A depth-first search from jobs to what depends on them. Each job is worked out once.
+/// A depth-first search from jobs to their dependents, with memoisation.
 struct DownstreamSearch<'a, P, S, F> {
     graph: &'a DependencyGraph,
     required: &'a F,
-    /// What was worked out; none: the job is not known and nothing known depends on it.
+    /// Memoised results; `None` if neither the job nor a dependent of it is known.
     known: BTreeMap<JobId, Option<DownstreamPath<P, S>>>,
-    /// The jobs on the path that is being searched.
+    /// Jobs on the current search path.
     ancestors: BTreeSet<JobId>,
 }
 
@@ -125,7 +125,7 @@
         if let Some(path) = self.known.get(job) {
             return path.clone();
         }
-        // A cycle that a record claims ends here.
+        // Bounds the depth, and ends the search in cycles formed by corrupt records.
         if self.ancestors.len() >= MAX_DEPENDENCY_DEPTH || !self.ancestors.insert(job.clone()) {
             return None;
         }
--- a/crates/dag/src/lib.rs
+++ b/crates/dag/src/lib.rs
@@ -1,14 +1,19 @@
-//! DAG dependencies between jobs. What follows for a job from the jobs before and after it is worked out here and
-//! nowhere else: whether it may begin, whether it is cancelled by dependency, by when it has to be done for what depends
-//! on it. Pure: values in, values out; the caller says what is committed.
+//! DAG dependencies between jobs. This crate alone determines whether a job may start, whether it is cancelled by
+//! dependency, and by when it must be done for the jobs that depend on it. It does no I/O and reads no clock; the
+//! caller passes only committed states.
 //!
-//! Three facts carry the rules. *Done is final*: once a job's end is committed nothing takes it back, so a job that may
-//! begin may begin for good. *Cancelled is final*, and so is cancelled by dependency. *Only accepted jobs are named*: a
-//! job depends on older ones alone, so no cycle can arise; a record that claims one waits for ever and harms nobody.
+//! The rules rest on three facts:
 //!
-//! - [`dependency_graph`]: the leader's jobs with dependencies, and what becomes of them as others end
-//! - [`dependency_traversal`]: the same question about one job, answered at any controller by reading the jobs before it
-//! - [`effective_deadlines`]: deadlines and priorities that jobs inherit from what depends on them
+//! - *Done is final*: a committed end of a job is never revoked, so a job that may start stays allowed to start.
+//! - *Cancelled is final*, and so is cancelled by dependency.
+//! - *Dependencies are accepted jobs*: a job depends only on jobs that were accepted before it, so no cycle can arise.
+//!   Jobs whose corrupt records form a cycle wait forever and affect no others.
+//!
+//! Modules:
+//!
+//! - [`dependency_graph`]: the leader's jobs with dependencies, and their states as other jobs end
+//! - [`dependency_traversal`]: the state of one job, determined by any controller by reading the jobs upstream of it
+//! - [`effective_deadlines`]: deadlines and priorities that jobs inherit from the jobs that depend on them
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -25,11 +30,11 @@
 /// Id of a job.
 pub type JobId = std::sync::Arc<str>;
 
-/// How a job ended. Committed, and final.
+/// Committed and final outcome of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// Every task is done; since that time of day, ms.
+    /// Every task is done. Contains the time of day of the end, ms.
     Done(u64),
-    /// Cancelled by its user, or by dependency.
+    /// Cancelled by its user or by dependency.
     Cancelled,
 }
--- a/crates/quota/src/account.rs
+++ b/crates/quota/src/account.rs
@@ -124,8 +124,9 @@
         held_after.next().map_or(held, |after| held.zip_with(after, Quantity::min))
     }
 
-    /// Quota of a team that this partition must return because the limit was lowered: its proportional part, rounded up,
-    /// of the difference between the limit in force and the configured limit. It is returned as soon as it is unused.
+    /// Quota of a team that this partition must return because the limit was lowered: its proportional part, rounded
+    /// up, of the difference between the limit in force and the configured limit. It is returned as soon as it is
+    /// unused.
     pub fn owed_amount(&self, team: &str) -> ResourceQuantities {
         let Some(quota) = self.page.pool.0.teams.get(team) else {
             return ResourceQuantities::ZERO;
@@ -146,8 +147,8 @@
 
     // ---- transactions ---------------------------------------------------------------------------
 
-    /// Records the limits in this holder's settings, and sets each limit to the lowest that any holder has configured: it
-    /// is lowered as soon as one holder's settings are lower, and raised only when those of all holders are higher.
+    /// Records the limits in this holder's settings, and sets each limit to the lowest that any holder has configured:
+    /// it is lowered as soon as one holder's settings are lower, and raised only when those of all holders are higher.
     /// Returns `None` if nothing changes or the account is not open.
     pub fn reconcile_limits(
         &mut self,
@@ -192,8 +193,8 @@
             .unwrap_or_default()
     }
 
-    /// Takes the wanted amounts from the pool, or as much of them as is free. Returns `None` if nothing of them is free or
-    /// the account is not open.
+    /// Takes the wanted amounts from the pool, or as much of them as is free. Returns `None` if nothing of them is free
+    /// or the account is not open.
     pub fn take_from_pool(
         &mut self,
         wanted: &BTreeMap<TeamName, ResourceQuantities>,
@@ -255,8 +256,8 @@
         Some(self.begin_transaction(own, pool, receiver))
     }
 
-    /// Deletes this partition's holding, which must be empty; its configured limits then no longer count. Returns `None`
-    /// if the partition holds quota, has no record, or the account is not open.
+    /// Deletes this partition's holding, which must be empty; its configured limits then no longer count. Returns
+    /// `None` if the partition holds quota, has no record, or the account is not open.
     pub fn remove_holding(&mut self) -> Option<QuotaTransaction> {
         let own = self.holding_if_open()?;
         if !own.held.is_empty() || self.own_holding().1 == 0 {
@@ -306,8 +307,9 @@
 
     // ---- outcomes and pages ----------------------------------------------------------------------
 
-    /// Handles the outcome of the transaction with this id; outcomes of other than the in-flight transaction are ignored.
-    /// After a conflict the page must be read: an earlier attempt of the same transaction may have been committed.
+    /// Handles the outcome of the transaction with this id; outcomes of other than the in-flight transaction are
+    /// ignored. After a conflict the page must be read: an earlier attempt of the same transaction may have been
+    /// committed.
     pub fn on_outcome(&mut self, id: (u64, u64), outcome: &TransactionOutcome) -> AccountStep {
         let Some(transaction) = self.in_flight.clone().filter(|in_flight| in_flight.id == id)
         else {
@@ -364,8 +366,8 @@
         self.advance_phase(phase);
     }
 
-    /// Whether the known page shows that the in-flight transaction was committed, or that it never can be because one of
-    /// its conditions no longer holds. Otherwise it may still be committed.
+    /// Whether the known page shows that the in-flight transaction was committed, or that it never can be because one
+    /// of its conditions no longer holds. Otherwise it may still be committed.
     fn is_in_flight_settled(&self) -> bool {
         let Some(transaction) = &self.in_flight else { return false };
         let mod_revision = |key: &QuotaKey| match key {
--- a/crates/quota/src/allocation.rs
+++ b/crates/quota/src/allocation.rs
@@ -1,8 +1,8 @@
 //! Divides a team's remaining quota among its jobs when they request more than that.
 //!
-//! Jobs are served by priority. Within a priority, jobs that run until they are cancelled (services) come first. Then each
-//! job class gets its share, so that a large class does not starve the others. Within a class, jobs that can still meet
-//! their deadline are served by earliest deadline, then the other jobs by least remaining work.
+//! Jobs are served by priority. Within a priority, jobs that run until they are cancelled (services) come first. Then
+//! each job class gets its share, so that a large class does not starve the others. Within a class, jobs that can still
+//! meet their deadline are served by earliest deadline, then the other jobs by least remaining work.
 //!
 //! Serving the least remaining work first starves the largest jobs while new work keeps arriving. Jobs above an age
 //! threshold are therefore served first: each starts with one task, and a fraction of their class's share is reserved
@@ -37,7 +37,8 @@
     pub runs_until_cancelled: bool,
     /// Whether its tasks start together or not at all (a gang). Quota can be reserved for it until all of them fit.
     pub all_or_nothing: bool,
-    /// Time to its deadline, or else to the objective of its class, ms; `None` if it has neither or the time has passed.
+    /// Time to its deadline, or else to the objective of its class, ms; `None` if it has neither or the time has
+    /// passed.
     pub time_to_deadline_ms: Option<f64>,
     /// Number of tasks that wait to be placed.
     pub waiting_tasks: u32,
@@ -85,9 +86,9 @@
     }
 }
 
-/// Divides a team's `remaining` quota among its jobs. Returns the number of tasks that may start, per claim in the order
-/// of `claims`. `finite_capacity` is the quota that the team's finite jobs may use at a time, including their running
-/// tasks. Equal claims are served in the given order.
+/// Divides a team's `remaining` quota among its jobs. Returns the number of tasks that may start, per claim in the
+/// order of `claims`. `finite_capacity` is the quota that the team's finite jobs may use at a time, including their
+/// running tasks. Equal claims are served in the given order.
 pub fn allocate_quota(
     remaining: ResourceQuantities,
     finite_capacity: ResourceQuantities,
@@ -169,8 +170,9 @@
         (0..self.claims.len()).filter(|index| condition(&self.claims[*index])).collect()
     }
 
-    /// Ignores the demand of claims that cannot start while the team's services run. Services run until their users cancel
-    /// them, and all later claims would wait that long if quota were reserved for such a claim or counted as its share.
+    /// Ignores the demand of claims that cannot start while the team's services run. Services run until their users
+    /// cancel them, and all later claims would wait that long if quota were reserved for such a claim or counted as its
+    /// share.
     fn drop_blocked_demand(&mut self, finite: &[usize]) {
         for index in finite {
             let claim = &mut self.claims[*index];
@@ -238,8 +240,8 @@
         indices.iter().map(cpus).sum()
     }
 
-    /// Grants tasks of a claim for up to `max_cpus`, and returns the CPUs of the granted tasks. The last task may exceed
-    /// `max_cpus`: otherwise a task larger than its class's share would never start.
+    /// Grants tasks of a claim for up to `max_cpus`, and returns the CPUs of the granted tasks. The last task may
+    /// exceed `max_cpus`: otherwise a task larger than its class's share would never start.
     fn grant_cpus(&mut self, index: usize, max_cpus: f64) -> f64 {
         let claim = &self.claims[index];
         let cpus_per_task = claim.cpu_weight;
--- a/crates/quota/src/constants.rs
+++ b/crates/quota/src/constants.rs
@@ -26,14 +26,14 @@
 
 // ---- rate loans ----------------------------------------------------------------------------------
 
-/// Duration of a rate loan, ms: long compared with the latency of a message between controllers, short compared with the
-/// time for which load stays on one of them.
+/// Duration of a rate loan, ms: long compared with the latency of a message between controllers, short compared with
+/// the time for which load stays on one of them.
 pub const RATE_LOAN_DURATION_MS: u64 = 4_000;
 /// The lender reclaims a loan late by its duration divided by this number: the protocol bounds the drift between
 /// monotonic clocks to 0.05%.
 pub const RATE_LOAN_CLOCK_DRIFT_DIVISOR: u64 = 1_000;
-/// Minimum time between two loan requests to the same controller, ms: short enough that the next loan arrives before the
-/// previous one expires.
+/// Minimum time between two loan requests to the same controller, ms: short enough that the next loan arrives before
+/// the previous one expires.
 pub const RATE_LOAN_REQUEST_INTERVAL_MS: u64 = 1_500;
 /// Maximum share of its base rate that a controller lends: user requests may arrive at it at any time.
 pub const MAX_LENT_SHARE: f64 = 0.75;
@@ -59,8 +59,8 @@
 pub const USAGE_BROADCAST_INTERVAL_MS: u64 = 1_000;
 /// Time after which a usage report of another partition expires, ms.
 pub const PEER_USAGE_TTL_MS: u64 = 5_000;
-/// Between two partitions that both lack quota, an amount is moved only if it is at least the giver's holding divided by
-/// this number.
+/// Between two partitions that both lack quota, an amount is moved only if it is at least the giver's holding divided
+/// by this number.
 pub const REBALANCE_DIVISOR: i64 = 6;
 /// Minimum time between two rounds of stopping a team's work for a lowered limit, ms: tasks stopped in one round are
 /// confirmed terminated before the next.
--- a/crates/quota/src/planner/mod.rs
+++ b/crates/quota/src/planner/mod.rs
@@ -5,13 +5,13 @@
 //! - Missing quota is taken from the pool first.
 //! - If the pool has too little, the planner requests quota from the partition that seems to have the most to spare
 //!   (`transfers`). That partition transfers its unused quota at once, or answers when to ask again.
-//! - For a team's production work in another partition, less urgent tasks of the team are stopped. For other work, quota
-//!   is transferred as tasks end, until both partitions have quota in proportion to their needs.
+//! - For a team's production work in another partition, less urgent tasks of the team are stopped. For other work,
+//!   quota is transferred as tasks end, until both partitions have quota in proportion to their needs.
 //! - Quota that stays unused returns to the pool without being requested.
 //! - Quota that a team uses beyond its guarantee is revoked where the team uses the most (`revocation`).
 //!
-//! The planner owns the partition's [`QuotaAccount`] and the known demands of this and other partitions. It sends nothing
-//! itself: the caller carries out the [`QuotaAction`]s.
+//! The planner owns the partition's [`QuotaAccount`] and the known demands of this and other partitions. It sends
+//! nothing itself: the caller carries out the [`QuotaAction`]s.
 
 mod messages;
 mod revocation;
@@ -111,8 +111,8 @@
         self.demands.get(team).copied().unwrap_or_default()
     }
 
-    /// Resources of a team's additional work of this level that may be bound now: within the usable quota, and within the
-    /// lower ceiling that applies while quota is being transferred, revoked, or returned for a lowered limit.
+    /// Resources of a team's additional work of this level that may be bound now: within the usable quota, and within
+    /// the lower ceiling that applies while quota is being transferred, revoked, or returned for a lowered limit.
     pub fn bindable_amount(&self, team: &str, level: usize) -> ResourceQuantities {
         let usable = self.account.usable_amount(team);
         let ceiling = self.usage_ceiling(team, level).unwrap_or(usable);
@@ -220,8 +220,8 @@
             .collect()
     }
 
-    /// The next transaction to send, by priority: limit changes, transfers to other partitions, quota missing here, return
-    /// of unused quota.
+    /// The next transaction to send, by priority: limit changes, transfers to other partitions, quota missing here,
+    /// return of unused quota.
     fn next_transaction(&mut self, now: Time) -> Option<QuotaTransaction> {
         if let Some(transaction) = self.account.reconcile_limits(&self.configured_limits) {
             return Some(transaction);
--- a/crates/quota/src/planner/transfers.rs
+++ b/crates/quota/src/planner/transfers.rs
@@ -72,8 +72,8 @@
     Quantity::from_units(held.units() / REBALANCE_DIVISOR)
 }
 
-/// One partition's share of the quota that two partitions hold together: its need, or if `total` is too little for both,
-/// its part of `total` in proportion to the needs.
+/// One partition's share of the quota that two partitions hold together: its need, or if `total` is too little for
+/// both, its part of `total` in proportion to the needs.
 fn proportional_share(total: Quantity, own_need: Quantity, other_need: Quantity) -> Quantity {
     let total_need = (own_need + other_need).to_f64();
     if total_need <= total.to_f64() {
@@ -258,8 +258,8 @@
         self.next_request_at.retain(|_, at| now < *at + TRANSFER_REQUEST_TTL_MS);
     }
 
-    /// Of the partitions that hold quota of a team and may be asked now, the one with the most CPUs to spare; among equals
-    /// the one that holds the most.
+    /// Of the partitions that hold quota of a team and may be asked now, the one with the most CPUs to spare; among
+    /// equals the one that holds the most.
     fn partition_with_most_to_spare(
         &self,
         team: &str,
--- a/crates/quota/src/rate_loans.rs
+++ b/crates/quota/src/rate_loans.rs
@@ -87,9 +87,9 @@
         Some(RateLoanRequest { wanted_rate, requested_at: now })
     }
 
-    /// Answers a loan request: lends rate that is neither used nor lent, in total at most [`MAX_LENT_SHARE`] of the base
-    /// rate, so that some is left for a sudden load on this controller. A repeated request never lowers a running loan,
-    /// since the borrower may still be using it.
+    /// Answers a loan request: lends rate that is neither used nor lent, in total at most [`MAX_LENT_SHARE`] of the
+    /// base rate, so that some is left for a sudden load on this controller. A repeated request never lowers a running
+    /// loan, since the borrower may still be using it.
     pub fn grant_loan(
         &mut self,
         to: &str,
--- a/crates/quota/src/records.rs
+++ b/crates/quota/src/records.rs
@@ -1,8 +1,8 @@
 //! The quota records in the state service, and the transactions that change them.
 //!
-//! Teams are divided into pages, since the state service bounds the size of a value. Each page has a pool and one holding
-//! per partition. Invariant: for every team of a page, the free quota in the pool and the quota in all holdings add up to
-//! exactly the limit in force.
+//! Teams are divided into pages, since the state service bounds the size of a value. Each page has a pool and one
+//! holding per partition. Invariant: for every team of a page, the free quota in the pool and the quota in all holdings
+//! add up to exactly the limit in force.
 
 use crate::quantities::ResourceQuantities;
 use serde::{Deserialize, Serialize};
@@ -36,8 +36,8 @@
 /// The quota of a page that one partition holds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QuotaHolding {
-    /// Fencing token and sequence number of the holder's last transaction. They show whether a transaction whose outcome
-    /// is unknown was committed.
+    /// Fencing token and sequence number of the holder's last transaction. They show whether a transaction whose
+    /// outcome is unknown was committed.
     #[serde(rename = "by")]
     pub last_transaction: (u64, u64),
     /// Quota that may be used on the partition's machines, by team.
