--- a/crates/policy/src/expression_engine.rs
+++ b/crates/policy/src/expression_engine.rs
@@ -1,5 +1,5 @@
-//! The embedded language, bounded: what every expression and plug-in runs in. There is no I/O, no
-//! clock, no randomness, no module and no `eval` in it.
+//! The embedded expression language, in which all policy expressions and plug-ins run, with bounds on operations and
+//! memory. It has no I/O, clock, random numbers, modules or `eval`.
 
 use crate::attributes::{Attribute, SUBJECTS};
 use crate::constants::{
@@ -15,15 +15,15 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Where something is wrong in a source, and what.
+/// An error in a source, with its position.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{}{cause}", position_prefix(*.line, *.column))]
 pub struct Diagnostic {
-    /// Line, from 1; 0 if not known.
+    /// Line, from 1; 0 if unknown.
     pub line: usize,
-    /// Column, from 1; 0 if not known.
+    /// Column, from 1; 0 if unknown.
     pub column: usize,
-    /// What is wrong, and what was expected.
+    /// The error and, where possible, the expected input.
     pub cause: String,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl Diagnostic {
-    /// A flaw at a position.
+    /// A diagnostic at a position.
     pub fn at_position(position: Position, cause: impl Into<String>) -> Diagnostic {
         Diagnostic {
             line: position.line().unwrap_or(0),
@@ -57,7 +57,7 @@
             EvalAltResult::ErrorStackOverflow(_) => "its calls are nested too deeply".into(),
             other => {
                 let text = other.to_string();
-                // The language adds the position in its own words.
+                // The engine appends the position in its own format, which is cut off.
                 text.split(" (line ").next().unwrap_or(&text).to_string()
             }
         };
@@ -65,7 +65,7 @@
     }
 }
 
-/// The language with its bounds, and a count of what evaluations took.
+/// Compiles and evaluates expressions and plug-ins within the bounds, and counts operations.
 pub struct ExpressionEngine {
     engine: Engine,
     last_ops: Rc<Cell<u64>>,
@@ -73,13 +73,13 @@
 
 impl std::fmt::Debug for ExpressionEngine {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Lang").finish_non_exhaustive()
+        f.debug_struct("ExpressionEngine").finish_non_exhaustive()
     }
 }
 
 impl ExpressionEngine {
-    /// The language, each evaluation bounded to that many operations.
-    pub fn new(most_ops: u64) -> ExpressionEngine {
+    /// An engine that limits each evaluation to `max_ops` operations.
+    pub fn new(max_ops: u64) -> ExpressionEngine {
         let mut engine = Engine::new_raw();
         CorePackage::new().register_into_engine(&mut engine);
         LogicPackage::new().register_into_engine(&mut engine);
@@ -88,7 +88,7 @@
         BasicMapPackage::new().register_into_engine(&mut engine);
         MoreStringPackage::new().register_into_engine(&mut engine);
         engine
-            .set_max_operations(most_ops)
+            .set_max_operations(max_ops)
             .set_max_call_levels(MAX_CALL_DEPTH)
             .set_max_expr_depths(MAX_EXPRESSION_DEPTH, MAX_EXPRESSION_DEPTH)
             .set_max_string_size(MAX_TEXT_BYTES)
@@ -102,20 +102,20 @@
             .disable_symbol("eval");
         engine.on_print(|_| {}).on_debug(|_, _, _| {});
         let last_ops = Rc::new(Cell::new(0));
-        let seen = last_ops.clone();
+        let counter = last_ops.clone();
         engine.on_progress(move |count| {
-            seen.set(count);
+            counter.set(count);
             None
         });
         ExpressionEngine { engine, last_ops }
     }
 
-    /// Operations that the last evaluation took.
+    /// Number of operations of the last evaluation or call.
     pub fn last_ops(&self) -> u64 {
         self.last_ops.get()
     }
 
-    /// Compiles one expression, in which these subjects stand.
+    /// Compiles an expression that may refer to these subjects.
     pub fn compile_expression(&self, source: &str, subjects: &[&str]) -> Result<AST, Diagnostic> {
         let mut scope = Scope::new();
         for name in subjects {
@@ -129,7 +129,7 @@
         Ok(ast)
     }
 
-    /// Compiles a plug-in: functions only.
+    /// Compiles the functions of a plug-in.
     pub fn compile_plugin(&self, source: &str) -> Result<AST, Diagnostic> {
         let ast = self
             .engine
@@ -139,7 +139,7 @@
         Ok(ast)
     }
 
-    /// Evaluates an expression over subjects.
+    /// Evaluates an expression with these subjects in scope.
     pub fn evaluate(
         &self,
         ast: &AST,
@@ -153,7 +153,7 @@
         Ok(self.engine.eval_ast_with_scope::<Dynamic>(&mut scope, ast)?)
     }
 
-    /// Calls a plug-in's function.
+    /// Calls a function of a plug-in.
     pub fn call_function(
         &self,
         ast: &AST,
@@ -166,7 +166,7 @@
     }
 }
 
-/// A flaw that names the nearest known name of a variable.
+/// A diagnostic for a parse error; for an undefined variable it suggests the most similar known name.
 fn undefined_name_diagnostic<'a>(
     e: ParseError,
     known: impl Iterator<Item = &'a str>,
@@ -180,54 +180,54 @@
     }
 }
 
-/// Words for an unknown name, with the nearest one that is known.
+/// Message for an unknown name, with the most similar known name or a list of all known names.
 pub fn unknown_name_message<'a>(
-    what: &str,
+    kind: &str,
     name: &str,
     known: impl Iterator<Item = &'a str>,
 ) -> String {
-    let all: Vec<&str> = known.collect();
-    let best = all
+    let known: Vec<&str> = known.collect();
+    let most_similar = known
         .iter()
         .map(|k| (strsim::jaro_winkler(name, k), *k))
         .max_by(|a, b| a.0.total_cmp(&b.0).then_with(|| b.1.cmp(a.1)));
-    match best {
-        Some((likeness, k)) if likeness >= SUGGESTION_SIMILARITY => {
-            format!("unknown {what} `{name}`; did you mean `{k}`?")
+    match most_similar {
+        Some((similarity, k)) if similarity >= SUGGESTION_SIMILARITY => {
+            format!("unknown {kind} `{name}`; did you mean `{k}`?")
         }
-        _ => format!("unknown {what} `{name}`; known are {}", all.join(", ")),
+        _ => format!("unknown {kind} `{name}`; known are {}", known.join(", ")),
     }
 }
 
-/// Refuses attributes that no subject has, in branches too that no trial would take.
+/// Rejects unknown attributes of subjects, also in branches that no trial evaluation reaches.
 fn validate_attribute_names(ast: &AST) -> Result<(), Diagnostic> {
-    let mut flaw = None;
+    let mut diagnostic = None;
     ast.walk(&mut |path| {
         if let Some(ASTNode::Expr(Expr::Dot(pair, ..))) = path.last()
             && let Expr::Variable(variable, ..) = &pair.lhs
             && let Some((subject, table)) = SUBJECTS.iter().find(|s| *s.0 == *variable.1.as_str())
         {
-            let first = match &pair.rhs {
+            let attribute = match &pair.rhs {
                 Expr::Dot(inner, ..) | Expr::Index(inner, ..) => &inner.lhs,
                 other => other,
             };
-            if let Expr::Property(property, position) = first
+            if let Expr::Property(property, position) = attribute
                 && !table.iter().any(|a| *a.0 == *property.2.as_str())
             {
-                let what = format!("attribute of {subject}:");
+                let kind = format!("attribute of {subject}:");
                 let names = table.iter().map(|a: &Attribute| a.0);
-                flaw = Some(Diagnostic::at_position(
+                diagnostic = Some(Diagnostic::at_position(
                     *position,
-                    unknown_name_message(&what, &property.2, names),
+                    unknown_name_message(&kind, &property.2, names),
                 ));
             }
         }
-        flaw.is_none()
+        diagnostic.is_none()
     });
-    flaw.map_or(Ok(()), Err)
+    diagnostic.map_or(Ok(()), Err)
 }
 
-/// Functions that a compiled plug-in defines, with their number of parameters.
+/// Names of the functions that a compiled plug-in defines, with their numbers of parameters.
 pub fn defined_functions(ast: &AST) -> BTreeSet<(String, usize)> {
     ast.iter_functions().map(|f| (f.name.to_string(), f.params.len())).collect()
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,5 +1,5 @@
-//! What operators may set beyond the platform's file, and what plug-ins may say: the operators' file,
-//! policy expressions, the plug-in host. All of it is pure: values in, values out.
+//! Configuration and extension by operators: the operators' file, policy expressions and the plug-in host. Apart from
+//! reading the operators' file, the crate does no I/O, and the caller passes the time.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/policy/src/operator_settings.rs
+++ b/crates/policy/src/operator_settings.rs
@@ -1,5 +1,5 @@
-//! The operators' file: what those who run the service set, beyond the platform's file. TOML, checked
-//! like the platform's; everything in it is off unless switched on.
+//! The operators' file: settings of the operators of this service, in addition to the platform's settings file. Like
+//! that file it is TOML and validated when it is loaded. Every feature in it is off by default.
 
 use crate::expression_engine::Diagnostic;
 use crate::scheduling_policy::{SchedulingPolicy, parameter_names};
@@ -9,7 +9,7 @@
 use std::path::Path;
 use toml::Spanned;
 
-/// Why an operators' file was refused.
+/// Reason for rejecting an operators' file.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
     /// The file could not be read.
@@ -19,18 +19,18 @@
     Read {
         /// Path of the file.
         file: String,
-        /// What the system said.
+        /// Error of the operating system.
         cause: std::io::Error,
     },
-    /// The file is not TOML of the expected form.
+    /// The file is not valid TOML, or has unknown or mistyped fields.
     #[error("operators' file {file}: {cause}")]
-    Form {
+    Parse {
         /// Path of the file.
         file: String,
-        /// What the parser said, with line and field.
+        /// Error of the parser, with line and field.
         cause: Box<toml::de::Error>,
     },
-    /// An expression is not sound.
+    /// A policy expression is invalid.
     #[error("operators' file {file}, line {line}, column {column}: policy `{name}`: {cause}")]
     Policy {
         /// Path of the file.
@@ -39,18 +39,18 @@
         line: usize,
         /// Column in the file.
         column: usize,
-        /// What the expression sets.
+        /// Name of the policy parameter.
         name: String,
-        /// What is wrong, and what was expected.
+        /// The fault and the expected form.
         cause: String,
     },
 }
 
-/// The `[admin]` table: where operators' commands are taken.
+/// The `[admin]` table: the listener for operators' commands.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdminSettings {
-    /// Address; none: no listener.
+    /// Listen address; `None` disables the listener.
     #[serde(default)]
     pub listen: Option<SocketAddr>,
 }
@@ -59,94 +59,94 @@
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PluginSettings {
-    /// Whether plug-ins are kept and asked.
+    /// Whether plug-ins are installed and called.
     #[serde(default)]
     pub enabled: bool,
 }
 
-/// The `[amounts]` table.
+/// The `[amounts]` table: team limits.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaSettings {
-    /// Whether limits are held in the state service, so that the lowest of all controllers' settings counts.
+    /// Whether limits are recorded in the state service, so that the lowest of all controllers' settings applies.
     #[serde(default)]
     pub durable: bool,
 }
 
-/// The `[tiers]` table: which waiting work comes first.
+/// The `[tiers]` table: the order in which waiting work is served.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TierTableSettings {
-    /// Number of the table: of all controllers' files and the state service, the highest counts.
+    /// Version of the table. The highest version among all controllers' files and the state service applies.
     pub version: u64,
-    /// The tiers, the first first.
+    /// The tiers, in the order in which they are served.
     #[serde(default)]
     pub tier: Vec<TierEntrySettings>,
 }
 
-/// One `[[tiers.tier]]`.
+/// An entry `[[tiers.tier]]`.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TierEntrySettings {
-    /// Its name.
+    /// Name of the tier.
     pub name: String,
-    /// Which jobs are of it, as an expression over `job`.
+    /// Expression over `job` that selects the jobs of the tier.
     pub when: Spanned<String>,
-    /// Whether it is served in the order of acceptance.
+    /// Whether its jobs are served in the order of their acceptance.
     #[serde(default)]
     pub ordered: bool,
 }
 
-/// Line and column of a byte in a text, from 1.
+/// Line and column, from 1, of a byte offset in a text.
 pub fn line_and_column(text: &str, byte: usize) -> (usize, usize) {
     let before = text.get(..byte).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
     (line, before.chars().rev().take_while(|c| *c != '\n').count() + 1)
 }
 
-/// The `[loans]` table.
+/// The `[loans]` table: GPU lending.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoanSettings {
-    /// Whether accelerators lent are held in the state service, so that a new leader finishes what was begun.
+    /// Whether loans are recorded in the state service, so that a new leader completes loans in progress.
     #[serde(default)]
     pub durable: bool,
 }
 
-/// A checked operators' file.
+/// A validated operators' file.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorSettings {
-    /// Where operators' commands are taken.
+    /// Listener for operators' commands.
     #[serde(default)]
     pub admin: AdminSettings,
-    /// Plug-ins.
+    /// Plug-in settings.
     #[serde(default)]
     pub plugins: PluginSettings,
-    /// Teams' limits.
+    /// Settings of team limits.
     #[serde(default)]
     pub amounts: QuotaSettings,
-    /// Tiers, held in the state service; none: the built-in ones, by records alone.
+    /// Tiers, recorded in the state service. `None`: the built-in tiers, assigned by the jobs' records alone.
     #[serde(default)]
     pub tiers: Option<TierTableSettings>,
-    /// Accelerators lent.
+    /// Settings of GPU lending.
     #[serde(default)]
     pub loans: LoanSettings,
-    /// Arrivals and chains, as the dispatch package reads them.
+    /// Arrivals and chains of the deadline plan, parsed by the deadline-planning crate.
     #[serde(default)]
     pub dispatch: Option<toml::Table>,
-    /// Expressions, by the name of what they set.
+    /// Policy settings, by the name of the parameter.
     #[serde(default)]
     pub policy: BTreeMap<String, PolicySetting>,
 }
 
-/// An expression, or a number that stands for itself.
+/// A number or an expression.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(untagged, expecting = "a number, or an expression in quotes, is expected")]
 pub enum PolicySetting {
-    /// A whole number.
+    /// An integer.
     Integer(i64),
-    /// A number.
+    /// A floating-point number.
     Number(f64),
     /// An expression.
     Expression(String),
@@ -163,7 +163,7 @@
 }
 
 impl OperatorSettings {
-    /// Reads and checks a file.
+    /// Reads, parses and validates a file.
     pub fn load(path: &Path) -> Result<OperatorSettings, OperatorError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -171,15 +171,15 @@
         OperatorSettings::parse(&file, &text)
     }
 
-    /// Reads and checks a text; `file` names it in errors.
+    /// Parses and validates a text; `file` is the file name used in errors.
     pub fn parse(file: &str, text: &str) -> Result<OperatorSettings, OperatorError> {
-        let found: OperatorSettings = toml::from_str(text)
-            .map_err(|cause| OperatorError::Form { file: file.into(), cause: Box::new(cause) })?;
-        match found.compile_policy() {
-            Ok(_) => Ok(found),
-            Err((name, flaw)) => {
-                let (line, column) = locate_diagnostic(text, &name, &flaw);
-                let cause = flaw.cause;
+        let settings: OperatorSettings = toml::from_str(text)
+            .map_err(|cause| OperatorError::Parse { file: file.into(), cause: Box::new(cause) })?;
+        match settings.compile_policy() {
+            Ok(_) => Ok(settings),
+            Err((name, diagnostic)) => {
+                let (line, column) = locate_diagnostic(text, &name, &diagnostic);
+                let cause = diagnostic.cause;
                 Err(OperatorError::Policy { file: file.into(), line, column, name, cause })
             }
         }
@@ -191,34 +191,35 @@
         )
     }
 
-    /// The policy, compiled. A checked file always has one.
+    /// The compiled policy. Falls back to the built-in policy, which does not happen for a validated file.
     pub fn compiled_policy(&self) -> SchedulingPolicy {
         self.compile_policy().unwrap_or_default()
     }
 }
 
-/// Where in the file a flaw of a policy's expression lies: its key's line, and the column within the
-/// text after it. An expression of several lines is counted from there.
-fn locate_diagnostic(text: &str, name: &str, flaw: &Diagnostic) -> (usize, usize) {
-    let mut inside = false;
+/// Line and column in the file of a diagnostic for a policy setting, or (0, 0) if the setting is not found. Positions
+/// within an expression are relative to its start after the key, positions of later lines to the key's line.
+fn locate_diagnostic(text: &str, name: &str, diagnostic: &Diagnostic) -> (usize, usize) {
+    let mut in_policy_table = false;
     for (n, line) in text.lines().enumerate() {
-        let bare = line.trim_start();
-        if bare.starts_with('[') {
-            inside = bare.starts_with("[policy]");
+        let trimmed = line.trim_start();
+        if trimmed.starts_with('[') {
+            in_policy_table = trimmed.starts_with("[policy]");
         }
-        let key = bare.split('=').next().unwrap_or("").trim().trim_matches('"');
-        if inside && key == name {
-            let begin = line.find('=').map_or(0, |at| {
+        let key = trimmed.split('=').next().unwrap_or("").trim().trim_matches('"');
+        if in_policy_table && key == name {
+            let expression_start = line.find('=').map_or(0, |at| {
                 let rest = &line[at + 1..];
                 let quotes = rest.trim_start().chars().take_while(|c| matches!(c, '"' | '\''));
                 at + 1 + (rest.len() - rest.trim_start().len()) + quotes.count()
             });
-            let known = parameter_names().any(|k| k == name);
-            let (down, right) = (flaw.line.saturating_sub(1), flaw.column.max(1));
-            return match (known, down) {
-                (false, _) => (n + 1, line.len() - bare.len() + 1),
-                (true, 0) => (n + 1, begin + right),
-                (true, _) => (n + 1 + down, right),
+            let is_known = parameter_names().any(|k| k == name);
+            let (line_offset, column) =
+                (diagnostic.line.saturating_sub(1), diagnostic.column.max(1));
+            return match (is_known, line_offset) {
+                (false, _) => (n + 1, line.len() - trimmed.len() + 1),
+                (true, 0) => (n + 1, expression_start + column),
+                (true, _) => (n + 1 + line_offset, column),
             };
         }
     }
--- a/crates/policy/src/plugin.rs
+++ b/crates/policy/src/plugin.rs
@@ -1,58 +1,59 @@
-//! A plug-in's record and its life cycle.
+//! Plug-in records and the plug-in life cycle.
 
 use crate::constants::{DEFAULT_PRECEDENCE, MAX_NAME_BYTES};
 use crate::hooks::Hook;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// What a plug-in is.
+/// Kind of a plug-in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PluginKind {
-    /// Functions of the embedded language that advise on decisions.
+    /// Hooks in the embedded language that advise on scheduling decisions.
     Decision,
-    /// An address to which events are reported.
+    /// An address to which events are sent.
     #[serde(rename = "report")]
     EventReceiver,
 }
 
-/// Where a plug-in stands.
+/// State in the life cycle of a plug-in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PluginState {
-    /// Its source has come, and is not checked yet.
+    /// Its source has been submitted and is not validated yet.
     Offered,
-    /// Sound, and not used.
+    /// Validated but not enabled.
     Checked,
-    /// Asked in every pass.
+    /// Enabled: its hooks are called, or events are sent to it.
     Active,
-    /// Not asked, since it failed too often or made passes slow.
+    /// Not called, since it failed too often or slowed scheduling cycles.
     Suspended,
-    /// Gone; its name may be used again.
+    /// Removed; its name may be used again.
     Removed,
 }
 
-/// What may happen to a plug-in.
+/// Transition in the life cycle of a plug-in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PluginTransition {
-    /// Its source was found sound.
+    /// Its source was validated.
     Check,
-    /// An operator switches it on.
+    /// An operator enables it.
     Enable,
-    /// An operator switches it off.
+    /// An operator disables it.
     Disable,
-    /// It failed too often, or makes passes slow.
+    /// It failed too often or slowed scheduling cycles.
     Suspend,
-    /// An operator offers another source under its name.
+    /// An operator submits a new source under its name.
     Offer,
     /// An operator removes it.
     Remove,
 }
 
 impl PluginState {
-    /// The one function that changes the state. None: the step does not apply there.
-    pub fn transition(self, step: PluginTransition) -> Option<PluginState> {
-        match (self, step) {
+    /// The state after a transition, or `None` if the transition is not allowed in this state. All state changes go
+    /// through this function.
+    pub fn transition(self, transition: PluginTransition) -> Option<PluginState> {
+        match (self, transition) {
             (PluginState::Removed, PluginTransition::Offer) => Some(PluginState::Offered),
             (PluginState::Removed, _) => None,
             (_, PluginTransition::Remove) => Some(PluginState::Removed),
@@ -70,26 +71,26 @@
     }
 }
 
-/// What the state service holds of a plug-in beside its source.
+/// A plug-in as recorded in the state service, without its source.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PluginRecord {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// What it is.
+    /// Kind.
     pub kind: PluginKind,
-    /// Where it stands.
+    /// State in the life cycle.
     pub state: PluginState,
-    /// Counts the sources offered under its name.
+    /// Number of sources submitted under its name so far.
     pub version: u64,
     /// SHA-256 of its source, in hexadecimal.
     pub hash: String,
-    /// Order of precedence: the lower the stronger; among equals by name.
+    /// Precedence: plug-ins with lower numbers are called first; among equals, by name.
     pub precedence: u32,
-    /// Chunks of its source in the state service.
+    /// Number of chunks in which its source is stored in the state service.
     pub chunks: u32,
-    /// Hooks that it has.
+    /// Hooks that it defines.
     pub hooks: Vec<Hook>,
-    /// Why it is suspended.
+    /// Reason for its suspension.
     #[serde(default)]
     pub reason: Option<String>,
     /// Time of day of the latest change, ms since the epoch.
@@ -97,29 +98,29 @@
 }
 
 impl PluginRecord {
-    /// Takes a step. False if it does not apply.
-    pub fn apply_transition(&mut self, step: PluginTransition, wall: u64) -> bool {
-        let Some(state) = self.state.transition(step) else { return false };
+    /// Applies a transition at the time of day `wall`, ms. Returns whether the current state allows it.
+    pub fn apply_transition(&mut self, transition: PluginTransition, wall: u64) -> bool {
+        let Some(state) = self.state.transition(transition) else { return false };
         self.state = state;
         self.changed_wall = wall;
-        if step != PluginTransition::Suspend {
+        if transition != PluginTransition::Suspend {
             self.reason = None;
         }
         true
     }
 }
 
-/// A plug-in as it is offered.
+/// A plug-in as submitted by an operator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PluginOffer {
-    /// What it is.
+    /// Kind.
     pub kind: PluginKind,
-    /// Its source: functions, or the TOML of a report hook.
+    /// Source: functions of the embedded language, or the TOML of an event receiver.
     pub source: String,
-    /// Order of precedence.
+    /// Precedence, see [`PluginRecord::precedence`].
     #[serde(default = "usual_precedence")]
     pub precedence: u32,
-    /// Whether it is switched on at once.
+    /// Whether it is enabled at once.
     #[serde(default)]
     pub enable: bool,
 }
@@ -128,10 +129,10 @@
     DEFAULT_PRECEDENCE
 }
 
-/// Whether a text may name a plug-in: lower-case letters, digits and dashes.
+/// Whether a string is a valid plug-in name: lower-case ASCII letters, digits and hyphens, at most [`MAX_NAME_BYTES`].
 pub fn is_valid_name(name: &str) -> bool {
-    let good = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
-    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(good)
+    let is_valid_byte = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(is_valid_byte)
 }
 
 /// SHA-256 of a source, in hexadecimal.
@@ -139,18 +140,19 @@
     hex::encode(Sha256::digest(source.as_bytes()))
 }
 
-/// A source in parts of at most that many bytes each, cut between characters.
-pub fn split_into_chunks(source: &str, most: usize) -> Vec<&str> {
+/// Splits a source at character boundaries into chunks of at most `max_bytes` bytes. A `max_bytes` below 4, the longest
+/// UTF-8 character, counts as 4.
+pub fn split_into_chunks(source: &str, max_bytes: usize) -> Vec<&str> {
     let mut rest = source;
-    let mut parts = Vec::new();
+    let mut chunks = Vec::new();
     while !rest.is_empty() {
-        let mut end = rest.len().min(most.max(4));
+        let mut end = rest.len().min(max_bytes.max(4));
         while !rest.is_char_boundary(end) {
             end -= 1;
         }
-        let (part, more) = rest.split_at(end);
-        parts.push(part);
-        rest = more;
+        let (chunk, remaining) = rest.split_at(end);
+        chunks.push(chunk);
+        rest = remaining;
     }
-    parts
+    chunks
 }
--- a/crates/policy/src/plugin_host.rs
+++ b/crates/policy/src/plugin_host.rs
@@ -1,5 +1,5 @@
-//! The plug-in host: the set in force, calls within bounds, faults and suspension. It has values in
-//! and values out, and no clock of its own.
+//! The plug-in host: holds the installed plug-ins, calls their hooks within bounds, and suspends plug-ins with too many
+//! faults or slow cycles. It does no I/O and reads no clock.
 
 use crate::attributes::{AttributeValues, CLASS_ATTRIBUTES, CLUSTER_ATTRIBUTES, JOB_ATTRIBUTES};
 use crate::constants::{
@@ -16,27 +16,27 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Milliseconds of steady time.
+/// Monotonic time, ms.
 pub type Time = u64;
 
-/// What one plug-in said when a hook was played.
+/// Response of one plug-in to a hook call.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct HookResponse {
-    /// Its name.
+    /// Name of the plug-in.
     pub plugin: String,
-    /// Its answer, if it gave one.
+    /// The answer, if the plug-in gave one.
     pub answer: Option<HookAnswer>,
-    /// Why it gave none.
+    /// The fault, if the call failed.
     pub fault: Option<String>,
 }
 
-/// What a hook came to.
+/// Result of a hook call over all plug-ins.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct HookResult {
-    /// Who said what, in order of precedence.
+    /// Responses of the called plug-ins, in the order of precedence.
     #[serde(rename = "said")]
     pub responses: Vec<HookResponse>,
-    /// What was taken.
+    /// The composed answer, if any plug-in gave one.
     #[serde(rename = "taken")]
     pub composed: Option<HookAnswer>,
 }
@@ -45,14 +45,15 @@
     record: PluginRecord,
     ast: Option<AST>,
     outbox: Option<EventOutbox>,
-    /// Suspended here, and not yet in the state service.
+    /// Reason for a suspension by this controller, which may not be recorded in the state service yet.
     suspended_reason: Option<String>,
     faults: VecDeque<(Time, String)>,
     slow_cycles: VecDeque<Time>,
-    /// Operations left in this second, and when it began.
+    /// Start of the current budget period of 1 s, and the operations left in it.
     budget: (Time, u64),
-    /// Operations in the pass under way, and in all.
+    /// Operations in the current scheduling cycle.
     ops_in_cycle: u64,
+    /// Operations in total.
     total_ops: u64,
     calls: u64,
 }
@@ -63,30 +64,31 @@
     }
 }
 
-/// What an operator sees of a plug-in.
+/// Status of a plug-in, as shown to operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct PluginStatus {
-    /// Its record.
+    /// Record of the plug-in, with its suspension on this controller.
     #[serde(flatten)]
     pub record: PluginRecord,
-    /// Calls made on this controller.
+    /// Number of hook calls on this controller.
     pub calls: u64,
-    /// Operations that they took.
+    /// Operations of these calls.
     pub ops: u64,
-    /// Faults within the last minute, the latest last.
+    /// Faults within [`FAULT_WINDOW_MS`] up to the latest one, the latest last.
     pub faults: Vec<String>,
-    /// Of a report hook: events that wait, were delivered, were dropped.
+    /// Delivery counts of an event receiver; `None` for other plug-ins.
     pub delivery: Option<outbox::DeliveryCounts>,
 }
 
-/// The host.
+/// Holds and calls the installed plug-ins.
 pub struct PluginHost {
     engine: ExpressionEngine,
     plugins: BTreeMap<String, LoadedPlugin>,
-    /// Names in the order in which they speak.
+    /// Names of the plug-ins in the order of precedence.
     precedence_order: Vec<String>,
-    /// Faults of the pass or call under way.
+    /// Time of the current cycle or call.
     now: Time,
+    /// Plug-ins suspended since the last [`take_newly_suspended`](PluginHost::take_newly_suspended), with reasons.
     newly_suspended: Vec<(String, String)>,
 }
 
@@ -109,8 +111,8 @@
 }
 
 impl PluginHost {
-    /// Checks a source: it compiles, has hooks, and none of them fails, loops or talks nonsense on
-    /// every sample. Returns its hooks.
+    /// Validates a source: its size, that it compiles, and that it defines at least one hook or, for an event receiver,
+    /// parses. Returns the hooks that it defines. Does not call them; see [`try_hook`].
     pub fn validate_source(&self, kind: PluginKind, source: &str) -> Result<Vec<Hook>, Diagnostic> {
         let none = rhai::Position::NONE;
         if source.len() > MAX_SOURCE_BYTES {
@@ -137,25 +139,26 @@
         Ok(hooks)
     }
 
-    /// Puts a set in force, between passes. What has not changed keeps its counts.
-    pub fn install(&mut self, found: Vec<(PluginRecord, String)>) {
-        let mut before = std::mem::take(&mut self.plugins);
-        for (record, source) in found.into_iter().take(MAX_PLUGINS) {
+    /// Replaces the installed plug-ins; called between scheduling cycles. Plug-ins with an unchanged source keep their
+    /// counters.
+    pub fn install(&mut self, plugins: Vec<(PluginRecord, String)>) {
+        let mut previous = std::mem::take(&mut self.plugins);
+        for (record, source) in plugins.into_iter().take(MAX_PLUGINS) {
             if record.state == PluginState::Removed || source_hash(&source) != record.hash {
                 continue;
             }
             let name = record.name.clone();
-            let same = before.remove(&name).filter(|l| l.record.hash == record.hash);
-            let loaded = match same {
-                Some(mut same) => {
-                    // An operator's decision ends what this controller thought of it.
-                    if same.record != record {
-                        same.suspended_reason = None;
-                        same.faults.clear();
-                        same.slow_cycles.clear();
+            let unchanged = previous.remove(&name).filter(|l| l.record.hash == record.hash);
+            let loaded = match unchanged {
+                Some(mut loaded) => {
+                    // A changed record, such as an operator's decision, overrides this controller's suspension.
+                    if loaded.record != record {
+                        loaded.suspended_reason = None;
+                        loaded.faults.clear();
+                        loaded.slow_cycles.clear();
                     }
-                    same.record = record;
-                    same
+                    loaded.record = record;
+                    loaded
                 }
                 None => LoadedPlugin {
                     ast: match record.kind {
@@ -184,26 +187,27 @@
         self.precedence_order.sort_by_key(|n| (self.plugins[n].record.precedence, n.clone()));
     }
 
-    /// Whether any active plug-in has that hook.
+    /// Whether any active plug-in defines this hook.
     pub fn has_active_hook(&self, hook: Hook) -> bool {
         self.plugins.values().any(|l| l.is_active() && l.record.hooks.contains(&hook))
     }
 
-    /// Whether any active plug-in advises on passes.
+    /// Whether any active plug-in defines a hook of scheduling cycles, that is, any but [`Hook::Admit`].
     pub fn has_scheduling_hooks(&self) -> bool {
         Hook::ALL.into_iter().any(|h| h != Hook::Admit && self.has_active_hook(h))
     }
 
-    /// Begins a pass.
+    /// Begins a scheduling cycle.
     pub fn begin_cycle(&mut self, now: Time) {
         self.now = now;
         self.plugins.values_mut().for_each(|l| l.ops_in_cycle = 0);
     }
 
-    /// Ends a pass that computed so many scores: what took most of its work makes it slow.
+    /// Ends a scheduling cycle that computed this number of scores. Plug-ins that took at least [`SLOW_CYCLE_SHARE`] of
+    /// its work count as slow, and are suspended after [`MAX_SLOW_CYCLES`].
     pub fn end_cycle(&mut self, scores: u64) {
-        let all: u64 = self.plugins.values().map(|l| l.ops_in_cycle).sum();
-        let work = (all + scores * OPS_PER_SCORE) as f64;
+        let plugin_ops: u64 = self.plugins.values().map(|l| l.ops_in_cycle).sum();
+        let work = (plugin_ops + scores * OPS_PER_SCORE) as f64;
         let now = self.now;
         for loaded in self.plugins.values_mut().filter(|l| l.is_active()) {
             if loaded.ops_in_cycle < MIN_SLOW_OPS
@@ -221,7 +225,8 @@
         }
     }
 
-    /// Plays a hook on two values: a job or a class, and what stands beside it.
+    /// Calls a hook of all active plug-ins that define it, with a job or class as the first argument, and composes the
+    /// answers.
     pub fn run_hook(
         &mut self,
         hook: Hook,
@@ -230,7 +235,7 @@
         now: Time,
     ) -> HookResult {
         self.now = now;
-        let mut said = Vec::new();
+        let mut responses = Vec::new();
         for name in &self.precedence_order {
             let Some(loaded) = self.plugins.get_mut(name) else { continue };
             if !loaded.is_active() || !loaded.record.hooks.contains(&hook) {
@@ -244,13 +249,14 @@
             if let Some(cause) = &fault {
                 record_fault(loaded, &mut self.newly_suspended, cause, now);
             }
-            said.push(HookResponse { plugin: name.clone(), answer, fault });
+            responses.push(HookResponse { plugin: name.clone(), answer, fault });
         }
-        let answers: Vec<HookAnswer> = said.iter().filter_map(|s| s.answer.clone()).collect();
-        HookResult { composed: compose_answers(hook, &answers), responses: said }
+        let answers: Vec<HookAnswer> = responses.iter().filter_map(|r| r.answer.clone()).collect();
+        HookResult { composed: compose_answers(hook, &answers), responses }
     }
 
-    /// Plug-ins suspended here since the last call, and why. The caller records it for all.
+    /// Plug-ins suspended on this controller since the last call, with the reasons. The caller records the suspensions
+    /// in the state service.
     pub fn take_newly_suspended(&mut self) -> Vec<(String, String)> {
         std::mem::take(&mut self.newly_suspended)
     }
@@ -260,9 +266,9 @@
         self.plugins.get(name).map(|l| &l.record)
     }
 
-    /// All plug-ins, in the order in which they speak.
+    /// Status of all plug-ins, in the order of precedence.
     pub fn statuses(&self) -> Vec<PluginStatus> {
-        let shown = |l: &LoadedPlugin| PluginStatus {
+        let status = |l: &LoadedPlugin| PluginStatus {
             record: PluginRecord {
                 state: if l.suspended_reason.is_some() {
                     PluginState::Suspended
@@ -277,15 +283,15 @@
             faults: l.faults.iter().map(|f| f.1.clone()).collect(),
             delivery: l.outbox.as_ref().map(EventOutbox::counts),
         };
-        self.precedence_order.iter().filter_map(|n| self.plugins.get(n)).map(shown).collect()
+        self.precedence_order.iter().filter_map(|n| self.plugins.get(n)).map(status).collect()
     }
 
-    /// Whether any active report hook listens.
+    /// Whether there is any active event receiver.
     pub fn has_event_receivers(&self) -> bool {
         self.plugins.values().any(|l| l.is_active() && l.outbox.is_some())
     }
 
-    /// Tells the active report hooks of an event.
+    /// Queues an event for all active event receivers.
     pub fn enqueue_event(&mut self, event: &outbox::ReportedEvent) {
         for loaded in self.plugins.values_mut().filter(|l| l.is_active()) {
             if let Some(outbox) = &mut loaded.outbox {
@@ -294,24 +300,24 @@
         }
     }
 
-    /// Deliveries that may leave now.
+    /// Starts and returns the deliveries that may be sent now.
     pub fn due_deliveries(&mut self, now: Time) -> Vec<outbox::EventDelivery> {
         let active = self.plugins.iter_mut().filter(|(_, l)| l.is_active());
         active.filter_map(|(name, l)| l.outbox.as_mut()?.next_delivery(name, now)).collect()
     }
 
-    /// A delivery has ended.
-    pub fn on_delivery_ended(&mut self, name: &str, taken: bool, now: Time) {
+    /// Handles the end of a delivery to the event receiver `name`.
+    pub fn on_delivery_ended(&mut self, name: &str, accepted: bool, now: Time) {
         if let Some(outbox) = self.plugins.get_mut(name).and_then(|l| l.outbox.as_mut()) {
-            outbox.on_delivery_ended(taken, now);
+            outbox.on_delivery_ended(accepted, now);
         }
     }
 }
 
-/// What stands beside the first value of a hook.
+/// Second argument of a hook call.
 #[derive(Debug, Clone)]
 pub enum HookContext {
-    /// The cluster.
+    /// Attributes of the cluster.
     Cluster(AttributeValues),
     /// Names of the machine types.
     MachineTypes(Vec<String>),
@@ -320,7 +326,7 @@
 impl HookContext {
     fn to_dynamic(&self) -> Dynamic {
         match self {
-            HookContext::Cluster(facts) => facts.to_dynamic(),
+            HookContext::Cluster(attributes) => attributes.to_dynamic(),
             HookContext::MachineTypes(names) => {
                 names.iter().map(|n| Dynamic::from(n.clone())).collect::<Vec<Dynamic>>().into()
             }
@@ -328,10 +334,10 @@
     }
 }
 
-/// One call within its bounds. What a plug-in's second no longer holds is not called: its answer is
-/// the default, and no fault.
+/// Calls a hook of one plug-in within the bounds. If the plug-in's budget for the current second is used up, it is not
+/// called; that is no fault and gives no answer.
 fn call_hook(
-    lang: &ExpressionEngine,
+    engine: &ExpressionEngine,
     loaded: &mut LoadedPlugin,
     hook: Hook,
     first: &AttributeValues,
@@ -342,22 +348,23 @@
         loaded.budget = (now, MAX_PLUGIN_OPS_PER_S);
     }
     let Some(ast) = loaded.ast.as_ref().filter(|_| loaded.budget.1 > 0) else { return Ok(None) };
-    let found = lang.call_function(ast, hook.name(), vec![first.to_dynamic(), second.to_dynamic()]);
-    // A call that does next to nothing costs something too: its values are made for it.
-    let ops = lang.last_ops() + CALL_OVERHEAD_OPS;
+    let value =
+        engine.call_function(ast, hook.name(), vec![first.to_dynamic(), second.to_dynamic()]);
+    // Even a trivial call has a cost, since its arguments are created for it.
+    let ops = engine.last_ops() + CALL_OVERHEAD_OPS;
     loaded.calls += 1;
     loaded.total_ops += ops;
     loaded.ops_in_cycle += ops;
     loaded.budget.1 = loaded.budget.1.saturating_sub(ops);
-    found.and_then(|f| parse_answer(hook, &f)).map_err(|flaw| flaw.to_string())
+    value.and_then(|v| parse_answer(hook, &v)).map_err(|diagnostic| diagnostic.to_string())
 }
 
-/// Operations that stand for making the values of a call.
+/// Operations charged for creating the arguments of a call.
 const CALL_OVERHEAD_OPS: u64 = 40;
 
 fn record_fault(
     loaded: &mut LoadedPlugin,
-    fresh: &mut Vec<(String, String)>,
+    newly_suspended: &mut Vec<(String, String)>,
     cause: &str,
     now: Time,
 ) {
@@ -365,21 +372,25 @@
     loaded.faults.retain(|(at, _)| now.saturating_sub(*at) <= FAULT_WINDOW_MS);
     if loaded.faults.len() >= MAX_FAULTS {
         let reason = format!("{MAX_FAULTS} faults within a minute, the latest: {cause}");
-        suspend_plugin(loaded, fresh, reason);
+        suspend_plugin(loaded, newly_suspended, reason);
     }
 }
 
-fn suspend_plugin(loaded: &mut LoadedPlugin, fresh: &mut Vec<(String, String)>, reason: String) {
+fn suspend_plugin(
+    loaded: &mut LoadedPlugin,
+    newly_suspended: &mut Vec<(String, String)>,
+    reason: String,
+) {
     if loaded.suspended_reason.is_none() {
         loaded.suspended_reason = Some(reason.clone());
-        fresh.push((loaded.record.name.clone(), reason));
+        newly_suspended.push((loaded.record.name.clone(), reason));
     }
 }
 
-/// Sample values on which a hook may be tried: what `swiftsail check --plugin` does.
+/// Calls a hook on sample arguments, as `swiftsail check --plugin` does. Returns the first error or invalid answer.
 pub fn try_hook(source: &str, hook: Hook) -> Result<(), Diagnostic> {
-    let lang = ExpressionEngine::new(MAX_CALL_OPS);
-    let ast = lang.compile_plugin(source)?;
+    let engine = ExpressionEngine::new(MAX_CALL_OPS);
+    let ast = engine.compile_plugin(source)?;
     for n in 0..12 {
         let first = match hook {
             Hook::ClassOrder => AttributeValues::sample(CLASS_ATTRIBUTES, n),
@@ -389,9 +400,12 @@
             Hook::AvoidTypes => HookContext::MachineTypes(vec!["small".into(), "large".into()]),
             _ => HookContext::Cluster(AttributeValues::sample(CLUSTER_ATTRIBUTES, n)),
         };
-        let found =
-            lang.call_function(&ast, hook.name(), vec![first.to_dynamic(), second.to_dynamic()])?;
-        parse_answer(hook, &found)?;
+        let value = engine.call_function(
+            &ast,
+            hook.name(),
+            vec![first.to_dynamic(), second.to_dynamic()],
+        )?;
+        parse_answer(hook, &value)?;
     }
     Ok(())
 }
--- a/crates/policy/src/scheduling_policy.rs
+++ b/crates/policy/src/scheduling_policy.rs
@@ -1,5 +1,5 @@
-//! The policy: expressions that set what placement and fleet may be steered by. The built-in default
-//! is itself one.
+//! The scheduling policy: parameters of placement and of the machine fleet, each set by an expression. The built-in
+//! defaults are expressions too.
 
 use crate::attributes::{AttributeValues, CLUSTER_ATTRIBUTES, JOB_ATTRIBUTES, TEAM_ATTRIBUTES};
 use crate::constants::MAX_POLICY_OPS;
@@ -8,33 +8,34 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a policy sets.
+/// Parameter of the scheduling policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyParameter {
-    /// Pruning threshold of a job: a chance at or below it defers.
+    /// Pruning threshold of a job: a task whose probability of meeting its deadline is at or below it is deferred.
     #[serde(rename = "threshold")]
     PruningThreshold,
-    /// Largest share of CPUs on spot machines when one is rented for a job.
+    /// Maximum share of CPUs on spot machines when a machine is rented for a job.
     SpotShare,
-    /// Misses since the last round that engage dropping.
+    /// Number of missed deadlines since the last mapping round that engages task dropping.
     #[serde(rename = "toggle")]
     DroppingToggle,
-    /// Longest line of a slot, the executing task included.
+    /// Maximum length of a slot's run queue, including the executing task.
     #[serde(rename = "line_cap")]
     QueueLimit,
-    /// Time between rounds, s.
+    /// Time between mapping rounds, s.
     #[serde(rename = "round_s")]
     RoundIntervalS,
-    /// Tasks of each service class for which room is kept.
+    /// Number of tasks per service class for which capacity is kept free.
     #[serde(rename = "reserve")]
     ServiceHeadroom,
-    /// Time a machine without tasks is kept, s.
+    /// Time for which a machine without tasks is kept, s.
     #[serde(rename = "idle_s")]
     IdleTimeoutS,
 }
 
-/// All of them: name, whether it is set for each job, least, most, whether whole, default.
+/// All parameters: name, whether it is evaluated per job, minimum, maximum, whether it is an integer, default
+/// expression.
 const POLICY_PARAMETERS: &[(PolicyParameter, &str, bool, f64, f64, bool, &str)] = &[
     (PolicyParameter::PruningThreshold, "threshold", true, 0.0, 1.0, false, "0.75"),
     (PolicyParameter::SpotShare, "spot_share", true, 0.0, 1.0, false, "1.0"),
@@ -45,32 +46,32 @@
     (PolicyParameter::IdleTimeoutS, "idle_s", false, 0.0, 3600.0, false, "25.0"),
 ];
 
-/// Names that a policy may set.
+/// Names of all parameters.
 pub fn parameter_names() -> impl Iterator<Item = &'static str> {
-    POLICY_PARAMETERS.iter().map(|k| k.1)
+    POLICY_PARAMETERS.iter().map(|p| p.1)
 }
 
 #[derive(Debug)]
 enum ParameterValue {
-    /// The same whatever the facts.
+    /// A constant, independent of attributes.
     Constant(f64),
-    /// To be worked out.
+    /// An expression that is evaluated for each use.
     Expression(Box<AST>),
 }
 
-/// A checked policy.
+/// A compiled and validated policy.
 #[derive(Debug)]
 pub struct SchedulingPolicy {
     engine: ExpressionEngine,
     parameters: BTreeMap<PolicyParameter, ParameterValue>,
-    /// Expressions that have failed at run time: each is told once.
+    /// The first failure at run time of each expression that has failed.
     failed: BTreeMap<PolicyParameter, Diagnostic>,
     reported_failures: usize,
 }
 
 impl Default for SchedulingPolicy {
     fn default() -> SchedulingPolicy {
-        // The built-in expressions are constants; the tests compile them.
+        // The built-in expressions are constants, and tests verify that they compile, so the fallback is never used.
         SchedulingPolicy::new(&BTreeMap::new()).unwrap_or_else(|_| SchedulingPolicy {
             engine: ExpressionEngine::new(MAX_POLICY_OPS),
             parameters: BTreeMap::new(),
@@ -81,12 +82,13 @@
 }
 
 impl SchedulingPolicy {
-    /// Compiles and tries a policy: expressions by the name of what they set. What is not named has
-    /// the built-in default. An error names the expression and the place in it.
+    /// Compiles a policy from expressions by parameter name, and evaluates each on samples. Parameters without an
+    /// expression have their built-in default. An error contains the parameter's name and the position in the
+    /// expression.
     pub fn new(
         sources: &BTreeMap<String, String>,
     ) -> Result<SchedulingPolicy, (String, Diagnostic)> {
-        let lang = ExpressionEngine::new(MAX_POLICY_OPS);
+        let engine = ExpressionEngine::new(MAX_POLICY_OPS);
         if let Some(name) = sources.keys().find(|n| !parameter_names().any(|k| k == n.as_str())) {
             let cause = crate::expression_engine::unknown_name_message(
                 "setting of the policy:",
@@ -95,49 +97,45 @@
             );
             return Err((name.clone(), Diagnostic { line: 0, column: 0, cause }));
         }
-        let mut set = BTreeMap::new();
-        for (knob, name, by_job, .., default) in POLICY_PARAMETERS {
+        let mut parameters = BTreeMap::new();
+        for (parameter, name, by_job, .., default) in POLICY_PARAMETERS {
             let source = sources.get(*name).map_or(*default, String::as_str);
-            let found = compile_parameter(&lang, *knob, source, *by_job);
-            set.insert(*knob, found.map_err(|flaw| (name.to_string(), flaw))?);
+            let compiled = compile_parameter(&engine, *parameter, source, *by_job);
+            parameters
+                .insert(*parameter, compiled.map_err(|diagnostic| (name.to_string(), diagnostic))?);
         }
-        Ok(SchedulingPolicy {
-            engine: lang,
-            parameters: set,
-            failed: BTreeMap::new(),
-            reported_failures: 0,
-        })
+        Ok(SchedulingPolicy { engine, parameters, failed: BTreeMap::new(), reported_failures: 0 })
     }
 
-    /// Whether something set for each job depends on facts.
+    /// Whether any parameter that is evaluated per job depends on attributes.
     pub fn has_job_expressions(&self) -> bool {
         self.has_expressions(true)
     }
 
-    /// Whether something set for all depends on facts.
+    /// Whether any parameter that is evaluated for the whole cluster depends on attributes.
     pub fn has_cluster_expressions(&self) -> bool {
         self.has_expressions(false)
     }
 
     fn has_expressions(&self, by_job: bool) -> bool {
-        let mut knobs = POLICY_PARAMETERS.iter().filter(|k| k.2 == by_job);
-        knobs.any(|k| matches!(self.parameters.get(&k.0), Some(ParameterValue::Expression(_))))
+        let mut parameters = POLICY_PARAMETERS.iter().filter(|p| p.2 == by_job);
+        parameters.any(|p| matches!(self.parameters.get(&p.0), Some(ParameterValue::Expression(_))))
     }
 
-    /// The value of something set for all.
-    pub fn cluster_value(&mut self, knob: PolicyParameter, cluster: &AttributeValues) -> f64 {
-        self.evaluate_parameter(knob, || vec![("cluster", cluster.to_dynamic())])
+    /// Value of a parameter that is evaluated for the whole cluster.
+    pub fn cluster_value(&mut self, parameter: PolicyParameter, cluster: &AttributeValues) -> f64 {
+        self.evaluate_parameter(parameter, || vec![("cluster", cluster.to_dynamic())])
     }
 
-    /// The value of something set for a job.
+    /// Value of a parameter that is evaluated per job.
     pub fn job_value(
         &mut self,
-        knob: PolicyParameter,
+        parameter: PolicyParameter,
         job: &AttributeValues,
         team: &AttributeValues,
         cluster: &AttributeValues,
     ) -> f64 {
-        self.evaluate_parameter(knob, || {
+        self.evaluate_parameter(parameter, || {
             vec![
                 ("job", job.to_dynamic()),
                 ("team", team.to_dynamic()),
@@ -148,59 +146,65 @@
 
     fn evaluate_parameter<'a>(
         &mut self,
-        knob: PolicyParameter,
-        facts: impl FnOnce() -> Vec<(&'a str, Dynamic)>,
+        parameter: PolicyParameter,
+        subjects: impl FnOnce() -> Vec<(&'a str, Dynamic)>,
     ) -> f64 {
-        let ast = match self.parameters.get(&knob) {
+        let ast = match self.parameters.get(&parameter) {
             Some(ParameterValue::Constant(value)) => return *value,
             Some(ParameterValue::Expression(ast)) => ast,
-            None => return default_value(knob),
+            None => return default_value(parameter),
         };
-        match self.engine.evaluate(ast, facts()).and_then(|found| parse_in_range(knob, &found)) {
+        match self
+            .engine
+            .evaluate(ast, subjects())
+            .and_then(|value| parse_in_range(parameter, &value))
+        {
             Ok(value) => value,
-            Err(flaw) => {
-                self.failed.entry(knob).or_insert(flaw);
-                default_value(knob)
+            Err(diagnostic) => {
+                self.failed.entry(parameter).or_insert(diagnostic);
+                default_value(parameter)
             }
         }
     }
 
-    /// Expressions that failed at run time since the last call, each told once.
+    /// All expressions that have failed at run time, each with its first diagnostic, if any of them is new since the last
+    /// call; otherwise an empty list. While an expression fails, the built-in default applies.
     pub fn take_new_failures(&mut self) -> Vec<(&'static str, Diagnostic)> {
         if self.reported_failures == self.failed.len() {
             return Vec::new();
         }
-        let name = |knob: &PolicyParameter| {
-            POLICY_PARAMETERS.iter().find(|k| k.0 == *knob).map_or("", |k| k.1)
+        let name = |parameter: &PolicyParameter| {
+            POLICY_PARAMETERS.iter().find(|p| p.0 == *parameter).map_or("", |p| p.1)
         };
-        let fresh = self.failed.iter().map(|(k, f)| (name(k), f.clone())).collect();
+        let failures = self.failed.iter().map(|(k, f)| (name(k), f.clone())).collect();
         self.reported_failures = self.failed.len();
-        fresh
+        failures
     }
 }
 
-/// The built-in value.
-pub fn default_value(knob: PolicyParameter) -> f64 {
-    let found = POLICY_PARAMETERS.iter().find(|k| k.0 == knob);
-    found.and_then(|k| k.6.parse().ok()).unwrap_or(0.0)
+/// The built-in default of a parameter.
+pub fn default_value(parameter: PolicyParameter) -> f64 {
+    let definition = POLICY_PARAMETERS.iter().find(|p| p.0 == parameter);
+    definition.and_then(|p| p.6.parse().ok()).unwrap_or(0.0)
 }
 
-fn parse_in_range(knob: PolicyParameter, found: &Dynamic) -> Result<f64, Diagnostic> {
+fn parse_in_range(parameter: PolicyParameter, value: &Dynamic) -> Result<f64, Diagnostic> {
     let none = rhai::Position::NONE;
-    let Some((.., least, most, whole, _)) = POLICY_PARAMETERS.iter().find(|k| k.0 == knob).copied()
+    let Some((.., min, max, is_integer, _)) =
+        POLICY_PARAMETERS.iter().find(|p| p.0 == parameter).copied()
     else {
         return Ok(0.0);
     };
-    let number = found.as_float().or_else(|_| found.as_int().map(|n| n as f64));
+    let number = value.as_float().or_else(|_| value.as_int().map(|n| n as f64));
     let Ok(number) = number else {
-        let cause = format!("gives {}; a number is expected", found.type_name());
+        let cause = format!("gives {}; a number is expected", value.type_name());
         return Err(Diagnostic::at_position(none, cause));
     };
-    if !number.is_finite() || number < least || number > most {
-        let cause = format!("gives {number}; a number from {least} to {most} is expected");
+    if !number.is_finite() || number < min || number > max {
+        let cause = format!("gives {number}; a number from {min} to {max} is expected");
         return Err(Diagnostic::at_position(none, cause));
     }
-    if whole && number.fract() != 0.0 {
+    if is_integer && number.fract() != 0.0 {
         return Err(Diagnostic::at_position(
             none,
             format!("gives {number}; a whole number is expected"),
@@ -210,27 +214,27 @@
 }
 
 fn compile_parameter(
-    lang: &ExpressionEngine,
-    knob: PolicyParameter,
+    engine: &ExpressionEngine,
+    parameter: PolicyParameter,
     source: &str,
     by_job: bool,
 ) -> Result<ParameterValue, Diagnostic> {
     let subjects: &[&str] = if by_job { &["job", "team", "cluster"] } else { &["cluster"] };
-    let ast = lang.compile_expression(source, subjects)?;
-    // What needs no facts is worked out once.
-    let alone = lang.evaluate(&ast, Vec::new());
-    if let Ok(found) = alone {
-        return Ok(ParameterValue::Constant(parse_in_range(knob, &found)?));
+    let ast = engine.compile_expression(source, subjects)?;
+    // An expression without attributes is evaluated once, here.
+    let constant = engine.evaluate(&ast, Vec::new());
+    if let Ok(value) = constant {
+        return Ok(ParameterValue::Constant(parse_in_range(parameter, &value)?));
     }
     for n in 0..12 {
-        let mut facts =
+        let mut samples =
             vec![("cluster", AttributeValues::sample(CLUSTER_ATTRIBUTES, n).to_dynamic())];
         if by_job {
-            facts.push(("job", AttributeValues::sample(JOB_ATTRIBUTES, n).to_dynamic()));
-            facts.push(("team", AttributeValues::sample(TEAM_ATTRIBUTES, n).to_dynamic()));
+            samples.push(("job", AttributeValues::sample(JOB_ATTRIBUTES, n).to_dynamic()));
+            samples.push(("team", AttributeValues::sample(TEAM_ATTRIBUTES, n).to_dynamic()));
         }
-        let found = lang.evaluate(&ast, facts)?;
-        parse_in_range(knob, &found)?;
+        let value = engine.evaluate(&ast, samples)?;
+        parse_in_range(parameter, &value)?;
     }
     Ok(ParameterValue::Expression(Box::new(ast)))
 }
