--- a/crates/controller/src/constants/dependencies.rs
+++ b/crates/controller/src/constants/dependencies.rs
@@ -1,24 +1,24 @@
-//! Jobs with DAG dependencies, and the record format that holds them.
+//! Jobs with DAG dependencies, and the record format that stores them.
 
-/// Record format that this version reads and writes: 1 knows jobs with dependencies.
+/// Record format that this version reads and writes. Version 1 added jobs with dependencies.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// Time between recomputations of effective deadlines along dependencies, ms (processor).
+/// Interval between recomputations of effective deadlines along dependencies, ms; bounds their CPU cost.
 pub const DEPENDENCY_DEADLINE_INTERVAL_MS: u64 = 1_000;
 
-/// Time from the end of a job's last task to the start of a dependent job's tasks, ms: a report, two commits, a
-/// cycle, a report.
+/// Time from the end of a job's last task to the start of a dependent job's tasks, ms: two reports, two commits and
+/// a scheduling cycle.
 pub const DEPENDENT_START_DELAY_MS: f64 = 2_500.0;
 
-/// Dependencies whose outcome a leader reads from the store at once: a new leader may have to read those of some
-/// dozen job graphs.
+/// Dependencies whose outcome a leader reads from the store concurrently. A new leader may have to read those of
+/// several dozen job graphs.
 pub const MAX_UNKNOWN_DEPENDENCY_READS: usize = 40;
 
-/// Time after which an outcome that could not be read is read again, ms.
+/// Delay before an outcome that could not be read is read again, ms.
 pub const UNKNOWN_DEPENDENCY_RETRY_MS: u64 = 2_000;
 
-/// Time before a dependent job may begin from which on machines are provisioned for it, ms: a usual boot.
+/// Time before a dependent job can start from which on machines are provisioned for it, ms: a normal boot.
 pub const UPCOMING_TASKS_HORIZON_MS: f64 = 30_000.0;
 
-/// Dependency look-ups for users' requests under way at most (memory).
+/// Dependency look-ups in progress for users' requests at most; bounds memory.
 pub const MAX_DEPENDENCY_LOOKUPS: usize = 2_000;
--- a/crates/controller/src/constants/mod.rs
+++ b/crates/controller/src/constants/mod.rs
@@ -1,4 +1,4 @@
-//! Every constant of the controller, by concern, with its unit and the reason for its value.
+//! Every constant of the controller by topic, with its unit and the reason for its value.
 
 mod calls;
 mod dependencies;
--- a/crates/controller/src/cycle_policy.rs
+++ b/crates/controller/src/cycle_policy.rs
@@ -1,6 +1,6 @@
-//! What operators and plug-ins may steer, as values: the node works them out before a pass, and
-//! placement and fleet only read them. None of them is a rule: limits, zones, proof and the order of
-//! priorities are not here.
+//! Scheduling parameters that operators and plug-ins can change. The controller computes them before a scheduling
+//! cycle; placement and fleet management only read them. Hard constraints are not among them: quota limits, zones,
+//! the proof that a task is gone, and the order of priorities cannot be changed by a policy.
 
 use crate::constants::{
     DROPPING_TOGGLE_MISSES, HEADROOM_TASKS, IDLE_MACHINE_TIMEOUT_MS, MAX_CYCLE_BINDINGS,
@@ -10,18 +10,19 @@
 use crate::job::JobId;
 use std::collections::{BTreeSet, HashMap};
 
-/// How one job is steered.
+/// Parameters for one job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobPolicy {
-    /// Pruning threshold: a chance at or below it defers. From 0 to 1.
+    /// Pruning threshold, from 0 to 1. A task whose success probability is at or below it is deferred.
     pub pruning_threshold: f64,
-    /// Largest share of the CPUs that may be on spot machines when one more is rented. From 0 to 1.
+    /// Largest share of the fleet's CPUs on spot machines at which another spot machine may be provisioned for the
+    /// job. From 0 to 1.
     pub spot_share: f64,
-    /// Order of its class within its level: the lower the sooner.
+    /// Rank of the job's class within its priority level; lower ranks are placed first.
     pub class_order: i64,
-    /// Preference within its level and class: the higher the sooner.
+    /// Preference within its priority level and class; higher scores are placed first.
     pub score: f64,
-    /// Machine types to avoid, while others are allowed.
+    /// Machine types to avoid as long as the job allows others.
     pub avoided_types: BTreeSet<String>,
 }
 
@@ -37,18 +38,19 @@
     }
 }
 
-/// What a pass may do at most (processor): less of it while the controller falls behind.
+/// Upper bounds on the work of one scheduling cycle. They are lowered while the controller is overloaded.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CycleBounds {
-    /// Tasks bound.
+    /// Tasks bound at most.
     pub max_bindings: usize,
-    /// Tasks that join lines.
+    /// Tasks appended to run queues at most.
     pub max_queue_joins: usize,
-    /// Jobs of one level placed.
+    /// Jobs of one priority level placed at most.
     pub max_jobs_per_level: usize,
-    /// Lines offered.
+    /// Run queues offered as placement targets at most.
     pub max_queues: usize,
-    /// Few machines more can be led: larger ones are then worth more than they cost.
+    /// The fleet is close to the number of machines that the controller can manage. Larger machines are then
+    /// preferred.
     pub is_fleet_near_limit: bool,
 }
 
@@ -64,24 +66,24 @@
     }
 }
 
-/// How a pass is steered.
+/// Parameters of a scheduling cycle.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CyclePolicy {
-    /// Misses since the last round that engage dropping.
+    /// Missed tasks since the last mapping round that engage dropping.
     pub dropping_toggle: u32,
-    /// Longest line of a slot, the executing task included.
+    /// Longest run queue of a slot, the executing task included.
     pub queue_limit: usize,
-    /// Time between rounds, ms.
+    /// Interval between mapping rounds, ms.
     pub round_interval_ms: u64,
-    /// Tasks of each service class for which room is kept.
+    /// Service tasks of each class for which capacity is kept free.
     pub headroom_tasks: u32,
-    /// Time a machine without tasks is kept, ms.
+    /// Time after which a machine without tasks is terminated, ms.
     pub idle_timeout_ms: u64,
-    /// What a pass may do at most.
+    /// Upper bounds on the work of one scheduling cycle.
     pub bounds: CycleBounds,
-    /// What holds for a job that is not named.
+    /// Parameters of jobs without an entry in `job_overrides`.
     pub default_job: JobPolicy,
-    /// Jobs steered otherwise.
+    /// Parameters of individual jobs.
     pub job_overrides: HashMap<JobId, JobPolicy>,
 }
 
@@ -101,7 +103,7 @@
 }
 
 impl CyclePolicy {
-    /// How a job is steered.
+    /// Parameters of a job.
     pub fn for_job(&self, id: &JobId) -> &JobPolicy {
         self.job_overrides.get(id).unwrap_or(&self.default_job)
     }
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -1,10 +1,10 @@
-//! The platform's settings file: read, checked, unknown fields ignored.
+//! The platform's settings file in TOML: reading and validation. Unknown fields are ignored.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Why a settings file was refused.
+/// Why a settings file was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file could not be read.
@@ -12,27 +12,27 @@
     Read {
         /// Path of the file.
         file: String,
-        /// What the system said.
+        /// Error of the operating system.
         cause: std::io::Error,
     },
-    /// The file is not TOML of the expected form.
+    /// The file is not valid TOML or does not have the expected fields.
     #[error("settings file {file}: {cause}")]
     Form {
         /// Path of the file.
         file: String,
-        /// What the parser said, with line and field.
+        /// Error of the parser, with line and field.
         cause: Box<toml::de::Error>,
     },
-    /// A value is impossible.
+    /// A value is out of range or inconsistent with another.
     #[error("settings file {file}: field `{field}`: {cause}; {remedy}")]
     Value {
         /// Path of the file.
         file: String,
         /// Name of the field.
         field: String,
-        /// What is wrong.
+        /// What is wrong with the value.
         cause: String,
-        /// What to do.
+        /// How the operator can correct it.
         remedy: String,
     },
 }
@@ -40,69 +40,69 @@
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PeerSettings {
-    /// Its name.
+    /// Unique name of the controller.
     pub host_name: String,
-    /// Its zone.
+    /// Its zone; empty if unknown.
     #[serde(default)]
     pub site: String,
-    /// Where it listens for controllers.
+    /// Address on which it listens for other controllers.
     pub address: SocketAddr,
 }
 
-/// Addresses of the services outside.
+/// Addresses of the external services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoints {
-    /// The cloud's interface.
+    /// The cloud's API.
     pub cloud: SocketAddr,
     /// The state service.
     pub state: SocketAddr,
 }
 
-/// A team's guarantee and limit.
+/// Guarantee and limit of a team.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TeamSettings {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
-    /// Guaranteed CPUs; 0 means none.
+    /// Guaranteed CPUs; 0 for no guarantee.
     #[serde(default)]
     pub cpus: f64,
-    /// Most CPUs at any time; 0 means none are limited.
+    /// CPU limit; 0 for no limit.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed accelerators.
+    /// Guaranteed accelerators; 0 for no guarantee.
     #[serde(default)]
     pub gpus: f64,
-    /// Most accelerators at any time.
+    /// Accelerator limit; 0 for no limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// What is expected for a class of jobs.
+/// A service-level objective for a class of jobs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Objective {
-    /// `wait`, `deadline`, `finished`, `guarantee` or others to come.
+    /// `wait`, `deadline`, `finished` or `guarantee`. Other kinds are accepted, for future versions.
     pub kind: String,
-    /// The class it is about.
+    /// Job class to which it applies.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub class: Option<String>,
     /// Time allowed, s.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub within_s: Option<f64>,
-    /// Share that must keep it.
+    /// Share that must meet it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub share: Option<f64>,
 }
 
-/// How workers behave.
+/// Timing of the workers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WorkerSettings {
-    /// Time between reports, s.
+    /// Interval between status reports, s.
     pub report_s: f64,
-    /// Lease of a worker, s.
+    /// Duration of a worker's lease, s.
     pub lease_s: f64,
-    /// Time a gang task waits for the others, s.
+    /// Time for which a gang task waits for the other tasks of its gang to start, s.
     pub gang_wait_s: f64,
-    /// Time within which gang tasks notice a loss, s.
+    /// Time within which gang tasks notice the loss of another task, s.
     pub gang_peer_s: f64,
     /// Time within which a cancelled job's tasks must be gone, s.
     pub cancel_s: f64,
@@ -111,49 +111,50 @@
 /// Limits of the state service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StoreSettings {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second.
     pub write_rps: f64,
     /// Largest value, KiB.
     pub value_kb: f64,
-    /// Puts and deletes in a transaction.
+    /// Puts and deletes in one transaction, at most.
     pub txn_ops: usize,
-    /// Limits that will hold from some moment on, without notice.
+    /// Limits that will take effect at an unannounced time.
     #[serde(default)]
     pub next: Option<UpcomingStoreSettings>,
 }
 
-/// Limits that the state service will have; what is not named stays.
+/// Upcoming limits of the state service. Limits that are not set stay as they are.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct UpcomingStoreSettings {
-    /// Requests a second.
+    /// Requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second.
     #[serde(default)]
     pub write_rps: Option<f64>,
     /// Largest value, KiB.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Puts and deletes in a transaction.
+    /// Puts and deletes in one transaction, at most.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
 impl StoreSettings {
-    /// Keeps to the lower of the limits that hold now and those to come: when they change is not told, and what is
-    /// written now has to be written again then. A limit to come of nothing at all is not believed.
+    /// Lowers each limit to the upcoming one if that is smaller. When the limits change is not announced, and records
+    /// that are written now will have to be rewritten under the new limits. Upcoming limits that are not positive are
+    /// ignored as invalid.
     fn apply_upcoming_limits(&mut self) {
         let Some(next) = self.next else { return };
-        let lower = |now: &mut f64, next: Option<f64>| {
-            if let Some(next) = next.filter(|n| n.is_finite() && *n > 0.0) {
-                *now = now.min(next);
+        let apply_lower = |current: &mut f64, upcoming: Option<f64>| {
+            if let Some(upcoming) = upcoming.filter(|limit| limit.is_finite() && *limit > 0.0) {
+                *current = current.min(upcoming);
             }
         };
-        lower(&mut self.rps, next.rps);
-        lower(&mut self.write_rps, next.write_rps);
-        lower(&mut self.value_kb, next.value_kb);
+        apply_lower(&mut self.rps, next.rps);
+        apply_lower(&mut self.write_rps, next.write_rps);
+        apply_lower(&mut self.value_kb, next.value_kb);
         if let Some(ops) = next.txn_ops.filter(|ops| *ops > 0) {
             self.txn_ops = self.txn_ops.min(ops);
         }
@@ -163,71 +164,71 @@
 /// Limits of the cloud.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CloudSettings {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Age of its machine list, s.
+    /// Lag of its machine list behind the actual machines, s.
     pub list_lag_s: f64,
 }
 
 /// Limits of the controller's own machine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineLimits {
-    /// Share of a core.
+    /// CPU limit, as a share of one core.
     pub cores: f64,
-    /// Memory, MB.
+    /// Memory limit, MB.
     pub mem_mb: f64,
-    /// Sockets.
+    /// Largest number of open connections.
     pub max_connections: usize,
 }
 
 /// The `[settings]` table.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PlatformSettings {
-    /// All zones.
+    /// All zones of the cluster.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Bound of the time of day's error, ms.
+    /// Largest error of the wall clock, ms.
     #[serde(default)]
     pub clock_off_ms: f64,
-    /// The teams.
+    /// Teams with their guarantees and limits.
     #[serde(default)]
     pub teams: Vec<TeamSettings>,
-    /// The aims.
+    /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Workers.
+    /// Timing of the workers.
     pub workers: WorkerSettings,
-    /// State service.
+    /// Limits of the state service.
     pub state: StoreSettings,
-    /// Cloud.
+    /// Limits of the cloud.
     pub cloud: CloudSettings,
-    /// This machine.
+    /// Limits of the controller's own machine.
     pub machine_limits: MachineLimits,
 }
 
-/// A whole settings file.
+/// A complete settings file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
     /// Name of this controller.
     pub host_name: String,
-    /// Its zone.
+    /// Its zone; empty if unknown.
     #[serde(default)]
     pub site: String,
-    /// Listens here for users, workers and health checks.
+    /// Listening address for users, workers and health checks.
     pub front: SocketAddr,
-    /// Listens here for the other controllers.
+    /// Listening address for the other controllers.
     pub cluster_listen: SocketAddr,
     /// The other controllers.
     #[serde(default)]
     pub others: Vec<PeerSettings>,
-    /// Services outside.
+    /// Addresses of the external services.
     pub endpoints: Endpoints,
-    /// Everything else.
+    /// The `[settings]` table.
     pub settings: PlatformSettings,
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -235,18 +236,18 @@
         Settings::parse(&file, &text)
     }
 
-    /// Reads and checks a text; `file` names it in errors.
+    /// Parses and validates `text`. Errors refer to it as `file`.
     pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
-        let mut found: Settings = toml::from_str(text)
+        let mut settings: Settings = toml::from_str(text)
             .map_err(|cause| SettingsError::Form { file: file.into(), cause: Box::new(cause) })?;
-        found.settings.state.apply_upcoming_limits();
-        found.validate(file)?;
-        Ok(found)
+        settings.settings.state.apply_upcoming_limits();
+        settings.validate(file)?;
+        Ok(settings)
     }
 
     #[expect(clippy::too_many_lines, reason = "not split yet")]
     fn validate(&self, file: &str) -> Result<(), SettingsError> {
-        let bad = |field: &str, cause: String, remedy: &str| {
+        let invalid = |field: &str, cause: String, remedy: &str| {
             Err(SettingsError::Value {
                 file: file.into(),
                 field: field.into(),
@@ -255,12 +256,16 @@
             })
         };
         if self.host_name.is_empty() {
-            return bad("host_name", "is empty".into(), "name this controller");
+            return invalid("host_name", "is empty".into(), "name this controller");
         }
         for (i, other) in self.others.iter().enumerate() {
             if other.host_name == self.host_name {
                 let cause = "is this controller's own name".into();
-                return bad(&format!("others[{i}].host_name"), cause, "list only the others");
+                return invalid(
+                    &format!("others[{i}].host_name"),
+                    cause,
+                    "list only the other controllers",
+                );
             }
         }
         let p = &self.settings;
@@ -279,43 +284,43 @@
         ];
         for (field, value) in positive {
             if !(value.is_finite() && value > 0.0) {
-                return bad(field, format!("is {value}"), "give a number above 0");
+                return invalid(field, format!("is {value}"), "give a number above 0");
             }
         }
-        let least = [
+        let non_negative = [
             ("settings.clock_off_ms", p.clock_off_ms),
             ("settings.cloud.list_lag_s", p.cloud.list_lag_s),
         ];
-        for (field, value) in least {
+        for (field, value) in non_negative {
             if !(value.is_finite() && value >= 0.0) {
-                return bad(field, format!("is {value}"), "give a number of at least 0");
+                return invalid(field, format!("is {value}"), "give a number of at least 0");
             }
         }
         if p.workers.cancel_s <= p.workers.lease_s {
             let cause = format!("is {}, not above lease_s", p.workers.cancel_s);
-            let remedy = "cancelled tasks could not be ended in time: raise it above lease_s";
-            return bad("settings.workers.cancel_s", cause, remedy);
+            let remedy = "raise it above lease_s, so that cancelled tasks can be stopped in time";
+            return invalid("settings.workers.cancel_s", cause, remedy);
         }
         if p.state.txn_ops < 4 {
             let cause = format!("is {}", p.state.txn_ops);
-            return bad("settings.state.txn_ops", cause, "at least 4 are needed");
+            return invalid("settings.state.txn_ops", cause, "give at least 4");
         }
         for (i, team) in p.teams.iter().enumerate() {
             let limits = [team.cpus, team.cpus_max, team.gpus, team.gpus_max];
             if team.name.is_empty() || limits.iter().any(|v| !(v.is_finite() && *v >= 0.0)) {
-                let cause = "has no name or an amount that is not at least 0".into();
-                return bad(&format!("settings.teams[{i}]"), cause, "correct the team");
+                let cause = "has no name, or an amount that is negative or not finite".into();
+                return invalid(&format!("settings.teams[{i}]"), cause, "correct the team");
             }
         }
         Ok(())
     }
 
-    /// The team of that name.
+    /// The team with this name, if the settings have one.
     pub fn team(&self, name: &str) -> Option<&TeamSettings> {
         self.settings.teams.iter().find(|t| t.name == name)
     }
 
-    /// Controllers in all, this one included.
+    /// Number of controllers, this one included.
     pub fn controllers(&self) -> usize {
         self.others.len() + 1
     }
