--- a/crates/controller/src/fleet/consolidation.rs
+++ b/crates/controller/src/fleet/consolidation.rs
@@ -20,12 +20,12 @@
 
 /// One step: at most one replica is stopped, so that no service lacks more than one for it.
 pub(super) fn plan_consolidation(
-    tables: &ClusterState,
-    view: PlanningContext,
+    state: &ClusterState,
+    context: PlanningContext,
     out: &mut FleetPlan,
 ) {
-    let types = view.machine_types;
-    let draining: Vec<&MachineId> = tables
+    let types = context.machine_types;
+    let draining: Vec<&MachineId> = state
         .machines
         .values()
         .filter(|m| m.state() == MachineState::Draining)
@@ -33,37 +33,37 @@
         .collect();
     let (emptied, draining): (Vec<&MachineId>, Vec<&MachineId>) =
         draining.into_iter().partition(|id| {
-            tables.machines[*id].tasks.is_empty() && tables.machines[*id].orphaned_tasks.is_empty()
+            state.machines[*id].tasks.is_empty() && state.machines[*id].orphaned_tasks.is_empty()
         });
     out.returns.extend(emptied.into_iter().map(|id| (id.clone(), "it is emptied")));
     // Room is for what waits; and a service that lacks a replica is not disturbed further.
-    if tables.jobs.values().any(|j| j.has_queued_tasks() && !j.is_cancelled()) {
+    if state.jobs.values().any(|j| j.has_queued_tasks() && !j.is_cancelled()) {
         return;
     }
     for id in &draining {
-        match next_replica_to_move(tables, id, types) {
+        match next_replica_to_move(state, id, types) {
             Some((job, task)) => {
                 tracing::info!(job = %job, task, machine = %id, "replica migrated");
                 out.stops.push((job, task));
                 return;
             }
-            None if replicas_on(tables, id).is_empty() => {}
+            None if replicas_on(state, id).is_empty() => {}
             // Its replicas no longer fit elsewhere: it stays.
             None => out.state_changes.push(((*id).clone(), MachineState::Ready)),
         }
     }
     if draining.len() < MAX_DRAINING_MACHINES
-        && let Some(id) = most_wasteful_machine(tables, types, view.now)
+        && let Some(id) = most_wasteful_machine(state, types, context.now)
     {
         out.state_changes.push((id, MachineState::Draining));
     }
 }
 
 /// Replicas on a machine that take room.
-fn replicas_on(tables: &ClusterState, id: &MachineId) -> Vec<ReplicaId> {
-    let Some(machine) = tables.machines.get(id) else { return Vec::new() };
+fn replicas_on(state: &ClusterState, id: &MachineId) -> Vec<ReplicaId> {
+    let Some(machine) = state.machines.get(id) else { return Vec::new() };
     let held = |(job, task): &&ReplicaId| {
-        tables
+        state
             .jobs
             .get(job)
             .and_then(|j| j.attempts.get(task))
@@ -75,16 +75,16 @@
 /// The next replica to move off a machine: one of a service that lacks none, if all of them find
 /// a place.
 fn next_replica_to_move(
-    tables: &ClusterState,
+    state: &ClusterState,
     id: &MachineId,
     types: &[MachineType],
 ) -> Option<ReplicaId> {
-    let replicas = replicas_on(tables, id);
-    if !replicas_fit_elsewhere(tables, id, &replicas, types) {
+    let replicas = replicas_on(state, id);
+    if !replicas_fit_elsewhere(state, id, &replicas, types) {
         return None;
     }
     let whole = |(job, _): &ReplicaId| {
-        tables.jobs.get(job).is_some_and(|j| {
+        state.jobs.get(job).is_some_and(|j| {
             j.spec.tasks >= MIN_MIGRATION_REPLICAS
                 && j.attempts.len() == j.spec.tasks as usize
                 && j.attempts
@@ -97,14 +97,14 @@
 
 /// The machine that holds only replicas and costs most for each of them, if they fit elsewhere.
 fn most_wasteful_machine(
-    tables: &ClusterState,
+    state: &ClusterState,
     types: &[MachineType],
     now: Time,
 ) -> Option<MachineId> {
     let ordinary = types.iter().filter(|t| t.gpus <= 0.0 && t.cpus > 0.0);
     let least = ordinary.map(|t| t.price / t.cpus).fold(f64::MAX, f64::min);
     let mut found: Vec<(f64, MachineId)> = Vec::new();
-    for machine in tables.machines.values() {
+    for machine in state.machines.values() {
         let Some(kind) = types.iter().find(|t| t.name == machine.machine_type) else { continue };
         if machine.state() != MachineState::Ready
             || !machine.has_replicas()
@@ -114,7 +114,7 @@
         }
         let mut worth = 0.0;
         let settled = machine.tasks.keys().all(|(id, task)| {
-            let Some(job) = tables.jobs.get(id) else { return false };
+            let Some(job) = state.jobs.get(id) else { return false };
             worth += job.spec.cpus * least;
             job.spec.kind == JobKind::Service
                 && job.spec.tasks >= MIN_MIGRATION_REPLICAS
@@ -131,24 +131,24 @@
     }
     found.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
     found.truncate(MAX_CONSOLIDATION_CANDIDATES);
-    let fits = |id: &MachineId| replicas_fit_elsewhere(tables, id, &replicas_on(tables, id), types);
+    let fits = |id: &MachineId| replicas_fit_elsewhere(state, id, &replicas_on(state, id), types);
     found.into_iter().map(|f| f.1).find(fits)
 }
 
 /// Whether replicas find room on other machines that hold replicas already and have their images,
 /// within the rules of their zones.
 fn replicas_fit_elsewhere(
-    tables: &ClusterState,
+    state: &ClusterState,
     from: &MachineId,
     replicas: &[ReplicaId],
     types: &[MachineType],
 ) -> bool {
     let mut rooms: BTreeMap<&MachineId, Resources> = BTreeMap::new();
     replicas.iter().all(|(id, task)| {
-        let Some(job) = tables.jobs.get(id) else { return false };
+        let Some(job) = state.jobs.get(id) else { return false };
         let spec: &Arc<JobSpec> = &job.spec;
-        let zone_of = |m: &MachineId| tables.machines.get(m).map(|m| m.zone.as_str());
-        let place = tables.machines.values().find(|m| {
+        let zone_of = |m: &MachineId| state.machines.get(m).map(|m| m.zone.as_str());
+        let place = state.machines.values().find(|m| {
             let Some(kind) = types.iter().find(|t| t.name == m.machine_type) else { return false };
             let near =
                 m.images.contains(&spec.image) || kind.fetch_ms(spec) <= MAX_MIGRATION_FETCH_MS;
--- a/crates/controller/src/fleet/headroom.rs
+++ b/crates/controller/src/fleet/headroom.rs
@@ -16,10 +16,10 @@
 
 impl ServiceHeadroom {
     /// Counts over all machines.
-    pub fn count(tables: &ClusterState, types: &[MachineType], each: u32) -> ServiceHeadroom {
+    pub fn count(state: &ClusterState, types: &[MachineType], each: u32) -> ServiceHeadroom {
         let mut classes: BTreeMap<&str, &Arc<JobSpec>> = BTreeMap::new();
         for job in
-            tables.jobs.values().filter(|j| j.spec.kind == JobKind::Service && !j.is_cancelled())
+            state.jobs.values().filter(|j| j.spec.kind == JobKind::Service && !j.is_cancelled())
         {
             classes.entry(&job.spec.class).or_insert(&job.spec);
         }
@@ -28,7 +28,7 @@
             wanted_tasks: each,
             free_by_class: classes.into_iter().map(|s| (s, 0)).collect(),
         };
-        for machine in tables.machines.values() {
+        for machine in state.machines.values() {
             for (spec, found) in &mut reserve.free_by_class {
                 *found += replica_capacity(machine, types, spec);
             }
--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -47,28 +47,28 @@
 /// answered lately. A leader that it has not may be cut off, and what it asks of the cloud may be
 /// held back and done much later, under another leader: it then returns only what a cancellation
 /// needs. Rooms must be counted.
-pub fn plan_fleet(tables: &ClusterState, view: PlanningContext, sure: bool) -> FleetPlan {
-    let now = view.now;
-    let rentals = &tables.provisioning;
+pub fn plan_fleet(state: &ClusterState, context: PlanningContext, sure: bool) -> FleetPlan {
+    let now = context.now;
+    let rentals = &state.provisioning;
     let mut out = FleetPlan {
         refresh_machine_list: !rentals.is_listing
             && now >= rentals.listed_at + MACHINE_LIST_INTERVAL_MS,
         refresh_machine_types: now >= rentals.types_requested_at + MACHINE_TYPES_INTERVAL_MS,
         ..FleetPlan::default()
     };
-    return_for_cancellations(tables, view, &mut out);
+    return_for_cancellations(state, context, &mut out);
     if sure {
-        return_lost_machines(tables, view, &mut out);
+        return_lost_machines(state, context, &mut out);
         out.checked_idle_machines = now >= rentals.idle_checked_at + IDLE_CHECK_INTERVAL_MS;
         if out.checked_idle_machines {
-            return_idle_machines(tables, view, &mut out);
+            return_idle_machines(state, context, &mut out);
         }
         out.checked_consolidation = now >= rentals.moves_checked_at + MIGRATION_INTERVAL_MS;
         if out.checked_consolidation {
-            consolidation::plan_consolidation(tables, view, &mut out);
+            consolidation::plan_consolidation(state, context, &mut out);
         }
     }
-    drain_reclaimed_machines(tables, view, &mut out);
+    drain_reclaimed_machines(state, context, &mut out);
     out
 }
 
@@ -78,10 +78,10 @@
 }
 
 /// A cancelled task that is not proved gone in time costs its machine.
-fn return_for_cancellations(tables: &ClusterState, view: PlanningContext, out: &mut FleetPlan) {
-    let limit = cancellation_deadline_ms(view.settings.settings.workers.cancel_s);
-    let due = |at: Time| view.now >= at + limit;
-    let late: BTreeSet<MachineId> = tables
+fn return_for_cancellations(state: &ClusterState, context: PlanningContext, out: &mut FleetPlan) {
+    let limit = cancellation_deadline_ms(context.settings.settings.workers.cancel_s);
+    let due = |at: Time| context.now >= at + limit;
+    let late: BTreeSet<MachineId> = state
         .machines_with_cancelled_tasks()
         .filter(|(_, at)| due(*at))
         .map(|(id, _)| id)
@@ -92,13 +92,13 @@
 
 /// A machine with a notice is emptied of what gains by it: replicas move at once, tasks that can
 /// save do so in time, gangs whole. A task that cannot save runs on, since it may still be done.
-fn drain_reclaimed_machines(tables: &ClusterState, view: PlanningContext, out: &mut FleetPlan) {
-    let now = view.now;
-    let report_ms = view.settings.settings.workers.report_s * MS_PER_S;
-    for machine in tables.machines.values() {
+fn drain_reclaimed_machines(state: &ClusterState, context: PlanningContext, out: &mut FleetPlan) {
+    let now = context.now;
+    let report_ms = context.settings.settings.workers.report_s * MS_PER_S;
+    for machine in state.machines.values() {
         let Some(recall) = machine.reclaimed_at else { continue };
         for (id, task) in machine.tasks.keys() {
-            let Some(job) = tables.jobs.get(id) else { continue };
+            let Some(job) = state.jobs.get(id) else { continue };
             let save_ms =
                 (job.spec.checkpoint_duration_s + STOP_GRACE_EXTRA_S) * MS_PER_S + 2.0 * report_ms;
             let due = match job.spec.kind {
@@ -116,15 +116,15 @@
 }
 
 /// Machines given up by what membership knows, boots that are far too late, machines about to be taken.
-fn return_lost_machines(tables: &ClusterState, view: PlanningContext, out: &mut FleetPlan) {
-    let now = view.now;
-    let mut deaf_left = allowed_unreachable_returns(tables, now);
-    let lease_ms = view.lease_ms();
-    for machine in tables.machines.values() {
+fn return_lost_machines(state: &ClusterState, context: PlanningContext, out: &mut FleetPlan) {
+    let now = context.now;
+    let mut deaf_left = allowed_unreachable_returns(state, now);
+    let lease_ms = context.lease_ms();
+    for machine in state.machines.values() {
         if machine.state() == MachineState::Terminating {
             continue;
         }
-        let kind = view.machine_types.iter().find(|t| t.name == machine.machine_type);
+        let kind = context.machine_types.iter().find(|t| t.name == machine.machine_type);
         let mut leave = |why| out.returns.push((machine.id.clone(), why));
         if let Some(at) = machine.reclaimed_at
             && now + 1_000 >= at
@@ -132,13 +132,13 @@
             leave("the cloud takes it back");
             continue;
         }
-        if let Some(seen) = tables.observe_machine(machine) {
-            let members = tables.failure_detector.as_ref();
+        if let Some(seen) = state.observe_machine(machine) {
+            let members = state.failure_detector.as_ref();
             if members.is_some_and(|m| m.should_return(&machine.id, seen, now)) {
                 leave("it is silent");
             } else if deaf_left > 0
                 && machine.inbound.reachability() == InboundReachability::Unreachable
-                && has_no_ending_tasks(tables, machine)
+                && has_no_ending_tasks(state, machine)
             {
                 deaf_left -= 1;
                 leave(RETURN_REASON_UNREACHABLE);
@@ -146,7 +146,7 @@
                 && machine.reports_missing()
                 && machine.since_last_report_ms(now)
                     > lease_ms * SILENT_RETURN_LEASE_SHARE * PARTITION_GRACE_FACTOR
-                && has_no_ending_tasks(tables, machine)
+                && has_no_ending_tasks(state, machine)
             {
                 deaf_left -= 1;
                 leave(RETURN_REASON_NOT_REPORTING);
@@ -155,7 +155,7 @@
             let boot = kind.map_or(DEFAULT_BOOT_MS, |t| t.boot_ms);
             let late =
                 (boot * BOOT_TIMEOUT_FACTOR).max(boot + MIN_BOOT_TIMEOUT_MARGIN_MS as f64) as u64;
-            if now.saturating_sub(machine.rented_at.max(tables.leading_since)) > late {
+            if now.saturating_sub(machine.rented_at.max(state.leading_since)) > late {
                 leave("it never came up");
             }
         }
@@ -175,18 +175,18 @@
 
 /// How many more machines may be returned now for not hearing: where the way back of a whole zone is lost its
 /// machines must not all be given up, and others rented in their place that hear no more than they.
-fn allowed_unreachable_returns(tables: &ClusterState, now: Time) -> usize {
-    let known = tables.machines.len() as f64;
+fn allowed_unreachable_returns(state: &ClusterState, now: Time) -> usize {
+    let known = state.machines.len() as f64;
     let most = ((known * UNREACHABLE_RETURN_SHARE) as usize).max(MIN_UNREACHABLE_RETURNS);
-    most.saturating_sub(tables.provisioning.recent_unreachable_returns(now))
+    most.saturating_sub(state.provisioning.recent_unreachable_returns(now))
 }
 
 /// Whether nothing is left on a machine that does not hear and that may still end by itself: what it runs
 /// goes on until its lease ends, and its reports arrive. Replicas only end with it.
-fn has_no_ending_tasks(tables: &ClusterState, machine: &Machine) -> bool {
+fn has_no_ending_tasks(state: &ClusterState, machine: &Machine) -> bool {
     let ends = |(job, task): &(JobId, u32)| {
         let job =
-            tables.jobs.get(job).filter(|j| j.spec.kind != JobKind::Service && !j.is_cancelled());
+            state.jobs.get(job).filter(|j| j.spec.kind != JobKind::Service && !j.is_cancelled());
         job.and_then(|j| j.attempts.get(task))
             .is_some_and(|a| a.is_reported && a.occupies_resources())
     };
@@ -195,9 +195,9 @@
 
 /// Machines without work are returned after a while, suspects as soon as they are empty. What work
 /// that waits may use is kept, and so is the reserve for services.
-fn return_idle_machines(tables: &ClusterState, view: PlanningContext, out: &mut FleetPlan) {
-    let (now, types) = (view.now, view.machine_types);
-    let empty: Vec<MachineId> = tables
+fn return_idle_machines(state: &ClusterState, context: PlanningContext, out: &mut FleetPlan) {
+    let (now, types) = (context.now, context.machine_types);
+    let empty: Vec<MachineId> = state
         .machines
         .values()
         .filter(|m| {
@@ -209,17 +209,17 @@
                 || m.is_restarted
                 || m.inbound.is_reachable()
                     && !m.reports_missing()
-                    && now >= m.idle_since + view.policy.idle_timeout_ms
+                    && now >= m.idle_since + context.policy.idle_timeout_ms
         })
         .map(|m| m.id.clone())
         .collect();
     if empty.is_empty() {
         return;
     }
-    let mut demand = PendingDemand::count(tables, view);
-    let mut reserve = ServiceHeadroom::count(tables, types, view.policy.headroom_tasks);
+    let mut demand = PendingDemand::count(state, context);
+    let mut reserve = ServiceHeadroom::count(state, types, context.policy.headroom_tasks);
     for id in empty {
-        let Some(machine) = tables.machines.get(&id) else { continue };
+        let Some(machine) = state.machines.get(&id) else { continue };
         if machine.is_suspect {
             out.returns.push((id, "it is suspected"));
         } else if machine.is_restarted {
--- a/crates/controller/src/fleet/pending_demand.rs
+++ b/crates/controller/src/fleet/pending_demand.rs
@@ -20,18 +20,18 @@
 
 impl<'a> PendingDemand<'a> {
     /// Counts what waits. While only replicas do, which take room that is there, nothing is kept.
-    pub fn count(tables: &ClusterState, view: PlanningContext<'a>) -> PendingDemand<'a> {
-        let teams = &view.settings.settings.teams;
-        let open = tables.jobs.values().filter(|j| j.has_queued_tasks() && !j.is_cancelled());
-        let open: Vec<_> = open.chain(tables.upcoming_tasks(view.now)).collect();
+    pub fn count(state: &ClusterState, context: PlanningContext<'a>) -> PendingDemand<'a> {
+        let teams = &context.settings.settings.teams;
+        let open = state.jobs.values().filter(|j| j.has_queued_tasks() && !j.is_cancelled());
+        let open: Vec<_> = open.chain(state.upcoming_tasks(context.now)).collect();
         let waits = open.iter().any(|j| j.spec.kind != JobKind::Service);
         let jobs = open.into_iter().filter(|_| waits).filter_map(|j| {
             let team = teams.iter().position(|t| t.name == j.spec.team)?;
             Some((j.spec.clone(), team, j.waiting.len() as u32))
         });
         PendingDemand {
-            machine_types: view.machine_types,
-            allowances: TeamAllowances::from_cluster(tables, teams),
+            machine_types: context.machine_types,
+            allowances: TeamAllowances::from_cluster(state, teams),
             jobs: jobs.collect(),
             jobs_by_type_and_spot: HashMap::new(),
         }
--- a/crates/controller/src/placement/candidate.rs
+++ b/crates/controller/src/placement/candidate.rs
@@ -1,4 +1,4 @@
-//! Choosers: jobs with tasks to place.
+//! Placement candidates: jobs with tasks to place.
 
 use super::target::PlacementTarget;
 use crate::Time;
@@ -9,76 +9,80 @@
 use std::sync::Arc;
 use swiftsail_tiers::TierAssignment;
 
-/// Chance and completion of a task at a place.
+/// Success probability and expected completion time of a task on a target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct PlacementScore {
     pub success_probability: f64,
     pub expected_completion: f64,
 }
 
-/// A score as it is kept, since hundreds of choosers keep thousands: to a ten-millionth, and to the ms
-/// for some hours from now. Not a number: not computed.
+/// A cached score: success probability, and ms from now to the expected completion. Packed, since hundreds of
+/// candidates cache thousands of scores each: `f32` is exact to about 1e-7, and to the ms for the next few hours.
 pub(super) type PackedScore = (f32, f32);
+/// Entry of a score that is not computed yet.
 pub(super) const NO_SCORE: PackedScore = (f32::NAN, f32::NAN);
 
-/// Order of places for a chooser: highest chance, then soonest, then the fullest machine, so that
-/// others can be returned; then the place's number. Packed into a word and a half for the same reason.
+/// Order of targets for a candidate: highest success probability, then earliest completion, then least free CPU, so
+/// that other machines become empty and can be terminated; then the target's index. Packed to save memory, like
+/// [`PackedScore`].
 pub(super) type TargetRank = Reverse<(u64, u32)>;
 
 /// A job that has tasks to place.
 pub(super) struct PlacementCandidate {
     pub id: JobId,
     pub spec: Arc<JobSpec>,
-    /// Pruning threshold.
+    /// Success probability at or below which its tasks are deferred.
     pub pruning_threshold: f64,
-    /// Largest share of CPUs on spot machines when one is rented for it.
+    /// Largest share of CPUs on spot machines at which another one may be provisioned for it.
     pub spot_share: f64,
     pub deadline: Option<Time>,
     pub is_overdue: bool,
     pub remaining_tasks: u32,
-    /// It claims room by its team's guarantee.
+    /// It claims capacity by its team's guarantee.
     pub claims_guarantee: bool,
-    /// It has waited so long that what is guaranteed to others of lower priority is stopped for it.
+    /// It has waited so long that it may preempt lower-priority gangs that run within their team's guarantee.
     pub may_preempt_guaranteed: bool,
-    /// It has waited so long that it is to begin.
+    /// It has waited so long that it comes first within its level and is placed whatever its success probability.
     pub is_aged: bool,
-    /// Its tier.
     pub tier: TierAssignment,
-    /// The pass has let its share of tasks join lines: this one's go on with the next.
+    /// Its tasks are left to the next cycle, because this one has appended its share of tasks to run queues.
     pub is_deferred: bool,
     pub excluded_machines: Vec<MachineId>,
-    /// Its team's limit leaves less than its jobs want: it places what it was given of it.
+    /// Its team's limit leaves less than the team's jobs want; `remaining_tasks` is what it was allocated.
     pub is_limited_by_quota: bool,
-    /// Number of its team in the settings.
+    /// Index of its team in the settings.
     pub team_index: Option<usize>,
-    /// The only zone that its gang may still use.
+    /// The only zone that its remaining tasks may use, once a zone is chosen for its gang.
     pub only_zone: Option<usize>,
-    /// Tasks not proved gone in each zone; those of unknown zone count in all.
+    /// Tasks not proved gone, by zone index. Tasks in an unknown zone count in every zone.
     pub tasks_by_zone: Vec<u32>,
     pub tasks_in_unknown_zone: u32,
-    /// Machine types that it may use.
+    /// Whether it may use each machine type.
     pub allowed_types: Vec<bool>,
-    /// Number of its image.
+    /// Index of its image in the round.
     pub image_index: u32,
-    /// Whether a machine of a type rented now would pass, once computed.
+    /// By machine type: whether its tasks pass the pruning threshold on a machine provisioned now. Computed on demand.
     pub new_machine_meets_deadline: Vec<Option<bool>>,
-    /// When its task would end on a machine rented now, once computed in a search.
+    /// Expected completion of its task on a machine provisioned now; the inner `None` if there is none to provision.
+    /// Computed on demand, once per search.
     pub new_machine_completion: Option<Option<f64>>,
+    /// Heap of suitable targets, each with the completion id by which it was ranked.
     pub ranked_targets: BinaryHeap<(TargetRank, u32)>,
+    /// Number of the round's targets that the search has ranked or rejected so far.
     pub ranked_target_count: usize,
     pub may_use_queues: bool,
-    /// By end, without and with its image there.
+    /// By completion id; for each, without and with its image on the machine.
     pub cached_scores: Vec<[PackedScore; 2]>,
 }
 
 impl PlacementCandidate {
-    /// Begins a new search. `lines`: places in lines count too.
-    pub fn start_search(&mut self, lines: bool) {
+    /// Starts a new search for targets. `with_queues`: run queues are targets as well.
+    pub fn start_search(&mut self, with_queues: bool) {
         self.ranked_targets.clear();
         self.new_machine_completion = None;
         self.ranked_target_count = 0;
         self.may_use_queues =
-            lines && !self.is_service() && !self.is_overdue && !self.is_limited_by_quota;
+            with_queues && !self.is_service() && !self.is_overdue && !self.is_limited_by_quota;
     }
 
     /// Whether its tasks are replicas of a service.
@@ -86,19 +90,19 @@
         self.spec.kind == JobKind::Service
     }
 
-    /// Gives back what a search has taken.
+    /// Frees the memory of the last search.
     pub fn release_search_memory(&mut self) {
         self.ranked_targets = BinaryHeap::new();
         self.cached_scores = Vec::new();
         self.ranked_target_count = 0;
     }
 
-    /// Tasks of it that are in a zone or could be.
+    /// Number of its tasks that are or could be in a zone.
     pub fn tasks_possibly_in_zone(&self, zone: usize) -> u32 {
         self.tasks_by_zone.get(zone).copied().unwrap_or(0) + self.tasks_in_unknown_zone
     }
 
-    /// One more task of it is in a zone.
+    /// Counts one more of its tasks in a zone.
     pub fn add_task_in_zone(&mut self, zone: usize) {
         if self.tasks_by_zone.len() <= zone {
             self.tasks_by_zone.resize(zone + 1, 0);
@@ -106,36 +110,43 @@
         self.tasks_by_zone[zone] += 1;
     }
 
-    /// What of a place's room is not kept from it.
-    pub fn available_room(&self, place: &PlacementTarget) -> Resources {
-        // Where room is being made, what runs in idle hours does not come back first, a small task at a time.
-        if place.has_stopping_tasks && self.spec.priority == Priority::Low {
+    /// Free resources of a target that are not reserved for others.
+    pub fn available_resources(&self, target: &PlacementTarget) -> Resources {
+        // Resources that preemption is freeing must not be taken by small low-priority tasks one by one.
+        if target.has_stopping_tasks && self.spec.priority == Priority::Low {
             return Resources::default();
         }
-        let mut room = place.free;
+        let mut available = target.free;
         if self.spec.kind != JobKind::Service {
-            room.subtract(&place.reserved_for_services);
+            available.subtract(&target.reserved_for_services);
         }
-        for (gang, priority, each) in &place.reserved_for_gangs {
+        for (gang, priority, each) in &target.reserved_for_gangs {
             if *gang != self.id && *priority >= self.spec.priority {
-                room.subtract(each);
+                available.subtract(each);
             }
         }
-        room
+        available
     }
 
-    /// Type, zone, kind, and the zones of the job's other tasks.
-    pub fn is_allowed_on(&self, kind: usize, zone: usize, spot: bool, zones: &[String]) -> bool {
+    /// Whether a task may run on a machine of this type, zone and spot property, given the zones of the job's other
+    /// tasks. `zones` maps zone indices to names.
+    pub fn is_allowed_on(
+        &self,
+        type_index: usize,
+        zone: usize,
+        spot: bool,
+        zones: &[String],
+    ) -> bool {
         let spec = &self.spec;
-        let elsewhere = || {
+        let has_tasks_elsewhere = || {
             self.tasks_in_unknown_zone > 0
                 || self.tasks_by_zone.iter().enumerate().any(|(z, n)| *n > 0 && z != zone)
         };
         (!spot || spec.spot)
-            && self.allowed_types.get(kind).copied().unwrap_or(false)
+            && self.allowed_types.get(type_index).copied().unwrap_or(false)
             && spec.zone.as_ref().is_none_or(|z| zones.get(zone) == Some(z))
             && self.only_zone.is_none_or(|z| z == zone)
             && (!spec.spread || self.tasks_possibly_in_zone(zone) < spec.max_tasks_per_zone())
-            && (!spec.one_zone || !elsewhere())
+            && (!spec.one_zone || !has_tasks_elsewhere())
     }
 }
--- a/crates/controller/src/placement/cloud_availability.rs
+++ b/crates/controller/src/placement/cloud_availability.rs
@@ -1,19 +1,21 @@
-//! What a round knows of the market for machines.
+//! Availability of machines in the cloud, as known to a round.
 
 use std::collections::HashMap;
 
-/// Which types, zones and kinds may be asked for now.
+/// Which offers may be requested now.
 #[derive(Debug, Default)]
 pub(super) struct CloudAvailability {
+    /// By machine type, zone and spot property; filled on demand.
     pub may_provision: HashMap<(usize, usize, bool), bool>,
+    /// Counted on demand.
     pub zone_machines: Option<ZoneMachines>,
 }
 
-/// Where machines are, up or asked for.
+/// Number of machines by zone, existing or requested.
 #[derive(Debug, Default)]
 pub(super) struct ZoneMachines {
-    /// By type and zone.
+    /// By machine type and zone.
     pub machine_counts: HashMap<(usize, usize), u32>,
-    /// Zones most of whose machines are silent.
+    /// Zones in which most ready machines are silent.
     pub silent_zones: Vec<usize>,
 }
--- a/crates/controller/src/placement/completion_times.rs
+++ b/crates/controller/src/placement/completion_times.rs
@@ -1,26 +1,26 @@
-//! When what is before a place ends. Places that are alike share one mass function.
+//! Completion times of what is ahead of a placement target. Equal ones share one probability mass function.
 
 use crate::completion_time::Pmf;
 use crate::job::JobId;
 use rustc_hash::FxHashMap;
 
-/// Number of an end in [`Ends`].
+/// Index of a completion time in [`CompletionTimes`].
 pub(super) type CompletionId = usize;
 
-/// What makes two ends alike.
+/// Completion times with equal keys are equal.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum CompletionKey {
-    /// Free at a time, in steps of the round's time unit.
+    /// Free at a time: machine type and time step.
     FreeAt(usize, u64),
-    /// Behind a running task: machine type, job, and in which step of time it began to run.
+    /// Behind a running task: machine type, job, and the time step in which it started.
     AfterRunningTask(usize, JobId, u64),
-    /// Behind a task that fetches its image: machine type, job, and when it was bound.
+    /// Behind a task that fetches its image: machine type, job, and the time step in which it was bound.
     AfterFetchingTask(usize, JobId, u64),
-    /// Behind that end and one more task of a job.
+    /// Behind another completion time and one more queued task of a job.
     AfterQueuedTask(CompletionId, JobId),
 }
 
-/// The ends of one round, each computed once.
+/// The completion times of one round, each computed once.
 #[derive(Debug, Default)]
 pub(super) struct CompletionTimes {
     ids: FxHashMap<CompletionKey, CompletionId>,
@@ -28,22 +28,22 @@
 }
 
 impl CompletionTimes {
-    /// The number of an end, computed if it is new.
+    /// The id for a key. The distribution of a new key is computed from those that exist.
     pub fn id_or_compute(
         &mut self,
-        alike: CompletionKey,
+        key: CompletionKey,
         compute: impl FnOnce(&[Pmf]) -> Pmf,
     ) -> CompletionId {
-        if let Some(id) = self.ids.get(&alike) {
+        if let Some(id) = self.ids.get(&key) {
             return *id;
         }
-        let fresh = compute(&self.distributions);
-        self.distributions.push(fresh);
-        self.ids.insert(alike, self.distributions.len() - 1);
+        let distribution = compute(&self.distributions);
+        self.distributions.push(distribution);
+        self.ids.insert(key, self.distributions.len() - 1);
         self.distributions.len() - 1
     }
 
-    /// The mass function of an end.
+    /// The distribution of a completion time, in ms of monotonic time.
     pub fn get(&self, id: CompletionId) -> &Pmf {
         &self.distributions[id]
     }
--- a/crates/controller/src/placement/gangs.rs
+++ b/crates/controller/src/placement/gangs.rs
@@ -22,10 +22,10 @@
     /// How dear it is for a gang's task to start at a place: 0 kept for it, 1 its image is there, 2 it
     /// must be fetched.
     fn fetch_cost(&self, c: &PlacementCandidate, index: usize) -> u32 {
-        let place = &self.targets[index];
+        let target = &self.targets[index];
         match (
-            place.reserved_for_gangs.iter().any(|g| g.0 == c.id),
-            place.images.contains(&c.image_index),
+            target.reserved_for_gangs.iter().any(|g| g.0 == c.id),
+            target.images.contains(&c.image_index),
         ) {
             (true, _) => 0,
             (false, true) => 1,
@@ -59,7 +59,8 @@
                 .spec
                 .max_tasks_per_zone()
                 .saturating_sub(c.tasks_possibly_in_zone(p.zone_index) + *there);
-            let take = c.available_room(p).task_count(&each).min(choice.unplaced_tasks).min(most);
+            let take =
+                c.available_resources(p).task_count(&each).min(choice.unplaced_tasks).min(most);
             if take > 0 {
                 *there += take;
                 choice.unplaced_tasks -= take;
@@ -72,12 +73,17 @@
 
     /// For a gang that has waited long room is gathered and not raced for: on the machines where it comes free
     /// soonest nothing else of its priority or below takes it. Those already gathered stay so.
-    pub fn reserve_room(&mut self, c: &PlacementCandidate, missing: u32, zones: &[Option<usize>]) {
+    pub fn reserve_capacity(
+        &mut self,
+        c: &PlacementCandidate,
+        missing: u32,
+        zones: &[Option<usize>],
+    ) {
         if self.gangs_reserved >= MAX_RESERVATIONS_PER_ROUND {
             return;
         }
         self.gangs_reserved += 1;
-        let now = self.view.now;
+        let now = self.context.now;
         let kept: Vec<MachineId> = self
             .cluster_state
             .jobs
@@ -86,23 +92,24 @@
             .unwrap_or_default();
         let mut found: Vec<(f64, usize, MachineId)> = Vec::new();
         for n in 0..self.targets.len() {
-            let place = &self.targets[n];
-            let others = place.reserved_for_gangs.iter().any(|g| g.0 != c.id);
-            if place.target_kind != TargetKind::ReadyMachine
+            let target = &self.targets[n];
+            let others = target.reserved_for_gangs.iter().any(|g| g.0 != c.id);
+            if target.target_kind != TargetKind::ReadyMachine
                 || others
                 || found.len() >= MAX_RESERVATION_CANDIDATES
             {
                 continue;
             }
-            let Some(machine) = place.machine.clone() else { continue };
+            let Some(machine) = target.machine.clone() else { continue };
             if c.excluded_machines.contains(&machine)
-                || !c.is_allowed_on(place.type_index, place.zone_index, place.spot, &self.zones)
+                || !c.is_allowed_on(target.type_index, target.zone_index, target.spot, &self.zones)
             {
                 continue;
             }
-            let zone = place.zone_index;
-            if let Some(at) =
-                self.room_available_at(c, n).filter(|at| *at < now as f64 + RESERVATION_HORIZON_MS)
+            let zone = target.zone_index;
+            if let Some(at) = self
+                .capacity_available_at(c, n)
+                .filter(|at| *at < now as f64 + RESERVATION_HORIZON_MS)
             {
                 let early =
                     if kept.contains(&machine) { RESERVED_MACHINE_ADVANTAGE_MS } else { 0.0 };
@@ -122,13 +129,13 @@
         let Some((_, _, machines)) = best.filter(|b| !b.2.is_empty()) else { return };
         let machines: Vec<MachineId> = machines.into_iter().map(|f| f.2.clone()).collect();
         let room = (c.id.clone(), c.spec.priority, Resources::for_task(&c.spec));
-        for place in &mut self.targets {
-            let here = place.machine.as_ref().is_some_and(|m| machines.contains(m));
+        for target in &mut self.targets {
+            let here = target.machine.as_ref().is_some_and(|m| machines.contains(m));
             if here
-                && place.target_kind == TargetKind::ReadyMachine
-                && !place.reserved_for_gangs.iter().any(|g| g.0 == c.id)
+                && target.target_kind == TargetKind::ReadyMachine
+                && !target.reserved_for_gangs.iter().any(|g| g.0 == c.id)
             {
-                place.reserved_for_gangs.push(room.clone());
+                target.reserved_for_gangs.push(room.clone());
             }
         }
         self.plan.steps.push(PlanStep::ReserveForGang(c.id.clone(), machines));
@@ -136,10 +143,10 @@
 
     /// When a machine would have room for a chooser's task, if nothing else took what comes free; none: not
     /// by what ends by itself.
-    fn room_available_at(&mut self, c: &PlacementCandidate, place: usize) -> Option<f64> {
-        let now = self.view.now as f64;
-        let machine = self.cluster_state.machines.get(self.targets[place].machine.as_ref()?)?;
-        let mut room = self.targets[place].free;
+    fn capacity_available_at(&mut self, c: &PlacementCandidate, target: usize) -> Option<f64> {
+        let now = self.context.now as f64;
+        let machine = self.cluster_state.machines.get(self.targets[target].machine.as_ref()?)?;
+        let mut room = self.targets[target].free;
         if room.fits_task(&c.spec) {
             return Some(now);
         }
@@ -235,7 +242,7 @@
             return;
         }
         if self.is_full && c.is_aged {
-            self.reserve_room(c, missing, &zones);
+            self.reserve_capacity(c, missing, &zones);
         }
         let Some(GangAssignment { unplaced_tasks: mut need, tasks_by_target: used, .. }) =
             planned.filter(|_| self.is_full)
--- a/crates/controller/src/placement/mapping.rs
+++ b/crates/controller/src/placement/mapping.rs
@@ -15,7 +15,7 @@
     pub fn placement_candidate(&mut self, id: &JobId) -> Option<PlacementCandidate> {
         let job = self.cluster_state.jobs.get(id)?;
         let spec = job.spec.clone();
-        let steered = self.view.policy.for_job(id);
+        let steered = self.context.policy.for_job(id);
         let mut c = PlacementCandidate {
             id: id.clone(),
             pruning_threshold: steered.pruning_threshold,
@@ -25,12 +25,18 @@
             remaining_tasks: self.unqueued_tasks(job),
             claims_guarantee: false,
             may_preempt_guaranteed: false,
-            is_aged: job.is_overdue_to_start(self.view.now),
+            is_aged: job.is_overdue_to_start(self.context.now),
             tier: job.tier,
             is_deferred: false,
             excluded_machines: job.bad_machines.iter().cloned().collect(),
             is_limited_by_quota: false,
-            team_index: self.view.settings.settings.teams.iter().position(|t| t.name == spec.team),
+            team_index: self
+                .context
+                .settings
+                .settings
+                .teams
+                .iter()
+                .position(|t| t.name == spec.team),
             only_zone: None,
             tasks_by_zone: Vec::new(),
             tasks_in_unknown_zone: 0,
@@ -83,20 +89,20 @@
     }
 
     /// Whether a chooser's next task may go to a place.
-    pub fn is_suitable(&self, c: &PlacementCandidate, place: &PlacementTarget) -> bool {
-        c.available_room(place).fits_task(&c.spec)
-            && c.is_allowed_on(place.type_index, place.zone_index, place.spot, &self.zones)
-            && (c.may_use_queues || !matches!(place.target_kind, TargetKind::RunQueue(_)))
+    pub fn is_suitable(&self, c: &PlacementCandidate, target: &PlacementTarget) -> bool {
+        c.available_resources(target).fits_task(&c.spec)
+            && c.is_allowed_on(target.type_index, target.zone_index, target.spot, &self.zones)
+            && (c.may_use_queues || !matches!(target.target_kind, TargetKind::RunQueue(_)))
             && (c.excluded_machines.is_empty()
-                || place.machine.as_ref().is_none_or(|m| !c.excluded_machines.contains(m)))
+                || target.machine.as_ref().is_none_or(|m| !c.excluded_machines.contains(m)))
     }
 
     /// Chance and completion of a chooser's next task at a place.
     fn score_target(&mut self, c: &mut PlacementCandidate, index: usize) -> PlacementScore {
-        let place = &self.targets[index];
-        let (end, kind) = (place.completion_id, place.type_index);
-        let here = place.images.contains(&c.image_index);
-        let now = self.view.now as f64;
+        let target = &self.targets[index];
+        let (end, kind) = (target.completion_id, target.type_index);
+        let here = target.images.contains(&c.image_index);
+        let now = self.context.now as f64;
         if let Some((chance, wait)) = c.cached_scores.get(end).map(|s| s[usize::from(here)])
             && !wait.is_nan()
         {
@@ -132,13 +138,13 @@
 
     fn rank_target(&mut self, c: &mut PlacementCandidate, index: usize) -> (TargetRank, u32) {
         let score = self.score_target(c, index);
-        let place = &self.targets[index];
+        let target = &self.targets[index];
         // None is below 0: adding a half and cutting rounds, without a call.
         let missed = 50 - (score.success_probability * 50.0 + 0.5).min(50.0) as u64;
-        let wait = (score.expected_completion - self.view.now as f64).max(0.0);
+        let wait = (score.expected_completion - self.context.now as f64).max(0.0);
         let wait = (wait / MS_PER_S + 0.5).min(f64::from((1 << 24) - 1)) as u64;
-        let room = (place.free.cpus * 1e3).clamp(0.0, f64::from(u32::MAX)) as u64;
-        (Reverse((missed << 56 | wait << 32 | room, index as u32)), place.completion_id as u32)
+        let room = (target.free.cpus * 1e3).clamp(0.0, f64::from(u32::MAX)) as u64;
+        (Reverse((missed << 56 | wait << 32 | room, index as u32)), target.completion_id as u32)
     }
 
     /// The best place for a chooser's next task, if any suits. Places only get fuller and later
@@ -198,7 +204,7 @@
         }
         let end = self.cheapest_new_machine(c, true).map(|(kind, ..)| {
             let t = &self.types[kind];
-            let up = self.view.now as f64 + t.boot_ms + t.fetch_ms(&c.spec);
+            let up = self.context.now as f64 + t.boot_ms + t.fetch_ms(&c.spec);
             up + self.run_time(c, kind).mean()
         });
         c.new_machine_completion = Some(end);
@@ -208,60 +214,60 @@
     /// Each chooser picks its place of highest chance; the one of least completion time takes
     /// its own; until nobody finds a place. `passing`: only above the threshold. Otherwise those
     /// left take what nobody passing wanted, and plan rentals for what finds nothing.
-    pub fn map_candidates(&mut self, choosers: &mut [PlacementCandidate], passing: bool) {
-        for c in choosers.iter_mut() {
+    pub fn map_candidates(&mut self, candidates: &mut [PlacementCandidate], passing: bool) {
+        for c in candidates.iter_mut() {
             c.start_search(passing);
         }
         // A pick holds until its place is taken or its chooser takes one: hundreds of choosers need not look
         // again at each of hundreds of tasks.
-        let mut picks: Vec<Option<Option<(usize, PlacementScore)>>> = vec![None; choosers.len()];
-        while self.bound_tasks < self.view.policy.bounds.max_bindings {
-            let joined = self.queued_tasks >= self.view.policy.bounds.max_queue_joins;
+        let mut picks: Vec<Option<Option<(usize, PlacementScore)>>> = vec![None; candidates.len()];
+        while self.bound_tasks < self.context.policy.bounds.max_bindings {
+            let joined = self.queued_tasks >= self.context.policy.bounds.max_queue_joins;
             let mut best: Option<(usize, usize, f64)> = None;
             let open =
                 |(_, c): &(usize, &mut PlacementCandidate)| c.remaining_tasks > 0 && !c.is_deferred;
-            for (n, c) in choosers.iter_mut().enumerate().filter(open) {
+            for (n, c) in candidates.iter_mut().enumerate().filter(open) {
                 let pick = *picks[n].get_or_insert_with(|| self.pick_target(c, passing));
-                let Some((place, score)) = pick else { continue };
-                if joined && matches!(self.targets[place].target_kind, TargetKind::RunQueue(_)) {
+                let Some((target, score)) = pick else { continue };
+                if joined && matches!(self.targets[target].target_kind, TargetKind::RunQueue(_)) {
                     c.is_deferred = true;
                     continue;
                 }
                 if best.is_none_or(|(_, _, mean)| score.expected_completion < mean) {
-                    best = Some((n, place, score.expected_completion));
+                    best = Some((n, target, score.expected_completion));
                 }
             }
-            let Some((n, place, _)) = best else { break };
+            let Some((n, target, _)) = best else { break };
             let stale = |(m, pick): &(usize, &mut Option<Option<(usize, PlacementScore)>>)| {
-                *m == n || pick.is_some_and(|p| p.is_some_and(|(index, _)| index == place))
+                *m == n || pick.is_some_and(|p| p.is_some_and(|(index, _)| index == target))
             };
             picks.iter_mut().enumerate().filter(stale).for_each(|(_, pick)| *pick = None);
-            let c = &mut choosers[n];
-            let lined = matches!(self.targets[place].target_kind, TargetKind::RunQueue(_));
+            let c = &mut candidates[n];
+            let lined = matches!(self.targets[target].target_kind, TargetKind::RunQueue(_));
             if !lined && !self.is_within_limit(c, 1) {
                 // Nothing more of it fits its team's limit, wherever: not tried again in this
                 // round, or a job at the limit would try for ever.
                 c.remaining_tasks = 0;
-            } else if !self.assign_task(c, place) {
+            } else if !self.assign_task(c, target) {
                 c.ranked_targets.pop();
             }
         }
-        if !self.is_full || self.bound_tasks >= self.view.policy.bounds.max_bindings {
+        if !self.is_full || self.bound_tasks >= self.context.policy.bounds.max_bindings {
             return;
         }
-        for c in choosers.iter_mut().filter(|c| !c.is_deferred) {
+        for c in candidates.iter_mut().filter(|c| !c.is_deferred) {
             self.plan_scale_out(c, passing);
         }
     }
 
     /// One task of the chooser takes a place. False if it cannot.
     pub fn assign_task(&mut self, c: &mut PlacementCandidate, index: usize) -> bool {
-        let place = &self.targets[index];
-        let (kind, zone) = (place.type_index, place.zone_index);
+        let target = &self.targets[index];
+        let (kind, zone) = (target.type_index, target.zone_index);
         let each = Resources::for_task(&c.spec);
-        match place.target_kind.clone() {
+        match target.target_kind.clone() {
             TargetKind::ReadyMachine => {
-                let Some(machine) = place.machine.clone() else { return false };
+                let Some(machine) = target.machine.clone() else { return false };
                 if !self.plan_binding(c, machine) {
                     return false;
                 }
@@ -278,16 +284,16 @@
                 self.plan.run_queues.push(slot.clone(), &c.id);
                 let end = self.completion_after(self.targets[index].completion_id, &c.id, kind);
                 self.targets[index].completion_id = end;
-                if !self.plan.run_queues.has_room(&slot, self.view.policy.queue_limit) {
+                if !self.plan.run_queues.has_room(&slot, self.context.policy.queue_limit) {
                     self.targets[index].free = Resources::default();
                 }
             }
             TargetKind::BootingMachine | TargetKind::PlannedMachine => {
-                let place = &mut self.targets[index];
-                place.free.subtract(&each);
+                let target = &mut self.targets[index];
+                target.free.subtract(&each);
                 // The same image is fetched once.
-                if !place.images.contains(&c.image_index) {
-                    place.images.push(c.image_index);
+                if !target.images.contains(&c.image_index) {
+                    target.images.push(c.image_index);
                 }
                 self.add_planned_usage(c);
             }
--- a/crates/controller/src/placement/mapping_round.rs
+++ b/crates/controller/src/placement/mapping_round.rs
@@ -1,5 +1,5 @@
-//! What a round works on: the tables and the view that it reads, and what it has planned so far. Whoever plays a
-//! part of a round knows this and not the others.
+//! State of a scheduling cycle: its inputs, and what it has planned so far. Each step of the cycle depends on this
+//! module and on no other step.
 
 use super::candidate::PlacementCandidate;
 use super::cloud_availability::CloudAvailability;
@@ -15,47 +15,54 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
+/// State of a scheduling cycle. A full cycle is a mapping round; others run between mapping rounds.
 pub(super) struct MappingRound<'a> {
     pub cluster_state: &'a ClusterState,
-    pub view: PlanningContext<'a>,
+    pub context: PlanningContext<'a>,
     pub types: &'a [MachineType],
-    /// The teams of the settings.
+    /// By index of the team in the settings.
     pub team_usage: Vec<TeamUsage>,
+    /// Names of the zones by zone index.
     pub zones: Vec<String>,
     pub images: NameIndex,
+    /// Images for which service headroom is reserved, each with a job that uses it.
     pub service_images: Vec<(u32, Arc<JobSpec>)>,
     pub completion_times: CompletionTimes,
     pub targets: Vec<PlacementTarget>,
+    /// Machines to provision, by machine type, zone and spot property.
     pub planned_machines: BTreeMap<(usize, usize, bool), u32>,
     pub availability: CloudAvailability,
+    /// Computed on demand.
     pub preemption_candidates: Option<Vec<PreemptionCandidate>>,
+    /// Tasks to place, by job class.
     pub waiting_by_class: HashMap<String, u32>,
+    /// This is a mapping round, and not an event-driven cycle that only places tasks on free resources.
     pub is_full: bool,
-    /// Gangs for which room was gathered in this round.
+    /// Number of jobs for which this round has reserved capacity.
     pub gangs_reserved: usize,
-    /// Jobs that found no place for what their team's limit leaves them.
+    /// Jobs that found no target although their team's limit allows more.
     pub unplaced_jobs: Vec<JobId>,
-    /// What is looked at may not begin yet: it binds nothing, and only says what to rent.
+    /// The jobs considered now may not start yet: nothing is bound, only provisioning is planned.
     pub planning_ahead: bool,
-    /// Tasks bound in this pass.
+    /// Tasks bound in this cycle.
     pub bound_tasks: usize,
-    /// Tasks that have joined lines in it.
+    /// Tasks appended to run queues in this cycle.
     pub queued_tasks: usize,
     pub plan: CyclePlan,
 }
 
 impl<'a> MappingRound<'a> {
-    /// A round that has not begun.
+    /// A cycle in which nothing is planned yet.
     pub fn new(
         cluster_state: &'a ClusterState,
-        view: PlanningContext<'a>,
+        context: PlanningContext<'a>,
         is_full: bool,
     ) -> MappingRound<'a> {
         MappingRound {
             cluster_state,
-            view,
-            types: view.machine_types,
-            team_usage: TeamUsage::from_cluster(cluster_state, &view.settings.settings.teams),
+            context,
+            types: context.machine_types,
+            team_usage: TeamUsage::from_cluster(cluster_state, &context.settings.settings.teams),
             zones: Vec::new(),
             images: NameIndex::default(),
             service_images: Vec::new(),
@@ -78,36 +85,36 @@
         }
     }
 
-    /// Whether a chooser's team stays within its guarantee with one more task of it.
+    /// Whether a candidate's team stays within its guarantee with one more of its tasks.
     pub fn is_within_guarantee(&self, c: &PlacementCandidate) -> bool {
         c.team_index.is_some_and(|t| self.team_usage[t].is_within_guarantee(team_amounts(&c.spec)))
     }
 
-    /// Whether its team's limit leaves room for so many tasks of a chooser.
+    /// Whether its team's limit allows `tasks` more tasks of a candidate.
     pub fn is_within_limit(&self, c: &PlacementCandidate, tasks: u32) -> bool {
         c.team_index
             .is_some_and(|n| self.team_usage[n].allows(team_amounts(&c.spec).multiplied_by(tasks)))
     }
 
-    /// Counts what a plan would use.
+    /// Counts one planned task of a candidate in its team's usage.
     pub fn add_planned_usage(&mut self, c: &PlacementCandidate) {
         if let Some(team) = c.team_index {
             self.team_usage[team].add_usage(team_amounts(&c.spec));
         }
     }
 
-    /// Plans to bind a task. False if the ledger has no room for it.
+    /// Plans to bind a task. Returns false if the binding log is full.
     pub fn plan_binding(&mut self, c: &PlacementCandidate, machine: MachineId) -> bool {
         if self.planning_ahead {
             self.add_planned_usage(c);
             return true;
         }
-        let most = if c.spec.priority == Priority::Low {
+        let max_bindings = if c.spec.priority == Priority::Low {
             MAX_LOGGED_BINDINGS_LOW_PRIORITY
         } else {
             MAX_LOGGED_BINDINGS
         };
-        if self.cluster_state.binding_log.len() + self.bound_tasks >= most {
+        if self.cluster_state.binding_log.len() + self.bound_tasks >= max_bindings {
             return false;
         }
         self.plan.steps.push(PlanStep::Bind(c.id.clone(), machine));
@@ -116,7 +123,7 @@
         true
     }
 
-    /// Tasks of a job that wait and stand in no line.
+    /// Waiting tasks of a job that are in no run queue.
     pub fn unqueued_tasks(&self, job: &Job) -> u32 {
         (job.waiting.len() as u32).saturating_sub(self.plan.run_queues.queued_tasks(&job.id))
     }
--- a/crates/controller/src/placement/mod.rs
+++ b/crates/controller/src/placement/mod.rs
@@ -1,12 +1,14 @@
-//! Placement: which waiting task is bound to which machine, by the pruning-aware mapper of the thesis (PAM), with gangs,
-//! quotas and zones. It reads the cluster state and returns a [`CyclePlan`], which the controller applies.
+//! Placement: decides which waiting task is bound to which machine, by the pruning-aware mapper of the PAM thesis,
+//! extended by gangs, quotas and zones. It reads the cluster state and returns a [`CyclePlan`], which the controller
+//! applies.
 //!
-//! A cycle costs what has changed and what waits, not the number of machines times the number of tasks: targets with the
-//! same completion time share one probability mass function, each candidate computes a score once per such completion
-//! time, and takes targets off a heap whose order can only get worse.
+//! The cost of a cycle depends on what has changed and what waits, not on the number of machines times the number of
+//! tasks: targets with the same completion time share one probability mass function, and each candidate computes a
+//! score once per such completion time and takes targets from a heap whose entries can only become worse.
 //!
-//! Values come first (`plan`, `target`, `candidate`, `team_usage`, `victims`, `cloud_availability`); `mapping_round` is
-//! built on them; the steps of a round know only the round; `cycle` runs them.
+//! The value types (`plan`, `target`, `candidate`, `team_usage`, `victims`, `cloud_availability`) depend on no other
+//! module here. `mapping_round` builds on them; each step of a round depends only on `mapping_round`; `cycle` runs the
+//! steps.
 
 mod candidate;
 mod cloud_availability;
--- a/crates/controller/src/placement/plan.rs
+++ b/crates/controller/src/placement/plan.rs
@@ -1,4 +1,4 @@
-//! What a pass is made from beside the tables, and what it gives back.
+//! Inputs of a scheduling cycle beside the cluster state, and the plan that it returns.
 
 use crate::Time;
 use crate::cluster_state::{ProvisioningRequest, RunQueues};
@@ -8,72 +8,73 @@
 use crate::machine::MachineType;
 use crate::settings::Settings;
 
-/// What a plan is made from beside the tables.
+/// Inputs of planning beside the cluster state.
 #[derive(Clone, Copy)]
 pub struct PlanningContext<'a> {
-    /// Steady time.
+    /// Monotonic time, ms.
     pub now: Time,
-    /// Time of day, ms.
+    /// Wall-clock time, ms.
     pub wall_now: u64,
-    /// The settings.
+    /// The platform's settings.
     pub settings: &'a Settings,
-    /// The machine types.
+    /// The machine types that the cloud offers.
     pub machine_types: &'a [MachineType],
-    /// What operators and plug-ins steer.
+    /// Scheduling parameters set by operators and plug-ins.
     pub policy: &'a CyclePolicy,
 }
 
 impl PlanningContext<'_> {
-    /// Lease of a worker, ms.
+    /// Duration of a worker's lease, ms.
     pub fn lease_ms(&self) -> f64 {
         self.settings.settings.workers.lease_s * MS_PER_S
     }
 }
 
-/// One step of a plan. The node checks each against the rules when it applies it.
+/// One step of a plan. The controller checks each step against quotas, zones and machine types when it applies it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlanStep {
     /// Bind a job's next waiting task.
     Bind(JobId, MachineId),
-    /// Bind all that a gang lacks, under one launch number.
+    /// Bind all missing tasks of a gang, under one attempt number.
     BindGang(JobId, Vec<MachineId>),
-    /// Stop tasks of lower priority so that a service may start there.
+    /// Stop tasks so that a job can start on their resources.
     Preempt {
-        /// The service.
+        /// The job that gets the resources.
         by: JobId,
-        /// The fetch that it will need there, ms.
+        /// Longest image fetch that it will need there, ms.
         fetch_ms: f64,
-        /// What is stopped.
+        /// Tasks to stop.
         victims: Vec<(JobId, u32)>,
     },
-    /// Keep room on such machines for a gang that has waited long, as it comes free.
+    /// Reserve resources on machines for a job, mostly a gang, as they become free.
     ReserveForGang(JobId, Vec<MachineId>),
-    /// Keep what such machines have free from work of the lowest priority for a while: others wait for it.
+    /// Hold the free resources of machines from low-priority work for a while, since other work waits for them.
     HoldFromLowPriority(Vec<MachineId>),
-    /// Stop tasks of lower priority of the same team, whose limit leaves a service nothing.
+    /// Stop lower-priority tasks of the same team, because the team's limit leaves too little for a service.
     PreemptForQuota {
         /// The service.
         by: JobId,
-        /// What is stopped.
+        /// Tasks to stop.
         victims: Vec<(JobId, u32)>,
     },
 }
 
-/// What a pass wants done, in order.
+/// The result of a scheduling cycle, to be applied in order.
 #[derive(Debug, Default)]
 pub struct CyclePlan {
-    /// Bindings and stops.
+    /// Bindings, preemptions and reservations.
     pub steps: Vec<PlanStep>,
-    /// The lines as they are afterwards.
+    /// The run queues as they are after the cycle.
     pub run_queues: RunQueues,
-    /// Machines to rent. Only a full pass that came to its end says.
+    /// Machines to provision; `None` unless this was a mapping round that completed.
     pub provisioning_requests: Option<Vec<ProvisioningRequest>>,
-    /// Who found no place for what its team's limit leaves it. Only a full pass that came to its end says.
+    /// Jobs that found no target although their team's limit allows more; `None` unless this was a mapping round that
+    /// completed.
     pub unplaced_jobs: Option<Vec<JobId>>,
-    /// The pass has bound its share: the next goes on.
+    /// The cycle reached its limit of bindings; the next one continues.
     pub cut_short: bool,
-    /// Scores computed: what the pass cost, whatever the processor's speed.
+    /// Scores computed: a measure of cost that does not depend on the speed of the CPU.
     pub scores_computed: u64,
-    /// Places looked at by choosers, and slots whose end was worked out: the rest of its cost.
+    /// Targets evaluated for candidates, and slots whose completion was computed: the rest of the cost.
     pub targets_examined: u64,
 }
--- a/crates/controller/src/placement/preemption.rs
+++ b/crates/controller/src/placement/preemption.rs
@@ -38,11 +38,12 @@
 impl MappingRound<'_> {
     /// Makes room for services by stopping tasks of lower priority, where that starts replicas
     /// clearly sooner than any free room would. Those replicas then wait a moment for that room.
-    pub fn preempt_for_services(&mut self, choosers: &mut [PlacementCandidate]) {
-        let now = self.view.now;
-        let soon =
-            self.view.settings.settings.workers.report_s * PREEMPTION_REPORT_INTERVALS * MS_PER_S;
-        for c in choosers.iter_mut().filter(|c| c.is_service() && c.remaining_tasks > 0) {
+    pub fn preempt_for_services(&mut self, candidates: &mut [PlacementCandidate]) {
+        let now = self.context.now;
+        let soon = self.context.settings.settings.workers.report_s
+            * PREEMPTION_REPORT_INTERVALS
+            * MS_PER_S;
+        for c in candidates.iter_mut().filter(|c| c.is_service() && c.remaining_tasks > 0) {
             let since = self.cluster_state.jobs.get(&c.id).map_or(now, |j| j.eligible_at);
             let within =
                 self.wait_objective_ms(c).map_or(0.0, |ms| ms * GANG_PREEMPTION_OBJECTIVE_SHARE);
@@ -95,8 +96,12 @@
     /// guarantee what other teams run beyond theirs, and for all but idle-hours work what runs at the lowest
     /// priority. Least work lost first, a bounded number in a round. It waits for that room alone, and what it
     /// lacks beyond that is mapped as ever.
-    pub fn preempt_for_waiting_work(&mut self, choosers: &mut [PlacementCandidate], within: bool) {
-        let now = self.view.now;
+    pub fn preempt_for_waiting_work(
+        &mut self,
+        candidates: &mut [PlacementCandidate],
+        within: bool,
+    ) {
+        let now = self.context.now;
         let low = |j: &Job| j.spec.priority == Priority::Low && !j.attempts.is_empty();
         let guests = self.cluster_state.jobs.values().any(low);
         let borrowed = within && self.team_usage.iter().any(TeamUsage::is_beyond_guarantee);
@@ -105,7 +110,7 @@
         }
         let (patience, lent) = self.preemption_delays_ms();
         let mut most = MAX_PREEMPTING_TASKS_PER_ROUND;
-        for c in choosers.iter_mut().filter(|c| !c.is_service() && c.remaining_tasks > 0) {
+        for c in candidates.iter_mut().filter(|c| !c.is_service() && c.remaining_tasks > 0) {
             let waits =
                 self.cluster_state.jobs.get(&c.id).map_or(0, |j| now.saturating_sub(j.eligible_at));
             c.claims_guarantee = within && waits as f64 >= lent;
@@ -119,8 +124,9 @@
                 .targets
                 .iter()
                 .filter(|p| p.target_kind == TargetKind::ReadyMachine && self.is_suitable(c, p));
-            let free: u32 =
-                here.map(|p| c.available_room(p).task_count(&each)).fold(0, u32::saturating_add);
+            let free: u32 = here
+                .map(|p| c.available_resources(p).task_count(&each))
+                .fold(0, u32::saturating_add);
             if (waits as f64) < patience || lately || free >= c.remaining_tasks {
                 continue;
             }
@@ -217,7 +223,7 @@
 
     /// The time within which users want a class's tasks to have begun, ms, if an aim names it.
     fn wait_objective_ms(&self, c: &PlacementCandidate) -> Option<f64> {
-        let aims = self.view.settings.settings.objectives.iter();
+        let aims = self.context.settings.settings.objectives.iter();
         let own = aims.filter(|o| o.kind == "wait" && o.class.as_deref() == Some(&c.spec.class));
         own.filter_map(|o| o.within_s).reduce(f64::min).map(|s| s * MS_PER_S)
     }
@@ -233,8 +239,8 @@
     /// already being made are for another.
     #[expect(clippy::too_many_lines, reason = "not split yet")]
     fn preemption_candidates(&mut self) -> Vec<PreemptionCandidate> {
-        let now = self.view.now;
-        let lease = self.view.lease_ms();
+        let now = self.context.now;
+        let lease = self.context.lease_ms();
         let mut found = Vec::new();
         for machine in self.cluster_state.machines.values().filter(|m| usable(m, now, lease)) {
             let Some(kind) = self.types.iter().position(|t| t.name == machine.machine_type) else {
@@ -272,7 +278,7 @@
                         resources: Resources::for_task(&job.spec),
                         priority: job.spec.priority,
                         team_index: self
-                            .view
+                            .context
                             .settings
                             .settings
                             .teams
@@ -402,7 +408,7 @@
     /// What a gang takes, if it may be stopped whole for others: all of it runs, long enough for its start to count,
     /// it saves, and it has not been stopped too often.
     fn preemptible_gang_amounts(&self, job: &Job) -> Option<ResourceQuantities> {
-        let now = self.view.now;
+        let now = self.context.now;
         let runs = |a: &Attempt| {
             // Since when it ran under an earlier leader is not known: long enough for that one to end.
             let long = a.from_previous_term
@@ -417,14 +423,14 @@
             && job.gang_state() == GangState::Whole
             && job.attempts.len() == spec.tasks as usize
             && job.attempts.values().all(runs);
-        let may = sound && self.cluster_state.gpu_loans.may_preempt(&job.id, self.view.wall_now);
+        let may = sound && self.cluster_state.gpu_loans.may_preempt(&job.id, self.context.wall_now);
         may.then(|| team_amounts(spec).multiplied_by(spec.tasks))
     }
 
     /// Makes room for a gang of several tasks on as many machines at once, by stopping what others have borrowed or
     /// run in idle hours. All of it is won or nothing is stopped, and what is won is kept for it until it is placed.
     pub fn preempt_for_gang(&mut self, c: &mut PlacementCandidate, within: bool) {
-        let now = self.view.now;
+        let now = self.context.now;
         let Some(job) =
             self.cluster_state.jobs.get(&c.id).filter(|j| self.is_full && j.attempts.is_empty())
         else {
@@ -501,7 +507,8 @@
         {
             if let Some(machine) = p.machine.clone().filter(|_| self.is_suitable(c, p)) {
                 let fetch = if p.images.contains(&c.image_index) { 0.0 } else { FETCH_PENALTY_MS };
-                let fits = c.available_room(p).task_count(&Resources::for_task(&c.spec)).min(need);
+                let fits =
+                    c.available_resources(p).task_count(&Resources::for_task(&c.spec)).min(need);
                 options.extend((0..fits).map(|_| (fetch, None, machine.clone(), Vec::new())));
             }
         }
@@ -550,7 +557,7 @@
     fn preemption_delays_ms(&self) -> (f64, f64) {
         let low = |j: &Job| j.spec.priority == Priority::Low && !j.attempts.is_empty();
         let guests = self.cluster_state.jobs.values().any(low);
-        let aims = self.view.settings.settings.objectives.iter();
+        let aims = self.context.settings.settings.objectives.iter();
         let asked = aims.filter(|o| o.kind == "guarantee").filter_map(|o| o.within_s);
         // What runs in idle hours gives its room up at once; what was lent may first be found elsewhere.
         let lent = asked.fold(DEFAULT_GUARANTEE_OBJECTIVE_S, f64::min)
--- a/crates/controller/src/placement/quota_limits.rs
+++ b/crates/controller/src/placement/quota_limits.rs
@@ -16,8 +16,8 @@
 
 /// The time by which users want a job without a deadline to be done: as the aims of its class ask of its
 /// end, or of its start.
-fn objective_deadline(view: PlanningContext, job: &Job, run_ms: f64) -> Option<Time> {
-    let aims = view.settings.settings.objectives.iter();
+fn objective_deadline(context: PlanningContext, job: &Job, run_ms: f64) -> Option<Time> {
+    let aims = context.settings.settings.objectives.iter();
     let own = aims.filter(|o| o.class.as_deref() == Some(&job.spec.class));
     let within = own.filter_map(|o| match (o.kind.as_str(), o.within_s) {
         ("finished", Some(s)) => Some(s * MS_PER_S),
@@ -29,18 +29,18 @@
 
 /// What a job wants of its team's limit; `waiting`: tasks that may be placed.
 fn quota_claim<'t>(
-    view: PlanningContext,
+    context: PlanningContext,
     job: &'t Job,
     waiting: u32,
     run_ms: f64,
     classes: &mut Vec<&'t str>,
 ) -> QuotaClaim {
-    let now = view.now;
+    let now = context.now;
     let class = classes.iter().position(|c| *c == job.spec.class).unwrap_or(classes.len());
     if class == classes.len() {
         classes.push(&job.spec.class);
     }
-    let due = job.deadline.or_else(|| objective_deadline(view, job, run_ms));
+    let due = job.deadline.or_else(|| objective_deadline(context, job, run_ms));
     QuotaClaim {
         class,
         priority_rank: job.spec.priority as u8,
@@ -61,9 +61,9 @@
     /// Where jobs want more than their team's limit leaves, each may place what it gets of it in this
     /// pass, and no task stands in a line: the next in the order takes what comes free.
     #[expect(clippy::too_many_lines, reason = "not split yet")]
-    pub fn apply_team_limits(&mut self, choosers: &mut [PlacementCandidate]) {
+    pub fn apply_team_limits(&mut self, candidates: &mut [PlacementCandidate]) {
         let mut by_team: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
-        for (n, c) in choosers.iter().enumerate() {
+        for (n, c) in candidates.iter().enumerate() {
             if let Some(team) = c.team_index {
                 by_team.entry(team).or_default().push(n);
             }
@@ -72,7 +72,7 @@
         for (team, own) in by_team {
             let wants: ResourceQuantities = own
                 .iter()
-                .map(|n| &choosers[*n])
+                .map(|n| &candidates[*n])
                 .map(|c| {
                     let waiting = self.cluster_state.jobs.get(&c.id).map_or(0, |j| j.waiting.len());
                     team_amounts(&c.spec).multiplied_by(waiting as u32)
@@ -82,18 +82,18 @@
                 continue;
             }
             let (mut claims, mut classes) = (Vec::new(), Vec::new());
-            let tables = self.cluster_state;
-            let claiming: BTreeSet<JobId> = own.iter().map(|n| choosers[*n].id.clone()).collect();
+            let state = self.cluster_state;
+            let claiming: BTreeSet<JobId> = own.iter().map(|n| candidates[*n].id.clone()).collect();
             for n in &own {
-                let c = &mut choosers[*n];
+                let c = &mut candidates[*n];
                 c.is_limited_by_quota = true;
                 self.plan.run_queues.remove_job(&c.id);
-                let Some(job) = tables.jobs.get(&c.id) else { continue };
+                let Some(job) = state.jobs.get(&c.id) else { continue };
                 c.remaining_tasks = job.waiting.len() as u32;
-                let c = &choosers[*n];
+                let c = &candidates[*n];
                 let kind = c.allowed_types.iter().position(|k| *k).unwrap_or(0);
                 claims.push(quota_claim(
-                    self.view,
+                    self.context,
                     job,
                     c.remaining_tasks,
                     self.run_time(c, kind).mean(),
@@ -101,35 +101,35 @@
                 ));
             }
             // What its other jobs use counts as their class's.
-            let name = &self.view.settings.settings.teams[team].name;
+            let name = &self.context.settings.settings.teams[team].name;
             // Sorted out once: a team's turn costs its own jobs, however many teams there are.
-            let jobs = jobs.get_or_insert_with(|| jobs_by_team(tables));
+            let jobs = jobs.get_or_insert_with(|| jobs_by_team(state));
             for job in jobs.get(name.as_str()).into_iter().flatten() {
                 if !claiming.contains(&job.id) {
                     let run_ms = job.spec.runtime_estimate_s * MS_PER_S;
-                    claims.push(quota_claim(self.view, job, 0, run_ms, &mut classes));
+                    claims.push(quota_claim(self.context, job, 0, run_ms, &mut classes));
                 }
             }
             self.plan.targets_examined += claims.len() as u64;
             let room = &self.team_usage[team];
             let most = room.limit.limit() - room.used_by_services;
             let rate = most.cpus.to_f64();
-            if self.view.settings.settings.teams[team].gpus_max > 0.0 {
+            if self.context.settings.settings.teams[team].gpus_max > 0.0 {
                 let ratio = rate / most.gpus.to_f64().max(AMOUNT_TOLERANCE);
                 let heavier = |c: &QuotaClaim| c.cpu_weight.max(c.per_task.gpus.to_f64() * ratio);
                 claims.iter_mut().for_each(|c| c.cpu_weight = heavier(c));
             }
             let left = room.limit.remaining(room.used);
             let idle: Vec<bool> =
-                own.iter().map(|n| self.is_unplaceable(&mut choosers[*n])).collect();
+                own.iter().map(|n| self.is_unplaceable(&mut candidates[*n])).collect();
             let grants = allocate_quota_idle_last(left, most, &claims, &idle);
             for ((n, idle), grant) in own.iter().zip(&idle).zip(&grants) {
                 // It found no place before, and nothing is left to try with: that has not changed.
-                if *idle && *grant == 0 && choosers[*n].spec.kind != JobKind::Gang {
-                    self.unplaced_jobs.push(choosers[*n].id.clone());
+                if *idle && *grant == 0 && candidates[*n].spec.kind != JobKind::Gang {
+                    self.unplaced_jobs.push(candidates[*n].id.clone());
                 }
             }
-            let granted = own.iter().map(|n| &choosers[*n]).zip(&grants);
+            let granted = own.iter().map(|n| &candidates[*n]).zip(&grants);
             let services: Vec<_> = granted.filter(|(c, _)| c.is_service()).collect();
             let lacks = services.into_iter();
             let lacks: Vec<(&PlacementCandidate, ResourceQuantities)> = lacks
@@ -137,14 +137,14 @@
                 .collect();
             self.release_quota_for_services(team, &lacks);
             for (n, grant) in own.into_iter().zip(grants) {
-                choosers[n].remaining_tasks = grant;
+                candidates[n].remaining_tasks = grant;
             }
         }
     }
 
     /// Whether a chooser has found no place for long, and finds none now nor anything to rent.
     fn is_unplaceable(&mut self, c: &mut PlacementCandidate) -> bool {
-        if !self.cluster_state.is_starved(&c.id, self.view.now) {
+        if !self.cluster_state.is_starved(&c.id, self.context.now) {
             return false;
         }
         if c.spec.kind == JobKind::Gang {
@@ -177,8 +177,8 @@
             if enough(lacks) {
                 continue;
             }
-            let found =
-                found.get_or_insert_with(|| stoppable_tasks(self.cluster_state, self.view, team));
+            let found = found
+                .get_or_insert_with(|| stoppable_tasks(self.cluster_state, self.context, team));
             let has = |v: &StoppableTask| v.machine.images.contains(&by.spec.image);
             let lower = |v: &StoppableTask| v.job.spec.priority < by.spec.priority;
             found.sort_by_cached_key(|v| {
@@ -228,9 +228,9 @@
 }
 
 /// All jobs by the name of their team.
-fn jobs_by_team(tables: &ClusterState) -> HashMap<&str, Vec<&Job>> {
+fn jobs_by_team(state: &ClusterState) -> HashMap<&str, Vec<&Job>> {
     let mut jobs: HashMap<&str, Vec<&Job>> = HashMap::new();
-    for job in tables.jobs.values() {
+    for job in state.jobs.values() {
         jobs.entry(&job.spec.team).or_default().push(job);
     }
     jobs
@@ -238,17 +238,17 @@
 
 /// Tasks of a team's arrays whose stop would soon be proved: their machines are heard.
 fn stoppable_tasks<'t>(
-    tables: &'t ClusterState,
-    view: PlanningContext,
+    state: &'t ClusterState,
+    context: PlanningContext,
     team: usize,
 ) -> Vec<StoppableTask<'t>> {
-    let (now, name) = (view.now, &view.settings.settings.teams[team].name);
-    let quiet = view.lease_ms() * SILENT_LEASE_SHARE;
+    let (now, name) = (context.now, &context.settings.settings.teams[team].name);
+    let quiet = context.lease_ms() * SILENT_LEASE_SHARE;
     let mut found = Vec::new();
-    let arrays = tables.jobs.values().filter(|j| j.spec.kind == JobKind::Array);
+    let arrays = state.jobs.values().filter(|j| j.spec.kind == JobKind::Array);
     for job in arrays.filter(|j| j.spec.team == *name && !j.is_cancelled()) {
         for (task, attempt) in &job.attempts {
-            let Some(machine) = tables.machines.get(&attempt.machine) else { continue };
+            let Some(machine) = state.machines.get(&attempt.machine) else { continue };
             let near = |at: Time| now.saturating_sub(at) as f64 <= quiet;
             if machine.last_heard_at.is_some_and(near)
                 && attempt.occupies_resources()
--- a/crates/controller/src/placement/scale_out.rs
+++ b/crates/controller/src/placement/scale_out.rs
@@ -24,7 +24,7 @@
             &self.types[kind].name,
             &self.zones[zone],
             spot,
-            self.view.now,
+            self.context.now,
         );
         self.availability.may_provision.insert(key, open);
         open
@@ -54,11 +54,11 @@
     }
 
     fn count_machines_by_zone(&mut self) -> ZoneMachines {
-        let (tables, types) = (self.cluster_state, self.types);
+        let (state, types) = (self.cluster_state, self.types);
         let mut zones = ZoneMachines::default();
         let mut silent: HashMap<usize, (u32, u32)> = HashMap::new();
-        let quiet = self.view.lease_ms() * SILENT_LEASE_SHARE;
-        for machine in tables.machines.values() {
+        let quiet = self.context.lease_ms() * SILENT_LEASE_SHARE;
+        for machine in state.machines.values() {
             let Some(kind) = types.iter().position(|t| t.name == machine.machine_type) else {
                 continue;
             };
@@ -66,12 +66,12 @@
             *zones.machine_counts.entry((kind, zone)).or_default() += 1;
             let count = silent.entry(zone).or_default();
             count.0 += u32::from(machine.state() == MachineState::Ready);
-            let late = |at: Time| self.view.now.saturating_sub(at) as f64 > quiet;
+            let late = |at: Time| self.context.now.saturating_sub(at) as f64 > quiet;
             count.1 += u32::from(
                 machine.state() == MachineState::Ready && machine.last_heard_at.is_some_and(late),
             );
         }
-        for (wish, _) in tables.provisioning.open_requests() {
+        for (wish, _) in state.provisioning.open_requests() {
             let Some(kind) = types.iter().position(|t| t.name == wish.kind) else { continue };
             let zone = self.zone_index(&wish.zone);
             *zones.machine_counts.entry((kind, zone)).or_default() += wish.number;
@@ -89,7 +89,7 @@
             return known;
         }
         let t = &self.types[kind];
-        let (up, fetch) = (self.view.now as f64 + t.boot_ms, t.fetch_ms(&c.spec));
+        let (up, fetch) = (self.context.now as f64 + t.boot_ms, t.fetch_ms(&c.spec));
         let end = Pmf::clone(&self.run_time(c, kind)).shifted(up + fetch);
         let passes =
             c.deadline.is_none_or(|due| end.probability_before(due as f64) > c.pruning_threshold);
@@ -129,7 +129,7 @@
                     let wait = t.boot_ms + t.fetch_ms(&c.spec);
                     let mut cost = cost * (1.0 + wait / WAIT_COST_DOUBLING_MS);
                     cost *= 1.0 + self.zone_cost_share(kind, zone);
-                    if self.view.policy.bounds.is_fleet_near_limit {
+                    if self.context.policy.bounds.is_fleet_near_limit {
                         cost *= 1.0 + FLEET_LIMIT_COST / f64::from(fits.min(demand));
                     }
                     if best.as_ref().is_none_or(|(b, _)| cost < *b) {
@@ -148,7 +148,7 @@
         if self.planned_machines[&(kind, zone, spot)] >= MAX_PROVISION_BATCH {
             self.availability.may_provision.insert((kind, zone, spot), false);
         }
-        let end = self.free_time_id(kind, self.view.now as f64 + self.types[kind].boot_ms);
+        let end = self.free_time_id(kind, self.context.now as f64 + self.types[kind].boot_ms);
         self.targets.push(PlacementTarget {
             target_kind: TargetKind::PlannedMachine,
             machine: None,
--- a/crates/controller/src/placement/target_collection.rs
+++ b/crates/controller/src/placement/target_collection.rs
@@ -1,4 +1,4 @@
-//! The places of a round: free room, lines, machines that boot.
+//! Collects the placement targets of a cycle: free resources, run queues, and machines that boot.
 
 use super::completion_times::{CompletionId, CompletionKey};
 use super::mapping_round::MappingRound;
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 
 impl MappingRound<'_> {
-    /// The number of a zone.
+    /// The index of a zone. A new zone gets the next one.
     pub fn zone_index(&mut self, zone: &str) -> usize {
         match self.zones.iter().position(|z| z == zone) {
             Some(n) => n,
@@ -26,73 +26,82 @@
         }
     }
 
-    /// The end "free at a time" on a type.
-    pub fn free_time_id(&mut self, kind: usize, time: f64) -> CompletionId {
+    /// The completion time of a machine of a type that is free at `time`, ms.
+    pub fn free_time_id(&mut self, type_index: usize, time: f64) -> CompletionId {
         let step = (time / COMPLETION_TIME_STEP_MS).max(0.0) as u64;
-        self.completion_times.id_or_compute(CompletionKey::FreeAt(kind, step), |_| Pmf::at(time))
+        self.completion_times
+            .id_or_compute(CompletionKey::FreeAt(type_index, step), |_| Pmf::at(time))
     }
 
-    /// The end of a place once another task of a job stands before it.
-    pub fn completion_after(&mut self, end: CompletionId, id: &JobId, kind: usize) -> CompletionId {
-        let Some(job) = self.cluster_state.jobs.get(id) else { return end };
-        let run =
-            self.cluster_state.run_time_history.run_time(id, &job.spec, &self.types[kind].name);
+    /// The completion time of a target behind `completion` and one more queued task of a job.
+    pub fn completion_after(
+        &mut self,
+        completion: CompletionId,
+        id: &JobId,
+        type_index: usize,
+    ) -> CompletionId {
+        let Some(job) = self.cluster_state.jobs.get(id) else { return completion };
+        let machine_type = &self.types[type_index].name;
+        let run_time = self.cluster_state.run_time_history.run_time(id, &job.spec, machine_type);
         self.completion_times.id_or_compute(
-            CompletionKey::AfterQueuedTask(end, id.clone()),
-            |all| {
-                let end = all[end].convolve(&run);
+            CompletionKey::AfterQueuedTask(completion, id.clone()),
+            |distributions| {
+                let end = distributions[completion].convolve(&run_time);
                 job.deadline.map_or(end.clone(), |d| end.clamp_to_deadline(d as f64))
             },
         )
     }
 
-    /// When the head of a slot ends.
+    /// The completion time of the executing task of a slot, with the index of its machine type. `None` for a service,
+    /// which does not end by itself.
     pub fn executing_completion(&mut self, slot: &SlotId) -> Option<(usize, CompletionId)> {
-        let now = self.view.now as f64;
+        let now = self.context.now as f64;
         let machine = self.cluster_state.machines.get(&slot.0)?;
         let job = self.cluster_state.jobs.get(&slot.1)?;
         if job.spec.kind == JobKind::Service {
             return None;
         }
         let attempt = job.attempts.get(&slot.2)?;
-        let kind = self.types.iter().position(|t| t.name == machine.machine_type)?;
+        let type_index = self.types.iter().position(|t| t.name == machine.machine_type)?;
         let step = |at: Time| at / COMPLETION_TIME_STEP_MS as u64;
-        let alike = match attempt.running_since {
-            Some(at) => CompletionKey::AfterRunningTask(kind, slot.1.clone(), step(at)),
-            None => CompletionKey::AfterFetchingTask(kind, slot.1.clone(), step(attempt.bound_at)),
+        let key = match attempt.running_since {
+            Some(at) => CompletionKey::AfterRunningTask(type_index, slot.1.clone(), step(at)),
+            None => {
+                CompletionKey::AfterFetchingTask(type_index, slot.1.clone(), step(attempt.bound_at))
+            }
         };
-        let t = &self.types[kind];
-        let run = self.cluster_state.run_time_history.run_time(&slot.1, &job.spec, &t.name);
-        let (ran, since) = (attempt.running_since, attempt.bound_at);
-        let end = self.completion_times.id_or_compute(alike, |_| match ran {
-            Some(at) => run.remaining(now - at as f64).shifted(now),
+        let t = &self.types[type_index];
+        let run_time = self.cluster_state.run_time_history.run_time(&slot.1, &job.spec, &t.name);
+        let (running_since, bound_at) = (attempt.running_since, attempt.bound_at);
+        let completion = self.completion_times.id_or_compute(key, |_| match running_since {
+            Some(at) => run_time.remaining(now - at as f64).shifted(now),
             None => {
-                let fetch = t.fetch_ms(&job.spec) - (now - since as f64);
-                Pmf::clone(&run).shifted(now + fetch.max(0.0))
+                let remaining_fetch_ms = t.fetch_ms(&job.spec) - (now - bound_at as f64);
+                Pmf::clone(&run_time).shifted(now + remaining_fetch_ms.max(0.0))
             }
         });
-        Some((kind, end))
+        Some((type_index, completion))
     }
 
-    /// Lists the places there are.
+    /// Collects the targets. Run queues and machines that boot are only collected in a mapping round.
     #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub fn collect_targets(&mut self) {
-        let now = self.view.now;
-        let lease = self.view.lease_ms();
+        let now = self.context.now;
+        let lease = self.context.lease_ms();
         let types = self.types;
         let mut slots: Vec<(usize, SlotId, Resources)> = Vec::new();
-        let tables = self.cluster_state;
-        let mut gangs = room_reserved_for_gangs(tables, now);
-        for (id, machine) in &tables.machines {
-            let Some(kind) = types.iter().position(|t| t.name == machine.machine_type) else {
+        let state = self.cluster_state;
+        let mut reserved = capacity_reserved_for_gangs(state, now);
+        for (id, machine) in &state.machines {
+            let Some(type_index) = types.iter().position(|t| t.name == machine.machine_type) else {
                 continue;
             };
-            let t = &types[kind];
+            let t = &types[type_index];
             let zone = self.zone_index(&machine.zone);
-            let mut place = PlacementTarget {
+            let mut target = PlacementTarget {
                 target_kind: TargetKind::ReadyMachine,
                 machine: Some(id.clone()),
-                type_index: kind,
+                type_index,
                 zone_index: zone,
                 spot: machine.spot,
                 free: t.resources(),
@@ -103,120 +112,124 @@
                 images: Vec::new(),
             };
             if !usable(machine, now, lease) {
-                let waits =
+                let is_booting =
                     matches!(machine.state(), MachineState::Expected | MachineState::Registering);
-                let comes =
+                let is_expected =
                     machine.is_expected_up(t.boot_ms, self.cluster_state.leading_since, now);
-                if self.is_full && waits && comes && machine.tasks.is_empty() {
-                    let up = (machine.rented_at as f64 + t.boot_ms)
+                if self.is_full && is_booting && is_expected && machine.tasks.is_empty() {
+                    let ready_at = (machine.rented_at as f64 + t.boot_ms)
                         .max(now as f64 + LATE_BOOT_ESTIMATE_MS);
-                    place.target_kind = TargetKind::BootingMachine;
-                    place.completion_id = self.free_time_id(kind, up);
-                    self.targets.push(place);
+                    target.target_kind = TargetKind::BootingMachine;
+                    target.completion_id = self.free_time_id(type_index, ready_at);
+                    self.targets.push(target);
                 }
                 continue;
             }
-            let room = machine.free_resources().unwrap_or_default();
-            place.free = room;
-            let held = tables.yielding_machines.get(id).is_some_and(|until| now < *until);
-            place.has_stopping_tasks = held
+            let free = machine.free_resources().unwrap_or_default();
+            target.free = free;
+            let is_held = state.yielding_machines.get(id).is_some_and(|until| now < *until);
+            target.has_stopping_tasks = is_held
                 || machine.tasks.keys().any(|(id, task)| {
-                    let attempt = tables.jobs.get(id).and_then(|j| j.attempts.get(task));
+                    let attempt = state.jobs.get(id).and_then(|j| j.attempts.get(task));
                     attempt.is_some_and(|a| a.stop_requested.is_some() && a.occupies_resources())
                 });
-            place.reserved_for_gangs = gangs.remove(id).unwrap_or_default();
-            place.images =
+            target.reserved_for_gangs = reserved.remove(id).unwrap_or_default();
+            target.images =
                 machine.images.names().filter_map(|name| self.images.index_of(name)).collect();
             if self.is_full {
                 for (job, task) in machine.tasks.keys() {
-                    slots.push((self.targets.len(), (id.clone(), job.clone(), *task), room));
+                    slots.push((self.targets.len(), (id.clone(), job.clone(), *task), free));
                 }
             }
-            // A place without room is listed too in a full round: its slots refer to it.
-            if self.is_full || room.cpus > 0.0 {
-                place.completion_id = self.free_time_id(kind, now as f64);
-                self.targets.push(place);
+            // In a mapping round, machines without free resources are targets too: their slots refer to them.
+            if self.is_full || free.cpus > 0.0 {
+                target.completion_id = self.free_time_id(type_index, now as f64);
+                self.targets.push(target);
             }
         }
         if !self.is_full {
             return;
         }
-        let cap = self.view.policy.queue_limit;
+        let queue_limit = self.context.policy.queue_limit;
         self.plan.targets_examined += slots.len() as u64;
-        let mut lines: Vec<(u64, PlacementTarget)> = Vec::new();
+        let mut queues: Vec<(u64, PlacementTarget)> = Vec::new();
         for (index, slot, free) in slots {
             let Some(head) = self.cluster_state.jobs.get(&slot.1) else { continue };
-            let mut size = Resources::for_task(&head.spec);
-            size.add(&free);
-            if !self.plan.run_queues.has_room(&slot, cap) {
+            let mut freed = Resources::for_task(&head.spec);
+            freed.add(&free);
+            if !self.plan.run_queues.has_room(&slot, queue_limit) {
                 continue;
             }
-            let Some((kind, mut end)) = self.executing_completion(&slot) else { continue };
-            let line: Vec<JobId> = self.plan.run_queues.behind(&slot).cloned().collect();
-            for next in line {
-                end = self.completion_after(end, &next, kind);
+            let Some((type_index, mut completion)) = self.executing_completion(&slot) else {
+                continue;
+            };
+            let queue: Vec<JobId> = self.plan.run_queues.behind(&slot).cloned().collect();
+            for next in queue {
+                completion = self.completion_after(completion, &next, type_index);
             }
-            let place = PlacementTarget {
+            let target = PlacementTarget {
                 target_kind: TargetKind::RunQueue(slot),
-                free: size,
-                completion_id: end,
+                free: freed,
+                completion_id: completion,
                 ..self.targets[index].clone()
             };
-            lines.push((self.completion_times.get(end).mean() as u64, place));
+            queues.push((self.completion_times.get(completion).mean() as u64, target));
         }
-        // Every chooser looks at every place: of very many lines the soonest are enough.
-        let most = self.view.policy.bounds.max_queues;
-        if lines.len() > most {
-            lines.select_nth_unstable_by_key(most, |l| l.0);
-            lines.truncate(most);
-            lines.sort_by(|a, b| a.1.machine.cmp(&b.1.machine).then(a.0.cmp(&b.0)));
+        // Every candidate evaluates every target: of very many run queues the soonest ones are enough.
+        let max_queues = self.context.policy.bounds.max_queues;
+        if queues.len() > max_queues {
+            queues.select_nth_unstable_by_key(max_queues, |queue| queue.0);
+            queues.truncate(max_queues);
+            queues.sort_by(|a, b| a.1.machine.cmp(&b.1.machine).then(a.0.cmp(&b.0)));
         }
-        self.targets.extend(lines.into_iter().map(|l| l.1));
-        for (wish, asked) in tables.provisioning.open_requests() {
-            let Some(kind) = types.iter().position(|t| t.name == wish.kind) else { continue };
-            let up = (asked as f64 + types[kind].boot_ms).max(now as f64);
-            let place = PlacementTarget {
+        self.targets.extend(queues.into_iter().map(|queue| queue.1));
+        for (request, requested_at) in state.provisioning.open_requests() {
+            let Some(type_index) = types.iter().position(|t| t.name == request.kind) else {
+                continue;
+            };
+            let ready_at = (requested_at as f64 + types[type_index].boot_ms).max(now as f64);
+            let target = PlacementTarget {
                 target_kind: TargetKind::BootingMachine,
                 machine: None,
-                type_index: kind,
-                zone_index: self.zone_index(&wish.zone),
-                spot: wish.spot,
-                free: types[kind].resources(),
+                type_index,
+                zone_index: self.zone_index(&request.zone),
+                spot: request.spot,
+                free: types[type_index].resources(),
                 has_stopping_tasks: false,
                 reserved_for_services: Resources::default(),
                 reserved_for_gangs: Vec::new(),
-                completion_id: self.free_time_id(kind, up),
+                completion_id: self.free_time_id(type_index, ready_at),
                 images: Vec::new(),
             };
-            self.targets.extend(std::iter::repeat_n(place, wish.number as usize));
+            self.targets.extend(std::iter::repeat_n(target, request.number as usize));
         }
     }
 
-    /// Keeps room for services where their images are, out of reach of other work.
-    pub fn reserve_service_room(&mut self) {
+    /// Reserves headroom for services on machines that have their images cached.
+    pub fn reserve_service_capacity(&mut self) {
         for (image, spec) in std::mem::take(&mut self.service_images) {
             let each = Resources::for_task(&spec);
-            let mut left = HEADROOM_TASKS_PER_IMAGE;
-            for place in &mut self.targets {
-                if left == 0 {
+            let mut remaining = HEADROOM_TASKS_PER_IMAGE;
+            for target in &mut self.targets {
+                if remaining == 0 {
                     break;
                 }
-                let fits = place.target_kind == TargetKind::ReadyMachine
-                    && place.images.contains(&image)
-                    && (!place.spot || spec.spot)
-                    && self.types[place.type_index].allows(&spec)
-                    && !self.types[place.type_index].is_wasted_on(&spec);
-                let mut both = place.reserved_for_services;
-                both.add(&each);
-                if fits && place.free.covers(&both) {
-                    place.reserved_for_services = both;
-                    left -= 1;
+                let is_suitable = target.target_kind == TargetKind::ReadyMachine
+                    && target.images.contains(&image)
+                    && (!target.spot || spec.spot)
+                    && self.types[target.type_index].allows(&spec)
+                    && !self.types[target.type_index].is_wasted_on(&spec);
+                let mut reserved = target.reserved_for_services;
+                reserved.add(&each);
+                if is_suitable && target.free.covers(&reserved) {
+                    target.reserved_for_services = reserved;
+                    remaining -= 1;
                 }
             }
         }
     }
 
-    /// Numbers the images that waiting jobs need, and those that services use most.
+    /// Assigns indices to the images that waiting jobs need, and to those that services use most.
     pub fn index_images(&mut self) {
         let mut used: HashMap<&str, (u32, &Arc<JobSpec>)> = HashMap::new();
         for job in self.cluster_state.jobs.values() {
@@ -236,19 +249,19 @@
     }
 }
 
-/// Room kept for gangs on the machines that they have left, for what has waited long on those gathered for it, and
-/// for those to whom accelerators were lent.
-fn room_reserved_for_gangs(
-    tables: &ClusterState,
+/// Resources reserved by machine: for gangs on the machines that they have vacated, for aged jobs and jobs that others
+/// were preempted for on the machines reserved for them, and for lenders on machines whose accelerators they lent.
+fn capacity_reserved_for_gangs(
+    state: &ClusterState,
     now: Time,
 ) -> HashMap<&MachineId, Vec<(JobId, Priority, Resources)>> {
-    let mut kept: HashMap<&MachineId, Vec<_>> = HashMap::new();
-    let kept_for = tables.jobs.values().filter(|j| !j.vacated_machines.is_empty());
-    for job in kept_for.filter(|j| j.state() == JobState::Live) {
+    let mut reserved: HashMap<&MachineId, Vec<_>> = HashMap::new();
+    let jobs = state.jobs.values().filter(|j| !j.vacated_machines.is_empty());
+    for job in jobs.filter(|j| j.state() == JobState::Live) {
         for machine in job.reserved_machines(now) {
             let each = (job.id.clone(), job.spec.priority, Resources::for_task(&job.spec));
-            kept.entry(machine).or_default().push(each);
+            reserved.entry(machine).or_default().push(each);
         }
     }
-    kept
+    reserved
 }
--- a/crates/controller/src/placement/team_usage.rs
+++ b/crates/controller/src/placement/team_usage.rs
@@ -1,63 +1,65 @@
-//! Teams as a round sees them, and what their limits leave.
+//! Quota usage of teams during a round, and what their limits leave.
 
 use crate::cluster_state::{ClusterState, team_amounts};
 use crate::job::{Attempt, JobKind, JobSpec};
 use crate::settings::TeamSettings;
 use swiftsail_quota::{Quantity, QuotaLimit, ResourceQuantities};
 
-/// A team as a round sees it.
+/// Limit, guarantee and usage of a team, updated by what the round plans.
 pub(super) struct TeamUsage {
     pub limit: QuotaLimit,
     pub guarantee: ResourceQuantities,
-    /// Accelerators are guaranteed to some team: then they count beside CPUs for all, and a team to which none are
-    /// guaranteed has borrowed each.
+    /// Some team has guaranteed accelerators. They are then counted beside CPUs for all teams, and each one used by a
+    /// team without such a guarantee counts as borrowed.
     pub counts_gpus: bool,
-    /// What it uses, everything not proved gone counted, and what the round plans for it.
+    /// Usage, including every task not proved gone and what the round plans.
     pub used: ResourceQuantities,
-    /// What of that is its replicas'.
+    /// Part of the usage by replicas of services that are not being stopped.
     pub used_by_services: ResourceQuantities,
-    /// What is being stopped and not proved gone.
+    /// Usage of tasks that are being stopped and not proved gone.
     pub being_stopped: ResourceQuantities,
 }
 
 impl TeamUsage {
-    /// All teams of the settings.
-    pub fn from_cluster(tables: &ClusterState, teams: &[TeamSettings]) -> Vec<TeamUsage> {
-        let used = tables.usage(teams);
+    /// The teams of the settings, in their order.
+    pub fn from_cluster(state: &ClusterState, teams: &[TeamSettings]) -> Vec<TeamUsage> {
+        let used = state.usage(teams);
         let counts_gpus = teams.iter().any(|t| t.gpus > 0.0);
-        let room = |((n, team), used): ((usize, &TeamSettings), ResourceQuantities)| TeamUsage {
-            limit: tables.cap(n, team),
-            guarantee: ResourceQuantities::from_limit(team.cpus, team.gpus),
-            counts_gpus,
-            used,
-            used_by_services: ResourceQuantities::default(),
-            being_stopped: ResourceQuantities::default(),
-        };
-        let mut all: Vec<TeamUsage> = teams.iter().enumerate().zip(used).map(room).collect();
-        for job in tables.jobs.values() {
+        let team_usage =
+            |((n, team), used): ((usize, &TeamSettings), ResourceQuantities)| TeamUsage {
+                limit: state.cap(n, team),
+                guarantee: ResourceQuantities::from_limit(team.cpus, team.gpus),
+                counts_gpus,
+                used,
+                used_by_services: ResourceQuantities::default(),
+                being_stopped: ResourceQuantities::default(),
+            };
+        let mut all: Vec<TeamUsage> = teams.iter().enumerate().zip(used).map(team_usage).collect();
+        for job in state.jobs.values() {
             let Some(n) = teams.iter().position(|t| t.name == job.spec.team) else { continue };
-            let held = job.attempts.values().filter(|a| a.occupies_resources());
-            let leaves = |a: &&Attempt| a.stop_requested.is_some() || job.is_cancelled();
-            let (leaving, stays): (Vec<&Attempt>, Vec<&Attempt>) = held.partition(leaves);
+            let occupying = job.attempts.values().filter(|a| a.occupies_resources());
+            let is_stopping = |a: &&Attempt| a.stop_requested.is_some() || job.is_cancelled();
+            let (stopping, staying): (Vec<&Attempt>, Vec<&Attempt>) =
+                occupying.partition(is_stopping);
             let each = team_amounts(&job.spec);
-            all[n].being_stopped += each.multiplied_by(leaving.len() as u32);
+            all[n].being_stopped += each.multiplied_by(stopping.len() as u32);
             if job.spec.kind == JobKind::Service {
-                all[n].used_by_services += each.multiplied_by(stays.len() as u32);
+                all[n].used_by_services += each.multiplied_by(staying.len() as u32);
             }
         }
         all
     }
 
-    /// Whether its limit leaves as much more.
+    /// Whether its limit allows `more` usage.
     pub fn allows(&self, more: ResourceQuantities) -> bool {
         self.limit.allows(self.used, more)
     }
 
-    /// Whether it would stay within its guarantee with as much more.
+    /// Whether it would stay within its guarantee with `more` usage.
     pub fn is_within_guarantee(&self, more: ResourceQuantities) -> bool {
-        let takes_gpus = self.counts_gpus && more.gpus > Quantity::ZERO;
+        let uses_gpus = self.counts_gpus && more.gpus > Quantity::ZERO;
         self.guarantee.cpus >= self.used.cpus + more.cpus
-            && (!takes_gpus || self.guarantee.gpus >= self.used.gpus + more.gpus)
+            && (!uses_gpus || self.guarantee.gpus >= self.used.gpus + more.gpus)
     }
 
     /// Whether it uses more than its guarantee.
@@ -66,7 +68,8 @@
             || self.counts_gpus && self.used.gpus > self.guarantee.gpus
     }
 
-    /// Whether it would still use all of its guarantee with as much less: of accelerators, if it would lose some.
+    /// Whether it would still use its whole guarantee with `less` usage. Compares accelerators if `less` includes some,
+    /// otherwise CPUs.
     pub fn stays_beyond_guarantee_without(&self, less: ResourceQuantities) -> bool {
         match self.counts_gpus && less.gpus > Quantity::ZERO {
             true => self.used.gpus - less.gpus >= self.guarantee.gpus,
@@ -74,37 +77,38 @@
         }
     }
 
-    /// It will use as much more.
+    /// Adds planned usage.
     pub fn add_usage(&mut self, more: ResourceQuantities) {
         self.used += more;
     }
 
-    /// It will use as much less.
+    /// Subtracts usage that the plan frees.
     pub fn subtract_usage(&mut self, less: ResourceQuantities) {
         self.used -= less;
     }
 }
 
-/// What waiting jobs may use at most of their teams' limits, used up as it is given out.
+/// What the limits of the teams leave for waiting tasks. It decreases as tasks take their part.
 pub struct TeamAllowances {
     remaining: Vec<ResourceQuantities>,
 }
 
 impl TeamAllowances {
-    /// What each team's limit leaves.
-    pub fn from_cluster(tables: &ClusterState, teams: &[TeamSettings]) -> TeamAllowances {
-        let used = tables.usage(teams);
-        let left = |((n, team), used): ((usize, &TeamSettings), ResourceQuantities)| {
-            tables.cap(n, team).remaining(used)
+    /// What the limit of each team leaves, given its current usage.
+    pub fn from_cluster(state: &ClusterState, teams: &[TeamSettings]) -> TeamAllowances {
+        let used = state.usage(teams);
+        let remaining = |((n, team), used): ((usize, &TeamSettings), ResourceQuantities)| {
+            state.cap(n, team).remaining(used)
         };
-        TeamAllowances { remaining: teams.iter().enumerate().zip(used).map(left).collect() }
+        TeamAllowances { remaining: teams.iter().enumerate().zip(used).map(remaining).collect() }
     }
 
-    /// How many more tasks of a job its team may use, of `number` that fit somewhere and `want` that wait.
-    pub fn take_tasks(&mut self, team: usize, spec: &JobSpec, want: u32, number: u32) -> u32 {
+    /// Takes the allowance for tasks of a job: as many as the team's limit allows, at most `waiting` and at most
+    /// `fitting`. Returns their number.
+    pub fn take_tasks(&mut self, team: usize, spec: &JobSpec, waiting: u32, fitting: u32) -> u32 {
         let each = team_amounts(spec);
-        let most = want.min(number).min(self.remaining[team].times_covering(each));
-        self.remaining[team] -= each.multiplied_by(most);
-        most
+        let tasks = waiting.min(fitting).min(self.remaining[team].times_covering(each));
+        self.remaining[team] -= each.multiplied_by(tasks);
+        tasks
     }
 }
--- a/crates/controller/src/placement/victims.rs
+++ b/crates/controller/src/placement/victims.rs
@@ -1,37 +1,37 @@
-//! What could be stopped for others.
+//! Tasks that could be preempted.
 
 use crate::job::{JobId, MachineId, Priority};
 use crate::machine::Resources;
 use swiftsail_quota::ResourceQuantities;
 
-/// A machine with tasks that could be stopped: what runs in idle hours first, then arrays, then whole gangs; of
-/// each the least work lost first.
+/// A machine with tasks that could be preempted, sorted by preemption rank and then by lost work.
 pub(super) struct PreemptionCandidate {
     pub machine: MachineId,
     pub type_index: usize,
     pub zone_index: usize,
     pub spot: bool,
     pub free: Resources,
+    /// Sorted: low-priority work first, then arrays, then gangs; within each the least work lost first.
     pub tasks: Vec<PreemptionVictim>,
 }
 
-/// A task that could be stopped.
+/// A task that could be preempted.
 pub(super) struct PreemptionVictim {
-    /// Work that would be lost, ms.
+    /// Work that would be lost, ms of run time.
     pub lost_work_ms: u64,
     pub job: JobId,
     pub task: u32,
     pub resources: Resources,
     pub priority: Priority,
     pub team_index: Option<usize>,
-    /// It ends soon by itself, as far as can be told.
+    /// It is low-priority work and expected to end soon by itself.
     pub ends_soon: bool,
-    /// It is a gang's: all of that leaves with it, and takes so much.
+    /// For a task of a gang, the amounts that the whole gang uses: all of its tasks are stopped together.
     pub gang_amounts: Option<ResourceQuantities>,
 }
 
 impl PreemptionVictim {
-    /// The order in which victims are taken.
+    /// Rank in which victims are chosen, lowest first.
     pub fn preemption_rank(&self) -> u8 {
         match (self.priority, self.gang_amounts.is_some()) {
             (Priority::Low, false) => 0,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// What its team uses less without it.
+    /// Quota that its team regains when it is stopped.
     pub fn freed_quota(&self) -> ResourceQuantities {
         self.gang_amounts.unwrap_or_else(|| {
             ResourceQuantities::from_request(self.resources.cpus, self.resources.gpus)
