--- a/crates/controller/src/placement/gangs.rs
+++ b/crates/controller/src/placement/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs: placed whole or not at all.
+//! Gangs: all tasks of a gang are placed together or none.
 
 use super::candidate::PlacementCandidate;
 use super::mapping_round::MappingRound;
@@ -11,16 +11,19 @@
 use crate::job::{JobKind, MachineId};
 use crate::machine::Resources;
 
-/// Places for a gang: how many tasks still lack one, how many must fetch, and what each place takes.
+/// An assignment of a gang's tasks to targets.
 struct GangAssignment {
+    /// Tasks without a target.
     unplaced_tasks: u32,
+    /// Sum of [`MappingRound::fetch_cost`] over the placed tasks.
     fetch_cost: u32,
+    /// Index of each target used, with its number of tasks.
     tasks_by_target: Vec<(usize, u32)>,
 }
 
 impl MappingRound<'_> {
-    /// How dear it is for a gang's task to start at a place: 0 kept for it, 1 its image is there, 2 it
-    /// must be fetched.
+    /// Cost of starting a gang's task on a target: 0 if the target is reserved for the gang, 1 if its image is cached
+    /// there, 2 if the image must be fetched.
     fn fetch_cost(&self, c: &PlacementCandidate, index: usize) -> u32 {
         let target = &self.targets[index];
         match (
@@ -33,46 +36,51 @@
         }
     }
 
-    /// Takes places in order until a gang has enough, in one zone or in all.
+    /// Assigns `missing` tasks of a gang to targets in the order of `ranked_targets` (fetch cost and target index), within
+    /// one zone if `zone` is given. `only_ready`: machines that still boot are skipped.
     fn assign_targets(
         &self,
         c: &PlacementCandidate,
         missing: u32,
         zone: Option<usize>,
-        suits: &[(u32, usize)],
-        now_only: bool,
+        ranked_targets: &[(u32, usize)],
+        only_ready: bool,
     ) -> GangAssignment {
         let each = Resources::for_task(&c.spec);
-        let mut choice =
+        let mut assignment =
             GangAssignment { unplaced_tasks: missing, fetch_cost: 0, tasks_by_target: Vec::new() };
         let mut in_zone = vec![0; self.zones.len()];
-        for &(fetches, i) in suits {
-            let p = &self.targets[i];
-            if choice.unplaced_tasks == 0
-                || now_only && p.target_kind != TargetKind::ReadyMachine
-                || zone.is_some_and(|z| z != p.zone_index)
+        for &(fetch_cost, i) in ranked_targets {
+            let target = &self.targets[i];
+            if assignment.unplaced_tasks == 0
+                || only_ready && target.target_kind != TargetKind::ReadyMachine
+                || zone.is_some_and(|z| z != target.zone_index)
             {
                 continue;
             }
-            let there = &mut in_zone[p.zone_index];
-            let most = c
+            let assigned_in_zone = &mut in_zone[target.zone_index];
+            let max_in_zone = c
                 .spec
                 .max_tasks_per_zone()
-                .saturating_sub(c.tasks_possibly_in_zone(p.zone_index) + *there);
-            let take =
-                c.available_resources(p).task_count(&each).min(choice.unplaced_tasks).min(most);
+                .saturating_sub(c.tasks_possibly_in_zone(target.zone_index) + *assigned_in_zone);
+            let take = c
+                .available_resources(target)
+                .task_count(&each)
+                .min(assignment.unplaced_tasks)
+                .min(max_in_zone);
             if take > 0 {
-                *there += take;
-                choice.unplaced_tasks -= take;
-                choice.fetch_cost += fetches * take;
-                choice.tasks_by_target.push((i, take));
+                *assigned_in_zone += take;
+                assignment.unplaced_tasks -= take;
+                assignment.fetch_cost += fetch_cost * take;
+                assignment.tasks_by_target.push((i, take));
             }
         }
-        choice
+        assignment
     }
 
-    /// For a gang that has waited long room is gathered and not raced for: on the machines where it comes free
-    /// soonest nothing else of its priority or below takes it. Those already gathered stay so.
+    /// Reserves machines for `missing` tasks of an aged job: those on which enough resources become free soonest, so that
+    /// no other work of its priority or below takes them meanwhile. Machines that are already reserved for the job are
+    /// preferred. Of `zones`, the one that offers most machines is used, of equal ones the soonest.
     pub fn reserve_capacity(
         &mut self,
         c: &PlacementCandidate,
@@ -84,7 +92,7 @@
         }
         self.gangs_reserved += 1;
         let now = self.context.now;
-        let kept: Vec<MachineId> = self
+        let reserved: Vec<MachineId> = self
             .cluster_state
             .jobs
             .get(&c.id)
@@ -93,9 +101,9 @@
         let mut found: Vec<(f64, usize, MachineId)> = Vec::new();
         for n in 0..self.targets.len() {
             let target = &self.targets[n];
-            let others = target.reserved_for_gangs.iter().any(|g| g.0 != c.id);
+            let is_reserved_for_other = target.reserved_for_gangs.iter().any(|g| g.0 != c.id);
             if target.target_kind != TargetKind::ReadyMachine
-                || others
+                || is_reserved_for_other
                 || found.len() >= MAX_RESERVATION_CANDIDATES
             {
                 continue;
@@ -111,43 +119,42 @@
                 .capacity_available_at(c, n)
                 .filter(|at| *at < now as f64 + RESERVATION_HORIZON_MS)
             {
-                let early =
-                    if kept.contains(&machine) { RESERVED_MACHINE_ADVANTAGE_MS } else { 0.0 };
-                found.push((at - early, zone, machine));
+                let advantage_ms =
+                    if reserved.contains(&machine) { RESERVED_MACHINE_ADVANTAGE_MS } else { 0.0 };
+                found.push((at - advantage_ms, zone, machine));
             }
         }
         self.plan.targets_examined += found.len() as u64;
         found.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.2.cmp(&b.2)));
-        let want = missing as usize;
-        let of = |zone: &Option<usize>| {
-            let own = found.iter().filter(|f| zone.is_none_or(|z| z == f.1)).take(want);
-            let own: Vec<&(f64, usize, MachineId)> = own.collect();
-            let last = own.last().map_or(f64::MAX, |f| f.0);
-            (std::cmp::Reverse(own.len()), last, own)
+        let in_zone = |zone: &Option<usize>| {
+            let usable = found.iter().filter(|f| zone.is_none_or(|z| z == f.1));
+            let usable: Vec<&(f64, usize, MachineId)> = usable.take(missing as usize).collect();
+            let last_free_at = usable.last().map_or(f64::MAX, |f| f.0);
+            (std::cmp::Reverse(usable.len()), last_free_at, usable)
         };
-        let best = zones.iter().map(of).min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+        let best = zones.iter().map(in_zone).min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
         let Some((_, _, machines)) = best.filter(|b| !b.2.is_empty()) else { return };
         let machines: Vec<MachineId> = machines.into_iter().map(|f| f.2.clone()).collect();
-        let room = (c.id.clone(), c.spec.priority, Resources::for_task(&c.spec));
+        let reservation = (c.id.clone(), c.spec.priority, Resources::for_task(&c.spec));
         for target in &mut self.targets {
-            let here = target.machine.as_ref().is_some_and(|m| machines.contains(m));
-            if here
+            let is_chosen = target.machine.as_ref().is_some_and(|m| machines.contains(m));
+            if is_chosen
                 && target.target_kind == TargetKind::ReadyMachine
                 && !target.reserved_for_gangs.iter().any(|g| g.0 == c.id)
             {
-                target.reserved_for_gangs.push(room.clone());
+                target.reserved_for_gangs.push(reservation.clone());
             }
         }
         self.plan.steps.push(PlanStep::ReserveForGang(c.id.clone(), machines));
     }
 
-    /// When a machine would have room for a chooser's task, if nothing else took what comes free; none: not
-    /// by what ends by itself.
+    /// When a machine will have resources for a candidate's task, ms, if nothing else takes what becomes free. `None` if
+    /// the tasks that end by themselves do not free enough.
     fn capacity_available_at(&mut self, c: &PlacementCandidate, target: usize) -> Option<f64> {
         let now = self.context.now as f64;
         let machine = self.cluster_state.machines.get(self.targets[target].machine.as_ref()?)?;
-        let mut room = self.targets[target].free;
-        if room.fits_task(&c.spec) {
+        let mut free = self.targets[target].free;
+        if free.fits_task(&c.spec) {
             return Some(now);
         }
         let mut ends: Vec<(f64, Resources)> = Vec::new();
@@ -157,31 +164,31 @@
                 continue;
             }
             let slot = (machine.id.clone(), job.clone(), *task);
-            let (_, end) = self.executing_completion(&slot)?;
-            ends.push((self.completion_times.get(end).mean(), Resources::for_task(spec)));
+            let (_, completion) = self.executing_completion(&slot)?;
+            ends.push((self.completion_times.get(completion).mean(), Resources::for_task(spec)));
         }
         ends.sort_by(|a, b| a.0.total_cmp(&b.0));
         ends.into_iter().find_map(|(at, each)| {
-            room.add(&each);
-            room.fits_task(&c.spec).then_some(at)
+            free.add(&each);
+            free.fits_task(&c.spec).then_some(at)
         })
     }
 
-    /// Places a gang whole or not at all; otherwise plans the machines it lacks.
+    /// Places all tasks of a gang or none. If they do not fit, a mapping round plans the missing machines.
     #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub fn place_gang(&mut self, c: &mut PlacementCandidate) {
         let Some(job) = self.cluster_state.jobs.get(&c.id) else { return };
-        // All that are not done yet. Once one is done all are, but a task that was lost before
-        // its exit was seen must start again to say so.
+        // All unfinished tasks are placed together. The tasks of a gang finish together, but one that was lost before its
+        // exit was seen must run again to report it.
         if !job.attempts.is_empty()
             || c.remaining_tasks as usize + job.done.len() < c.spec.tasks as usize
         {
             return;
         }
         let missing = c.remaining_tasks;
-        let ledger = &self.cluster_state.binding_log;
-        let room = ledger.room().saturating_sub(self.bound_tasks);
-        if room < missing as usize && !(ledger.is_empty() && self.bound_tasks == 0) {
+        let binding_log = &self.cluster_state.binding_log;
+        let log_room = binding_log.room().saturating_sub(self.bound_tasks);
+        if log_room < missing as usize && !(binding_log.is_empty() && self.bound_tasks == 0) {
             return;
         }
         let each = Resources::for_task(&c.spec);
@@ -190,7 +197,7 @@
         }
         c.start_search(false);
         let zones: Vec<Option<usize>> = if c.spec.one_zone {
-            // Zones without any machine count too, or a gang would wait for ever in an empty cluster.
+            // Zones without machines count as well, or a gang would wait forever in an empty cluster.
             for zone in self.types.iter().flat_map(|t| &t.zones) {
                 self.zone_index(zone);
             }
@@ -198,9 +205,9 @@
         } else {
             vec![None]
         };
-        // Where its image is comes first, and what is kept for it before that: a gang whose machines
-        // differ in what they have fetched waits for the slowest, and may end `alone`.
-        let mut suits: Vec<(u32, usize)> = (0..self.targets.len())
+        // Targets reserved for the gang come first, then those that have its image. If only some of its machines must
+        // fetch the image, the tasks on the others wait for them and may exit with the cause `alone`.
+        let mut ranked_targets: Vec<(u32, usize)> = (0..self.targets.len())
             .filter(|i| {
                 matches!(
                     self.targets[*i].target_kind,
@@ -210,24 +217,24 @@
             .filter(|i| self.is_suitable(c, &self.targets[*i]))
             .map(|i| (self.fetch_cost(c, i), i))
             .collect();
-        suits.sort_unstable();
+        ranked_targets.sort_unstable();
         let mut best: Option<GangAssignment> = None;
         let mut planned: Option<GangAssignment> = None;
         for zone in &zones {
-            let now = self.assign_targets(c, missing, *zone, &suits, true);
-            if now.unplaced_tasks == 0
-                && best.as_ref().is_none_or(|b| now.fetch_cost < b.fetch_cost)
+            let ready = self.assign_targets(c, missing, *zone, &ranked_targets, true);
+            if ready.unplaced_tasks == 0
+                && best.as_ref().is_none_or(|b| ready.fetch_cost < b.fetch_cost)
             {
-                best = Some(now);
+                best = Some(ready);
             }
-            let soon = self.assign_targets(c, missing, *zone, &suits, false);
-            if planned.as_ref().is_none_or(|b| soon.unplaced_tasks < b.unplaced_tasks) {
-                planned = Some(soon);
+            let with_booting = self.assign_targets(c, missing, *zone, &ranked_targets, false);
+            if planned.as_ref().is_none_or(|b| with_booting.unplaced_tasks < b.unplaced_tasks) {
+                planned = Some(with_booting);
             }
         }
-        if let Some(GangAssignment { tasks_by_target: used, .. }) = best {
+        if let Some(GangAssignment { tasks_by_target, .. }) = best {
             let mut machines = Vec::new();
-            for (i, take) in used {
+            for (i, take) in tasks_by_target {
                 let Some(machine) = self.targets[i].machine.clone() else { return };
                 self.targets[i].reserved_for_gangs.retain(|g| g.0 != c.id);
                 for _ in 0..take {
@@ -244,7 +251,7 @@
         if self.is_full && c.is_aged {
             self.reserve_capacity(c, missing, &zones);
         }
-        let Some(GangAssignment { unplaced_tasks: mut need, tasks_by_target: used, .. }) =
+        let Some(GangAssignment { mut unplaced_tasks, tasks_by_target, .. }) =
             planned.filter(|_| self.is_full)
         else {
             if self.is_full && c.is_limited_by_quota {
@@ -252,29 +259,29 @@
             }
             return;
         };
-        // What it will take is kept from later choosers of this round, so that it can gather.
-        let zone = used.first().map(|(i, _)| self.targets[*i].zone_index);
-        for (i, take) in used {
+        // What it will use is withheld from later candidates of this round.
+        let zone = tasks_by_target.first().map(|(i, _)| self.targets[*i].zone_index);
+        for (i, take) in tasks_by_target {
             for _ in 0..take {
                 self.targets[i].free.subtract(&each);
             }
         }
         c.only_zone = zone.filter(|_| c.spec.one_zone);
-        while need > 0 {
-            let Some((kind, zone, spot)) = self.cheapest_new_machine(c, false) else { break };
+        while unplaced_tasks > 0 {
+            let Some((type_index, zone, spot)) = self.cheapest_new_machine(c, false) else { break };
             c.only_zone = Some(zone).filter(|_| c.spec.one_zone);
-            let take = self.types[kind].resources().task_count(&each).min(need);
+            let take = self.types[type_index].resources().task_count(&each).min(unplaced_tasks);
             if take == 0 {
                 break;
             }
-            let index = self.plan_machine(kind, zone, spot);
+            let index = self.plan_machine(type_index, zone, spot);
             for _ in 0..take {
                 self.targets[index].free.subtract(&each);
                 c.add_task_in_zone(zone);
             }
-            need -= take;
+            unplaced_tasks -= take;
         }
-        if need > 0 && c.is_limited_by_quota {
+        if unplaced_tasks > 0 && c.is_limited_by_quota {
             self.unplaced_jobs.push(c.id.clone());
         }
     }
--- a/crates/controller/src/placement/mapping.rs
+++ b/crates/controller/src/placement/mapping.rs
@@ -1,4 +1,4 @@
-//! The mapping of choosers' tasks to places.
+//! Maps the tasks of candidates to targets.
 
 use super::candidate::{NO_SCORE, PlacementCandidate, PlacementScore, TargetRank};
 use super::mapping_round::MappingRound;
@@ -10,16 +10,16 @@
 use std::collections::BinaryHeap;
 
 impl MappingRound<'_> {
-    /// A job as a chooser.
+    /// Makes a placement candidate of a job. `None` if the job is unknown.
     #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub fn placement_candidate(&mut self, id: &JobId) -> Option<PlacementCandidate> {
         let job = self.cluster_state.jobs.get(id)?;
         let spec = job.spec.clone();
-        let steered = self.context.policy.for_job(id);
+        let policy = self.context.policy.for_job(id);
         let mut c = PlacementCandidate {
             id: id.clone(),
-            pruning_threshold: steered.pruning_threshold,
-            spot_share: steered.spot_share,
+            pruning_threshold: policy.pruning_threshold,
+            spot_share: policy.spot_share,
             deadline: job.deadline,
             is_overdue: job.missed_deadline,
             remaining_tasks: self.unqueued_tasks(job),
@@ -51,35 +51,34 @@
             spec,
         };
         let mut allowed: Vec<bool> = self.types.iter().map(|t| t.allows(&c.spec)).collect();
-        // What is to be avoided is, unless nothing else is allowed: every accepted job must run.
-        let kept: Vec<bool> = allowed
+        // Avoided types are only excluded if others are allowed: every accepted job must be able to run.
+        let without_avoided: Vec<bool> = allowed
             .iter()
             .zip(self.types)
-            .map(|(a, t)| *a && !steered.avoided_types.contains(&t.name))
+            .map(|(a, t)| *a && !policy.avoided_types.contains(&t.name))
             .collect();
-        if kept.contains(&true) {
-            allowed = kept;
+        if without_avoided.contains(&true) {
+            allowed = without_avoided;
         }
-        // Every type that the job allows has accelerators that it does not need, or only the
-        // others count.
-        let mut both = allowed.iter().zip(self.types.iter());
-        let only_wasteful = !both.any(|(a, t)| *a && !t.is_wasted_on(&c.spec));
+        // Types with accelerators that the job does not need are only allowed if there are no others.
+        let mut types = allowed.iter().zip(self.types.iter());
+        let only_wasteful = !types.any(|(a, t)| *a && !t.is_wasted_on(&c.spec));
         c.allowed_types = allowed
             .iter()
             .zip(self.types.iter())
             .map(|(a, t)| *a && t.is_wasted_on(&c.spec) == only_wasteful)
             .collect();
         if c.spec.spread || c.spec.one_zone {
-            let held = job.attempts.values().filter(|a| a.occupies_resources());
-            let zones: Vec<Option<String>> = held
+            let occupying = job.attempts.values().filter(|a| a.occupies_resources());
+            let zones: Vec<Option<String>> = occupying
                 .map(|a| self.cluster_state.machines.get(&a.machine).map(|m| m.zone.clone()))
                 .collect();
             for zone in zones {
-                // A machine whose zone is not known could be in any: it counts in all.
+                // A machine in an unknown zone could be in any zone, so it counts in all.
                 match zone.filter(|z| !z.is_empty()) {
                     Some(zone) => {
-                        let number = self.zone_index(&zone);
-                        c.add_task_in_zone(number);
+                        let zone = self.zone_index(&zone);
+                        c.add_task_in_zone(zone);
                     }
                     None => c.tasks_in_unknown_zone += 1,
                 }
@@ -88,7 +87,7 @@
         Some(c)
     }
 
-    /// Whether a chooser's next task may go to a place.
+    /// Whether the next task of a candidate may be placed on a target.
     pub fn is_suitable(&self, c: &PlacementCandidate, target: &PlacementTarget) -> bool {
         c.available_resources(target).fits_task(&c.spec)
             && c.is_allowed_on(target.type_index, target.zone_index, target.spot, &self.zones)
@@ -97,58 +96,64 @@
                 || target.machine.as_ref().is_none_or(|m| !c.excluded_machines.contains(m)))
     }
 
-    /// Chance and completion of a chooser's next task at a place.
+    /// Success probability and expected completion of a candidate's next task on a target. Cached by completion id.
     fn score_target(&mut self, c: &mut PlacementCandidate, index: usize) -> PlacementScore {
         let target = &self.targets[index];
-        let (end, kind) = (target.completion_id, target.type_index);
-        let here = target.images.contains(&c.image_index);
+        let (completion, type_index) = (target.completion_id, target.type_index);
+        let has_image = target.images.contains(&c.image_index);
         let now = self.context.now as f64;
-        if let Some((chance, wait)) = c.cached_scores.get(end).map(|s| s[usize::from(here)])
-            && !wait.is_nan()
+        if let Some((probability, wait_ms)) =
+            c.cached_scores.get(completion).map(|s| s[usize::from(has_image)])
+            && !wait_ms.is_nan()
         {
             return PlacementScore {
-                success_probability: f64::from(chance),
-                expected_completion: now + f64::from(wait),
+                success_probability: f64::from(probability),
+                expected_completion: now + f64::from(wait_ms),
             };
         }
         self.plan.scores_computed += 1;
-        let t = &self.types[kind];
-        let fetch = if here { 0.0 } else { t.fetch_ms(&c.spec) };
-        let before = self.completion_times.get(end);
+        let t = &self.types[type_index];
+        let fetch_ms = if has_image { 0.0 } else { t.fetch_ms(&c.spec) };
+        let start = self.completion_times.get(completion);
         let score = if c.spec.kind == JobKind::Service {
-            PlacementScore { success_probability: 1.0, expected_completion: before.mean() + fetch }
+            PlacementScore {
+                success_probability: 1.0,
+                expected_completion: start.mean() + fetch_ms,
+            }
         } else {
-            let run = self.cluster_state.run_time_history.run_time(&c.id, &c.spec, &t.name);
-            let end = before.convolve(&run).shifted(fetch);
+            let run_time = self.cluster_state.run_time_history.run_time(&c.id, &c.spec, &t.name);
+            let end = start.convolve(&run_time).shifted(fetch_ms);
             PlacementScore {
                 success_probability: c.deadline.map_or(1.0, |d| end.probability_before(d as f64)),
                 expected_completion: end.mean(),
             }
         };
-        if c.cached_scores.len() <= end {
-            c.cached_scores.resize(end + 1, [NO_SCORE; 2]);
+        if c.cached_scores.len() <= completion {
+            c.cached_scores.resize(completion + 1, [NO_SCORE; 2]);
         }
         let packed = (score.success_probability as f32, (score.expected_completion - now) as f32);
-        c.cached_scores[end][usize::from(here)] = packed;
+        c.cached_scores[completion][usize::from(has_image)] = packed;
         PlacementScore {
             success_probability: f64::from(packed.0),
             expected_completion: now + f64::from(packed.1),
         }
     }
 
+    /// The rank of a target for a candidate, and the completion id by which it was ranked.
     fn rank_target(&mut self, c: &mut PlacementCandidate, index: usize) -> (TargetRank, u32) {
         let score = self.score_target(c, index);
         let target = &self.targets[index];
-        // None is below 0: adding a half and cutting rounds, without a call.
-        let missed = 50 - (score.success_probability * 50.0 + 0.5).min(50.0) as u64;
-        let wait = (score.expected_completion - self.context.now as f64).max(0.0);
-        let wait = (wait / MS_PER_S + 0.5).min(f64::from((1 << 24) - 1)) as u64;
-        let room = (target.free.cpus * 1e3).clamp(0.0, f64::from(u32::MAX)) as u64;
-        (Reverse((missed << 56 | wait << 32 | room, index as u32)), target.completion_id as u32)
+        // Rounded by adding a half and truncating, which is cheaper than a call of `round`; no value is negative.
+        let failure = 50 - (score.success_probability * 50.0 + 0.5).min(50.0) as u64;
+        let wait_ms = (score.expected_completion - self.context.now as f64).max(0.0);
+        let wait_s = (wait_ms / MS_PER_S + 0.5).min(f64::from((1 << 24) - 1)) as u64;
+        let free_millicpus = (target.free.cpus * 1e3).clamp(0.0, f64::from(u32::MAX)) as u64;
+        let rank = failure << 56 | wait_s << 32 | free_millicpus;
+        (Reverse((rank, index as u32)), target.completion_id as u32)
     }
 
-    /// The best place for a chooser's next task, if any suits. Places only get fuller and later
-    /// within a round, so the order of the heap stays a lower bound.
+    /// The best suitable target for a candidate's next task, if there is one. Within a round targets only get fuller and
+    /// later, so the rank of a heap entry is a lower bound of the target's current rank.
     pub fn best_target(&mut self, c: &mut PlacementCandidate) -> Option<(usize, PlacementScore)> {
         while c.ranked_target_count < self.targets.len() {
             let index = c.ranked_target_count;
@@ -160,12 +165,12 @@
             }
         }
         loop {
-            let &(Reverse((_, index)), end) = c.ranked_targets.peek()?;
-            let (index, end) = (index as usize, end as usize);
+            let &(Reverse((_, index)), completion) = c.ranked_targets.peek()?;
+            let (index, completion) = (index as usize, completion as usize);
             if !self.is_suitable(c, &self.targets[index]) {
                 c.ranked_targets.pop();
-            } else if self.targets[index].completion_id != end {
-                // Another has joined that line since.
+            } else if self.targets[index].completion_id != completion {
+                // Another task has joined that run queue since.
                 c.ranked_targets.pop();
                 let entry = self.rank_target(c, index);
                 c.ranked_targets.push(entry);
@@ -175,18 +180,19 @@
         }
     }
 
-    /// The best place above the threshold; without `passing`, the best.
+    /// The best target, if it is worth taking: with `only_passing`, its success probability must be above the pruning
+    /// threshold.
     fn pick_target(
         &mut self,
         c: &mut PlacementCandidate,
-        passing: bool,
+        only_passing: bool,
     ) -> Option<(usize, PlacementScore)> {
         let (index, score) = self.best_target(c)?;
-        if passing && score.success_probability <= c.pruning_threshold {
+        if only_passing && score.success_probability <= c.pruning_threshold {
             return None;
         }
-        // Without a deadline every place passes: a line is worth waiting in only if a machine
-        // rented now would not be sooner.
+        // Without a deadline every target passes the threshold. A run queue is then only worth waiting in if a machine
+        // provisioned now would not finish the task earlier.
         if c.deadline.is_none()
             && matches!(self.targets[index].target_kind, TargetKind::RunQueue(_))
             && self.completion_on_new_machine(c).is_some_and(|end| end < score.expected_completion)
@@ -196,40 +202,43 @@
         Some((index, score))
     }
 
-    /// When a chooser's task would end on a machine rented now: worked out once in a search, since a chooser
-    /// picks anew with each task that any of hundreds places.
+    /// Expected completion of a candidate's task on a machine provisioned now. Computed once per search, since a candidate
+    /// may pick again after each of hundreds of placements.
     fn completion_on_new_machine(&mut self, c: &mut PlacementCandidate) -> Option<f64> {
         if let Some(known) = c.new_machine_completion {
             return known;
         }
-        let end = self.cheapest_new_machine(c, true).map(|(kind, ..)| {
-            let t = &self.types[kind];
-            let up = self.context.now as f64 + t.boot_ms + t.fetch_ms(&c.spec);
-            up + self.run_time(c, kind).mean()
+        let end = self.cheapest_new_machine(c, true).map(|(type_index, ..)| {
+            let t = &self.types[type_index];
+            let start = self.context.now as f64 + t.boot_ms + t.fetch_ms(&c.spec);
+            start + self.run_time(c, type_index).mean()
         });
         c.new_machine_completion = Some(end);
         end
     }
 
-    /// Each chooser picks its place of highest chance; the one of least completion time takes
-    /// its own; until nobody finds a place. `passing`: only above the threshold. Otherwise those
-    /// left take what nobody passing wanted, and plan rentals for what finds nothing.
-    pub fn map_candidates(&mut self, candidates: &mut [PlacementCandidate], passing: bool) {
+    /// Each candidate picks its target of highest success probability; of these pairs, the one with the earliest expected
+    /// completion is placed; repeated until no candidate finds a target. With `only_passing`, targets at or below the
+    /// pruning threshold are skipped, and run queues are targets as well. In a mapping round, machines are planned for the
+    /// tasks that found no target.
+    pub fn map_candidates(&mut self, candidates: &mut [PlacementCandidate], only_passing: bool) {
         for c in candidates.iter_mut() {
-            c.start_search(passing);
+            c.start_search(only_passing);
         }
-        // A pick holds until its place is taken or its chooser takes one: hundreds of choosers need not look
-        // again at each of hundreds of tasks.
+        // A pick stays valid until its target is taken or its candidate places a task, so that hundreds of candidates
+        // need not search again after each of hundreds of placements.
         let mut picks: Vec<Option<Option<(usize, PlacementScore)>>> = vec![None; candidates.len()];
         while self.bound_tasks < self.context.policy.bounds.max_bindings {
-            let joined = self.queued_tasks >= self.context.policy.bounds.max_queue_joins;
+            let queues_exhausted = self.queued_tasks >= self.context.policy.bounds.max_queue_joins;
             let mut best: Option<(usize, usize, f64)> = None;
-            let open =
+            let has_tasks =
                 |(_, c): &(usize, &mut PlacementCandidate)| c.remaining_tasks > 0 && !c.is_deferred;
-            for (n, c) in candidates.iter_mut().enumerate().filter(open) {
-                let pick = *picks[n].get_or_insert_with(|| self.pick_target(c, passing));
+            for (n, c) in candidates.iter_mut().enumerate().filter(has_tasks) {
+                let pick = *picks[n].get_or_insert_with(|| self.pick_target(c, only_passing));
                 let Some((target, score)) = pick else { continue };
-                if joined && matches!(self.targets[target].target_kind, TargetKind::RunQueue(_)) {
+                if queues_exhausted
+                    && matches!(self.targets[target].target_kind, TargetKind::RunQueue(_))
+                {
                     c.is_deferred = true;
                     continue;
                 }
@@ -238,15 +247,15 @@
                 }
             }
             let Some((n, target, _)) = best else { break };
-            let stale = |(m, pick): &(usize, &mut Option<Option<(usize, PlacementScore)>>)| {
+            let is_stale = |(m, pick): &(usize, &mut Option<Option<(usize, PlacementScore)>>)| {
                 *m == n || pick.is_some_and(|p| p.is_some_and(|(index, _)| index == target))
             };
-            picks.iter_mut().enumerate().filter(stale).for_each(|(_, pick)| *pick = None);
+            picks.iter_mut().enumerate().filter(is_stale).for_each(|(_, pick)| *pick = None);
             let c = &mut candidates[n];
-            let lined = matches!(self.targets[target].target_kind, TargetKind::RunQueue(_));
-            if !lined && !self.is_within_limit(c, 1) {
-                // Nothing more of it fits its team's limit, wherever: not tried again in this
-                // round, or a job at the limit would try for ever.
+            let is_queue = matches!(self.targets[target].target_kind, TargetKind::RunQueue(_));
+            if !is_queue && !self.is_within_limit(c, 1) {
+                // Its team's limit allows no further task on any target. It is not tried again in this round, or the loop
+                // would not end.
                 c.remaining_tasks = 0;
             } else if !self.assign_task(c, target) {
                 c.ranked_targets.pop();
@@ -256,14 +265,14 @@
             return;
         }
         for c in candidates.iter_mut().filter(|c| !c.is_deferred) {
-            self.plan_scale_out(c, passing);
+            self.plan_scale_out(c, only_passing);
         }
     }
 
-    /// One task of the chooser takes a place. False if it cannot.
+    /// Places one task of a candidate on a target. Returns false if the task cannot be bound.
     pub fn assign_task(&mut self, c: &mut PlacementCandidate, index: usize) -> bool {
         let target = &self.targets[index];
-        let (kind, zone) = (target.type_index, target.zone_index);
+        let (type_index, zone) = (target.type_index, target.zone_index);
         let each = Resources::for_task(&c.spec);
         match target.target_kind.clone() {
             TargetKind::ReadyMachine => {
@@ -274,7 +283,7 @@
                 self.targets[index].reserved_for_gangs.retain(|g| g.0 != c.id);
                 self.targets[index].free.subtract(&each);
             }
-            // What ends by then is counted on as well; but nobody stands in a line who may not begin.
+            // For an upcoming job the slot counts as capacity, but a task that may not start yet is not queued.
             TargetKind::RunQueue(_) if self.planning_ahead => {
                 self.add_planned_usage(c);
                 self.targets[index].free = Resources::default();
@@ -282,8 +291,9 @@
             TargetKind::RunQueue(slot) => {
                 self.queued_tasks += 1;
                 self.plan.run_queues.push(slot.clone(), &c.id);
-                let end = self.completion_after(self.targets[index].completion_id, &c.id, kind);
-                self.targets[index].completion_id = end;
+                let completion = self.targets[index].completion_id;
+                self.targets[index].completion_id =
+                    self.completion_after(completion, &c.id, type_index);
                 if !self.plan.run_queues.has_room(&slot, self.context.policy.queue_limit) {
                     self.targets[index].free = Resources::default();
                 }
@@ -291,7 +301,7 @@
             TargetKind::BootingMachine | TargetKind::PlannedMachine => {
                 let target = &mut self.targets[index];
                 target.free.subtract(&each);
-                // The same image is fetched once.
+                // Further tasks with the same image need no fetch.
                 if !target.images.contains(&c.image_index) {
                     target.images.push(c.image_index);
                 }
@@ -300,8 +310,8 @@
         }
         c.remaining_tasks -= 1;
         c.add_task_in_zone(zone);
-        if let Some(d) = self.waiting_by_class.get_mut(&c.spec.class) {
-            *d = d.saturating_sub(1);
+        if let Some(waiting) = self.waiting_by_class.get_mut(&c.spec.class) {
+            *waiting = waiting.saturating_sub(1);
         }
         true
     }
