--- a/crates/controller/src/controller/isolation.rs
+++ b/crates/controller/src/controller/isolation.rs
@@ -20,7 +20,7 @@
 
 impl Isolation {
     /// A worker was heard, directly or through another controller.
-    pub fn on_worker_heard(&mut self, now: Time) {
+    pub fn on_worker_contact(&mut self, now: Time) {
         self.last_heard_at = now;
         self.pause_ms = 0;
     }
@@ -53,7 +53,7 @@
         };
         let machines = state.machines.values().filter(should_report).count();
         let mut peer_ages =
-            self.peers.values().map(|peer| now.saturating_sub(peer.health.heard_at));
+            self.peers.values().map(|peer| now.saturating_sub(peer.health.heartbeat_at));
         if machines < MIN_ISOLATION_MACHINES || peer_ages.any(|age| (age as f64) < limit_ms) {
             return;
         }
--- a/crates/controller/src/controller/job_cache.rs
+++ b/crates/controller/src/controller/job_cache.rs
@@ -325,7 +325,7 @@
         self.serve_cache_requests(outcome, served);
         // Final records never change: later questions cost nothing, also once the record has moved.
         for (id, record) in std::mem::take(&mut self.job_cache.newly_finished) {
-            self.remember_final(&id, record);
+            self.cache_final_record(&id, record);
         }
         self.refresh_job_cache();
     }
@@ -370,7 +370,7 @@
         for (id, pending) in served {
             match self.job_cache.jobs.get(&id).copied() {
                 Some(cached) => self.answer_from_cache(&id, cached, pending),
-                None => self.on_not_live(&id, pending),
+                None => self.on_job_not_live(&id, pending),
             }
         }
     }
--- a/crates/controller/src/controller/quota_accounts.rs
+++ b/crates/controller/src/controller/quota_accounts.rs
@@ -77,7 +77,7 @@
 
 impl Controller {
     /// A new term: what the decider holds is read with everything else.
-    pub(super) fn open_quota_accounts(&mut self) {
+    pub(super) fn load_quota_accounts(&mut self) {
         let desk = &mut self.quota_accounts;
         if !desk.enabled {
             return;
@@ -91,7 +91,7 @@
     }
 
     /// The term has ended.
-    pub(super) fn close_quota_accounts(&mut self) {
+    pub(super) fn discard_quota_accounts(&mut self) {
         self.quota_accounts.balances.clear();
     }
 
@@ -186,7 +186,7 @@
     fn send_quota_transfers(&mut self, page: usize, txn: &QuotaTransaction, held: bool) {
         let commit = quota_records::to_transaction(txn, name(page));
         let era = held.then_some(self.leadership.generation);
-        let purpose = CallContext::TransferQuota { generation: era, page, by: txn.id };
+        let purpose = CallContext::TransferQuota { generation: era, page, transaction_id: txn.id };
         self.store.push(
             StoreCall::Commit(commit),
             purpose,
--- a/crates/controller/src/controller/worker_reports.rs
+++ b/crates/controller/src/controller/worker_reports.rs
@@ -48,7 +48,7 @@
             elsewhere
         } else if let Some(leader) = &mut self.cluster_state {
             let types = self.machine_types.as_deref().map_or(&[][..], Vec::as_slice);
-            self.isolation.on_worker_heard(self.now.monotonic);
+            self.isolation.on_worker_contact(self.now.monotonic);
             let orders = leader.on_status_report(
                 &report,
                 ReportSource::StatusReport,
@@ -74,7 +74,7 @@
         let now = self.now.monotonic;
         let near = self.leadership.known_leader.as_ref().and_then(|l| {
             let peer = self.peers.get(l)?;
-            let fresh = now.saturating_sub(peer.health.heard_at) <= HEARTBEAT_VALIDITY_MS;
+            let fresh = now.saturating_sub(peer.health.heartbeat_at) <= HEARTBEAT_VALIDITY_MS;
             (fresh && peer.is_leader).then(|| (l.clone(), peer.distributes_workers))
         });
         if self.forwarding_history.len() >= MAX_FORWARDING_HISTORY {
@@ -134,7 +134,7 @@
         }
         if let Some(leader) = &mut self.cluster_state {
             let types = self.machine_types.as_deref().map_or(&[][..], Vec::as_slice);
-            self.isolation.on_worker_heard(self.now.monotonic);
+            self.isolation.on_worker_contact(self.now.monotonic);
             leader.on_status_report(
                 report,
                 ReportSource::CommandResponse,
