--- a/crates/controller/src/placement/scale_out.rs
+++ b/crates/controller/src/placement/scale_out.rs
@@ -1,4 +1,4 @@
-//! Machines to rent: lines behind boot and fetch time.
+//! Scale-out: plans machines to provision for tasks that find no target.
 
 use super::candidate::PlacementCandidate;
 use super::cloud_availability::ZoneMachines;
@@ -15,125 +15,134 @@
 use std::sync::Arc;
 
 impl MappingRound<'_> {
-    fn may_provision(&mut self, kind: usize, zone: usize, spot: bool) -> bool {
-        let key = (kind, zone, spot);
-        if let Some(open) = self.availability.may_provision.get(&key) {
-            return *open;
+    /// Whether an offer may be requested now: not while it backs off after a refusal or has too many open requests.
+    fn may_provision(&mut self, type_index: usize, zone: usize, spot: bool) -> bool {
+        let key = (type_index, zone, spot);
+        if let Some(allowed) = self.availability.may_provision.get(&key) {
+            return *allowed;
         }
-        let open = self.cluster_state.provisioning.may_rent(
-            &self.types[kind].name,
+        let allowed = self.cluster_state.provisioning.may_rent(
+            &self.types[type_index].name,
             &self.zones[zone],
             spot,
             self.context.now,
         );
-        self.availability.may_provision.insert(key, open);
-        open
+        self.availability.may_provision.insert(key, allowed);
+        allowed
     }
 
-    /// What a zone adds to the cost of a machine, as a share of it. Zones cost the same, and the first was
-    /// always taken: all gangs of a cluster stood in the zone that was cut off. Beyond half of the machines
-    /// of a type it now costs a little more. Where most machines are silent
-    /// what is rented may not be reached.
-    fn zone_cost_share(&mut self, kind: usize, zone: usize) -> f64 {
+    /// Cost that a zone adds to a machine, as a share of the machine's cost. Zones cost the same, and without this the
+    /// first one would always be taken: a network partition of one zone then stopped every gang of a cluster. A zone with
+    /// more than half of the machines of a type costs slightly more. In a zone where most machines are silent, a new
+    /// machine may be unreachable.
+    fn zone_cost_share(&mut self, type_index: usize, zone: usize) -> f64 {
         if self.availability.zone_machines.is_none() {
             self.availability.zone_machines = Some(self.count_machines_by_zone());
         }
         let Some(zones) = &self.availability.zone_machines else { return 0.0 };
-        let mut all = 1;
-        let mut here = 0;
-        let wished = self.planned_machines.iter().map(|((k, z, _), n)| ((*k, *z), *n));
-        for ((k, z), n) in zones.machine_counts.iter().map(|(at, n)| (*at, *n)).chain(wished) {
-            if k == kind {
-                all += n;
-                here += if z == zone { n } else { 0 };
+        let mut total = 1;
+        let mut in_zone = 0;
+        let planned = self.planned_machines.iter().map(|((k, z, _), n)| ((*k, *z), *n));
+        for ((k, z), n) in zones.machine_counts.iter().map(|(at, n)| (*at, *n)).chain(planned) {
+            if k == type_index {
+                total += n;
+                in_zone += if z == zone { n } else { 0 };
             }
         }
-        let silent = if zones.silent_zones.contains(&zone) { SILENT_ZONE_COST } else { 0.0 };
-        let beyond = f64::from(here) / f64::from(all) - ZONE_SHARE_THRESHOLD;
-        ZONE_CONCENTRATION_COST * beyond.max(0.0) + silent
+        let silence_cost = if zones.silent_zones.contains(&zone) { SILENT_ZONE_COST } else { 0.0 };
+        let excess = f64::from(in_zone) / f64::from(total) - ZONE_SHARE_THRESHOLD;
+        ZONE_CONCENTRATION_COST * excess.max(0.0) + silence_cost
     }
 
     fn count_machines_by_zone(&mut self) -> ZoneMachines {
         let (state, types) = (self.cluster_state, self.types);
         let mut zones = ZoneMachines::default();
-        let mut silent: HashMap<usize, (u32, u32)> = HashMap::new();
-        let quiet = self.context.lease_ms() * SILENT_LEASE_SHARE;
+        let mut ready_and_silent: HashMap<usize, (u32, u32)> = HashMap::new();
+        let silent_after_ms = self.context.lease_ms() * SILENT_LEASE_SHARE;
         for machine in state.machines.values() {
-            let Some(kind) = types.iter().position(|t| t.name == machine.machine_type) else {
+            let Some(type_index) = types.iter().position(|t| t.name == machine.machine_type) else {
                 continue;
             };
             let zone = self.zone_index(&machine.zone);
-            *zones.machine_counts.entry((kind, zone)).or_default() += 1;
-            let count = silent.entry(zone).or_default();
+            *zones.machine_counts.entry((type_index, zone)).or_default() += 1;
+            let count = ready_and_silent.entry(zone).or_default();
             count.0 += u32::from(machine.state() == MachineState::Ready);
-            let late = |at: Time| self.context.now.saturating_sub(at) as f64 > quiet;
+            let is_silent = |at: Time| self.context.now.saturating_sub(at) as f64 > silent_after_ms;
             count.1 += u32::from(
-                machine.state() == MachineState::Ready && machine.last_heard_at.is_some_and(late),
+                machine.state() == MachineState::Ready
+                    && machine.last_heard_at.is_some_and(is_silent),
             );
         }
-        for (wish, _) in state.provisioning.open_requests() {
-            let Some(kind) = types.iter().position(|t| t.name == wish.kind) else { continue };
-            let zone = self.zone_index(&wish.zone);
-            *zones.machine_counts.entry((kind, zone)).or_default() += wish.number;
+        for (request, _) in state.provisioning.open_requests() {
+            let Some(type_index) = types.iter().position(|t| t.name == request.kind) else {
+                continue;
+            };
+            let zone = self.zone_index(&request.zone);
+            *zones.machine_counts.entry((type_index, zone)).or_default() += request.number;
         }
-        let most = silent
-            .into_iter()
-            .filter(|(_, (up, late))| *up >= MIN_SILENT_ZONE_MACHINES && late * 2 > *up);
-        zones.silent_zones = most.map(|(zone, _)| zone).collect();
+        let silent = ready_and_silent.into_iter().filter(|(_, (ready, silent))| {
+            *ready >= MIN_SILENT_ZONE_MACHINES && silent * 2 > *ready
+        });
+        zones.silent_zones = silent.map(|(zone, _)| zone).collect();
         zones
     }
 
-    /// Whether a chooser's task passes on a machine of a type rented now.
-    fn new_machine_meets_threshold(&mut self, c: &mut PlacementCandidate, kind: usize) -> bool {
-        if let Some(known) = c.new_machine_meets_deadline[kind] {
+    /// Whether a candidate's task is above the pruning threshold on a machine of a type that is provisioned now.
+    fn new_machine_meets_threshold(
+        &mut self,
+        c: &mut PlacementCandidate,
+        type_index: usize,
+    ) -> bool {
+        if let Some(known) = c.new_machine_meets_deadline[type_index] {
             return known;
         }
-        let t = &self.types[kind];
-        let (up, fetch) = (self.context.now as f64 + t.boot_ms, t.fetch_ms(&c.spec));
-        let end = Pmf::clone(&self.run_time(c, kind)).shifted(up + fetch);
+        let t = &self.types[type_index];
+        let (ready_at, fetch_ms) = (self.context.now as f64 + t.boot_ms, t.fetch_ms(&c.spec));
+        let end = Pmf::clone(&self.run_time(c, type_index)).shifted(ready_at + fetch_ms);
         let passes =
-            c.deadline.is_none_or(|due| end.probability_before(due as f64) > c.pruning_threshold);
-        c.new_machine_meets_deadline[kind] = Some(passes);
+            c.deadline.is_none_or(|at| end.probability_before(at as f64) > c.pruning_threshold);
+        c.new_machine_meets_deadline[type_index] = Some(passes);
         passes
     }
 
-    /// The cheapest machine to rent on which the chooser's tasks pass, or run at all.
+    /// The cheapest machine to provision on which a candidate's tasks can run, by cost per task: machine type, zone and
+    /// spot property. With `only_passing`, its tasks must be above the pruning threshold there.
     pub fn cheapest_new_machine(
         &mut self,
         c: &mut PlacementCandidate,
-        passing: bool,
+        only_passing: bool,
     ) -> Option<(usize, usize, bool)> {
         let mut best: Option<(f64, (usize, usize, bool))> = None;
         let demand = self.waiting_by_class.get(&c.spec.class).copied().unwrap_or(1).max(1);
         let types = self.types;
-        let spot_left = self.is_below_spot_share(c);
-        for (kind, t) in types.iter().enumerate() {
-            if !c.allowed_types[kind] {
+        let spot_allowed = self.is_below_spot_share(c);
+        for (type_index, t) in types.iter().enumerate() {
+            if !c.allowed_types[type_index] {
                 continue;
             }
             let fits = t.resources().task_count(&Resources::for_task(&c.spec));
-            if fits == 0 || passing && !self.new_machine_meets_threshold(c, kind) {
+            if fits == 0 || only_passing && !self.new_machine_meets_threshold(c, type_index) {
                 continue;
             }
             for zone in &t.zones {
                 let zone = self.zone_index(zone);
                 for spot in [true, false] {
-                    if spot && !spot_left
-                        || !c.is_allowed_on(kind, zone, spot, &self.zones)
-                        || !self.may_provision(kind, zone, spot)
+                    if spot && !spot_allowed
+                        || !c.is_allowed_on(type_index, zone, spot, &self.zones)
+                        || !self.may_provision(type_index, zone, spot)
                     {
                         continue;
                     }
                     let cost = t.hourly_price(spot) / f64::from(fits.min(demand));
-                    // A second of waiting for work to start weighs like a little money.
-                    let wait = t.boot_ms + t.fetch_ms(&c.spec);
-                    let mut cost = cost * (1.0 + wait / WAIT_COST_DOUBLING_MS);
-                    cost *= 1.0 + self.zone_cost_share(kind, zone);
+                    // Waiting for boot and image fetch adds to the cost.
+                    let wait_ms = t.boot_ms + t.fetch_ms(&c.spec);
+                    let mut cost = cost * (1.0 + wait_ms / WAIT_COST_DOUBLING_MS);
+                    cost *= 1.0 + self.zone_cost_share(type_index, zone);
                     if self.context.policy.bounds.is_fleet_near_limit {
                         cost *= 1.0 + FLEET_LIMIT_COST / f64::from(fits.min(demand));
                     }
                     if best.as_ref().is_none_or(|(b, _)| cost < *b) {
-                        best = Some((cost, (kind, zone, spot)));
+                        best = Some((cost, (type_index, zone, spot)));
                     }
                 }
             }
@@ -141,36 +150,40 @@
         best.map(|(_, found)| found)
     }
 
-    /// Plans one more machine, and gives it as a place.
-    pub fn plan_machine(&mut self, kind: usize, zone: usize, spot: bool) -> usize {
-        *self.planned_machines.entry((kind, zone, spot)).or_default() += 1;
-        // What a market is asked for beyond one request waits for its answer, or goes elsewhere.
-        if self.planned_machines[&(kind, zone, spot)] >= MAX_PROVISION_BATCH {
-            self.availability.may_provision.insert((kind, zone, spot), false);
+    /// Plans one more machine and adds it as a target. Returns the target's index.
+    pub fn plan_machine(&mut self, type_index: usize, zone: usize, spot: bool) -> usize {
+        *self.planned_machines.entry((type_index, zone, spot)).or_default() += 1;
+        // A round plans at most one request for each offer. Further machines wait for its outcome or use other offers.
+        if self.planned_machines[&(type_index, zone, spot)] >= MAX_PROVISION_BATCH {
+            self.availability.may_provision.insert((type_index, zone, spot), false);
         }
-        let end = self.free_time_id(kind, self.context.now as f64 + self.types[kind].boot_ms);
+        let ready_at = self.context.now as f64 + self.types[type_index].boot_ms;
+        let completion_id = self.free_time_id(type_index, ready_at);
         self.targets.push(PlacementTarget {
             target_kind: TargetKind::PlannedMachine,
             machine: None,
-            type_index: kind,
+            type_index,
             zone_index: zone,
             spot,
-            free: self.types[kind].resources(),
+            free: self.types[type_index].resources(),
             has_stopping_tasks: false,
             reserved_for_services: Resources::default(),
             reserved_for_gangs: Vec::new(),
-            completion_id: end,
+            completion_id,
             images: Vec::new(),
         });
         self.targets.len() - 1
     }
 
-    /// Plans machines for what finds no place.
-    pub fn plan_scale_out(&mut self, c: &mut PlacementCandidate, passing: bool) {
+    /// Plans machines for a candidate's tasks that found no target. `only_passing`: see
+    /// [`MappingRound::cheapest_new_machine`].
+    pub fn plan_scale_out(&mut self, c: &mut PlacementCandidate, only_passing: bool) {
         while c.remaining_tasks > 0 && self.is_within_limit(c, 1) {
-            let Some((kind, zone, spot)) = self.cheapest_new_machine(c, passing) else { break };
-            let index = self.plan_machine(kind, zone, spot);
-            // Fill the new machine with this job's tasks; the others find it as a place.
+            let Some((type_index, zone, spot)) = self.cheapest_new_machine(c, only_passing) else {
+                break;
+            };
+            let index = self.plan_machine(type_index, zone, spot);
+            // Fill the new machine with this job's tasks. What is left is a target for other jobs.
             let before = c.remaining_tasks;
             while c.remaining_tasks > 0
                 && self.is_suitable(c, &self.targets[index])
@@ -186,28 +199,28 @@
         }
     }
 
-    /// The run time of a chooser's task on a type.
-    pub fn run_time(&self, c: &PlacementCandidate, kind: usize) -> Arc<Pmf> {
-        self.cluster_state.run_time_history.run_time(&c.id, &c.spec, &self.types[kind].name)
+    /// The run time of a candidate's task on a machine type, ms.
+    pub fn run_time(&self, c: &PlacementCandidate, type_index: usize) -> Arc<Pmf> {
+        self.cluster_state.run_time_history.run_time(&c.id, &c.spec, &self.types[type_index].name)
     }
 
-    /// Whether another spot machine keeps to the share that a chooser's job may have of them.
+    /// Whether the share of CPUs on spot machines is low enough for a candidate's job to get another one.
     fn is_below_spot_share(&self, c: &PlacementCandidate) -> bool {
         if c.spot_share >= 1.0 {
             return true;
         }
-        let (mut spot, mut all) = (0.0, 0.0);
+        let (mut spot, mut total) = (0.0, 0.0);
         let mut count = |on_spot: bool, cpus: f64| {
-            all += cpus;
+            total += cpus;
             spot += if on_spot { cpus } else { 0.0 };
         };
         for machine in self.cluster_state.machines.values() {
-            let kind = self.types.iter().find(|t| t.name == machine.machine_type);
-            count(machine.spot, kind.map_or(0.0, |t| t.cpus));
+            let machine_type = self.types.iter().find(|t| t.name == machine.machine_type);
+            count(machine.spot, machine_type.map_or(0.0, |t| t.cpus));
         }
-        for ((kind, _, on_spot), number) in &self.planned_machines {
-            count(*on_spot, self.types[*kind].cpus * f64::from(*number));
+        for ((type_index, _, on_spot), number) in &self.planned_machines {
+            count(*on_spot, self.types[*type_index].cpus * f64::from(*number));
         }
-        c.spot_share > 0.0 && spot <= c.spot_share * all
+        c.spot_share > 0.0 && spot <= c.spot_share * total
     }
 }
