--- a/crates/controller/src/cloud/mod.rs
+++ b/crates/controller/src/cloud/mod.rs
@@ -1,4 +1,4 @@
-//! The cloud's client as a pure machine: order of calls and their rate.
+//! Client of the cloud API as a pure state machine: it orders calls and limits their rate, and its caller executes them.
 
 use crate::Time;
 use crate::constants::{CLOUD_BACKOFF_MS, CLOUD_RATE_SHARE, MAX_CLOUD_CALLS_IN_FLIGHT};
@@ -8,53 +8,53 @@
     MachineNames, MachinePage, MachineTypes, ProvisionMachinesRequest,
 };
 
-/// A call to the cloud.
+/// A call to the cloud API.
 #[derive(Debug, Clone)]
 pub enum CloudCall {
-    /// Read the machine types.
+    /// List the machine types.
     ListTypes,
-    /// Rent.
+    /// Provision machines.
     Provision(ProvisionMachinesRequest),
-    /// Return machines.
+    /// Terminate the machines with these names.
     Return(Vec<String>),
-    /// Read a page of the list, after this name.
+    /// Read a page of the machine list, after this name if one is given.
     ListMachines(Option<String>),
 }
 
-/// What came of it.
+/// Outcome of a call.
 #[derive(Debug, Clone)]
 pub enum CloudOutcome {
-    /// Machine types.
+    /// The machine types.
     Types(MachineTypes),
-    /// Machines rented.
+    /// The provisioned machines, possibly fewer than requested.
     Provisioned(MachineNames),
-    /// None to be had.
+    /// The cloud has no capacity for the requested offer.
     NoCapacity,
-    /// The machines are gone.
+    /// The machines are terminated.
     Returned,
-    /// A page of the list.
+    /// A page of the machine list.
     Listed(MachinePage),
-    /// Refused as malformed: a defect.
+    /// Rejected as malformed, which is a bug in the controller; with the reason.
     Malformed(String),
-    /// Not executed, or unknown.
+    /// Not executed, or the outcome is unknown.
     Failed,
 }
 
-/// The client: returns first, then rentals, then reading.
+/// The client. Terminations come first, then provisioning, then reads.
 #[derive(Debug)]
 pub struct CloudClient {
     rate_limiter: TokenBucket,
     queue: VecDeque<CloudCall>,
     in_flight: usize,
     paused_until: Time,
-    /// When it last answered.
+    /// When the cloud last answered a call, even with a refusal.
     pub last_success_at: Option<Time>,
-    /// When it last did not.
+    /// When a call last failed.
     pub last_failure_at: Option<Time>,
 }
 
 impl CloudClient {
-    /// A client that keeps within this rate.
+    /// A client that uses its share of a limit of `rps` requests per second.
     pub fn new(rps: f64, now: Time) -> CloudClient {
         CloudClient {
             rate_limiter: TokenBucket::new(rps * CLOUD_RATE_SHARE, now),
@@ -66,48 +66,48 @@
         }
     }
 
-    /// Whether the cloud's interface is known to be away.
+    /// Whether the cloud API is considered unavailable: its last call failed.
     pub fn is_unavailable(&self) -> bool {
         self.last_failure_at.is_some() && self.last_failure_at > self.last_success_at
     }
 
-    /// Calls that wait.
+    /// Number of queued calls.
     pub fn queued_calls(&self) -> usize {
         self.queue.len()
     }
 
-    /// Asks for a call.
+    /// Queues a call according to its priority.
     pub fn enqueue(&mut self, call: CloudCall) {
         match call {
             CloudCall::Return(_) => self.queue.push_front(call),
             CloudCall::Provision(_) => {
-                let at = self.queue.iter().take_while(|c| {
+                let before = self.queue.iter().take_while(|c| {
                     !matches!(c, CloudCall::ListMachines(_) | CloudCall::ListTypes)
                 });
-                let at = at.count();
-                self.queue.insert(at, call);
+                let position = before.count();
+                self.queue.insert(position, call);
             }
             CloudCall::ListMachines(_) | CloudCall::ListTypes => self.queue.push_back(call),
         }
     }
 
-    /// Makes a rental that still waits ask for that many machines. False if it has left.
-    pub fn enlarge_queued_request(&mut self, charter: &str, number: u32) -> bool {
-        let waits = self.queue.iter_mut().find_map(|c| match c {
-            CloudCall::Provision(rent) if rent.request_id == charter => Some(rent),
+    /// Sets the number of machines of a provisioning request that is still queued. Returns false if it has been sent.
+    pub fn enlarge_queued_request(&mut self, request_id: &str, count: u32) -> bool {
+        let queued = self.queue.iter_mut().find_map(|c| match c {
+            CloudCall::Provision(request) if request.request_id == request_id => Some(request),
             _ => None,
         });
-        waits.map(|rent| rent.count = number).is_some()
+        queued.map(|request| request.count = count).is_some()
     }
 
-    /// Drops everything that waits.
+    /// Discards all queued calls.
     pub fn clear_queue(&mut self) {
         self.queue.clear();
     }
 
-    /// Calls that may leave now.
+    /// Takes the queued calls that may be sent now, by rate limit, backoff and concurrency.
     pub fn take_due_calls(&mut self, now: Time) -> Vec<CloudCall> {
-        let mut out = Vec::new();
+        let mut due = Vec::new();
         while !self.queue.is_empty()
             && self.in_flight < MAX_CLOUD_CALLS_IN_FLIGHT
             && now >= self.paused_until
@@ -116,23 +116,23 @@
             let Some(call) = self.queue.pop_front() else { break };
             self.rate_limiter.take(1.0);
             self.in_flight += 1;
-            out.push(call);
+            due.push(call);
         }
-        out
+        due
     }
 
-    /// Whether a return waits to leave.
+    /// Whether a termination is queued.
     pub fn has_queued_return(&self) -> bool {
         self.queue.iter().any(|c| matches!(c, CloudCall::Return(_)))
     }
 
-    /// A call leaves at once, past those that wait.
+    /// Accounts for a call that the caller sends at once, bypassing the queue.
     pub fn count_immediate_call(&mut self) {
         self.rate_limiter.take(1.0);
         self.in_flight += 1;
     }
 
-    /// Takes note of an outcome. A call that failed is asked for again by the caller.
+    /// Records the outcome of a call. The caller decides whether to queue a failed call again.
     pub fn on_outcome(&mut self, outcome: &CloudOutcome, now: Time) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if matches!(outcome, CloudOutcome::Failed) {
--- a/crates/controller/src/fleet/consolidation.rs
+++ b/crates/controller/src/fleet/consolidation.rs
@@ -1,6 +1,6 @@
-//! Consolidation: replicas that keep a machine nearly empty move beside others, and the machine is
-//! returned. Replicas end at different times, and what is left of them would else hold many
-//! machines for a few tasks. A service of a single replica is never moved: it would be down.
+//! Consolidation: replicas on nearly empty machines are migrated to other machines, and their machine is terminated.
+//! Replicas end at different times, and those that remain would otherwise keep many machines for a few tasks. A
+//! service with a single replica is never migrated, because it would be down meanwhile.
 
 use super::FleetPlan;
 use crate::Time;
@@ -15,14 +15,16 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A replica on a machine that is to be emptied.
+/// A replica of a service: its job and task.
 type ReplicaId = (JobId, u32);
 
-/// One step: at most one replica is stopped, so that no service lacks more than one for it.
+/// Plans one consolidation step: terminates drained machines, and stops at most one replica on a draining machine, so
+/// that no service lacks more than one replica. Starts to drain another machine while fewer than
+/// [`MAX_DRAINING_MACHINES`] drain.
 pub(super) fn plan_consolidation(
     state: &ClusterState,
     context: PlanningContext,
-    out: &mut FleetPlan,
+    plan: &mut FleetPlan,
 ) {
     let types = context.machine_types;
     let draining: Vec<&MachineId> = state
@@ -31,12 +33,12 @@
         .filter(|m| m.state() == MachineState::Draining)
         .map(|m| &m.id)
         .collect();
-    let (emptied, draining): (Vec<&MachineId>, Vec<&MachineId>) =
+    let (drained, draining): (Vec<&MachineId>, Vec<&MachineId>) =
         draining.into_iter().partition(|id| {
             state.machines[*id].tasks.is_empty() && state.machines[*id].orphaned_tasks.is_empty()
         });
-    out.returns.extend(emptied.into_iter().map(|id| (id.clone(), "it is emptied")));
-    // Room is for what waits; and a service that lacks a replica is not disturbed further.
+    plan.returns.extend(drained.into_iter().map(|id| (id.clone(), "it is emptied")));
+    // Free resources are for waiting tasks, and a service that lacks a replica is not disturbed further.
     if state.jobs.values().any(|j| j.has_queued_tasks() && !j.is_cancelled()) {
         return;
     }
@@ -44,36 +46,36 @@
         match next_replica_to_move(state, id, types) {
             Some((job, task)) => {
                 tracing::info!(job = %job, task, machine = %id, "replica migrated");
-                out.stops.push((job, task));
+                plan.stops.push((job, task));
                 return;
             }
             None if replicas_on(state, id).is_empty() => {}
-            // Its replicas no longer fit elsewhere: it stays.
-            None => out.state_changes.push(((*id).clone(), MachineState::Ready)),
+            // Its replicas no longer fit elsewhere, so draining is given up.
+            None => plan.state_changes.push(((*id).clone(), MachineState::Ready)),
         }
     }
     if draining.len() < MAX_DRAINING_MACHINES
         && let Some(id) = most_wasteful_machine(state, types, context.now)
     {
-        out.state_changes.push((id, MachineState::Draining));
+        plan.state_changes.push((id, MachineState::Draining));
     }
 }
 
-/// Replicas on a machine that take room.
+/// Tasks on a machine that occupy resources; on a draining machine these are replicas.
 fn replicas_on(state: &ClusterState, id: &MachineId) -> Vec<ReplicaId> {
     let Some(machine) = state.machines.get(id) else { return Vec::new() };
-    let held = |(job, task): &&ReplicaId| {
+    let occupies_resources = |(job, task): &&ReplicaId| {
         state
             .jobs
             .get(job)
             .and_then(|j| j.attempts.get(task))
             .is_some_and(Attempt::occupies_resources)
     };
-    machine.tasks.keys().filter(held).cloned().collect()
+    machine.tasks.keys().filter(occupies_resources).cloned().collect()
 }
 
-/// The next replica to move off a machine: one of a service that lacks none, if all of them find
-/// a place.
+/// The next replica to migrate off a machine: one of a service whose replicas all run. `None` if there is none, or if
+/// the replicas of the machine do not all fit elsewhere.
 fn next_replica_to_move(
     state: &ClusterState,
     id: &MachineId,
@@ -83,7 +85,7 @@
     if !replicas_fit_elsewhere(state, id, &replicas, types) {
         return None;
     }
-    let whole = |(job, _): &ReplicaId| {
+    let is_migratable = |(job, _): &ReplicaId| {
         state.jobs.get(job).is_some_and(|j| {
             j.spec.tasks >= MIN_MIGRATION_REPLICAS
                 && j.attempts.len() == j.spec.tasks as usize
@@ -92,30 +94,33 @@
                     .all(|a| a.phase() == AttemptPhase::Running && a.stop_requested.is_none())
         })
     };
-    replicas.into_iter().find(whole)
+    replicas.into_iter().find(is_migratable)
 }
 
-/// The machine that holds only replicas and costs most for each of them, if they fit elsewhere.
+/// The machine to drain next: one that has only replicas which fit elsewhere, with the highest ratio of its price to
+/// what its replicas would cost on a full machine of the cheapest type.
 fn most_wasteful_machine(
     state: &ClusterState,
     types: &[MachineType],
     now: Time,
 ) -> Option<MachineId> {
-    let ordinary = types.iter().filter(|t| t.gpus <= 0.0 && t.cpus > 0.0);
-    let least = ordinary.map(|t| t.price / t.cpus).fold(f64::MAX, f64::min);
-    let mut found: Vec<(f64, MachineId)> = Vec::new();
+    let without_gpus = types.iter().filter(|t| t.gpus <= 0.0 && t.cpus > 0.0);
+    let cheapest_cpu = without_gpus.map(|t| t.price / t.cpus).fold(f64::MAX, f64::min);
+    let mut wasteful: Vec<(f64, MachineId)> = Vec::new();
     for machine in state.machines.values() {
-        let Some(kind) = types.iter().find(|t| t.name == machine.machine_type) else { continue };
+        let Some(machine_type) = types.iter().find(|t| t.name == machine.machine_type) else {
+            continue;
+        };
         if machine.state() != MachineState::Ready
             || !machine.has_replicas()
             || machine.tasks.is_empty()
         {
             continue;
         }
-        let mut worth = 0.0;
-        let settled = machine.tasks.keys().all(|(id, task)| {
+        let mut minimum_price = 0.0;
+        let is_migratable = machine.tasks.keys().all(|(id, task)| {
             let Some(job) = state.jobs.get(id) else { return false };
-            worth += job.spec.cpus * least;
+            minimum_price += job.spec.cpus * cheapest_cpu;
             job.spec.kind == JobKind::Service
                 && job.spec.tasks >= MIN_MIGRATION_REPLICAS
                 && !job.is_cancelled()
@@ -124,58 +129,62 @@
                         && a.running_since.is_some_and(|at| now >= at + MIN_MIGRATION_RUN_MS)
                 })
         });
-        let ratio = kind.hourly_price(machine.spot) / worth.max(1e-9);
-        if settled && ratio >= CONSOLIDATION_COST_RATIO {
-            found.push((ratio, machine.id.clone()));
+        let ratio = machine_type.hourly_price(machine.spot) / minimum_price.max(1e-9);
+        if is_migratable && ratio >= CONSOLIDATION_COST_RATIO {
+            wasteful.push((ratio, machine.id.clone()));
         }
     }
-    found.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
-    found.truncate(MAX_CONSOLIDATION_CANDIDATES);
+    wasteful.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
+    wasteful.truncate(MAX_CONSOLIDATION_CANDIDATES);
     let fits = |id: &MachineId| replicas_fit_elsewhere(state, id, &replicas_on(state, id), types);
-    found.into_iter().map(|f| f.1).find(fits)
+    wasteful.into_iter().map(|(_, id)| id).find(fits)
 }
 
-/// Whether replicas find room on other machines that hold replicas already and have their images,
-/// within the rules of their zones.
+/// Whether replicas fit on other machines than `from` that have replicas already and have their images or fetch them
+/// quickly, within the zone constraints of their jobs.
 fn replicas_fit_elsewhere(
     state: &ClusterState,
     from: &MachineId,
     replicas: &[ReplicaId],
     types: &[MachineType],
 ) -> bool {
-    let mut rooms: BTreeMap<&MachineId, Resources> = BTreeMap::new();
+    let mut remaining: BTreeMap<&MachineId, Resources> = BTreeMap::new();
     replicas.iter().all(|(id, task)| {
         let Some(job) = state.jobs.get(id) else { return false };
         let spec: &Arc<JobSpec> = &job.spec;
         let zone_of = |m: &MachineId| state.machines.get(m).map(|m| m.zone.as_str());
-        let place = state.machines.values().find(|m| {
-            let Some(kind) = types.iter().find(|t| t.name == m.machine_type) else { return false };
-            let near =
-                m.images.contains(&spec.image) || kind.fetch_ms(spec) <= MAX_MIGRATION_FETCH_MS;
+        let target = state.machines.values().find(|m| {
+            let Some(machine_type) = types.iter().find(|t| t.name == m.machine_type) else {
+                return false;
+            };
+            let starts_quickly = m.images.contains(&spec.image)
+                || machine_type.fetch_ms(spec) <= MAX_MIGRATION_FETCH_MS;
             let others = job.attempts.iter().filter(|(t, _)| *t != task);
-            let there = others.filter(|(_, a)| zone_of(&a.machine) == Some(&m.zone)).count() as u32;
+            let in_zone =
+                others.filter(|(_, a)| zone_of(&a.machine) == Some(&m.zone)).count() as u32;
             m.id != *from
                 && m.state() == MachineState::Ready
                 && m.has_replicas()
                 && m.may_receive_work()
                 && m.reclaimed_at.is_none()
                 && (!m.spot || spec.spot)
-                && near
-                && kind.allows(spec)
-                && !kind.is_wasted_on(spec)
+                && starts_quickly
+                && machine_type.allows(spec)
+                && !machine_type.is_wasted_on(spec)
                 && spec.zone.as_ref().is_none_or(|z| *z == m.zone)
-                && (!spec.spread || there < spec.max_tasks_per_zone())
+                && (!spec.spread || in_zone < spec.max_tasks_per_zone())
                 && !spec.one_zone
-                && rooms
+                && remaining
                     .get(&m.id)
                     .copied()
                     .or(m.free_resources())
-                    .is_some_and(|room| room.fits_task(spec))
+                    .is_some_and(|free| free.fits_task(spec))
         });
-        let Some(place) = place else { return false };
-        let room =
-            rooms.entry(&place.id).or_insert_with(|| place.free_resources().unwrap_or_default());
-        room.subtract(&Resources::for_task(spec));
+        let Some(target) = target else { return false };
+        let free = remaining
+            .entry(&target.id)
+            .or_insert_with(|| target.free_resources().unwrap_or_default());
+        free.subtract(&Resources::for_task(spec));
         true
     })
 }
