--- a/tests/completion_probability.rs
+++ b/tests/completion_probability.rs
@@ -1,4 +1,4 @@
-//! The chance arithmetic against direct enumeration, on generated inputs.
+//! Arithmetic of probability mass functions and run-time histories, on generated inputs.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use swiftsail_controller::job::{JobKind, JobSpec};
 use swiftsail_simulation::simulation::job_spec;
 
-/// A job of class `c`, its tasks estimated at 10 s.
+/// A job of class `c` whose tasks have an estimate of 10 s.
 fn test_spec() -> JobSpec {
     JobSpec {
         class: "c".into(),
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn chance_grows_with_the_deadline() {
+fn probability_grows_with_deadline() {
     test_runner(7, 256)
         .run(
             &(distribution_points(), 0.0..150_000.0f64, 0.0..50_000.0f64),
@@ -63,60 +63,60 @@
 }
 
 #[test]
-fn a_sum_is_what_enumeration_says() {
+fn convolution_adds_means_and_minimums() {
     test_runner(7, 256)
         .run(&(distribution_points(), distribution_points()), |(a, b)| {
             let (pa, pb) = (Pmf::from_points(&a), Pmf::from_points(&b));
             let sum = pa.convolve(&pb);
-            // Each step rounds to the nearest of a few bins: half a bin each way.
-            let slack = sum.step / 2.0 + 1.0;
-            prop_assert!((sum.mean() - pa.mean() - pb.mean()).abs() <= slack);
-            let least = pa.origin + pb.origin;
-            prop_assert!(sum.probability_before(least) < 1e-6);
+            // Rounding to the nearest bin shifts each point by half a bin at most.
+            let tolerance = sum.step / 2.0 + 1.0;
+            prop_assert!((sum.mean() - pa.mean() - pb.mean()).abs() <= tolerance);
+            let minimum = pa.origin + pb.origin;
+            prop_assert!(sum.probability_before(minimum) < 1e-6);
             Ok(())
         })
         .unwrap();
 }
 
 #[test]
-fn mass_past_a_deadline_moves_onto_it() {
+fn mass_beyond_deadline_moves_to_it() {
     test_runner(7, 256)
         .run(&(distribution_points(), 1.0..100_000.0f64), |(a, deadline)| {
-            let whole = Pmf::from_points(&a);
-            let cut = whole.clone().clamp_to_deadline(deadline);
-            let last = cut.origin + (cut.mass.len() - 1) as f64 * cut.step;
-            let first = whole.origin.min(deadline);
+            let original = Pmf::from_points(&a);
+            let clamped = original.clone().clamp_to_deadline(deadline);
+            let last = clamped.origin + (clamped.mass.len() - 1) as f64 * clamped.step;
+            let first = original.origin.min(deadline);
             prop_assert!(last <= deadline + 1.0);
-            prop_assert!(cut.origin + 1.0 >= first);
+            prop_assert!(clamped.origin + 1.0 >= first);
             Ok(())
         })
         .unwrap();
 }
 
 #[test]
-fn a_history_moves_from_the_estimate_to_what_was_seen() {
+fn run_times_move_from_prior_to_observations() {
     let mut histories = RunTimeHistory::default();
-    let (id, ours) = ("wk-1".into(), test_spec());
-    let prior = histories.run_time(&id, &ours, "big");
-    assert!((prior.mean() - 17_500.0).abs() < 1.0, "evenly from 5 s to 30 s");
+    let (id, spec) = ("wk-1".into(), test_spec());
+    let prior = histories.run_time(&id, &spec, "big");
+    assert!((prior.mean() - 17_500.0).abs() < 1.0, "uniform from 5 s to 30 s");
     for _ in 0..50 {
-        histories.record_finish(&id, &ours, "big", 8_000);
+        histories.record_finish(&id, &spec, "big", 8_000);
     }
-    let learnt = histories.run_time(&id, &ours, "big");
+    let learned = histories.run_time(&id, &spec, "big");
     assert!(
-        learnt.probability_before(9_500.0) > 0.9,
-        "chance {}",
-        learnt.probability_before(9_500.0)
+        learned.probability_before(9_500.0) > 0.9,
+        "probability {}",
+        learned.probability_before(9_500.0)
     );
-    assert!(learnt.probability_before(7_000.0) < 0.1);
+    assert!(learned.probability_before(7_000.0) < 0.1);
 }
 
 #[test]
-fn a_class_teaches_its_next_job_how_far_estimates_miss() {
+fn class_ratios_predict_run_times_of_new_jobs() {
     let mut histories = RunTimeHistory::default();
     for job in 0..12 {
         for _ in 0..100 {
-            // Estimated at 10 s, run 12 s; one job alone must not speak for its class.
+            // Estimate 10 s, run time 12 s. A single job must not determine the prior of its class.
             histories.record_finish(
                 &format!("wk-{job}").as_str().into(),
                 &test_spec(),
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,7 +1,6 @@
-//! What a leader with a thousand machines and a hundred thousand tasks does, counted in work items
-//! and bytes: never in time.
+//! Cost of a leader with up to ten thousand machines and a hundred thousand tasks, in work items and bytes, not in time.
 
-use swiftsail_simulation::simulation::{self as standin, job_spec};
+use swiftsail_simulation::simulation::{self, job_spec};
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -48,7 +47,7 @@
 
 impl LeaderBench {
     fn new() -> LeaderBench {
-        let now = standin::START_MS;
+        let now = simulation::START_MS;
         let kind = |name: &str, cpus: f64, price: f64| MachineType {
             name: name.into(),
             cpus,
@@ -65,7 +64,7 @@
             cluster_state: ClusterState::new(FENCING_TOKEN, 1, now),
             store: StoreClient::new(150.0, 30.0, now),
             cloud: CloudClient::new(4.0, now),
-            settings: standin::controller_settings(0),
+            settings: simulation::controller_settings(0),
             machine_types: Arc::new(vec![kind("s4", 4.0, 0.3), kind("l64", 64.0, 3.3)]),
             now,
             revision: 100,
@@ -73,18 +72,25 @@
         }
     }
 
-    fn send_report(&mut self, name: &str, hull: &str, tick: u64, shards: Vec<TaskStatus>) -> usize {
+    /// Delivers a status report and returns the number of commands in its response.
+    fn send_report(
+        &mut self,
+        name: &str,
+        machine_type: &str,
+        sequence: u64,
+        tasks: Vec<TaskStatus>,
+    ) -> usize {
         let report = StatusReport {
             machine: name.into(),
             address: "10.0.0.9:1".into(),
-            machine_type: hull.into(),
+            machine_type: machine_type.into(),
             zone: if name.starts_with("m-b") { "b" } else { "a" }.into(),
             spot: false,
             session: 1,
-            sequence: tick,
+            sequence,
             fencing_token: FENCING_TOKEN,
             reclaim_in_s: None,
-            tasks: shards,
+            tasks,
         };
         self.cluster_state
             .on_status_report(&report, ReportSource::StatusReport, self.now, &self.machine_types)
@@ -92,9 +98,9 @@
             .len()
     }
 
-    fn add_machines(&mut self, number: usize, hull: &str) {
+    fn add_machines(&mut self, number: usize, machine_type: &str) {
         for n in 0..number {
-            self.send_report(&format!("m-{hull}-{n:05}"), hull, 1, Vec::new());
+            self.send_report(&format!("m-{machine_type}-{n:05}"), machine_type, 1, Vec::new());
         }
     }
 
@@ -109,7 +115,7 @@
             tier: None,
             spec,
         };
-        let value = serde_json::to_value(&record).expect("our own record");
+        let value = serde_json::to_value(&record).expect("a valid record");
         self.revision += 1;
         self.cluster_state.apply_job_record(
             &keys::job(id),
@@ -120,69 +126,70 @@
         );
     }
 
+    /// Runs a mapping round and enqueues its provisioning requests. Returns the number of scores computed.
     fn run_scheduling_cycle(&mut self) -> u64 {
         self.now += ROUND_INTERVAL_MS;
-        let steering = CyclePolicy::default();
+        let policy = CyclePolicy::default();
         let (settings, types) = (&self.settings, &self.machine_types);
-        let view = PlanningContext {
+        let context = PlanningContext {
             now: self.now,
             wall_now: 0,
             settings,
             machine_types: types,
-            policy: &steering,
+            policy: &policy,
         };
-        let passed = controller::run_scheduling_cycle(&mut self.cluster_state, view, true);
-        let wishes = passed.provisioning_requests.unwrap_or_default();
+        let result = controller::run_scheduling_cycle(&mut self.cluster_state, context, true);
+        let requests = result.provisioning_requests.unwrap_or_default();
         controller::enqueue_provisioning(
             &mut self.cluster_state,
             &mut self.cloud,
-            wishes,
+            requests,
             self.now,
         );
-        passed.scores_computed
+        result.scores_computed
     }
 
     fn run_periodic_work(&mut self) {
-        let steering = CyclePolicy::default();
+        let policy = CyclePolicy::default();
         let (settings, types) = (&self.settings, &self.machine_types);
-        let view = PlanningContext {
+        let context = PlanningContext {
             now: self.now,
             wall_now: 0,
             settings,
             machine_types: types,
-            policy: &steering,
+            policy: &policy,
         };
-        controller::update_fleet(&mut self.cluster_state, &mut self.cloud, view, true);
+        controller::update_fleet(&mut self.cluster_state, &mut self.cloud, context, true);
         self.cluster_state.stop_commands(self.now);
     }
 
-    /// Every machine reports that all bound to it runs.
+    /// Lets every machine report that all tasks bound to it run.
     fn send_heartbeat(&mut self) {
         self.sequence += 1;
         let machines = self.cluster_state.machines.values();
-        let held: Vec<(String, String, Vec<TaskStatus>)> = machines
+        let reports: Vec<(String, String, Vec<TaskStatus>)> = machines
             .map(|m| {
                 let bound = m.tasks.iter().filter(|((job, task), _)| {
                     self.cluster_state.jobs[job].attempts[task].phase() != AttemptPhase::Committing
                 });
-                let shards = bound.map(|((job, task), launch)| TaskStatus {
+                let tasks = bound.map(|((job, task), attempt)| TaskStatus {
                     task: format!("{job}/{task}"),
-                    attempt: *launch,
+                    attempt: *attempt,
                     phase: TaskPhase::Running,
                     exit_cause: None,
                     progress_saved: None,
                 });
-                (m.id.to_string(), m.machine_type.clone(), shards.collect())
+                (m.id.to_string(), m.machine_type.clone(), tasks.collect())
             })
             .collect();
-        for (name, hull, shards) in held {
-            self.send_report(&name, &hull, self.sequence, shards);
+        for (name, machine_type, tasks) in reports {
+            self.send_report(&name, &machine_type, self.sequence, tasks);
         }
     }
 
-    /// Lets everything that waits for the store be committed, and gives it.
+    /// Commits everything that waits for the store, and returns the transactions.
     fn commit_pending(&mut self) -> Vec<Transaction> {
-        let mut seen = Vec::new();
+        let mut committed = Vec::new();
         for _ in 0..200 {
             self.now += 1_000;
             self.cluster_state.write_binding_log(ctx!(self));
@@ -193,7 +200,7 @@
             }
             for (id, call) in calls {
                 if let StoreCall::Commit(commit) = &call {
-                    seen.push(commit.clone());
+                    committed.push(commit.clone());
                 }
                 self.revision += 1;
                 let Some(end) =
@@ -212,13 +219,13 @@
                 }
             }
         }
-        seen
+        committed
     }
 }
 
 #[test]
-fn a_pass_does_not_score_each_machine_for_each_job() {
-    let scored = |machines: usize| {
+fn scores_per_cycle_do_not_grow_with_machines() {
+    let scores = |machines: usize| {
         let mut bench = LeaderBench::new();
         bench.add_machines(machines, "s4");
         for n in 0..40 {
@@ -229,16 +236,16 @@
         }
         (0..3).map(|_| bench.run_scheduling_cycle()).max().unwrap_or(0)
     };
-    let few = scored(50);
-    assert!(few > 0, "the work is counted");
+    let few = scores(50);
+    assert!(few > 0, "no score was counted");
     for machines in [800, 2_500, 10_000] {
-        let many = scored(machines);
+        let many = scores(machines);
         assert!(many <= 3 * few, "{few} scores for 50 machines, {many} for {machines}");
     }
 }
 
 #[test]
-fn a_hundred_thousand_tasks_stay_within_the_limits_of_the_store() {
+fn array_of_100_000_tasks_stays_within_store_limits() {
     let mut bench = LeaderBench::new();
     bench.add_machines(1_000, "l64");
     bench.submit_job("wk-large", job_spec(JobKind::Array, 100_000, 1.0, "i"));
@@ -250,25 +257,28 @@
         let job = &bench.cluster_state.jobs["wk-large"];
         let binding =
             job.attempts.values().filter(|a| a.phase() == AttemptPhase::Committing).count();
-        assert!(binding <= MAX_CYCLE_BINDINGS + 50, "{binding} bound in one pass");
+        assert!(binding <= MAX_CYCLE_BINDINGS + 50, "{binding} bound in one cycle");
         for commit in bench.commit_pending() {
             assert!(commit.mutations.len() <= limits.txn_ops);
             assert!(commit.preconditions.len() <= 4 * limits.txn_ops);
             let size = |c: &Mutation| serde_json::to_string(c).map_or(0, |s| s.len());
             let sizes: Vec<usize> = commit.mutations.iter().map(size).collect();
-            let most = (limits.value_kb * 1024.0) as usize + 64;
-            assert!(sizes.iter().all(|s| *s <= most), "a value of {sizes:?}");
+            let max_size = (limits.value_kb * 1024.0) as usize + 64;
+            assert!(sizes.iter().all(|s| *s <= max_size), "a value of {sizes:?}");
             assert!(sizes.iter().sum::<usize>() <= 64 * 1024);
         }
         let job = &bench.cluster_state.jobs["wk-large"];
         bound = job.attempts.values().filter(|a| a.phase() != AttemptPhase::Committing).count();
         assert!(bench.cluster_state.binding_log.len() <= MAX_LOGGED_BINDINGS);
     }
-    assert!(bound > 4_000, "{bound} tasks bound: chunks take over what the ledger held");
+    assert!(
+        bound > 4_000,
+        "only {bound} tasks bound: chunks did not take over bindings from the log"
+    );
 }
 
 #[test]
-fn bindings_of_many_jobs_are_one_change() {
+fn bindings_of_many_jobs_share_a_mutation() {
     let mut bench = LeaderBench::new();
     bench.add_machines(100, "s4");
     for n in 0..30 {
@@ -277,21 +287,21 @@
     bench.run_scheduling_cycle();
     bench.cluster_state.write_binding_log(ctx!(bench));
     let (calls, _) = bench.store.take_due_calls(bench.now);
-    let changes: usize = calls
+    let mutations: usize = calls
         .iter()
         .map(|(_, c)| if let StoreCall::Commit(c) = c { c.mutations.len() } else { 0 })
         .sum();
-    assert!(changes <= 2, "{changes} changes for 90 bindings of 30 jobs");
+    assert!(mutations <= 2, "{mutations} mutations for 90 bindings of 30 jobs");
 }
 
 #[test]
-fn a_burst_asks_each_market_once_and_for_no_more_than_a_request_holds() {
+fn provisioning_requests_of_a_burst_are_bounded() {
     let mut bench = LeaderBench::new();
     bench.submit_job("wk-large", job_spec(JobKind::Array, 100_000, 1.0, "i"));
     bench.run_scheduling_cycle();
     bench.run_scheduling_cycle();
     bench.now += 60_000;
-    let mut asked: BTreeMap<(String, String, bool), u32> = BTreeMap::new();
+    let mut requests: BTreeMap<(String, String, bool), u32> = BTreeMap::new();
     for call in std::iter::from_fn(|| {
         bench.now += 1_000;
         let calls = bench.cloud.take_due_calls(bench.now);
@@ -302,41 +312,48 @@
     })
     .flatten()
     {
-        if let cloud::CloudCall::Provision(rent) = call {
-            assert!(rent.count <= MAX_PROVISION_BATCH);
-            *asked.entry((rent.machine_type, rent.zone, rent.spot)).or_default() += 1;
+        if let cloud::CloudCall::Provision(request) = call {
+            assert!(request.count <= MAX_PROVISION_BATCH);
+            *requests.entry((request.machine_type, request.zone, request.spot)).or_default() += 1;
         }
     }
-    assert!(!asked.is_empty());
-    assert!(asked.values().all(|n| *n as usize <= MAX_OPEN_PROVISIONING_REQUESTS), "{asked:?}");
+    assert!(!requests.is_empty());
+    assert!(
+        requests.values().all(|n| *n as usize <= MAX_OPEN_PROVISIONING_REQUESTS),
+        "{requests:?}"
+    );
 }
 
 #[test]
-fn replicas_move_one_at_a_time_and_only_where_they_fit() {
-    assert_eq!(replicas_migrated(3), 1, "the machine that is nearly empty is emptied");
-    // Moved, it would be down: the worst 30 s of a deployment of single replicas showed it.
-    assert_eq!(replicas_migrated(1), 0, "a single replica stays");
+fn replicas_migrate_one_at_a_time_where_they_fit() {
+    assert_eq!(replicas_migrated(3), 1, "the nearly empty machine is drained");
+    // A single replica would be down during its migration, as the worst 30 s of a deployment of single replicas showed.
+    assert_eq!(replicas_migrated(1), 0, "a single replica is not migrated");
 }
 
-/// Replicas being moved once there is room elsewhere; before, none may be.
+/// Number of replicas that are being migrated once other machines have capacity. Checks that none is before.
 fn replicas_migrated(replicas: u32) -> usize {
     let mut bench = LeaderBench::new();
     bench.add_machines(2, "l64");
     bench.submit_job("wk-s", job_spec(JobKind::Service, replicas, 4.0, "i"));
     bench.run_scheduling_cycle();
     bench.commit_pending();
-    let at = |bench: &LeaderBench, job: &str, n: u32| {
+    let machine_of = |bench: &LeaderBench, job: &str, n: u32| {
         bench.cluster_state.jobs[job].attempts[&n].machine.clone()
     };
-    let first = at(&bench, "wk-s", 0);
+    let first = machine_of(&bench, "wk-s", 0);
     let other = if &*first == "m-l64-00000" { "m-l64-00001" } else { "m-l64-00000" };
-    assert_eq!(at(&bench, "wk-s", replicas - 1), first, "replicas gather on one machine");
+    assert_eq!(
+        machine_of(&bench, "wk-s", replicas - 1),
+        first,
+        "replicas are packed on one machine"
+    );
     bench.send_heartbeat();
     bench.submit_job("wk-t", job_spec(JobKind::Service, 1, 61.0, "i"));
     bench.run_scheduling_cycle();
     bench.commit_pending();
-    assert_eq!(&*at(&bench, "wk-t", 0), other);
-    let stopped = |bench: &LeaderBench| {
+    assert_eq!(&*machine_of(&bench, "wk-t", 0), other);
+    let stopping = |bench: &LeaderBench| {
         let jobs = bench.cluster_state.jobs.values();
         jobs.flat_map(|j| j.attempts.values()).filter(|a| a.stop_requested.is_some()).count()
     };
@@ -345,12 +362,12 @@
         bench.send_heartbeat();
         bench.run_periodic_work();
     };
-    // The other is full: nothing fits there, however costly this one is.
+    // The other machine is full: nothing fits there, however much this one costs.
     for _ in 0..20 {
         step(&mut bench);
-        assert_eq!(stopped(&bench), 0);
+        assert_eq!(stopping(&bench), 0);
     }
-    // A third machine with replicas and room: now they move, one by one.
+    // A third machine has replicas and free resources: now replicas migrate, one by one.
     bench.send_report("m-b-00007", "l64", bench.sequence, Vec::new());
     bench.submit_job(
         "wk-u",
@@ -358,26 +375,26 @@
     );
     bench.run_scheduling_cycle();
     bench.commit_pending();
-    assert_eq!(&*at(&bench, "wk-u", 7), "m-b-00007");
+    assert_eq!(&*machine_of(&bench, "wk-u", 7), "m-b-00007");
     bench.send_heartbeat();
     bench.submit_job("wk-v", job_spec(JobKind::Service, 1, 1.0, "i"));
     for _ in 0..20 {
         step(&mut bench);
-        assert_eq!(stopped(&bench), 0, "a service waits: nothing moves");
+        assert_eq!(stopping(&bench), 0, "nothing migrates while a service waits");
     }
     bench.run_scheduling_cycle();
     bench.commit_pending();
     for _ in 0..20 {
         step(&mut bench);
-        assert!(stopped(&bench) <= 1, "one replica at a time");
+        assert!(stopping(&bench) <= 1, "one replica at a time");
     }
-    stopped(&bench)
+    stopping(&bench)
 }
 
-/// Incident: a new leader read a hundred machines in an old list that its predecessor had returned,
-/// took them for machines about to come up, and rented nothing for 75 s while work waited.
+/// A new leader read an outdated list with a hundred machines that its predecessor had terminated. It took them for booting
+/// machines and provisioned nothing for 75 s while work waited.
 #[test]
-fn machines_that_only_an_old_list_knows_do_not_keep_from_renting() {
+fn terminated_machines_in_old_list_do_not_block_provisioning() {
     let mut bench = LeaderBench::new();
     let listed = |n: usize| ListedMachine {
         name: format!("m-{n:05}"),
@@ -394,42 +411,43 @@
     bench.run_scheduling_cycle();
     assert!(
         bench.cluster_state.provisioning.open_requests().next().is_none(),
-        "workers still look for the new leader"
+        "provisioned while workers may still look for the new leader"
     );
     bench.now += REGISTRATION_GRACE_MS;
     bench.run_scheduling_cycle();
     assert!(
         bench.cluster_state.provisioning.open_requests().next().is_some(),
-        "none of them was heard"
+        "nothing provisioned although no listed machine reported"
     );
 }
 
-/// A report that shows the same as the last tells only that all goes on. Whatever is bound, stopped or
-/// ended there must be seen whole: a proof taken from such a report would be one of nothing.
+/// An unchanged report only says that everything goes on as in the last full report. While bindings, stops or exits on a
+/// machine are not yet seen in a full report, an unchanged one must be rejected: it proves nothing about them.
 #[test]
-fn only_a_machine_on_which_nothing_changes_may_show_the_same() {
+fn unchanged_reports_are_rejected_while_tasks_change() {
     let mut bench = LeaderBench::new();
     bench.add_machines(1, "l64");
     bench.submit_job("wk-1", job_spec(JobKind::Array, 2, 1.0, "i"));
     let id = "m-l64-00000";
-    let know = |bench: &mut LeaderBench, shown: u64| {
-        bench.cluster_state.machines.get_mut(id).expect("it is known").report_digest = Some(shown);
+    let set_digest = |bench: &mut LeaderBench, digest: u64| {
+        bench.cluster_state.machines.get_mut(id).expect("a known machine").report_digest =
+            Some(digest);
     };
-    let same = |bench: &mut LeaderBench, tick: u64, shown: u64| {
+    let accepts = |bench: &mut LeaderBench, sequence: u64, digest: u64| {
         bench.now += 1_000;
         let now = bench.now;
         bench.cluster_state.on_unchanged_report(
             id,
-            MessageOrder { session: 1, sequence: tick },
-            shown,
+            MessageOrder { session: 1, sequence },
+            digest,
             now,
         )
     };
-    assert!(!same(&mut bench, 10, 7), "nothing was shown whole through another controller");
-    know(&mut bench, 7);
-    assert!(same(&mut bench, 11, 7));
+    assert!(!accepts(&mut bench, 10, 7), "no full report was forwarded yet");
+    set_digest(&mut bench, 7);
+    assert!(accepts(&mut bench, 11, 7));
     assert_eq!(bench.cluster_state.machines[id].last_heard_at, Some(bench.now));
-    assert!(!same(&mut bench, 12, 8), "it shows something else");
+    assert!(!accepts(&mut bench, 12, 8), "another digest");
     assert!(
         !bench.cluster_state.on_unchanged_report(
             "m-none",
@@ -450,28 +468,28 @@
     );
     bench.sequence = 20;
     bench.run_scheduling_cycle();
-    assert!(!same(&mut bench, 21, 7), "a binding is being committed: its start must be offered");
+    assert!(!accepts(&mut bench, 21, 7), "a binding is being committed, its start must be sent");
     bench.commit_pending();
-    assert!(!same(&mut bench, 22, 7), "bound, and not seen yet");
+    assert!(!accepts(&mut bench, 22, 7), "bound, and not reported yet");
     bench.sequence = 30;
     bench.send_heartbeat();
-    know(&mut bench, 9);
-    assert!(same(&mut bench, 40, 9), "both run, and were seen");
-    assert!(same(&mut bench, 39, 9), "an older one is no news");
+    set_digest(&mut bench, 9);
+    assert!(accepts(&mut bench, 40, 9), "both tasks run, and were reported");
+    assert!(accepts(&mut bench, 39, 9), "an older report changes nothing");
     assert_eq!(
         bench.cluster_state.machines[id].last_message,
         MessageOrder { session: 1, sequence: 40 }
     );
     let now = bench.now;
     bench.cluster_state.request_stop(&"wk-1".into(), 0, now);
-    assert!(!same(&mut bench, 41, 9), "its stop must be repeated until it is gone");
+    assert!(!accepts(&mut bench, 41, 9), "the stop must be repeated until the task is gone");
 }
 
-/// The cost of a shared worker's report: what does not change is a few bytes, whatever runs there.
+/// A forwarded report that has not changed takes a few bytes, whatever runs on the machine.
 #[test]
-fn an_unchanged_report_passed_on_is_small() {
+fn forwarded_unchanged_reports_are_small() {
     use swiftsail_protocol::controllers::{ForwardedReport, ForwardedReports};
-    let same = |n: u64| ForwardedReport::Unchanged {
+    let unchanged = |n: u64| ForwardedReport::Unchanged {
         machine: format!("m-{n:06}"),
         session: 1,
         sequence: 1_000 + n,
@@ -485,9 +503,9 @@
         })
         .len()
     };
-    let each = (size((0..65).map(same).collect()) - size(vec![same(0)])) / 64;
-    assert!(each <= 60, "{each} bytes for a machine, with 16 tasks or none");
-    let shard = |n: u32| TaskStatus {
+    let each = (size((0..65).map(unchanged).collect()) - size(vec![unchanged(0)])) / 64;
+    assert!(each <= 60, "{each} bytes for a machine");
+    let task_status = |n: u32| TaskStatus {
         task: format!("wk-000412/{n}"),
         attempt: u64::MAX >> 1,
         phase: TaskPhase::Running,
@@ -504,25 +522,25 @@
         sequence: 100_000,
         fencing_token: 1 << 40,
         reclaim_in_s: None,
-        tasks: (0..64).map(shard).collect(),
+        tasks: (0..64).map(task_status).collect(),
     };
-    let whole =
+    let full_size =
         size(vec![ForwardedReport::Full { report: Box::new(report), content_hash: u64::MAX >> 1 }]);
-    // What a message may hold is counted with these, never too low.
-    assert!(whole <= REPORT_BYTES + 64 * TASK_STATUS_BYTES, "{whole} bytes");
+    // The sizes of forwarding messages are estimated with these constants, which must not be too low.
+    assert!(full_size <= REPORT_BYTES + 64 * TASK_STATUS_BYTES, "{full_size} bytes");
 }
 
-/// Teams at their limit make a pass cheaper, however many they are: each job is looked at once for it, and only
-/// those that get something look at places.
+/// Teams at their limit make a cycle cheaper, however many teams there are: each of their jobs is visited once, and only
+/// jobs with an allocation evaluate targets.
 #[test]
-fn many_teams_at_their_limit_cost_no_more_than_few() {
-    let cost = |teams: usize, most: f64| {
+fn cycle_cost_does_not_grow_with_teams_at_limit() {
+    let cost = |teams: usize, total_cpus: f64| {
         let mut bench = LeaderBench::new();
         let mut settings = Settings::clone(&bench.settings);
         let team = |n: usize| TeamSettings {
             name: format!("team-{n}"),
             cpus: 2.0,
-            cpus_max: most / teams as f64,
+            cpus_max: total_cpus / teams as f64,
             gpus: 0.0,
             gpus_max: 0.0,
         };
@@ -530,27 +548,27 @@
         bench.settings = Arc::new(settings);
         bench.add_machines(300, "s4");
         for n in 0..200 {
-            let each = job_spec(JobKind::Array, 60, 1.0, &format!("i{}", n % 9));
-            let each = JobSpec { team: format!("team-{}", n % teams), ..each };
-            bench.submit_job(&format!("wk-{n}"), each);
+            let spec = job_spec(JobKind::Array, 60, 1.0, &format!("i{}", n % 9));
+            let spec = JobSpec { team: format!("team-{}", n % teams), ..spec };
+            bench.submit_job(&format!("wk-{n}"), spec);
         }
-        let steering = CyclePolicy::default();
+        let policy = CyclePolicy::default();
         bench.now += ROUND_INTERVAL_MS;
         let (settings, types) = (bench.settings.clone(), bench.machine_types.clone());
-        let view = PlanningContext {
+        let context = PlanningContext {
             now: bench.now,
             wall_now: 0,
             settings: &settings,
             machine_types: &types,
-            policy: &steering,
+            policy: &policy,
         };
-        let passed = controller::run_scheduling_cycle(&mut bench.cluster_state, view, true);
-        (passed.bound, passed.targets_evaluated)
+        let result = controller::run_scheduling_cycle(&mut bench.cluster_state, context, true);
+        (result.bound, result.targets_evaluated)
     };
-    let (free, few, many) = (cost(100, 0.0), cost(12, 1_200.0), cost(100, 1_200.0));
+    let (unlimited, few, many) = (cost(100, 0.0), cost(12, 1_200.0), cost(100, 1_200.0));
     assert!(
-        [free, few, many].iter().all(|c| c.0 == MAX_CYCLE_BINDINGS),
-        "{free:?} {few:?} {many:?}"
+        [unlimited, few, many].iter().all(|c| c.0 == MAX_CYCLE_BINDINGS),
+        "{unlimited:?} {few:?} {many:?}"
     );
-    assert!(few.1 < free.1 / 2 && many.1 < free.1, "{free:?} {few:?} {many:?}");
+    assert!(few.1 < unlimited.1 / 2 && many.1 < unlimited.1, "{unlimited:?} {few:?} {many:?}");
 }
