--- a/crates/controller/src/placement/preemption.rs
+++ b/crates/controller/src/placement/preemption.rs
@@ -172,7 +172,7 @@
     /// tasks of a candidate. Otherwise small low-priority tasks would take those resources one by one.
     fn hold_ending_tasks_resources(&mut self, c: &PlacementCandidate, mut tasks: u32) {
         let each = Resources::for_task(&c.spec);
-        let mut held = Vec::new();
+        let mut machines = Vec::new();
         for m in self.preemption_candidates.iter().flatten() {
             if tasks == 0 {
                 break;
@@ -188,11 +188,11 @@
             let fits = available.task_count(&each);
             if fits > m.free.task_count(&each) {
                 tasks = tasks.saturating_sub(fits);
-                held.push(m.machine.clone());
+                machines.push(m.machine.clone());
             }
         }
-        if !held.is_empty() {
-            self.plan.steps.push(PlanStep::HoldFromLowPriority(held));
+        if !machines.is_empty() {
+            self.plan.steps.push(PlanStep::HoldFromLowPriority(machines));
         }
     }
 
@@ -257,9 +257,9 @@
     #[expect(clippy::too_many_lines, reason = "not split yet")]
     fn preemption_candidates(&mut self) -> Vec<PreemptionCandidate> {
         let now = self.context.now;
-        let lease = self.context.lease_ms();
+        let lease_ms = self.context.lease_ms();
         let mut found = Vec::new();
-        for machine in self.cluster_state.machines.values().filter(|m| usable(m, now, lease)) {
+        for machine in self.cluster_state.machines.values().filter(|m| usable(m, now, lease_ms)) {
             let Some(type_index) = self.types.iter().position(|t| t.name == machine.machine_type)
             else {
                 continue;
--- a/crates/controller/src/placement/target_collection.rs
+++ b/crates/controller/src/placement/target_collection.rs
@@ -87,7 +87,7 @@
     #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub fn collect_targets(&mut self) {
         let now = self.context.now;
-        let lease = self.context.lease_ms();
+        let lease_ms = self.context.lease_ms();
         let types = self.types;
         let mut slots: Vec<(usize, SlotId, Resources)> = Vec::new();
         let state = self.cluster_state;
@@ -111,7 +111,7 @@
                 completion_id: 0,
                 images: Vec::new(),
             };
-            if !usable(machine, now, lease) {
+            if !usable(machine, now, lease_ms) {
                 let is_booting =
                     matches!(machine.state(), MachineState::Expected | MachineState::Registering);
                 let is_expected =
