--- a/crates/controller/src/fleet/mod.rs
+++ b/crates/controller/src/fleet/mod.rs
@@ -141,7 +141,7 @@
         }
         if let Some(seen) = state.observe_machine(machine) {
             let failure_detector = state.failure_detector.as_ref();
-            if failure_detector.is_some_and(|d| d.should_return(&machine.id, seen, now)) {
+            if failure_detector.is_some_and(|d| d.should_terminate(&machine.id, seen, now)) {
                 terminate("it is silent");
             } else if unreachable_budget > 0
                 && machine.inbound.reachability() == InboundReachability::Unreachable
@@ -158,7 +158,7 @@
                 unreachable_budget -= 1;
                 terminate(RETURN_REASON_NOT_REPORTING);
             }
-        } else if machine.last_heard_at.is_none() {
+        } else if machine.last_contact_at.is_none() {
             let boot_ms = machine_type.map_or(DEFAULT_BOOT_MS, |t| t.boot_ms);
             let timeout_ms = (boot_ms * BOOT_TIMEOUT_FACTOR)
                 .max(boot_ms + MIN_BOOT_TIMEOUT_MARGIN_MS as f64)
--- a/crates/controller/src/placement/cycle.rs
+++ b/crates/controller/src/placement/cycle.rs
@@ -44,10 +44,10 @@
     if full && !plan.cut_short {
         let request =
             |((type_index, zone, spot), number): ((usize, usize, bool), u32)| ProvisioningRequest {
-                kind: types[type_index].name.clone(),
+                machine_type: types[type_index].name.clone(),
                 zone: zones[zone].clone(),
                 spot,
-                number,
+                count: number,
             };
         plan.unplaced_jobs = Some(unplaced_jobs);
         plan.provisioning_requests = Some(planned_machines.into_iter().map(request).collect());
@@ -63,7 +63,7 @@
     /// Removes tasks at or below the pruning threshold from run queues, if the missed tasks since the last mapping round
     /// reach the dropping toggle and other tasks wait.
     fn prune_queues(&mut self) {
-        if self.cluster_state.misses < self.context.policy.dropping_toggle {
+        if self.cluster_state.deadline_misses < self.context.policy.dropping_toggle {
             return;
         }
         let has_waiting_tasks =
@@ -75,7 +75,7 @@
             let Some((type_index, mut completion)) = self.executing_completion(&slot) else {
                 continue;
             };
-            let queue: Vec<JobId> = self.plan.run_queues.behind(&slot).cloned().collect();
+            let queue: Vec<JobId> = self.plan.run_queues.queue(&slot).cloned().collect();
             let mut keep = Vec::with_capacity(queue.len());
             for id in &queue {
                 let Some(job) = self.cluster_state.jobs.get(id) else { continue };
--- a/crates/controller/src/placement/gangs.rs
+++ b/crates/controller/src/placement/gangs.rs
@@ -187,7 +187,7 @@
         }
         let missing = c.remaining_tasks;
         let binding_log = &self.cluster_state.binding_log;
-        let log_room = binding_log.room().saturating_sub(self.bound_tasks);
+        let log_room = binding_log.remaining_capacity().saturating_sub(self.bound_tasks);
         if log_room < missing as usize && !(binding_log.is_empty() && self.bound_tasks == 0) {
             return;
         }
--- a/crates/controller/src/placement/mapping.rs
+++ b/crates/controller/src/placement/mapping.rs
@@ -294,7 +294,7 @@
                 let completion = self.targets[index].completion_id;
                 self.targets[index].completion_id =
                     self.completion_after(completion, &c.id, type_index);
-                if !self.plan.run_queues.has_room(&slot, self.context.policy.queue_limit) {
+                if !self.plan.run_queues.has_capacity(&slot, self.context.policy.queue_limit) {
                     self.targets[index].free = Resources::default();
                 }
             }
--- a/crates/controller/src/placement/preemption.rs
+++ b/crates/controller/src/placement/preemption.rs
@@ -8,7 +8,7 @@
 use super::target::TargetKind;
 use super::team_usage::TeamUsage;
 use super::victims::{PreemptionCandidate, PreemptionVictim};
-use crate::cluster_state::{team_amounts, usable};
+use crate::cluster_state::{is_schedulable, quota_per_task};
 use crate::constants::{
     DEFAULT_GUARANTEE_OBJECTIVE_S, FETCH_PENALTY_MS, GANG_PREEMPTION_OBJECTIVE_SHARE,
     GANG_PREEMPTION_WAIT_MS, LOW_PRIORITY_PREEMPTION_DELAY_MS, MAX_PREEMPTING_TASKS_PER_ROUND,
@@ -199,7 +199,7 @@
     /// Whether `tasks` more tasks of a candidate stay within its team's limit, and within the team's guarantee if the
     /// candidate claims that.
     fn may_use_quota(&self, c: &PlacementCandidate, tasks: u32) -> bool {
-        let more = team_amounts(&c.spec).multiplied_by(tasks);
+        let more = quota_per_task(&c.spec).multiplied_by(tasks);
         let is_guaranteed =
             |t: usize| !c.claims_guarantee || self.team_usage[t].is_within_guarantee(more);
         c.team_index.is_some_and(|t| is_guaranteed(t) && self.team_usage[t].allows(more))
@@ -259,7 +259,9 @@
         let now = self.context.now;
         let lease_ms = self.context.lease_ms();
         let mut found = Vec::new();
-        for machine in self.cluster_state.machines.values().filter(|m| usable(m, now, lease_ms)) {
+        for machine in
+            self.cluster_state.machines.values().filter(|m| is_schedulable(m, now, lease_ms))
+        {
             let Some(type_index) = self.types.iter().position(|t| t.name == machine.machine_type)
             else {
                 continue;
@@ -450,7 +452,7 @@
             && job.attempts.values().all(runs_long_enough);
         let allowed = is_preemptible
             && self.cluster_state.gpu_loans.may_preempt(&job.id, self.context.wall_now);
-        allowed.then(|| team_amounts(spec).multiplied_by(spec.tasks))
+        allowed.then(|| quota_per_task(spec).multiplied_by(spec.tasks))
     }
 
     /// Preempts borrowed or low-priority work for all tasks of a gang at once. Nothing is stopped unless that is enough
--- a/crates/controller/src/placement/quota_limits.rs
+++ b/crates/controller/src/placement/quota_limits.rs
@@ -6,7 +6,7 @@
 use super::plan::{PlanStep, PlanningContext};
 use super::target::{PlacementTarget, TargetKind};
 use crate::Time;
-use crate::cluster_state::{ClusterState, team_amounts};
+use crate::cluster_state::{ClusterState, quota_per_task};
 use crate::constants::{AMOUNT_TOLERANCE, MS_PER_S, SILENT_LEASE_SHARE};
 use crate::job::{Job, JobId, JobKind};
 use crate::machine::Machine;
@@ -51,8 +51,8 @@
         time_to_deadline_ms: deadline.filter(|at| *at > now).map(|at| (at - now) as f64),
         waiting_tasks: waiting,
         running_tasks: job.attempts.values().filter(|a| a.occupies_resources()).count() as f64,
-        per_task: team_amounts(&job.spec),
-        cpu_weight: team_amounts(&job.spec).cpus.to_f64(),
+        per_task: quota_per_task(&job.spec),
+        cpu_weight: quota_per_task(&job.spec).cpus.to_f64(),
         task_run_ms: run_ms,
         age_ms: now.saturating_sub(job.eligible_at) as f64,
         has_started: job.has_begun(),
@@ -78,7 +78,7 @@
                 .map(|n| &candidates[*n])
                 .map(|c| {
                     let waiting = self.cluster_state.jobs.get(&c.id).map_or(0, |j| j.waiting.len());
-                    team_amounts(&c.spec).multiplied_by(waiting as u32)
+                    quota_per_task(&c.spec).multiplied_by(waiting as u32)
                 })
                 .sum();
             if self.team_usage[team].allows(wanted) {
@@ -138,7 +138,7 @@
             let services: Vec<_> = granted.filter(|(c, _)| c.is_service()).collect();
             let services = services.into_iter();
             let shortfalls: Vec<(&PlacementCandidate, ResourceQuantities)> = services
-                .map(|(c, n)| (c, team_amounts(&c.spec).multiplied_by(c.remaining_tasks - n)))
+                .map(|(c, n)| (c, quota_per_task(&c.spec).multiplied_by(c.remaining_tasks - n)))
                 .collect();
             self.release_quota_for_services(team, &shortfalls);
             for (n, grant) in members.into_iter().zip(grants) {
@@ -196,7 +196,7 @@
             while !is_covered(shortfall)
                 && let Some(v) = stoppable.pop_if(|v| is_lower(v))
             {
-                shortfall -= team_amounts(&v.job.spec);
+                shortfall -= quota_per_task(&v.job.spec);
                 victims.push((v.job.id.clone(), v.task));
             }
             if !victims.is_empty() {
@@ -260,7 +260,7 @@
         for (task, attempt) in &job.attempts {
             let Some(machine) = state.machines.get(&attempt.machine) else { continue };
             let is_recent = |at: Time| now.saturating_sub(at) as f64 <= silent_after_ms;
-            if machine.last_heard_at.is_some_and(is_recent)
+            if machine.last_contact_at.is_some_and(is_recent)
                 && attempt.occupies_resources()
                 && attempt.stop_requested.is_none()
             {
--- a/crates/controller/src/placement/scale_out.rs
+++ b/crates/controller/src/placement/scale_out.rs
@@ -70,15 +70,15 @@
             let is_silent = |at: Time| self.context.now.saturating_sub(at) as f64 > silent_after_ms;
             count.1 += u32::from(
                 machine.state() == MachineState::Ready
-                    && machine.last_heard_at.is_some_and(is_silent),
+                    && machine.last_contact_at.is_some_and(is_silent),
             );
         }
         for (request, _) in state.provisioning.open_requests() {
-            let Some(type_index) = types.iter().position(|t| t.name == request.kind) else {
+            let Some(type_index) = types.iter().position(|t| t.name == request.machine_type) else {
                 continue;
             };
             let zone = self.zone_index(&request.zone);
-            *zones.machine_counts.entry((type_index, zone)).or_default() += request.number;
+            *zones.machine_counts.entry((type_index, zone)).or_default() += request.count;
         }
         let silent = ready_and_silent.into_iter().filter(|(_, (ready, silent))| {
             *ready >= MIN_SILENT_ZONE_MACHINES && silent * 2 > *ready
--- a/crates/controller/src/placement/target_collection.rs
+++ b/crates/controller/src/placement/target_collection.rs
@@ -4,7 +4,7 @@
 use super::mapping_round::MappingRound;
 use super::target::{PlacementTarget, TargetKind};
 use crate::Time;
-use crate::cluster_state::{ClusterState, SlotId, usable};
+use crate::cluster_state::{ClusterState, SlotId, is_schedulable};
 use crate::completion_time::Pmf;
 use crate::constants::{
     COMPLETION_TIME_STEP_MS, HEADROOM_TASKS_PER_IMAGE, LATE_BOOT_ESTIMATE_MS, MAX_HEADROOM_IMAGES,
@@ -111,7 +111,7 @@
                 completion_id: 0,
                 images: Vec::new(),
             };
-            if !usable(machine, now, lease_ms) {
+            if !is_schedulable(machine, now, lease_ms) {
                 let is_booting =
                     matches!(machine.state(), MachineState::Expected | MachineState::Registering);
                 let is_expected =
@@ -157,13 +157,13 @@
             let Some(head) = self.cluster_state.jobs.get(&slot.1) else { continue };
             let mut freed = Resources::for_task(&head.spec);
             freed.add(&free);
-            if !self.plan.run_queues.has_room(&slot, queue_limit) {
+            if !self.plan.run_queues.has_capacity(&slot, queue_limit) {
                 continue;
             }
             let Some((type_index, mut completion)) = self.executing_completion(&slot) else {
                 continue;
             };
-            let queue: Vec<JobId> = self.plan.run_queues.behind(&slot).cloned().collect();
+            let queue: Vec<JobId> = self.plan.run_queues.queue(&slot).cloned().collect();
             for next in queue {
                 completion = self.completion_after(completion, &next, type_index);
             }
@@ -184,7 +184,7 @@
         }
         self.targets.extend(queues.into_iter().map(|queue| queue.1));
         for (request, requested_at) in state.provisioning.open_requests() {
-            let Some(type_index) = types.iter().position(|t| t.name == request.kind) else {
+            let Some(type_index) = types.iter().position(|t| t.name == request.machine_type) else {
                 continue;
             };
             let ready_at = (requested_at as f64 + types[type_index].boot_ms).max(now as f64);
@@ -201,7 +201,7 @@
                 completion_id: self.free_time_id(type_index, ready_at),
                 images: Vec::new(),
             };
-            self.targets.extend(std::iter::repeat_n(target, request.number as usize));
+            self.targets.extend(std::iter::repeat_n(target, request.count as usize));
         }
     }
 
--- a/crates/controller/src/placement/team_usage.rs
+++ b/crates/controller/src/placement/team_usage.rs
@@ -1,6 +1,6 @@
 //! Quota usage of teams during a round, and what their limits leave.
 
-use crate::cluster_state::{ClusterState, team_amounts};
+use crate::cluster_state::{ClusterState, quota_per_task};
 use crate::job::{Attempt, JobKind, JobSpec};
 use crate::settings::TeamSettings;
 use swiftsail_quota::{Quantity, QuotaLimit, ResourceQuantities};
@@ -23,11 +23,11 @@
 impl TeamUsage {
     /// The teams of the settings, in their order.
     pub fn from_cluster(state: &ClusterState, teams: &[TeamSettings]) -> Vec<TeamUsage> {
-        let used = state.usage(teams);
+        let used = state.quota_usage(teams);
         let counts_gpus = teams.iter().any(|t| t.gpus > 0.0);
         let team_usage =
             |((n, team), used): ((usize, &TeamSettings), ResourceQuantities)| TeamUsage {
-                limit: state.cap(n, team),
+                limit: state.quota_limit(n, team),
                 guarantee: ResourceQuantities::from_limit(team.cpus, team.gpus),
                 counts_gpus,
                 used,
@@ -41,7 +41,7 @@
             let is_stopping = |a: &&Attempt| a.stop_requested.is_some() || job.is_cancelled();
             let (stopping, staying): (Vec<&Attempt>, Vec<&Attempt>) =
                 occupying.partition(is_stopping);
-            let each = team_amounts(&job.spec);
+            let each = quota_per_task(&job.spec);
             all[n].being_stopped += each.multiplied_by(stopping.len() as u32);
             if job.spec.kind == JobKind::Service {
                 all[n].used_by_services += each.multiplied_by(staying.len() as u32);
@@ -96,9 +96,9 @@
 impl TeamAllowances {
     /// What the limit of each team leaves, given its current usage.
     pub fn from_cluster(state: &ClusterState, teams: &[TeamSettings]) -> TeamAllowances {
-        let used = state.usage(teams);
+        let used = state.quota_usage(teams);
         let remaining = |((n, team), used): ((usize, &TeamSettings), ResourceQuantities)| {
-            state.cap(n, team).remaining(used)
+            state.quota_limit(n, team).remaining(used)
         };
         TeamAllowances { remaining: teams.iter().enumerate().zip(used).map(remaining).collect() }
     }
@@ -106,7 +106,7 @@
     /// Takes the allowance for tasks of a job: as many as the team's limit allows, at most `waiting` and at most
     /// `fitting`. Returns their number.
     pub fn take_tasks(&mut self, team: usize, spec: &JobSpec, waiting: u32, fitting: u32) -> u32 {
-        let each = team_amounts(spec);
+        let each = quota_per_task(spec);
         let tasks = waiting.min(fitting).min(self.remaining[team].times_covering(each));
         self.remaining[team] -= each.multiplied_by(tasks);
         tasks
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -54,7 +54,7 @@
             gpus: 0.0,
             memory_gb: 64.0,
             cache_gb: 50.0,
-            fetch: 0.5,
+            fetch_gb_per_s: 0.5,
             price,
             spot_price: price / 3.0,
             boot_ms: 20_000.0,
@@ -446,7 +446,7 @@
     assert!(!accepts(&mut bench, 10, 7), "no full report was forwarded yet");
     set_digest(&mut bench, 7);
     assert!(accepts(&mut bench, 11, 7));
-    assert_eq!(bench.cluster_state.machines[id].last_heard_at, Some(bench.now));
+    assert_eq!(bench.cluster_state.machines[id].last_contact_at, Some(bench.now));
     assert!(!accepts(&mut bench, 12, 8), "another digest");
     assert!(
         !bench.cluster_state.on_unchanged_report(
