--- a/crates/controller/src/placement/cycle.rs
+++ b/crates/controller/src/placement/cycle.rs
@@ -43,11 +43,11 @@
     plan.cut_short = bound_tasks >= context.policy.bounds.max_bindings;
     if full && !plan.cut_short {
         let request =
-            |((type_index, zone, spot), number): ((usize, usize, bool), u32)| ProvisioningRequest {
+            |((type_index, zone, spot), count): ((usize, usize, bool), u32)| ProvisioningRequest {
                 machine_type: types[type_index].name.clone(),
                 zone: zones[zone].clone(),
                 spot,
-                count: number,
+                count,
             };
         plan.unplaced_jobs = Some(unplaced_jobs);
         plan.provisioning_requests = Some(planned_machines.into_iter().map(request).collect());
