--- a/crates/controller/src/quota_records.rs
+++ b/crates/controller/src/quota_records.rs
@@ -26,7 +26,7 @@
         // a key of its own.
         QuotaKey::FencingToken(_) => keys::LEADER.to_string(),
         QuotaKey::Pool => format!("{KEY_PREFIX}{page}/pool"),
-        QuotaKey::Holding(partition) => format!("{KEY_PREFIX}{page}/of/{partition}"),
+        QuotaKey::Holding(decider) => format!("{KEY_PREFIX}{page}/of/{decider}"),
     }
 }
 
