--- a/crates/controller/src/controller/deadline_planning.rs
+++ b/crates/controller/src/controller/deadline_planning.rs
@@ -92,7 +92,7 @@
         for (id, job) in leader.jobs.iter().filter(|(_, j)| j.state() == JobState::Live) {
             let (left, why) = leader.predicted_run_time(job, now.monotonic);
             let work = StepJob {
-                facts: facts_of(id, &job.spec),
+                attributes: facts_of(id, &job.spec),
                 accepted_at_wall: job.accepted_wall,
                 expected_end_wall: left.map(|ms| now.wall_clock + ms.max(0.0) as u64),
                 wait_reason: why.into(),
--- a/crates/deadline-planning/src/backward_planning.rs
+++ b/crates/deadline-planning/src/backward_planning.rs
@@ -1,44 +1,50 @@
-//! From the arrival backward through the chain: by when each step must be done, and when it must begin at the latest.
+//! Backward planning: from the time at which an occurrence is due, through its chain, to the deadline and the latest
+//! start of each step.
 
 use crate::constants::{DEFAULT_STEP_DURATION_MS, MS_PER_S};
 use crate::schedule::ChainDefinition;
 
-/// A step's times of day, ms.
+/// Planned wall-clock times of a step, ms since the Unix epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StepTimes {
-    /// By when it must be done.
+    /// When the step must be done.
     pub deadline: u64,
-    /// When it must begin at the latest to be, by what it takes.
+    /// When the step must begin at the latest to meet its deadline, given its expected duration.
     pub latest_start: u64,
 }
 
-/// The times of a chain's steps. `order`: an order in which each comes behind what it waits for; `takes`: how long
-/// each takes, ms. The last steps must be done a margin before the arrival, the others a margin before the latest
-/// start of whatever waits for them.
+/// Plans the steps of a chain for an occurrence that is due at `due_at_wall`, ms since the Unix epoch. `order` is a
+/// topological order of the steps, `durations_ms` the expected duration of each step
+/// ([`DEFAULT_STEP_DURATION_MS`] where there is none).
+///
+/// A step must be done by its margin before the earliest latest start of the steps that depend on it; a step on which
+/// none depends, by its margin before the occurrence is due.
 pub fn plan_backward(
     chain: &ChainDefinition,
     order: &[usize],
-    at_wall: u64,
-    takes: &[u64],
+    due_at_wall: u64,
+    durations_ms: &[u64],
 ) -> Vec<StepTimes> {
-    let mut times = vec![StepTimes { deadline: at_wall, latest_start: at_wall }; chain.steps.len()];
-    for &n in order.iter().rev() {
-        let step = &chain.steps[n];
-        let waits = |m: &usize| chain.steps[*m].after.contains(&step.name);
-        let next = (0..chain.steps.len()).filter(waits).map(|m| times[m].latest_start).min();
-        let margin = (step.margin_s * MS_PER_S) as u64;
-        let deadline = next.unwrap_or(at_wall).saturating_sub(margin);
-        let takes = takes.get(n).copied().unwrap_or(DEFAULT_STEP_DURATION_MS);
-        times[n] = StepTimes { deadline, latest_start: deadline.saturating_sub(takes) };
+    let mut times =
+        vec![StepTimes { deadline: due_at_wall, latest_start: due_at_wall }; chain.steps.len()];
+    for &index in order.iter().rev() {
+        let step = &chain.steps[index];
+        let depends_on_step = |other: &usize| chain.steps[*other].after.contains(&step.name);
+        let dependents = (0..chain.steps.len()).filter(depends_on_step);
+        let earliest_start = dependents.map(|other| times[other].latest_start).min();
+        let margin_ms = (step.margin_s * MS_PER_S) as u64;
+        let deadline = earliest_start.unwrap_or(due_at_wall).saturating_sub(margin_ms);
+        let duration_ms = durations_ms.get(index).copied().unwrap_or(DEFAULT_STEP_DURATION_MS);
+        times[index] = StepTimes { deadline, latest_start: deadline.saturating_sub(duration_ms) };
     }
     times
 }
 
-/// How long something takes by how long it took: the least time within which the part of them ended that is asked
-/// for.
-pub fn quantile(took: &[u64], part: f64) -> Option<u64> {
-    let mut sorted = took.to_vec();
+/// The smallest sample at or below which lies at least the share `quantile` (0 to 1) of all samples. None without
+/// samples.
+pub fn quantile(samples: &[u64], quantile: f64) -> Option<u64> {
+    let mut sorted = samples.to_vec();
     sorted.sort_unstable();
-    let number = (sorted.len() as f64 * part).ceil() as usize;
-    sorted.get(number.max(1) - 1).copied()
+    let rank = (sorted.len() as f64 * quantile).ceil() as usize;
+    sorted.get(rank.max(1) - 1).copied()
 }
--- a/crates/deadline-planning/src/constants.rs
+++ b/crates/deadline-planning/src/constants.rs
@@ -1,30 +1,31 @@
-//! Every constant of this package, with its unit and the reason for it.
+//! Constants of this crate, with their units.
 
 /// Milliseconds in a second.
 pub const MS_PER_S: f64 = 1000.0;
-/// Entries of a calendar at most: its record must fit a value, and what is bounded is understood.
+/// Maximum number of entries of a schedule: its record must fit a value, and operators must be able to survey it.
 pub const MAX_SCHEDULE_ENTRIES: usize = 200;
-/// Chains at most.
+/// Maximum number of chains of a plan.
 pub const MAX_CHAINS: usize = 32;
-/// Steps of a chain at most.
+/// Maximum number of steps of a chain.
 pub const MAX_CHAIN_STEPS: usize = 12;
-/// Longest name, bytes.
+/// Maximum length of a name, bytes.
 pub const MAX_NAME_BYTES: usize = 40;
-/// Time ahead for which arrivals are foreseen, ms: a night and the morning after it, so that a warning can come an
-/// hour ahead of the longest chain.
+/// Time ahead for which occurrences are planned, ms: a night and the following morning, so that a warning can come an
+/// hour before the longest chain has to begin.
 pub const PLANNING_HORIZON_MS: u64 = 24 * 3_600_000;
-/// Arrivals that are open at most (memory, and what a new leader reads).
+/// Maximum number of open occurrences. It bounds memory and what a new leader reads.
 pub const MAX_OCCURRENCES: usize = 500;
-/// Time after an arrival for which it is remembered, ms: an hour, for who asks what went wrong.
+/// Time for which an occurrence is kept after it was due, ms: an hour, for operators who look into what went wrong.
 pub const OCCURRENCE_RETENTION_MS: u64 = 3_600_000;
-/// Time before an arrival from which on a step that nobody has submitted is worth a warning, ms, beyond what the
-/// chain still takes: an hour, as the yards ask.
+/// Time before the latest start of a step from which on a warning is given if its job is not submitted, ms: users
+/// require an hour.
 pub const WARNING_LEAD_MS: u64 = 3_600_000;
-/// Time that a step takes of which nothing is known, ms.
+/// Duration assumed for a step without recorded durations, ms.
 pub const DEFAULT_STEP_DURATION_MS: u64 = 600_000;
-/// Margin of a step that names none, s: a minute for its end to be known and the list to be fetched.
+/// Margin of a step that names none, s: a minute for its end to become known and its result to be fetched.
 pub const DEFAULT_MARGIN_S: f64 = 60.0;
-/// Durations of a step that are remembered, the latest: some weeks of a daily one.
+/// Maximum number of recorded durations of a step, the latest ones: some weeks of a daily step.
 pub const MAX_DURATION_SAMPLES: usize = 24;
-/// Part of them within which a step is taken to end: three of four, as the mapper's own threshold.
+/// Quantile of the recorded durations within which a step is expected to end: the same probability as the mapper's
+/// pruning threshold.
 pub const DURATION_QUANTILE: f64 = 0.75;
--- a/crates/deadline-planning/src/lib.rs
+++ b/crates/deadline-planning/src/lib.rs
@@ -1,11 +1,14 @@
 //! Recurring deadlines: when something must be ready, which chain of jobs has to be done before, and by when each step of
-//! it must be. A deadline is a wall-clock time in a record and no leader's timer, so that failovers lose none. Without
-//! I/O: the time and what is known of jobs come in; records, deadlines and warnings go out.
+//! the chain must be done. A deadline is a wall-clock time in a record, not a timer of the leader, so that no failover
+//! loses one. Without I/O: the time and the state of jobs are passed in; records, deadlines and warnings are returned.
+//!
+//! In files, records and replies a schedule entry or occurrence is called an arrival: it is typically the arrival of a
+//! vehicle for which a list must be ready.
 //!
 //! - [`schedule`]: recurring entries with time zones and exceptions, chains of steps, and their validation
 //! - [`occurrence`]: one occurrence of an entry as a state machine in a record
-//! - [`backward_planning`]: deadlines and latest starts of steps, worked out backward
-//! - [`tracker`]: all occurrences, which job serves which step, warnings
+//! - [`backward_planning`]: deadlines and latest starts of steps
+//! - [`tracker`]: all open occurrences, which job performs which step, and warnings
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/deadline-planning/src/occurrence.rs
+++ b/crates/deadline-planning/src/occurrence.rs
@@ -1,38 +1,38 @@
-//! One arrival, as its record holds it.
+//! One occurrence of a schedule entry with its steps, as stored in its record.
 
 use serde::{Deserialize, Serialize};
 use swiftsail_replicated_records::Versioned;
 
-/// Where an arrival stands.
+/// Phase of an occurrence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum OccurrencePhase {
-    /// It comes; its times are planned.
+    /// Planned; no job has been submitted for any of its steps.
     #[serde(rename = "f")]
     Foreseen,
-    /// A job of its chain is there.
+    /// A job has been submitted for at least one step.
     #[serde(rename = "u")]
     UnderWay,
-    /// It will not be ready in time, as far as can be told.
+    /// A step is predicted to miss its deadline.
     #[serde(rename = "l")]
     Late,
-    /// All steps are done.
+    /// All steps are done, and it was not missed before.
     #[serde(rename = "r")]
     Ready,
-    /// It is there, and not all steps are done.
+    /// It was due before all steps were done.
     #[serde(rename = "m")]
     Missed,
-    /// It is over.
+    /// Its retention time after it was due has passed.
     #[serde(rename = "p")]
     Past,
 }
 
-/// Where a step stands.
+/// Phase of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum StepPhase {
-    /// Nobody has submitted its job.
+    /// No job has been submitted for it.
     #[serde(rename = "w")]
     Awaited,
-    /// Its job is there.
+    /// A job for it has been submitted and is not known to be over.
     #[serde(rename = "j")]
     Submitted,
     /// Its job is done.
@@ -40,30 +40,30 @@
     Done,
 }
 
-/// A step of an arrival.
+/// A step of an occurrence. Times are wall-clock times, ms since the Unix epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OccurrenceStep {
-    /// Its name.
+    /// Name of the step in its chain.
     #[serde(rename = "n")]
     pub name: String,
     #[serde(rename = "stage")]
     phase: StepPhase,
-    /// The job that does it.
+    /// Id of the job that performs it; none while no job has been submitted.
     #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
     pub job: Option<String>,
-    /// When that was accepted: time of day, ms.
+    /// When that job was accepted.
     #[serde(rename = "a", default)]
     pub accepted_at: u64,
-    /// By when it must be done: time of day, ms. Fixed when the arrival is planned.
+    /// When the step must be done. Fixed when the occurrence is planned.
     #[serde(rename = "by")]
     pub deadline: u64,
-    /// When it must begin at the latest: time of day, ms.
+    /// When the step must begin at the latest.
     #[serde(rename = "from")]
     pub latest_start: u64,
 }
 
 impl OccurrenceStep {
-    /// A step that nobody has begun.
+    /// A step for which no job has been submitted.
     pub fn new(name: &str, deadline: u64, latest_start: u64) -> OccurrenceStep {
         OccurrenceStep {
             name: name.into(),
@@ -75,13 +75,14 @@
         }
     }
 
-    /// Where it stands.
+    /// Phase of the step.
     pub fn phase(&self) -> StepPhase {
         self.phase
     }
 
-    /// The one function that changes where it stands. A job that is cancelled leaves its step to another; what is
-    /// done stays done.
+    /// The one function that changes the phase. `job` is the job that performs the step from now on; it is ignored on a
+    /// change to [`StepPhase::Done`]. A step whose job was cancelled becomes [`StepPhase::Awaited`] again, so that another
+    /// job can perform it; a step that is done stays done. Returns whether the change was allowed.
     pub fn advance_phase(&mut self, to: StepPhase, job: Option<&str>) -> bool {
         let allowed = matches!(
             (self.phase, to),
@@ -98,23 +99,23 @@
     }
 }
 
-/// An arrival.
+/// One occurrence of a schedule entry, or one that an operator has added.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Occurrence {
-    /// When: time of day, ms.
+    /// When it is due: wall-clock time, ms since the Unix epoch.
     #[serde(rename = "at")]
     pub due_at: u64,
-    /// Name of its entry.
+    /// Name of its schedule entry; `+` and a name if an operator has added it.
     #[serde(rename = "n")]
     pub entry_name: String,
-    /// Its chain.
+    /// Name of its chain.
     #[serde(rename = "c")]
     pub chain: String,
     phase: OccurrencePhase,
-    /// Its steps, in the order of its chain.
+    /// Its steps, in the order of the chain's definition.
     #[serde(rename = "s")]
     pub steps: Vec<OccurrenceStep>,
-    /// What was warned of: the step and the cause.
+    /// The latest warning: the step that will be late, and why.
     #[serde(rename = "why", default, skip_serializing_if = "Option::is_none")]
     pub lateness_warning: Option<(String, String)>,
 }
@@ -124,7 +125,7 @@
 }
 
 impl Occurrence {
-    /// An arrival that is foreseen, with its steps planned.
+    /// An occurrence in [`OccurrencePhase::Foreseen`] with these planned steps. `name` is that of its schedule entry.
     pub fn new(name: &str, chain: &str, due_at: u64, steps: Vec<OccurrenceStep>) -> Occurrence {
         let (entry_name, chain) = (name.into(), chain.into());
         Occurrence {
@@ -137,35 +138,37 @@
         }
     }
 
-    /// Its key: the same whoever foresees it.
+    /// Key of the occurrence of an entry that is due at this time. It depends on nothing else, so that every leader uses
+    /// the same key.
     pub fn key(name: &str, at: u64) -> String {
         format!("{at:014}-{name}")
     }
 
-    /// Where it stands.
+    /// Phase of the occurrence.
     pub fn phase(&self) -> OccurrencePhase {
         self.phase
     }
 
-    /// The one function that changes where it stands, by its steps and the time of day. What is past stays so. True
-    /// if it stands elsewhere now.
-    pub fn advance_phase(&mut self, now_wall: u64, late: bool, past_ms: u64) -> bool {
-        let done = self.steps.iter().all(|s| s.phase() == StepPhase::Done);
-        let begun = self.steps.iter().any(|s| s.phase() != StepPhase::Awaited);
-        let there = now_wall >= self.due_at;
+    /// The one function that changes the phase: by the steps, the wall clock, and whether a step is predicted to be late.
+    /// [`OccurrencePhase::Past`] begins `retention_ms` after the occurrence was due and is final. Returns whether the phase
+    /// changed.
+    pub fn advance_phase(&mut self, now_wall: u64, is_late: bool, retention_ms: u64) -> bool {
+        let all_done = self.steps.iter().all(|step| step.phase() == StepPhase::Done);
+        let any_submitted = self.steps.iter().any(|step| step.phase() != StepPhase::Awaited);
+        let is_due = now_wall >= self.due_at;
         let to = match self.phase {
             OccurrencePhase::Past => OccurrencePhase::Past,
-            _ if now_wall >= self.due_at + past_ms => OccurrencePhase::Past,
-            // What was missed is told as missed, even if it is done later.
+            _ if now_wall >= self.due_at + retention_ms => OccurrencePhase::Past,
+            // A missed occurrence is reported as missed even if its steps are done later.
             OccurrencePhase::Missed => OccurrencePhase::Missed,
-            _ if done => OccurrencePhase::Ready,
-            _ if there => OccurrencePhase::Missed,
-            _ if late => OccurrencePhase::Late,
-            _ if begun => OccurrencePhase::UnderWay,
+            _ if all_done => OccurrencePhase::Ready,
+            _ if is_due => OccurrencePhase::Missed,
+            _ if is_late => OccurrencePhase::Late,
+            _ if any_submitted => OccurrencePhase::UnderWay,
             _ => OccurrencePhase::Foreseen,
         };
-        let moved = to != self.phase;
+        let is_changed = to != self.phase;
         self.phase = to;
-        moved
+        is_changed
     }
 }
--- a/crates/gpu-lending/src/constants.rs
+++ b/crates/gpu-lending/src/constants.rs
@@ -1,17 +1,20 @@
-//! Every constant of this package, with its unit and the reason for it.
+//! Constants of this crate, with their units.
 
-/// Time from the stop within which the lender must be proved gone and the borrower placed, ms: a save, some reports
-/// and a fetch that another holds up; after it nobody's room is kept any more.
+/// Maximum time in each phase before [`crate::LoanPhase::Serving`], ms: enough for saving a checkpoint, some status
+/// reports, and an image fetch that waits for another one. After it the machine is not reserved for the borrower any
+/// more.
 pub const LOAN_START_TIMEOUT_MS: u64 = 45_000;
-/// Time for which the room is kept for the lender when the borrower has gone, ms: two rounds, and a commit.
+/// Time for which the machine is reserved for the lender after the borrower has left it, ms: two mapping rounds and a
+/// commit.
 pub const LOAN_RETURN_TIMEOUT_MS: u64 = 20_000;
-/// Time over which the stops of one job are counted, ms, ...
+/// Sliding window in which the preemptions of a lender are counted, ms.
 pub const PREEMPTION_WINDOW_MS: u64 = 3_600_000;
-/// ... and how often a job is stopped for others within it at most: surges that come and go do not make it swing.
+/// Maximum number of preemptions of a lender within [`PREEMPTION_WINDOW_MS`]: a demand that comes and goes must not
+/// make it oscillate between running and preempted.
 pub const MAX_PREEMPTIONS_PER_WINDOW: usize = 3;
-/// Time between two stops of one job at least, ms: it is to get further than its restart took.
+/// Minimum time between two preemptions of a lender, ms: it must make more progress than its restart costs.
 pub const MIN_PREEMPTION_INTERVAL_MS: u64 = 120_000;
-/// Loans of one lender at most (its record must fit a value): a gang of more machines is not taken.
+/// Maximum number of loans of one lender, since its record must fit a value: a gang on more machines is not preempted.
 pub const MAX_LOANS_PER_LENDER: usize = 32;
-/// Lenders with loans at most (memory, and what a new leader reads).
+/// Maximum number of lenders with a record. It bounds memory and what a new leader reads.
 pub const MAX_LENDERS: usize = 400;
--- a/crates/gpu-lending/src/gpu_loans.rs
+++ b/crates/gpu-lending/src/gpu_loans.rs
@@ -1,4 +1,4 @@
-//! Loans by the job that lends.
+//! The loans of each lender: their phases, their record, and the actions that follow from what is observed.
 
 use crate::constants::{
     LOAN_RETURN_TIMEOUT_MS, LOAN_START_TIMEOUT_MS, MAX_LENDERS, MAX_LOANS_PER_LENDER,
@@ -8,89 +8,90 @@
 use std::collections::{BTreeMap, BTreeSet};
 use swiftsail_replicated_records::Versioned;
 
-/// Where a loan stands.
+/// Phase of a loan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum LoanPhase {
-    /// It is written down first: nobody is stopped for what the next leader would not know.
+    /// Requested. The lender is not stopped until the record is committed, so that the next leader knows of the loan.
     #[serde(rename = "a")]
     Asked,
-    /// The lender's task is being stopped; nothing proves it gone yet.
+    /// The lender's task is being stopped and not proved gone yet.
     #[serde(rename = "s")]
     Stopping,
-    /// It is proved gone: the room is the borrower's and nobody else's.
+    /// The lender's task is proved gone; the machine is reserved for the borrower.
     #[serde(rename = "g")]
     Gone,
-    /// The borrower has it.
+    /// A task of the borrower is bound to the machine.
     #[serde(rename = "v")]
     Serving,
-    /// The borrower is gone: the lender goes on first.
+    /// The borrower does not use the machine any more, or never will; it is reserved for the lender.
     #[serde(rename = "e")]
     Ending,
-    /// The lender is back.
+    /// A task of the lender is on the machine again.
     #[serde(rename = "b")]
     Back,
-    /// It came to nothing: the borrower or the lender is over, the machine is gone, or time has run out.
+    /// Ended without a return of the machine to the lender: the borrower did not need it any more before the lender was
+    /// stopped, the lender is over, the machine is gone, or a timeout has passed.
     #[serde(rename = "d")]
     Dropped,
 }
 
 impl LoanPhase {
-    /// Whether nothing is left to be done.
+    /// Whether the loan is over.
     pub fn is_final(self) -> bool {
         matches!(self, LoanPhase::Back | LoanPhase::Dropped)
     }
 }
 
-/// One machine lent.
+/// The loan of the GPUs of one machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GpuLoan {
-    /// The job that it is for.
+    /// Id of the job that borrows.
     #[serde(rename = "to")]
     pub borrower: String,
-    /// The machine.
+    /// Id of the machine.
     #[serde(rename = "on")]
     pub machine: String,
-    /// Accelerators.
+    /// Number of GPUs.
     #[serde(rename = "n")]
     pub gpus: f64,
     #[serde(rename = "stage")]
     phase: LoanPhase,
-    /// Time of day since which it stands there, ms.
+    /// Wall-clock time at which the current phase began, ms since the Unix epoch.
     #[serde(rename = "at")]
     pub phase_since_wall: u64,
 }
 
-/// What is seen of a loan now.
+/// What the leader observes of a loan's jobs and machine; input of [`GpuLoan::advance_phase`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoanObservation {
-    /// The lender is not over or cancelled.
+    /// The lender is neither over nor cancelled.
     pub lender_is_live: bool,
-    /// The borrower is not over or cancelled.
+    /// The borrower is neither over nor cancelled.
     pub borrower_is_live: bool,
-    /// Tasks of the borrower wait for a place.
+    /// The borrower has tasks that wait for a machine.
     pub borrower_is_waiting: bool,
-    /// The machine is known and may be given work.
+    /// The machine may be given work, or is expected to report soon.
     pub machine_is_available: bool,
     /// A task of the lender is on the machine and not proved gone.
     pub lender_on_machine: bool,
     /// A task of the borrower is bound to the machine.
     pub borrower_on_machine: bool,
-    /// Tasks of the lender wait for a place.
+    /// The lender has tasks that wait for a machine.
     pub lender_is_waiting: bool,
 }
 
 impl GpuLoan {
-    /// Where it stands.
+    /// Phase of the loan.
     pub fn phase(&self) -> LoanPhase {
         self.phase
     }
 
-    /// The one function that changes where a loan stands, but for [`GpuLoans::on_committed`]: by what is seen and the time of
-    /// day, neither of which belongs to one leader. True if it stands elsewhere now. No stage lasts for ever but serving, which ends with
-    /// the borrower.
+    /// Changes the phase, if that follows from the observation and the wall clock, ms since the Unix epoch. Returns
+    /// whether it changed. Neither depends on which controller leads. Apart from [`GpuLoans::on_committed`] no other
+    /// function changes the phase. Every phase but [`LoanPhase::Serving`] has a timeout; that one ends with the borrower.
     pub fn advance_phase(&mut self, seen: LoanObservation, now_wall: u64) -> bool {
         use LoanPhase::*;
-        let for_ms = now_wall.saturating_sub(self.phase_since_wall);
+        let phase_ms = now_wall.saturating_sub(self.phase_since_wall);
         let to = match self.phase {
             Back | Dropped => return false,
             _ if !seen.machine_is_available
@@ -102,40 +103,40 @@
             Asked
                 if !seen.borrower_is_live
                     || !seen.borrower_is_waiting
-                    || for_ms > LOAN_START_TIMEOUT_MS =>
+                    || phase_ms > LOAN_START_TIMEOUT_MS =>
             {
                 Dropped
             }
             Asked if !seen.lender_on_machine => Dropped,
             Stopping | Gone if seen.borrower_on_machine && !seen.lender_on_machine => Serving,
             Stopping | Gone if !seen.borrower_is_live || !seen.borrower_is_waiting => Ending,
-            Stopping | Gone if for_ms > LOAN_START_TIMEOUT_MS => Ending,
+            Stopping | Gone if phase_ms > LOAN_START_TIMEOUT_MS => Ending,
             Stopping if !seen.lender_on_machine => Gone,
             Serving if !seen.borrower_on_machine => Ending,
             Ending if seen.lender_on_machine => Back,
             Ending
                 if !seen.lender_is_live
-                    || !seen.lender_is_waiting && for_ms > LOAN_RETURN_TIMEOUT_MS =>
+                    || !seen.lender_is_waiting && phase_ms > LOAN_RETURN_TIMEOUT_MS =>
             {
                 Dropped
             }
-            Ending if for_ms > LOAN_RETURN_TIMEOUT_MS => Dropped,
-            same => same,
+            Ending if phase_ms > LOAN_RETURN_TIMEOUT_MS => Dropped,
+            unchanged => unchanged,
         };
-        // A lender that is over is owed nothing; what its room is used for goes on.
+        // Nothing is reserved for a lender that is over. A borrower that is still on the machine goes on.
         let to = if to == Ending && !seen.lender_is_live { Dropped } else { to };
-        let moved = to != self.phase;
-        if moved {
+        let is_changed = to != self.phase;
+        if is_changed {
             (self.phase, self.phase_since_wall) = (to, now_wall);
         }
-        moved
+        is_changed
     }
 }
 
-/// What one job has lent, as its record holds it.
+/// The stored record of one lender: its recent preemptions and its open loans.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct LenderRecord {
-    /// Times of day of its stops, ms, the latest last.
+    /// Wall-clock times of its preemptions, ms since the Unix epoch, the latest last.
     #[serde(rename = "x", default)]
     pub preempted_at: Vec<u64>,
     /// Its loans that are not over.
@@ -147,21 +148,22 @@
     const FORMAT_VERSION: u32 = 1;
 }
 
-/// What is to be done about a loan.
+/// What the leader is to do about a loan.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LoanAction {
-    /// Stop the lender: again, if an earlier leader's word was lost.
+    /// Stop the lender's task on a machine. Returned throughout [`LoanPhase::Stopping`], since the request of an earlier
+    /// leader may have been lost.
     StopLender {
-        /// The lender.
+        /// Id of the lender.
         lender: String,
-        /// The machine on which its task is.
+        /// Id of the machine.
         machine: String,
     },
-    /// The room on a machine is this job's, and nobody of its priority or below takes it.
+    /// Reserve a machine's free resources for a job: no other job of the same or a lower priority may take them.
     ReserveMachine {
-        /// The job.
+        /// Id of the job.
         job: String,
-        /// The machine.
+        /// Id of the machine.
         machine: String,
     },
 }
@@ -170,43 +172,46 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct GpuLoans {
     lenders: BTreeMap<String, LenderRecord>,
-    /// Lenders whose record differs from what was last taken.
+    /// Lenders whose record has changed since the last [`GpuLoans::take_changed`].
     changed: BTreeSet<String>,
 }
 
 impl GpuLoans {
-    /// Takes over a lender's record.
-    pub fn restore(&mut self, lender: &str, lent: LenderRecord) {
-        self.lenders.insert(lender.to_string(), lent);
+    /// Restores the record of a lender.
+    pub fn restore(&mut self, lender: &str, record: LenderRecord) {
+        self.lenders.insert(lender.to_string(), record);
     }
 
-    /// All of them: lender, loan.
+    /// All loans with the ids of their lenders.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &GpuLoan)> {
         self.lenders
             .iter()
-            .flat_map(|(lender, l)| l.loans.iter().map(move |loan| (&**lender, loan)))
+            .flat_map(|(lender, record)| record.loans.iter().map(move |loan| (&**lender, loan)))
     }
 
-    /// Loans that are not over.
+    /// Number of loans that are not over.
     pub fn open_loan_count(&self) -> usize {
-        self.lenders.values().map(|l| l.loans.len()).sum()
+        self.lenders.values().map(|record| record.loans.len()).sum()
     }
 
-    /// What a job has lent.
+    /// The record of a lender, if it has one.
     pub fn lender_record(&self, lender: &str) -> Option<&LenderRecord> {
         self.lenders.get(lender)
     }
 
-    /// Whether a job may be stopped for others now: not too often, and not while it is owed what it has lent.
+    /// Whether a job may be preempted for others now: not too often, and not while one of its loans is open.
     pub fn may_preempt(&self, lender: &str, now_wall: u64) -> bool {
-        let Some(lent) = self.lenders.get(lender) else { return self.lenders.len() < MAX_LENDERS };
-        let lately = lent.preempted_at.iter().filter(|at| now_wall < **at + PREEMPTION_WINDOW_MS);
-        let last =
-            lent.preempted_at.last().is_none_or(|at| now_wall >= at + MIN_PREEMPTION_INTERVAL_MS);
-        lately.count() < MAX_PREEMPTIONS_PER_WINDOW && last && lent.loans.is_empty()
+        let Some(record) = self.lenders.get(lender) else {
+            return self.lenders.len() < MAX_LENDERS;
+        };
+        let recent = record.preempted_at.iter().filter(|at| now_wall < **at + PREEMPTION_WINDOW_MS);
+        let is_interval_over =
+            record.preempted_at.last().is_none_or(|at| now_wall >= at + MIN_PREEMPTION_INTERVAL_MS);
+        recent.count() < MAX_PREEMPTIONS_PER_WINDOW && is_interval_over && record.loans.is_empty()
     }
 
-    /// A job's tasks on these machines are stopped for another. False: it may not be.
+    /// Requests that a lender's tasks on these machines (id and number of GPUs) be preempted for the borrower. Returns
+    /// false, and requests nothing, if the lender may not be preempted now or has too many machines.
     pub fn request_loan(
         &mut self,
         lender: &str,
@@ -217,99 +222,104 @@
         if machines.len() > MAX_LOANS_PER_LENDER || !self.may_preempt(lender, now_wall) {
             return false;
         }
-        let lent = self.lenders.entry(lender.to_string()).or_default();
-        lent.preempted_at.retain(|at| now_wall < *at + PREEMPTION_WINDOW_MS);
-        lent.preempted_at.push(now_wall);
-        let loan = |(machine, gpus): &(String, f64)| GpuLoan {
+        let record = self.lenders.entry(lender.to_string()).or_default();
+        record.preempted_at.retain(|at| now_wall < *at + PREEMPTION_WINDOW_MS);
+        record.preempted_at.push(now_wall);
+        let new_loan = |(machine, gpus): &(String, f64)| GpuLoan {
             borrower: borrower.to_string(),
             machine: machine.clone(),
             gpus: *gpus,
             phase: LoanPhase::Asked,
             phase_since_wall: now_wall,
         };
-        lent.loans = machines.iter().map(loan).collect();
+        record.loans = machines.iter().map(new_loan).collect();
         self.changed.insert(lender.to_string());
         true
     }
 
-    /// A lender's record is committed as it stands: what was asked of it may begin. True if anything does.
+    /// A lender's current record has been committed: its requested loans advance to [`LoanPhase::Stopping`]. Returns
+    /// whether there were any.
     pub fn on_committed(&mut self, lender: &str, now_wall: u64) -> bool {
-        let mut begun = false;
-        let loans = self.lenders.get_mut(lender).into_iter().flat_map(|l| &mut l.loans);
-        for loan in loans.filter(|l| l.phase == LoanPhase::Asked) {
-            (loan.phase, loan.phase_since_wall, begun) = (LoanPhase::Stopping, now_wall, true);
+        let mut is_changed = false;
+        let loans = self.lenders.get_mut(lender).into_iter().flat_map(|record| &mut record.loans);
+        for loan in loans.filter(|loan| loan.phase == LoanPhase::Asked) {
+            (loan.phase, loan.phase_since_wall, is_changed) = (LoanPhase::Stopping, now_wall, true);
         }
-        if begun {
+        if is_changed {
             self.changed.insert(lender.to_string());
         }
-        begun
+        is_changed
     }
 
-    /// Lenders of which something is asked and not begun.
+    /// Lenders with loans in [`LoanPhase::Asked`].
     pub fn lenders_with_requests(&self) -> Vec<String> {
-        let asks = |l: &LenderRecord| l.loans.iter().any(|loan| loan.phase == LoanPhase::Asked);
-        self.lenders.iter().filter(|(_, l)| asks(l)).map(|(lender, _)| lender.clone()).collect()
+        let has_requests =
+            |record: &LenderRecord| record.loans.iter().any(|loan| loan.phase == LoanPhase::Asked);
+        let with_requests = self.lenders.iter().filter(|(_, record)| has_requests(record));
+        with_requests.map(|(lender, _)| lender.clone()).collect()
     }
 
-    /// Lets every loan go on by what is seen of it (lender, loan), and says what is to be done. Loans that are over
-    /// leave; stops are remembered while the lender lives.
+    /// Advances every loan by what `observe` returns for it and its lender's id. Returns the actions that follow. Loans
+    /// that are over are removed. A lender's record is kept for its preemptions until the latest is older than
+    /// [`PREEMPTION_WINDOW_MS`].
     pub fn advance_loans(
         &mut self,
         now_wall: u64,
-        seen: impl Fn(&str, &GpuLoan) -> LoanObservation,
+        observe: impl Fn(&str, &GpuLoan) -> LoanObservation,
     ) -> Vec<LoanAction> {
-        let mut todo = Vec::new();
-        let mut gone = Vec::new();
-        for (lender, lent) in &mut self.lenders {
-            let mut lives = true;
-            for loan in &mut lent.loans {
-                let now = seen(lender, loan);
-                lives = now.lender_is_live;
-                if loan.advance_phase(now, now_wall) {
+        let mut actions = Vec::new();
+        let mut removed_lenders = Vec::new();
+        for (lender, record) in &mut self.lenders {
+            let mut lender_is_live = true;
+            for loan in &mut record.loans {
+                let seen = observe(lender, loan);
+                lender_is_live = seen.lender_is_live;
+                if loan.advance_phase(seen, now_wall) {
                     self.changed.insert(lender.clone());
                 }
                 let machine = loan.machine.clone();
                 match loan.phase {
                     LoanPhase::Stopping => {
-                        todo.push(LoanAction::StopLender {
+                        actions.push(LoanAction::StopLender {
                             lender: lender.clone(),
                             machine: machine.clone(),
                         });
-                        todo.push(LoanAction::ReserveMachine {
+                        actions.push(LoanAction::ReserveMachine {
                             job: loan.borrower.clone(),
                             machine,
                         });
                     }
-                    LoanPhase::Asked | LoanPhase::Gone => todo
+                    LoanPhase::Asked | LoanPhase::Gone => actions
                         .push(LoanAction::ReserveMachine { job: loan.borrower.clone(), machine }),
                     LoanPhase::Ending => {
-                        todo.push(LoanAction::ReserveMachine { job: lender.clone(), machine })
+                        actions.push(LoanAction::ReserveMachine { job: lender.clone(), machine })
                     }
                     _ => {}
                 }
             }
-            lent.loans.retain(|l| !l.phase.is_final());
-            let old =
-                lent.preempted_at.last().is_none_or(|at| now_wall >= at + PREEMPTION_WINDOW_MS);
-            if lent.loans.is_empty() && (old || !lives) {
-                gone.push(lender.clone());
+            record.loans.retain(|loan| !loan.phase.is_final());
+            let no_recent_preemption =
+                record.preempted_at.last().is_none_or(|at| now_wall >= at + PREEMPTION_WINDOW_MS);
+            if record.loans.is_empty() && (no_recent_preemption || !lender_is_live) {
+                removed_lenders.push(lender.clone());
             }
         }
-        for lender in gone {
+        for lender in removed_lenders {
             self.lenders.remove(&lender);
             self.changed.insert(lender);
         }
-        todo
+        actions
     }
 
-    /// A job is over: nothing is owed to it, and its record may go.
+    /// Removes the record of a lender that is over, with its loans.
     pub fn remove_lender(&mut self, lender: &str) {
         if self.lenders.remove(lender).is_some() {
             self.changed.insert(lender.to_string());
         }
     }
 
-    /// Lenders whose records are to be written, and what they are now; none: nothing.
+    /// Lenders whose record has changed since the last call, each with its record to write; none: the record is to be
+    /// deleted.
     pub fn take_changed(&mut self) -> Vec<(String, Option<LenderRecord>)> {
         let changed = std::mem::take(&mut self.changed);
         changed
--- a/crates/gpu-lending/src/lib.rs
+++ b/crates/gpu-lending/src/lib.rs
@@ -1,6 +1,9 @@
-//! Accelerators lent: what was stopped for whom, where, and who goes on first when it comes free. Each loan is a
-//! state machine in a record that outlives leaders. Pure: what is seen comes in, what is to be done goes out. A loan
-//! proves nothing and allows nothing: stops, proofs, limits and bindings are as ever; it says whose room it is.
+//! GPU loans: which gang was preempted for which job, on which machines, and for whom these machines are reserved when
+//! they become free. Each loan is a state machine in a record that outlives leaders.
+//!
+//! Without I/O: observations are passed in, actions are returned. A loan only says for whom a machine is reserved. It
+//! proves nothing and permits nothing: stopping tasks, proving them gone, quota limits and bindings work as without
+//! loans.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/replicated-records/src/lib.rs
+++ b/crates/replicated-records/src/lib.rs
@@ -1,8 +1,8 @@
-//! Versioned records in the state service that every controller watches and the leader alone writes. Pure: pages,
-//! watch changes and transaction outcomes come in, transactions go out.
+//! Versioned records in the state service that every controller watches and the leader alone writes. Without I/O: pages,
+//! watch changes and transaction outcomes are passed in, transactions to send are returned.
 //!
-//! [`RecordStore`] is the only place where such values are read, batched and written. Tier table, dispatch plan,
-//! occurrences and GPU loans are values in it, which their owners decode and encode through [`Versioned`].
+//! [`RecordStore`] is the only place where such values are read, batched and written. The tier table, the deadline plan,
+//! its occurrences and GPU loans are values in it, which their owners decode and encode through [`Versioned`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -14,5 +14,5 @@
 pub use record_store::{LoadPhase, RecordStore, RecordTransaction, StoreLimits, WriteOutcome};
 pub use versioned::{RecordReadError, Versioned};
 
-/// Monotonic time in ms.
+/// Monotonic time, ms.
 pub type Time = u64;
--- a/crates/replicated-records/src/record_store.rs
+++ b/crates/replicated-records/src/record_store.rs
@@ -15,11 +15,11 @@
 /// Limits that the state service and the settings put on transactions.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StoreLimits {
-    /// Writes per second allowed to this deployment in all; records may use [`WRITE_RATE_SHARE`] of it.
+    /// Writes per second allowed to the whole deployment; records may use [`WRITE_RATE_SHARE`] of them.
     pub writes_per_second: f64,
-    /// Writes in one transaction at most.
+    /// Maximum number of writes in one transaction.
     pub max_transaction_writes: usize,
-    /// Size of one value at most, in bytes of JSON.
+    /// Maximum size of one value, bytes of JSON.
     pub max_value_bytes: usize,
 }
 
@@ -28,7 +28,7 @@
 pub enum LoadPhase {
     /// No listing has begun since the start or the last reload; readers use defaults or what was read before.
     NotLoaded,
-    /// A listing is under way; its first page was read at this revision.
+    /// A listing is in progress; its first page was read at this revision.
     Loading(u64),
     /// Every change up to this revision is known.
     Loaded(u64),
@@ -46,12 +46,12 @@
     pub writes: Vec<(String, Option<Value>)>,
 }
 
-/// How a transaction ended.
+/// Outcome of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It was committed; its writes have this mod revision.
+    /// The transaction was committed; its writes have this mod revision.
     Committed(u64),
-    /// A condition failed: this copy is out of date and must be read again.
+    /// A condition failed: the local copy is out of date and must be read again.
     Conflict,
 }
 
@@ -61,7 +61,7 @@
     mod_revision: u64,
 }
 
-/// Writes that may be made now: a token bucket.
+/// Token bucket that limits the rate of writes.
 #[derive(Debug)]
 struct WriteBudget {
     available: f64,
@@ -72,8 +72,8 @@
     /// Adds what has accrued since the last call, up to [`MAX_WRITE_BURST_S`] seconds' worth (at least one write).
     fn refill(&mut self, writes_per_second: f64, now: Time) {
         let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / MS_PER_S;
-        let most = (writes_per_second * MAX_WRITE_BURST_S).max(1.0);
-        self.available = (self.available + elapsed_s * writes_per_second).min(most);
+        let capacity = (writes_per_second * MAX_WRITE_BURST_S).max(1.0);
+        self.available = (self.available + elapsed_s * writes_per_second).min(capacity);
         self.refilled_at = now;
     }
 }
@@ -160,13 +160,13 @@
         }
     }
 
-    /// Announces that the records will be listed again. Until then what is known stays valid for readers.
+    /// Marks the records as not loaded, since they are about to be listed again. Readers keep using the current values.
     pub fn start_reload(&mut self) {
         self.advance_phase(LoadPhase::NotLoaded);
     }
 
-    /// Forgets pending writes and the in-flight transaction: to be called when leadership begins or ends, since
-    /// only the leader that requested a write may make it.
+    /// Discards pending writes and the in-flight transaction. To be called when leadership begins or ends, since only
+    /// the leader that requested a write may make it.
     pub fn discard_pending_writes(&mut self) {
         self.pending_writes.clear();
         self.write_order.clear();
@@ -225,12 +225,12 @@
         }
     }
 
-    /// Applies what a watch has delivered up to `revision`: (key without the prefix, value or none for a deletion,
-    /// mod revision).
+    /// Applies the changes that a watch has delivered up to `revision`: (key without the prefix, value or none for a
+    /// deletion, mod revision).
     ///
-    /// A change older than what is known of its key is ignored. So is one at or before the revision of a listing:
-    /// what it wrote may be deleted by now, and since the watch continues after that deletion the record would
-    /// come back for good.
+    /// A change older than the known revision of its key is ignored. So is one at or before the revision of the listing:
+    /// the record that it wrote may have been deleted since, and as the watch continues after that deletion, the record
+    /// would reappear permanently.
     pub fn on_watch_changes(&mut self, changes: Vec<(String, Option<Value>, u64)>, revision: u64) {
         let known_revision = match self.phase {
             LoadPhase::NotLoaded => 0,
--- a/crates/replicated-records/src/versioned.rs
+++ b/crates/replicated-records/src/versioned.rs
@@ -1,5 +1,5 @@
-//! Reading and writing of record values that carry their format version, in the field `v`. A value of a later
-//! version is an error, never a guess, so that an older program does not overwrite what it cannot read.
+//! Reading and writing of record values that carry their format version, in the field `v`. Reading a value of a later
+//! format version is an error, so that an older release does not overwrite what it cannot read.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -8,22 +8,22 @@
 /// Why a record could not be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RecordReadError {
-    /// A later program wrote it, in a format that this one does not know.
+    /// The record was written by a later release, in a format that this one does not support.
     #[error(
-        "record {key} has form {found}, this program reads up to {known}: it is left as it is; run the later \
-         version everywhere"
+        "record {key} has format version {found}, but this release supports up to {known}; the record is left \
+         unchanged: run the later release on all controllers"
     )]
     UnsupportedFormat {
         /// Key of the record.
         key: String,
         /// Format version of the record.
         found: u32,
-        /// Latest format version that this program reads.
+        /// Latest format version that this release reads.
         known: u32,
     },
-    /// It does not have the fields of its format.
+    /// The record does not have the fields of its format.
     #[error(
-        "record {key} cannot be read: {cause}; it is left as it is; remove the key to begin anew"
+        "record {key} cannot be decoded: {cause}; the record is left unchanged: delete the key to reset it"
     )]
     Malformed {
         /// Key of the record.
@@ -35,11 +35,11 @@
 
 /// A record value that carries its format version.
 pub trait Versioned: Serialize + DeserializeOwned {
-    /// The format version that this program writes, and the latest that it reads.
+    /// The format version that this release writes, and the latest that it reads.
     const FORMAT_VERSION: u32;
 
-    /// Decodes the record under `key` (named in errors only). Fails on a later format version and on missing or
-    /// ill-typed fields.
+    /// Decodes the record under `key`, which only serves error messages. Fails on a later format version and on missing
+    /// or ill-typed fields.
     fn from_record(key: &str, value: &Value) -> Result<Self, RecordReadError> {
         #[derive(Deserialize)]
         struct VersionField {
--- a/crates/tiers/src/constants.rs
+++ b/crates/tiers/src/constants.rs
@@ -1,13 +1,13 @@
-//! Every constant of this package, with its unit and the reason for it.
+//! Constants of this crate, with their units.
 
-/// Tiers in a table at most: what is told apart must be understood at night.
+/// Maximum number of tiers in a table: operators on call must be able to tell them apart.
 pub const MAX_TIERS: usize = 16;
-/// Longest name of a tier, bytes.
+/// Maximum length of a tier's name, bytes.
 pub const MAX_NAME_BYTES: usize = 40;
-/// Longest expression, bytes.
+/// Maximum length of an expression, bytes.
 pub const MAX_EXPRESSION_BYTES: usize = 2_000;
-/// Jobs made up to try a table on: enough to find one of three conditions that hold together one time in ten
-/// each, and some 50 ms of a whole core.
+/// Generated jobs on which a table is tried: enough to find a job that meets three independent conditions of which
+/// each holds one time in ten. They take about 50 ms of a whole core.
 pub const TRIAL_JOBS: usize = 6_000;
-/// Operations that one expression may take, as a policy's.
+/// Maximum number of operations of one expression, the same as for a policy.
 pub const MAX_EXPRESSION_OPS: u64 = swiftsail_policy::constants::MAX_POLICY_OPS;
--- a/crates/tiers/src/lib.rs
+++ b/crates/tiers/src/lib.rs
@@ -1,10 +1,10 @@
-//! Priority tiers: the order in which waiting jobs are served. A job's tier and its position are functions of records
-//! alone, so that every controller at the same revision has the same order and no failover changes it. Nothing here
-//! reads a clock or knows of machines.
+//! Priority tiers: the order in which waiting jobs are served. A job's tier and its queue position are functions of
+//! stored records alone, so that every controller at the same revision has the same order and no failover changes it.
+//! Nothing here reads a clock or knows of machines.
 //!
-//! - [`tier_table`]: the table of tiers, its record, and the built-in default
-//! - [`validation`]: what makes a table invalid
-//! - [`mod@queue_order`]: the position of a job among those that wait
+//! - [`tier_table`]: the tier table, its record, and the built-in default
+//! - [`validation`]: checks of a tier table
+//! - [`mod@queue_order`]: the queue position of each job
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/tiers/src/queue_order.rs
+++ b/crates/tiers/src/queue_order.rs
@@ -1,27 +1,31 @@
-//! The line of waiting work: who comes before whom, from records alone.
+//! Queue order of jobs, computed from their records alone.
 
 use crate::tier_table::JobPriorityAttribute;
 use std::collections::HashMap;
 
-/// What the line knows of a job, all of it from its record.
+/// Tolerance when a sum of resources is compared with a guarantee, in CPUs or GPUs: the sums are of floating-point
+/// numbers.
+const RESOURCE_TOLERANCE: f64 = 1e-6;
+
+/// What the queue order depends on for one job, all of it from the job's record.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WaitingJob<'a> {
-    /// Its id.
+    /// The job's id.
     pub id: &'a str,
-    /// Its priority.
+    /// The job's priority.
     pub priority: JobPriorityAttribute,
-    /// Its tier.
+    /// Index of its tier.
     pub tier: u8,
-    /// Time of day of its acceptance, ms, as its record has it.
+    /// Wall-clock time of its acceptance, ms since the Unix epoch, as in its record.
     pub accepted_at_wall: u64,
-    /// Its team.
+    /// The job's team.
     pub team: &'a str,
-    /// CPUs and accelerators that all of its tasks take.
+    /// CPUs and GPUs of all its tasks together.
     pub total_resources: (f64, f64),
 }
 
-/// A job's place: the less the sooner. Priority, tier, whether it is beyond its team's guarantee, time of acceptance,
-/// id.
+/// A job's position in the queue; a lower one is served earlier. Ordered by priority (highest first), tier, whether the
+/// job is beyond its team's guarantee, time of acceptance, and id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueuePosition<'a> {
     priority: std::cmp::Reverse<JobPriorityAttribute>,
@@ -32,45 +36,50 @@
 }
 
 impl<'a> QueuePosition<'a> {
-    /// Whether it is beyond its team's guarantee.
+    /// Whether the job is beyond its team's guarantee.
     pub fn is_beyond_guarantee(&self) -> bool {
         self.beyond_guarantee
     }
 
-    /// Its id.
+    /// The job's id.
     pub fn job_id(&self) -> &'a str {
         self.id
     }
 }
 
-/// The line of jobs that are not over. `guarantees`: CPUs and accelerators of each team; 0: none. A job is within
-/// its team's guarantee if it fits there together with the team's earlier jobs (protocol), counted in this order.
+/// Queue positions of these jobs, the first to be served first. `guarantees`: CPUs and GPUs guaranteed to each team;
+/// a team that is not in it has no guarantee.
+///
+/// A job is within its team's guarantee if it fits there together with all earlier jobs of the team, in the order of
+/// priority, tier, acceptance and id. The result does not depend on the order of `entries`.
 pub fn queue_order<'a>(
     entries: impl Iterator<Item = WaitingJob<'a>>,
     guarantees: &HashMap<&str, (f64, f64)>,
 ) -> Vec<QueuePosition<'a>> {
-    let mut all: Vec<WaitingJob> = entries.collect();
-    let by_age =
-        |e: &WaitingJob<'a>| (std::cmp::Reverse(e.priority), e.tier, e.accepted_at_wall, e.id);
-    all.sort_by(|a, b| by_age(a).cmp(&by_age(b)));
-    let mut used: HashMap<&str, (f64, f64)> = HashMap::new();
-    let mut places: Vec<QueuePosition> = all
+    let mut jobs: Vec<WaitingJob> = entries.collect();
+    let order_key = |job: &WaitingJob<'a>| {
+        (std::cmp::Reverse(job.priority), job.tier, job.accepted_at_wall, job.id)
+    };
+    jobs.sort_by(|a, b| order_key(a).cmp(&order_key(b)));
+    let mut usage_by_team: HashMap<&str, (f64, f64)> = HashMap::new();
+    let mut positions: Vec<QueuePosition> = jobs
         .into_iter()
-        .map(|e| {
-            let used = used.entry(e.team).or_default();
-            (used.0, used.1) = (used.0 + e.total_resources.0, used.1 + e.total_resources.1);
-            let (cpus, gpus) = guarantees.get(e.team).copied().unwrap_or_default();
-            let fits = |used: f64, most: f64| used <= most + 1e-6;
-            let within = fits(used.0, cpus) && (fits(used.1, gpus) || e.total_resources.1 <= 0.0);
+        .map(|job| {
+            let used = usage_by_team.entry(job.team).or_default();
+            (used.0, used.1) = (used.0 + job.total_resources.0, used.1 + job.total_resources.1);
+            let (cpus, gpus) = guarantees.get(job.team).copied().unwrap_or_default();
+            let fits = |used: f64, guaranteed: f64| used <= guaranteed + RESOURCE_TOLERANCE;
+            let is_within_guarantee =
+                fits(used.0, cpus) && (fits(used.1, gpus) || job.total_resources.1 <= 0.0);
             QueuePosition {
-                priority: std::cmp::Reverse(e.priority),
-                tier: e.tier,
-                beyond_guarantee: !within,
-                accepted_at_wall: e.accepted_at_wall,
-                id: e.id,
+                priority: std::cmp::Reverse(job.priority),
+                tier: job.tier,
+                beyond_guarantee: !is_within_guarantee,
+                accepted_at_wall: job.accepted_at_wall,
+                id: job.id,
             }
         })
         .collect();
-    places.sort();
-    places
+    positions.sort();
+    positions
 }
--- a/crates/tiers/src/tier_table.rs
+++ b/crates/tiers/src/tier_table.rs
@@ -1,5 +1,6 @@
-//! The table of tiers: named, ordered, each with an expression over what a job asks for. What changes while a
-//! job waits is out of its reach, or the line would change with it.
+//! The tier table: an ordered list of named tiers, each with an expression over the attributes of a job's
+//! specification. Expressions cannot refer to anything that changes while a job waits, since the queue order would then
+//! change with it.
 
 use crate::constants::MAX_EXPRESSION_OPS;
 use crate::validation::{self, TierTableError};
@@ -9,7 +10,7 @@
 use swiftsail_policy::expression_engine::{Diagnostic, ExpressionEngine};
 use swiftsail_replicated_records::Versioned;
 
-/// A job's priority, the highest last.
+/// A job's priority as tier expressions see it, in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[allow(missing_docs)]
 pub enum JobPriorityAttribute {
@@ -20,7 +21,7 @@
 }
 
 impl JobPriorityAttribute {
-    /// All of them, the lowest first.
+    /// All priorities, lowest first.
     pub const ALL: [JobPriorityAttribute; 4] = [
         JobPriorityAttribute::Low,
         JobPriorityAttribute::Normal,
@@ -28,13 +29,13 @@
         JobPriorityAttribute::Production,
     ];
 
-    /// As expressions name it.
+    /// The value of `job.priority` in expressions.
     pub fn name(self) -> &'static str {
         ["low", "normal", "high", "production"][self as usize]
     }
 }
 
-/// A job's shape.
+/// A job's kind as tier expressions see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[allow(missing_docs)]
 pub enum JobKindAttribute {
@@ -44,17 +45,17 @@
 }
 
 impl JobKindAttribute {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [JobKindAttribute; 3] =
         [JobKindAttribute::Array, JobKindAttribute::Gang, JobKindAttribute::Service];
 
-    /// As expressions name it.
+    /// The value of `job.kind` in expressions.
     pub fn name(self) -> &'static str {
         ["array", "gang", "service"][self as usize]
     }
 }
 
-/// What expressions may know of a job: what it asked for when it was accepted.
+/// The attributes of a job that expressions can refer to: its specification at acceptance. Resources are per task.
 #[derive(Debug, Clone, PartialEq)]
 #[allow(missing_docs)]
 pub struct JobAttributes {
@@ -72,7 +73,7 @@
     pub spot: bool,
 }
 
-/// The attributes, by the names under which they stand.
+/// Names of the job attributes in expressions.
 pub const ATTRIBUTE_NAMES: &[&str] = &[
     "id",
     "class",
@@ -108,32 +109,32 @@
     }
 }
 
-/// The name of what is of no tier.
+/// Name of the implicit last tier, which has the jobs that match no tier of the table.
 pub const UNTIERED_NAME: &str = "rest";
 
-/// A tier as it is written down.
+/// A tier as written in a file or record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TierDefinition {
-    /// Its name.
+    /// Name of the tier, unique in the table.
     pub name: String,
-    /// Which jobs are of it: those of no earlier tier for which this is true.
+    /// Boolean expression over `job`. The tier has the jobs for which it is true and which match no earlier tier.
     pub when: String,
-    /// Its work is served in the order of acceptance, which nothing moves; else the mapper chooses within it.
+    /// Whether its jobs are served strictly in the order of acceptance; otherwise the mapper may reorder them.
     #[serde(default)]
     pub ordered: bool,
 }
 
-/// A table as it is written down, in a file or in the state service.
+/// A tier table as written in a file or stored in the state service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TierTableRecord {
-    /// Form of the record; a file need not name it.
+    /// Format version of the record; optional in a file.
     #[serde(default, rename = "v", skip_serializing)]
     pub format_version: u32,
-    /// Number of the table: the highest is in force.
+    /// Version of the table: the table with the highest version is in force.
     pub version: u64,
-    /// The tiers, the first first.
+    /// The tiers; earlier ones are served first.
     #[serde(rename = "tier")]
     pub tiers: Vec<TierDefinition>,
 }
@@ -143,15 +144,16 @@
 }
 
 impl Default for TierTableRecord {
-    /// What holds without a table: services of production first, in the order of acceptance; then by priority.
+    /// The table used if none is configured: production services come first, in the order of acceptance. All other
+    /// jobs are ordered by priority alone.
     fn default() -> TierTableRecord {
-        let core = r#"job.priority == "production" && job.kind == "service""#;
-        let tier = TierDefinition { name: "core".into(), when: core.into(), ordered: true };
+        let is_core = r#"job.priority == "production" && job.kind == "service""#;
+        let tier = TierDefinition { name: "core".into(), when: is_core.into(), ordered: true };
         TierTableRecord { format_version: 0, version: 0, tiers: vec![tier] }
     }
 }
 
-/// A checked table, compiled.
+/// A tier table with its expressions compiled.
 pub struct TierTable {
     record: TierTableRecord,
     engine: ExpressionEngine,
@@ -160,13 +162,13 @@
 
 impl fmt::Debug for TierTable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Table").field("record", &self.record).finish_non_exhaustive()
+        f.debug_struct("TierTable").field("record", &self.record).finish_non_exhaustive()
     }
 }
 
 impl Default for TierTable {
     fn default() -> TierTable {
-        // The built-in table is sound: the tests compile it.
+        // The built-in table always compiles, which a test verifies; the fallback is a table without tiers.
         TierTable::compile(TierTableRecord::default()).unwrap_or_else(|_| TierTable {
             record: TierTableRecord { format_version: 0, version: 0, tiers: Vec::new() },
             engine: ExpressionEngine::new(MAX_EXPRESSION_OPS),
@@ -175,95 +177,101 @@
     }
 }
 
-/// Where a job stands in the table.
+/// The tier of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TierAssignment {
-    /// Number of its tier; the number of all for what is of none.
+    /// Index of the tier in the table; the number of tiers for a job that matches none.
     pub tier: u8,
-    /// Its tier is served in the order of acceptance.
+    /// Whether the tier is served strictly in the order of acceptance.
     pub ordered: bool,
 }
 
 impl TierTable {
-    /// Compiles and checks a table, also on jobs made up for it. An error names the tier, the place and the
-    /// remedy.
+    /// Compiles and validates a table, which includes trials on generated jobs. An error names the tier, the position
+    /// in its expression, and the remedy.
     pub fn new(record: TierTableRecord) -> Result<TierTable, TierTableError> {
         let table = TierTable::compile(record)?;
         validation::run_trials(&table)?;
         Ok(table)
     }
 
-    /// Compiles a table that was tried before it was written down.
+    /// Compiles a table without the trials on generated jobs, which it passed before it was stored. Errors are as those
+    /// of [`TierTable::new`].
     pub fn compile(record: TierTableRecord) -> Result<TierTable, TierTableError> {
-        let lang = ExpressionEngine::new(MAX_EXPRESSION_OPS);
-        let mut compiled = Vec::with_capacity(record.tiers.len());
+        let engine = ExpressionEngine::new(MAX_EXPRESSION_OPS);
+        let mut expressions = Vec::with_capacity(record.tiers.len());
         validation::validate_structure(&record)?;
-        for (number, tier) in record.tiers.iter().enumerate() {
-            let flawed = |flaw: Diagnostic| TierTableError::from_diagnostic(&record, number, flaw);
-            let ast = lang.compile_expression(&tier.when, &["job"]).map_err(flawed)?;
-            validation::validate_attribute_names(&ast).map_err(flawed)?;
-            compiled.push(ast);
+        for (index, tier) in record.tiers.iter().enumerate() {
+            let tier_error = |diagnostic: Diagnostic| {
+                TierTableError::from_diagnostic(&record, index, diagnostic)
+            };
+            let ast = engine.compile_expression(&tier.when, &["job"]).map_err(tier_error)?;
+            validation::validate_attribute_names(&ast).map_err(tier_error)?;
+            expressions.push(ast);
         }
-        Ok(TierTable { record, engine: lang, expressions: compiled })
+        Ok(TierTable { record, engine, expressions })
     }
 
-    /// As it is written down.
+    /// The record that the table was compiled from.
     pub fn record(&self) -> &TierTableRecord {
         &self.record
     }
 
-    /// Its number.
+    /// Version of the table.
     pub fn version(&self) -> u64 {
         self.record.version
     }
 
-    /// Compiled expressions.
+    /// The compiled expressions, by tier index.
     pub(crate) fn expressions(&self) -> &[AST] {
         &self.expressions
     }
 
-    /// Whether a tier's expression is true of a job.
-    pub(crate) fn tier_matches(&self, number: usize, facts: &Dynamic) -> Result<bool, Diagnostic> {
-        let found =
-            self.engine.evaluate(&self.expressions[number], vec![("job", facts.clone())])?;
-        found.as_bool().map_err(|kind| Diagnostic {
+    /// Whether the expression of the tier with this index is true for a job. Fails if the expression fails or its value
+    /// is not a boolean.
+    pub(crate) fn tier_matches(&self, index: usize, job: &Dynamic) -> Result<bool, Diagnostic> {
+        let value = self.engine.evaluate(&self.expressions[index], vec![("job", job.clone())])?;
+        value.as_bool().map_err(|kind| Diagnostic {
             line: 0,
             column: 0,
             cause: format!("gives {kind}; true or false is expected"),
         })
     }
 
-    /// The tier of a job by the expressions. One that fails is false: the job is then of a later tier, and waits.
-    pub fn match_tier(&self, facts: &JobAttributes) -> usize {
-        let value = facts.to_dynamic_map();
-        let of = |n: &usize| self.tier_matches(*n, &value).unwrap_or(false);
-        (0..self.expressions.len()).find(of).unwrap_or(self.expressions.len())
+    /// Index of the first tier whose expression is true for a job; the number of tiers if there is none. An expression
+    /// that fails counts as false, so that the job falls to a later tier.
+    pub fn match_tier(&self, job: &JobAttributes) -> usize {
+        let job = job.to_dynamic_map();
+        let matches = |index: &usize| self.tier_matches(*index, &job).unwrap_or(false);
+        (0..self.expressions.len()).find(matches).unwrap_or(self.expressions.len())
     }
 
-    /// The name of a tier.
-    pub fn name(&self, number: usize) -> &str {
-        self.record.tiers.get(number).map_or(UNTIERED_NAME, |t| &t.name)
+    /// Name of the tier with this index; [`UNTIERED_NAME`] beyond the last one.
+    pub fn name(&self, index: usize) -> &str {
+        self.record.tiers.get(index).map_or(UNTIERED_NAME, |tier| &tier.name)
     }
 
-    /// The name of the tier that takes a job now.
-    pub fn accepting_tier_name(&self, facts: &JobAttributes) -> &str {
-        self.name(self.match_tier(facts))
+    /// Name of the tier that a job is accepted into if it is submitted now.
+    pub fn accepting_tier_name(&self, job: &JobAttributes) -> &str {
+        self.name(self.match_tier(job))
     }
 
-    /// Where a job stands whose record names the tier that it was accepted into: **the rule by which a new table
-    /// meets work that waits.** A tier of that name is the job's, wherever the new table puts it; if there is
-    /// none, the new table's expressions judge. Both depend on records alone.
-    pub fn assign_tier(&self, accepted_as: Option<&str>, facts: &JobAttributes) -> TierAssignment {
+    /// The tier of an accepted job. `accepted_as` is the name of the tier that it was accepted into, from its record.
+    ///
+    /// This is how a new table applies to jobs that are already waiting: a job keeps the tier of that name, whatever its
+    /// index in the new table is. Only if the new table has no such tier do its expressions decide. Both depend on
+    /// records alone.
+    pub fn assign_tier(&self, accepted_as: Option<&str>, job: &JobAttributes) -> TierAssignment {
         let named = accepted_as
-            .and_then(|name| (0..=self.record.tiers.len()).find(|n| self.name(*n) == name));
-        let number = named.unwrap_or_else(|| self.match_tier(facts));
-        let ordered = self.record.tiers.get(number).is_some_and(|t| t.ordered);
-        TierAssignment { tier: number as u8, ordered }
+            .and_then(|name| (0..=self.record.tiers.len()).find(|index| self.name(*index) == name));
+        let index = named.unwrap_or_else(|| self.match_tier(job));
+        let ordered = self.record.tiers.get(index).is_some_and(|tier| tier.ordered);
+        TierAssignment { tier: index as u8, ordered }
     }
 }
 
 impl JobAttributes {
-    /// As the language takes it.
+    /// The attributes as a value of the expression engine.
     pub fn to_dynamic(&self) -> Dynamic {
         self.to_dynamic_map()
     }
--- a/tests/dispatch_deadlines.rs
+++ b/tests/dispatch_deadlines.rs
@@ -176,7 +176,7 @@
         spot: true,
     };
     StepJob {
-        facts,
+        attributes: facts,
         accepted_at_wall: accepted_wall,
         expected_end_wall: ends_wall,
         wait_reason: "its tasks wait for a place".into(),
