--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -1,8 +1,8 @@
-//! Operators' requests: jobs, plug-ins, tiers, the dispatch plan, GPU loans, and why a job is scheduled as it is.
-//! Routes each request to the module that owns the state, and itself lists jobs. Replies are JSON. Only the leader
-//! knows what waits and what is lent, so others name the leader (421).
+//! Operators' requests: jobs, plug-ins, tiers, the deadline plan, GPU loans, and why a job is scheduled as it is.
+//! Routes each request to the module that owns the state, and lists jobs itself. Replies are JSON. Only the leader knows
+//! which jobs wait and which GPUs are on loan; other controllers reply 421 with the name of the leader.
 
-use super::plugins::plugin_error_reply;
+use super::plugins::admin_error_reply;
 use super::requests::replies::http_status;
 use super::{Action, CallContext, Controller, Reply, RequestId};
 use crate::constants::{MS_PER_S, USER_STORE_TIMEOUT_MS};
@@ -14,31 +14,31 @@
 /// A request of an operator.
 #[derive(Debug)]
 pub enum AdminRequest {
-    /// A page of the jobs that are not over, after this id.
+    /// List a page of the live jobs, after this id.
     Jobs(Option<String>),
-    /// All plug-ins.
+    /// List all plug-ins.
     Plugins,
     /// Offer a plug-in: its name, and the offer as JSON.
     OfferPlugin(String, Vec<u8>),
-    /// Switch the named plug-in on or off, or remove it.
+    /// Enable, disable or remove the named plug-in.
     ChangePlugin(String, PluginTransition),
-    /// What policy and plug-ins decided for the job of this id, and what was applied.
+    /// Explain what policy and plug-ins decided for the job of this id, and what was applied.
     ExplainJob(String),
-    /// The table of tiers in force, and what waits in each.
+    /// Show the tier table in force, and the number of waiting jobs in each tier.
     Tiers,
-    /// Replace the table of tiers, as JSON.
+    /// Replace the tier table, as JSON.
     SetTiers(Vec<u8>),
-    /// Why the job of this id is in its tier, and its position in the tier's queue.
+    /// Explain why the job of this id is in its tier, and how many jobs wait ahead of it.
     ExplainTier(String),
-    /// All occurrences of recurring deadlines, or those of the named one.
+    /// List the open occurrences of recurring deadlines: all, or those with this key or entry name.
     Occurrences(Option<String>),
-    /// Replace the dispatch plan (occurrences and chains), as JSON.
+    /// Replace the deadline plan (schedule and chains), as JSON.
     SetDeadlinePlan(Vec<u8>),
     /// Add one occurrence, as JSON.
     AddOccurrence(Vec<u8>),
-    /// The jobs before and after the job of this id that are not over.
+    /// Show the live dependencies and dependents of the job of this id.
     Pipeline(String),
-    /// GPU loans: all, or those in which the job of this id lends or borrows.
+    /// List the open GPU loans: all, or those in which the job of this id lends or borrows.
     Loans(Option<String>),
 }
 
@@ -50,27 +50,28 @@
 }
 
 impl Controller {
-    /// Replies to a request, of whomever.
+    /// Replies to a request of a user, worker, controller or operator.
     pub(super) fn answer(&mut self, request: RequestId, reply: Reply) {
         self.actions.push(Action::Reply(request, reply));
     }
 
-    pub(super) fn on_admin(&mut self, request: RequestId, ask: AdminRequest) {
-        match ask {
+    /// Handles an operator's request.
+    pub(super) fn on_admin(&mut self, request: RequestId, admin_request: AdminRequest) {
+        match admin_request {
             AdminRequest::Plugins
             | AdminRequest::OfferPlugin(..)
-            | AdminRequest::ChangePlugin(..) => self.on_plugin_request(request, ask),
+            | AdminRequest::ChangePlugin(..) => self.on_plugin_request(request, admin_request),
             AdminRequest::Jobs(after) => self.list_jobs(request, after.as_deref()),
-            AdminRequest::SetDeadlinePlan(body) => self.set_plan(request, &body),
+            AdminRequest::SetDeadlinePlan(body) => self.set_deadline_plan(request, &body),
             AdminRequest::AddOccurrence(body) => self.add_occurrence(request, &body),
             AdminRequest::SetTiers(body) => self.set_tiers(request, &body),
             AdminRequest::Tiers => {
-                let reply = self.leader_reply(|controller| controller.show_tiers());
+                let reply = self.leader_reply(|controller| controller.describe_tiers());
                 self.answer(request, reply);
             }
-            AdminRequest::Loans(lender) => {
+            AdminRequest::Loans(job) => {
                 let reply =
-                    self.leader_reply(|controller| controller.show_loans(lender.as_deref()));
+                    self.leader_reply(|controller| controller.describe_loans(job.as_deref()));
                 self.answer(request, reply);
             }
             AdminRequest::Pipeline(id) => {
@@ -78,27 +79,27 @@
                 self.answer(request, reply);
             }
             AdminRequest::Occurrences(name) => {
-                let reply = self.show_dispatch(name.as_deref());
+                let reply = self.occurrences_reply(name.as_deref());
                 self.answer(request, reply);
             }
             AdminRequest::ExplainTier(id) => {
-                let reply = self.explain_tier(&id);
+                let reply = self.explain_tier_reply(&id);
                 self.answer(request, reply);
             }
             AdminRequest::ExplainJob(id) => {
-                let reply = self.explain_reply(&id);
+                let reply = self.explain_job_reply(&id);
                 self.answer(request, reply);
             }
         }
     }
 
-    fn on_plugin_request(&mut self, request: RequestId, ask: AdminRequest) {
+    fn on_plugin_request(&mut self, request: RequestId, admin_request: AdminRequest) {
         if !self.plugins.enabled() {
             let error = "plug-ins are switched off; set `enabled = true` under [plugins] in the \
                          operators' file";
-            return self.answer(request, plugin_error_reply(http_status::CONFLICT, error));
+            return self.answer(request, admin_error_reply(http_status::CONFLICT, error));
         }
-        match ask {
+        match admin_request {
             AdminRequest::OfferPlugin(name, body) => {
                 match serde_json::from_slice::<PluginOffer>(&body) {
                     Ok(offer) => self.offer_plugin(request, &name, &offer),
@@ -106,7 +107,7 @@
                         let error = format!(
                             "the offer cannot be read: {e}; send JSON with kind and source"
                         );
-                        self.answer(request, plugin_error_reply(http_status::BAD_REQUEST, error));
+                        self.answer(request, admin_error_reply(http_status::BAD_REQUEST, error));
                     }
                 }
             }
@@ -119,7 +120,7 @@
         }
     }
 
-    /// A reply that only the leader can give; from others, who leads.
+    /// A reply that only the leader can give; from other controllers, the name of the leader.
     fn leader_reply<T: serde::Serialize>(&self, body: impl FnOnce(&Controller) -> T) -> Reply {
         if !self.is_leader() {
             return self.reply_not_leader();
@@ -130,15 +131,15 @@
     fn pipeline_reply(&self, id: &str) -> Reply {
         let Some(state) = &self.cluster_state else { return self.reply_not_leader() };
         match state.describe_dependencies(id, self.now.monotonic) {
-            Some(shown) => Reply::json(http_status::OK, &shown),
-            None => not_alive_reply(id),
+            Some(description) => Reply::json(http_status::OK, &description),
+            None => job_not_live_reply(id),
         }
     }
 
-    fn explain_reply(&mut self, id: &str) -> Reply {
-        match self.explained(id) {
-            Some(found) => Reply::json(http_status::OK, &found),
-            None if self.is_leader() => not_alive_reply(id),
+    fn explain_job_reply(&mut self, id: &str) -> Reply {
+        match self.explain_job(id) {
+            Some(explanation) => Reply::json(http_status::OK, &explanation),
+            None if self.is_leader() => job_not_live_reply(id),
             None => self.reply_not_leader(),
         }
     }
@@ -150,11 +151,11 @@
         self.store.push(call, CallContext::ListJobs { request }, CallPriority::Low, policy);
     }
 
-    /// A page of jobs has been read for an operator.
-    pub(super) fn jobs_listed(&mut self, request: RequestId, outcome: &StoreOutcome) {
+    /// The read of a page of jobs for an operator has ended.
+    pub(super) fn on_jobs_listed(&mut self, request: RequestId, outcome: &StoreOutcome) {
         let StoreOutcome::Page(page) = outcome else {
             let error = "the state service does not answer; try again";
-            return self.answer(request, plugin_error_reply(http_status::UNAVAILABLE, error));
+            return self.answer(request, admin_error_reply(http_status::UNAVAILABLE, error));
         };
         let live_jobs = page.entries.iter().filter_map(|entry| {
             let id = entry.key.strip_prefix(keys::JOBS)?;
@@ -190,6 +191,6 @@
     }
 }
 
-fn not_alive_reply(id: &str) -> Reply {
-    plugin_error_reply(http_status::NOT_FOUND, format!("job `{id}` is not alive; poll it"))
+fn job_not_live_reply(id: &str) -> Reply {
+    admin_error_reply(http_status::NOT_FOUND, format!("job `{id}` is not alive; poll it"))
 }
--- a/crates/controller/src/controller/deadline_planning.rs
+++ b/crates/controller/src/controller/deadline_planning.rs
@@ -1,7 +1,7 @@
 //! Arrivals in the state service: what the board is told of jobs, what it makes of that, and its records.
 
 use super::dependency_lookup::JobReadOutcome;
-use super::plugins::plugin_error_reply;
+use super::plugins::admin_error_reply;
 use super::{CallContext, Controller, Reply, RequestId};
 use crate::cluster_state::{ClusterState, facts_of};
 use crate::constants::{DEADLINE_PLAN_INTERVAL_MS, DEFAULT_BOOT_MS, STORE_TIMEOUT_MS};
@@ -207,7 +207,7 @@
     }
 
     /// An operator offers another plan.
-    pub(super) fn set_plan(&mut self, request: RequestId, body: &[u8]) {
+    pub(super) fn set_deadline_plan(&mut self, request: RequestId, body: &[u8]) {
         let refused = self.dispatch_refusal();
         if let Some(reply) = refused {
             return self.answer(request, reply);
@@ -218,12 +218,12 @@
         let calendar = offered.and_then(|p| DeadlineSchedule::new(p).map_err(|e| e.to_string()));
         let calendar = match calendar {
             Ok(calendar) => calendar,
-            Err(why) => return self.answer(request, plugin_error_reply(422, why)),
+            Err(why) => return self.answer(request, admin_error_reply(422, why)),
         };
         let there = self.replicated_records.calendar.as_ref().map_or(0, |c| c.plan().version);
         if calendar.plan().version <= there {
             let why = format!("plan {there} is in force; give yours a higher version");
-            return self.answer(request, plugin_error_reply(409, why));
+            return self.answer(request, admin_error_reply(409, why));
         }
         self.submit_record_write(request, PLAN, calendar.plan().to_record());
     }
@@ -231,7 +231,7 @@
     fn dispatch_refusal(&self) -> Option<Reply> {
         if self.replicated_records.calendar.is_none() {
             let why = "dispatch is switched off; give the operators' file a [dispatch] table";
-            return Some(plugin_error_reply(409, why));
+            return Some(admin_error_reply(409, why));
         }
         self.cluster_state.is_none().then(|| self.reply_not_leader())
     }
@@ -252,7 +252,7 @@
             Err(e) => {
                 let why =
                     format!("the arrival cannot be read: {e}; send JSON with name, chain, at_ms");
-                return self.answer(request, plugin_error_reply(400, why));
+                return self.answer(request, admin_error_reply(400, why));
             }
         };
         let SingleJob { name, chain, at_ms } = single;
@@ -262,7 +262,7 @@
         if !named || at_ms <= self.now.wall_clock {
             let why =
                 "a name has 1 to 40 lower-case letters, digits and dashes, and the time is to come";
-            return self.answer(request, plugin_error_reply(422, why));
+            return self.answer(request, admin_error_reply(422, why));
         }
         let Some(calendar) = self.replicated_records.calendar.clone() else { return };
         let Some(key) = self
@@ -272,7 +272,7 @@
         else {
             let why =
                 format!("no chain `{chain}`, or too many arrivals are open; see dispatch show");
-            return self.answer(request, plugin_error_reply(422, why));
+            return self.answer(request, admin_error_reply(422, why));
         };
         let arrival = self
             .replicated_records
@@ -284,7 +284,7 @@
     }
 
     /// All arrivals and their steps, for operators; of one if it is named.
-    pub(super) fn show_dispatch(&self, of: Option<&str>) -> Reply {
+    pub(super) fn occurrences_reply(&self, of: Option<&str>) -> Reply {
         if let Some(reply) = self.dispatch_refusal() {
             return reply;
         }
--- a/crates/controller/src/controller/gpu_lending.rs
+++ b/crates/controller/src/controller/gpu_lending.rs
@@ -1,4 +1,5 @@
-//! Loans of accelerators: what the tables show of each, what follows, and their records.
+//! GPU loans of the leader: observes each loan in the cluster state, executes the actions that follow, and reads and
+//! writes the records of the lenders. The loans themselves are in [`swiftsail_gpu_lending`].
 
 use super::Controller;
 use crate::Time;
@@ -10,51 +11,59 @@
 use swiftsail_gpu_lending::{GpuLoan, LenderRecord, LoanAction, LoanObservation};
 use swiftsail_replicated_records::Versioned;
 
-/// Prefix of loans' records among those of the order.
-const PREFIX: &str = "loan/";
+/// Prefix of the keys of lenders' records, below the common prefix of all replicated records.
+const LOAN_PREFIX: &str = "loan/";
 
 impl ClusterState {
-    /// What the tables show of a loan.
-    fn lending_observation(&self, lender: &str, loan: &GpuLoan, now: Time) -> LoanObservation {
-        let job = |id: &str| self.jobs.get(id).filter(|j| j.state() == JobState::Live);
-        let on = |id: &str| {
-            let held = self.jobs.get(id).into_iter().flat_map(|j| j.attempts.values());
-            held.filter(|a| a.occupies_resources()).any(|a| *a.machine == *loan.machine)
+    /// What the cluster state shows of a loan's jobs and machine.
+    fn observe_loan(&self, lender: &str, loan: &GpuLoan, now: Time) -> LoanObservation {
+        let live_job = |id: &str| self.jobs.get(id).filter(|job| job.state() == JobState::Live);
+        let is_on_machine = |id: &str| {
+            let attempts = self.jobs.get(id).into_iter().flat_map(|job| job.attempts.values());
+            attempts
+                .filter(|attempt| attempt.occupies_resources())
+                .any(|attempt| *attempt.machine == *loan.machine)
         };
         let machine = self.machines.get(loan.machine.as_str());
-        // A new leader has heard no machine yet: that is no sign that this one is gone.
-        let young = now < self.leading_since + REGISTRATION_GRACE_MS;
-        let expected = machine.is_none_or(|m| {
-            matches!(m.state(), MachineState::Expected | MachineState::Registering)
+        // No machine has reported to a new leader yet: that does not show that this one is gone.
+        let is_in_grace_period = now < self.leading_since + REGISTRATION_GRACE_MS;
+        let may_report_yet = machine.is_none_or(|machine| {
+            matches!(machine.state(), MachineState::Expected | MachineState::Registering)
         });
-        let ready =
-            machine.is_some_and(|m| m.state() == MachineState::Ready && m.may_receive_work());
-        let (to, from) = (job(&loan.borrower), job(lender));
+        let is_ready = machine.is_some_and(|machine| {
+            machine.state() == MachineState::Ready && machine.may_receive_work()
+        });
+        let (borrower_job, lender_job) = (live_job(&loan.borrower), live_job(lender));
         LoanObservation {
-            lender_is_live: from.is_some(),
-            borrower_is_live: to.is_some(),
-            borrower_is_waiting: to.is_some_and(|j| !j.waiting.is_empty()),
-            machine_is_available: ready || young && expected,
-            lender_on_machine: on(lender),
-            borrower_on_machine: on(&loan.borrower),
-            lender_is_waiting: from.is_some_and(|j| !j.waiting.is_empty()),
+            lender_is_live: lender_job.is_some(),
+            borrower_is_live: borrower_job.is_some(),
+            borrower_is_waiting: borrower_job.is_some_and(|job| !job.waiting.is_empty()),
+            machine_is_available: is_ready || is_in_grace_period && may_report_yet,
+            lender_on_machine: is_on_machine(lender),
+            borrower_on_machine: is_on_machine(&loan.borrower),
+            lender_is_waiting: lender_job.is_some_and(|job| !job.waiting.is_empty()),
         }
     }
 
-    /// Lets every loan go on: who is to be stopped is, and room is kept for whose it is.
+    /// Advances every loan and executes the actions that follow: stops lenders' tasks, and reserves machines for
+    /// borrowers or lenders. `now` is monotonic time, `wall` the wall clock, both in ms.
     pub fn advance_gpu_loans(&mut self, now: Time, wall: u64) {
         let mut loans = std::mem::take(&mut self.gpu_loans);
-        let todo =
-            loans.advance_loans(wall, |lender, loan| self.lending_observation(lender, loan, now));
+        let actions =
+            loans.advance_loans(wall, |lender, loan| self.observe_loan(lender, loan, now));
         self.gpu_loans = loans;
-        for it in todo {
-            match it {
+        for action in actions {
+            match action {
                 LoanAction::StopLender { lender, machine } => {
                     let Some(job) = self.jobs.get(lender.as_str()) else { continue };
-                    let there = |a: &&crate::job::Attempt| {
-                        *a.machine == *machine && a.stop_requested.is_none()
+                    let is_to_stop = |attempt: &&crate::job::Attempt| {
+                        *attempt.machine == *machine && attempt.stop_requested.is_none()
                     };
-                    let task = job.attempts.iter().find(|(_, a)| there(a)).map(|(t, _)| *t);
+                    let task = job
+                        .attempts
+                        .iter()
+                        .find(|(_, attempt)| is_to_stop(attempt))
+                        .map(|(task, _)| *task);
                     if let Some(task) = task {
                         self.request_stop(&JobId::from(lender), task, now);
                     }
@@ -68,7 +77,9 @@
         }
     }
 
-    /// Opens a loan for each gang among victims: those are stopped once that is written down. Gives back the others.
+    /// Requests a loan, for the job `by`, of every machine on which a task of a gang is among the victims of a
+    /// preemption. Those tasks are stopped once the loan's record is committed. Returns the other victims, which may be
+    /// stopped at once.
     pub fn request_gpu_loans(
         &mut self,
         by: &JobId,
@@ -77,7 +88,8 @@
     ) -> Vec<(JobId, u32)> {
         let mut lenders: std::collections::BTreeMap<JobId, Vec<(String, f64)>> = Default::default();
         for (id, task) in &victims {
-            let Some(job) = self.jobs.get(id).filter(|j| j.spec.kind == crate::job::JobKind::Gang)
+            let Some(job) =
+                self.jobs.get(id).filter(|job| job.spec.kind == crate::job::JobKind::Gang)
             else {
                 continue;
             };
@@ -88,8 +100,8 @@
         }
         for (lender, machines) in &lenders {
             if self.gpu_loans.request_loan(lender, by, machines, wall) {
-                let gpus: f64 = machines.iter().map(|m| m.1).sum();
-                tracing::info!(job = %lender, to = %by, machines = machines.len(), gpus, "accelerators lent");
+                let gpus: f64 = machines.iter().map(|(_, gpus)| gpus).sum();
+                tracing::info!(job = %lender, to = %by, machines = machines.len(), gpus, "GPU loan requested");
                 self.events.note("job", "lends", lender, Some(by));
             }
         }
@@ -98,51 +110,56 @@
 }
 
 impl Controller {
-    /// With every timer step of a leader: loans go on, and what has changed of them is written down.
+    /// Timer step of the leader: advances the loans, and requests writes of the records that have changed. A requested
+    /// loan begins once its record is committed, or at once if loans are not held in the state service.
     pub(super) fn update_gpu_loans(&mut self) {
         let now = self.now;
-        let Some(leader) = &mut self.cluster_state else { return };
+        let Some(state) = &mut self.cluster_state else { return };
         let durable = self.replicated_records.lends_gpus();
-        for lender in leader.gpu_loans.lenders_with_requests() {
-            let key = format!("{PREFIX}{lender}");
-            let written = self.replicated_records.records.get_committed(&key).is_some()
+        for lender in state.gpu_loans.lenders_with_requests() {
+            let key = format!("{LOAN_PREFIX}{lender}");
+            let is_committed = self.replicated_records.records.get_committed(&key).is_some()
                 && self.replicated_records.records.is_committed(&key);
-            if !durable || written {
-                leader.gpu_loans.on_committed(&lender, now.wall_clock);
+            if !durable || is_committed {
+                state.gpu_loans.on_committed(&lender, now.wall_clock);
             }
         }
-        leader.advance_gpu_loans(now.monotonic, now.wall_clock);
-        let changed = leader.gpu_loans.take_changed();
-        for (lender, lent) in changed.into_iter().filter(|_| durable) {
-            let key = format!("{PREFIX}{lender}");
-            match lent {
-                Some(lent) => drop(self.replicated_records.records.put(&key, lent.to_record())),
+        state.advance_gpu_loans(now.monotonic, now.wall_clock);
+        let changed = state.gpu_loans.take_changed();
+        for (lender, record) in changed.into_iter().filter(|_| durable) {
+            let key = format!("{LOAN_PREFIX}{lender}");
+            match record {
+                Some(record) => {
+                    self.replicated_records.records.put(&key, record.to_record());
+                }
                 None => self.replicated_records.records.remove(&key),
             }
         }
     }
 
-    /// A new leader finishes or undoes what its predecessor has begun.
+    /// Restores the loans from their records: a new leader completes or ends those of its predecessor.
     pub(super) fn restore_gpu_loans(&mut self) {
-        let Some(leader) =
+        let Some(state) =
             self.cluster_state.as_mut().filter(|_| self.replicated_records.lends_gpus())
         else {
             return;
         };
-        for (key, value) in self.replicated_records.records.get_by_prefix(PREFIX) {
+        for (key, value) in self.replicated_records.records.get_by_prefix(LOAN_PREFIX) {
             match LenderRecord::from_record(key, value) {
-                Ok(lent) => leader.gpu_loans.restore(key.trim_start_matches(PREFIX), lent),
+                Ok(record) => state.gpu_loans.restore(key.trim_start_matches(LOAN_PREFIX), record),
                 Err(e) => tracing::error!(cause = %e, "unreadable loan record ignored"),
             }
         }
     }
 
-    /// All loans, for operators; of one job if it is named.
-    pub(super) fn show_loans(&self, of: Option<&str>) -> serde_json::Value {
+    /// The open loans, for operators: all, or those in which this job lends or borrows, with the times at which it was
+    /// preempted.
+    pub(super) fn describe_loans(&self, job: Option<&str>) -> serde_json::Value {
         let now = self.now.wall_clock;
-        let all = self.cluster_state.iter().flat_map(|l| l.gpu_loans.iter());
-        let its = all.filter(|(lender, l)| of.is_none_or(|id| *lender == id || l.borrower == id));
-        let rows = its.map(|(lender, loan)| {
+        let all = self.cluster_state.iter().flat_map(|state| state.gpu_loans.iter());
+        let selected =
+            all.filter(|(lender, loan)| job.is_none_or(|id| *lender == id || loan.borrower == id));
+        let rows = selected.map(|(lender, loan)| {
             json!({
                 "lender": lender,
                 "borrower": loan.borrower,
@@ -153,11 +170,11 @@
             })
         });
         let rows: Vec<_> = rows.collect();
-        let stops = of.and_then(|id| self.cluster_state.as_ref()?.gpu_loans.lender_record(id));
+        let record = job.and_then(|id| self.cluster_state.as_ref()?.gpu_loans.lender_record(id));
         json!({
             "durable": self.replicated_records.lends_gpus(),
             "loans": rows,
-            "stopped_ms": stops.map(|l| l.preempted_at.clone()).unwrap_or_default(),
+            "stopped_ms": record.map(|record| record.preempted_at.clone()).unwrap_or_default(),
         })
     }
 }
--- a/crates/controller/src/controller/plugins.rs
+++ b/crates/controller/src/controller/plugins.rs
@@ -1,5 +1,5 @@
-//! Plug-ins in the state service: read and watched by every controller, so that all run the same set and a new leader
-//! has it; written by compare-and-swap on the plug-in's record, by any controller.
+//! Plug-ins in the state service. Every controller reads and watches them, so that all run the same set and a new leader
+//! has it at once. Any controller writes them, by compare-and-swap on the plug-in's record.
 //!
 //! Owns [`Plugins`], the records as last read and the suspensions still to be written. Calls the state service, and
 //! [`swiftsail_policy::plugin_host::PluginHost`], which runs the plug-ins and suspends failing ones locally. A plug-in
@@ -23,16 +23,16 @@
 use swiftsail_protocol::state::{KeyPage, KeyValue, Mutation, Precondition, Transaction};
 use swiftsail_protocol::users::ErrorResponse;
 
-/// How this controller follows the plug-ins in the state service.
+/// Whether and how this controller follows the plug-ins in the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PluginSync {
-    /// Plug-ins are switched off in the operators' file.
+    /// Plug-ins are disabled in the operators' file.
     Off,
-    /// To be read at this time.
+    /// A read of all plug-ins is due at this time.
     Due(Time),
-    /// Being read.
+    /// All plug-ins are being read.
     Reading,
-    /// Read, and watched for changes.
+    /// The plug-ins are read, and watched for changes.
     Watching,
 }
 
@@ -43,7 +43,7 @@
     mod_revision: u64,
 }
 
-/// A suspension by this controller that is to be written for all.
+/// A suspension by this controller's plug-in host that is to be recorded for all controllers.
 #[derive(Debug)]
 struct PendingSuspension {
     reason: String,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The one function that changes the state of following; `Off` is final.
+    /// The one function that changes `sync`; [`PluginSync::Off`] is final.
     fn advance(&mut self, to: PluginSync) {
         if self.sync != PluginSync::Off {
             self.sync = to;
@@ -104,19 +104,19 @@
     format!("{}{name}/{version}/{chunk:03}", keys::PLUGINS)
 }
 
-/// A refusal in JSON with its cause and remedy.
-pub(super) fn plugin_error_reply(status: u16, error: impl Into<String>) -> Reply {
+/// An error reply to an operator, in JSON. `error` names the cause and the remedy.
+pub(super) fn admin_error_reply(status: u16, error: impl Into<String>) -> Reply {
     Reply::json(status, &ErrorResponse { error: error.into() })
 }
 
-/// What a read of all plug-ins showed.
+/// The result of a read of all plug-ins.
 struct LoadedPlugins {
     known: BTreeMap<String, KnownPlugin>,
     /// Those not removed, with their sources.
     installed: Vec<(PluginRecord, String)>,
 }
 
-/// Puts the records and their sources together. `entries` come in the order of their keys.
+/// Decodes the records and joins the chunks of each source. `entries` must be in the order of their keys.
 fn parse_plugins(entries: &[KeyValue]) -> LoadedPlugins {
     let mut sources: BTreeMap<&str, String> = BTreeMap::new();
     let mut known = BTreeMap::new();
@@ -202,7 +202,7 @@
             (CallContext::WritePlugin { request, name }, outcome) => {
                 self.on_plugin_written(request, &name, &outcome);
             }
-            (CallContext::ListJobs { request }, outcome) => self.jobs_listed(request, &outcome),
+            (CallContext::ListJobs { request }, outcome) => self.on_jobs_listed(request, &outcome),
             _ => {}
         }
     }
@@ -219,11 +219,11 @@
         }
     }
 
-    /// All plug-ins are read: the set is installed, between two scheduling cycles.
+    /// All plug-ins have been read: installs the set, between two scheduling cycles.
     fn on_plugins_read(&mut self) {
         let entries = std::mem::take(&mut self.plugins.pages);
         let LoadedPlugins { known, installed } = parse_plugins(&entries);
-        // What an operator has changed meanwhile is no longer to be suspended for its past.
+        // A plug-in that an operator has changed meanwhile is not suspended for its earlier faults.
         self.plugins.pending_suspensions.retain(|name, _| {
             known.get(name).is_some_and(|plugin| plugin.record.state == PluginState::Active)
         });
@@ -234,22 +234,23 @@
         self.plugins.known = known;
         self.plugins.advance(PluginSync::Watching);
         self.watch_plugins(self.plugins.watch_from);
-        // The new set is asked about every job.
+        // Every job is evaluated anew by the new set.
         self.job_policies.job_overrides.clear();
         if let Some(state) = &mut self.cluster_state {
             state.needs_scheduling = true;
         }
     }
 
-    /// An operator offers a plug-in, new or in place of another of its name.
+    /// Handles an operator's offer of a plug-in, which is new or replaces the one of this name.
     pub(super) fn offer_plugin(&mut self, request: RequestId, name: &str, offer: &PluginOffer) {
         match self.check_offer(name, offer) {
             Ok(checked) => self.write_offer(request, name, offer, checked),
             Err(error) => self
-                .answer(request, plugin_error_reply(http_status::UNPROCESSABLE, error.to_string())),
+                .answer(request, admin_error_reply(http_status::UNPROCESSABLE, error.to_string())),
         }
     }
 
+    /// Validates an offer and divides its source into chunks.
     fn check_offer<'a>(
         &self,
         name: &str,
@@ -267,7 +268,7 @@
             return Err(OfferError::TooMany);
         }
         let state = &self.settings.settings.state;
-        // Half of a value, since a text's JSON form may be longer than the text.
+        // Half of a value, since the JSON encoding of a text may be longer than the text.
         let chunk_bytes = (state.value_kb * 512.0) as usize - 64;
         let chunks = split_into_chunks(&offer.source, chunk_bytes);
         // One transaction writes the record and all chunks.
@@ -277,6 +278,7 @@
         Ok(CheckedOffer { hooks, chunks })
     }
 
+    /// Writes a validated offer as a new version of the plug-in, enabled if the offer asks for it.
     fn write_offer(
         &mut self,
         request: RequestId,
@@ -316,18 +318,18 @@
         self.write_plugin(requester, KnownPlugin { record, mod_revision }, mutations);
     }
 
-    /// An operator switches a plug-in on or off, or removes it.
+    /// Enables, disables or removes a plug-in for an operator.
     pub(super) fn change_plugin(&mut self, request: RequestId, name: &str, step: PluginTransition) {
         let known = self.plugins.known.get(name).filter(|plugin| plugin.is_installed()).cloned();
         let Some(mut plugin) = known else {
             let error = format!("no plug-in `{name}`; see the list");
-            return self.answer(request, plugin_error_reply(http_status::NOT_FOUND, error));
+            return self.answer(request, admin_error_reply(http_status::NOT_FOUND, error));
         };
         let before = plugin.record.state;
         if !plugin.record.apply_transition(step, self.now.wall_clock) {
             let error =
                 format!("plug-in {name} is {before:?}: {step:?} does not apply").to_lowercase();
-            return self.answer(request, plugin_error_reply(http_status::CONFLICT, error));
+            return self.answer(request, admin_error_reply(http_status::CONFLICT, error));
         }
         let mutations = match step {
             PluginTransition::Remove => source_deletions(&plugin.record).collect(),
@@ -398,11 +400,11 @@
                 let body = serde_json::json!({ "plugin": name, "status": "committed" });
                 Reply::json(http_status::OK, &body)
             }
-            StoreOutcome::Conflict(_) => plugin_error_reply(
+            StoreOutcome::Conflict(_) => admin_error_reply(
                 http_status::CONFLICT,
                 format!("plug-in {name} was changed meanwhile; look, then repeat"),
             ),
-            _ => plugin_error_reply(
+            _ => admin_error_reply(
                 http_status::UNAVAILABLE,
                 format!("the state service did not confirm; look at {name} first"),
             ),
@@ -410,7 +412,7 @@
         if self.plugins.sync == PluginSync::Watching
             && !matches!(outcome, StoreOutcome::Committed(_))
         {
-            // The record may have changed or not: it is read rather than guessed.
+            // Whether the record has changed is not known: the plug-ins are read again.
             self.plugins.advance(PluginSync::Due(self.now.monotonic));
         }
         if let Some(request) = request {
@@ -418,7 +420,7 @@
         }
     }
 
-    /// Queues what has happened in the cluster state for event receivers (plug-ins of kind report).
+    /// Queues the events of the cluster state for event receivers (plug-ins of kind report).
     pub(super) fn deliver_cluster_events(&mut self) {
         let has_receivers = self.plugin_host.has_event_receivers();
         let Some(state) = &mut self.cluster_state else { return };
@@ -434,7 +436,7 @@
         }
     }
 
-    /// Queues an event of leadership for event receivers.
+    /// Queues a leadership event for event receivers.
     pub(super) fn record_leadership_event(&mut self, what: &str, detail: &str) {
         let of = self.leadership.token.to_string();
         let (what, detail) = (what.to_string(), Some(detail.to_string()));
@@ -453,14 +455,14 @@
     Suspension,
 }
 
-/// An offered plug-in that may be written.
+/// A validated offer.
 struct CheckedOffer<'a> {
     hooks: Vec<Hook>,
-    /// Its source, divided into values that the state service takes.
+    /// The source, divided into chunks that fit a value of the state service.
     chunks: Vec<&'a str>,
 }
 
-/// Why an offered plug-in is refused; the text is for the operator.
+/// Why an offered plug-in is rejected. The text is sent to the operator.
 #[derive(Debug, thiserror::Error)]
 enum OfferError {
     #[error("plug-in `{0}`: a name has 1 to 40 lower-case letters, digits and dashes")]
--- a/crates/controller/src/controller/policy_evaluation.rs
+++ b/crates/controller/src/controller/policy_evaluation.rs
@@ -154,7 +154,7 @@
     }
 
     /// Who said what of a job, and what was taken. None: it is not known here.
-    pub(super) fn explained(&mut self, id: &str) -> Option<serde_json::Value> {
+    pub(super) fn explain_job(&mut self, id: &str) -> Option<serde_json::Value> {
         let Controller {
             cluster_state: Some(leader),
             policy,
--- a/crates/controller/src/controller/replicated_records.rs
+++ b/crates/controller/src/controller/replicated_records.rs
@@ -1,7 +1,7 @@
 //! The records that outlive controllers, as this one follows them: the book, and what tiers, dispatch and loans
 //! make of it. The leader alone writes, under its key; a new one has read them before its first pass.
 
-use super::plugins::plugin_error_reply;
+use super::plugins::admin_error_reply;
 use super::{CallContext, Controller, Reply, RequestId};
 use crate::Time;
 use crate::cluster_state::{ClusterState, facts_of};
@@ -191,7 +191,7 @@
             self.replicated_records.pending_writes.extract_if(.., |w| over(w)).collect();
         for w in late {
             let why = "the state service did not confirm; look at it before trying again";
-            self.answer(w.request, plugin_error_reply(503, why));
+            self.answer(w.request, admin_error_reply(503, why));
         }
     }
 
@@ -452,7 +452,7 @@
         if !self.replicated_records.is_enabled() {
             let why =
                 "tiers are not held in the state service; give the operators' file a [tiers] table";
-            return self.answer(request, plugin_error_reply(409, why));
+            return self.answer(request, admin_error_reply(409, why));
         }
         if self.cluster_state.is_none() {
             return self.answer(request, self.reply_not_leader());
@@ -462,12 +462,12 @@
         let table = offered.and_then(|t| TierTable::new(t).map_err(|e| e.to_string()));
         let table = match table {
             Ok(table) => table,
-            Err(why) => return self.answer(request, plugin_error_reply(422, why)),
+            Err(why) => return self.answer(request, admin_error_reply(422, why)),
         };
         let there = self.replicated_records.tier_table.version();
         if table.version() <= there {
             let why = format!("table {there} is in force; give yours a higher version");
-            return self.answer(request, plugin_error_reply(409, why));
+            return self.answer(request, admin_error_reply(409, why));
         }
         self.submit_record_write(request, TIERS, table.record().to_record());
     }
@@ -482,7 +482,7 @@
         if !self.replicated_records.records.put(key, value) {
             let why =
                 "the record is too large for the state service, or there are too many; shorten it";
-            return self.answer(request, plugin_error_reply(422, why));
+            return self.answer(request, admin_error_reply(422, why));
         }
         let until = self.now.monotonic + RECORD_WRITE_TIMEOUT_MS;
         self.replicated_records.pending_writes.push(PendingRecordWrite {
@@ -509,7 +509,7 @@
     }
 
     /// The table in force, and what waits in each tier and why.
-    pub(super) fn show_tiers(&self) -> serde_json::Value {
+    pub(super) fn describe_tiers(&self) -> serde_json::Value {
         let table = &self.replicated_records.tier_table;
         let teams = &self.settings.settings.teams;
         let waiting = self.cluster_state.as_ref().map(|leader| leader.tiers_waiting(teams));
@@ -538,10 +538,10 @@
     }
 
     /// Why a job is of its tier, and where in the line it stands.
-    pub(super) fn explain_tier(&self, id: &str) -> Reply {
+    pub(super) fn explain_tier_reply(&self, id: &str) -> Reply {
         let Some(leader) = &self.cluster_state else { return self.reply_not_leader() };
         let Some(job) = leader.jobs.get(id) else {
-            return plugin_error_reply(404, format!("job `{id}` is not alive; poll it"));
+            return admin_error_reply(404, format!("job `{id}` is not alive; poll it"));
         };
         let table = &self.replicated_records.tier_table;
         let judged = table.match_tier(&facts_of(&job.id, &job.spec));
