--- a/crates/controller/src/controller/deadline_planning.rs
+++ b/crates/controller/src/controller/deadline_planning.rs
@@ -1,4 +1,6 @@
-//! Arrivals in the state service: what the board is told of jobs, what it makes of that, and its records.
+//! Deadline planning on the leader: passes the state of jobs to the tracker of occurrences, applies the deadlines that
+//! follow, logs warnings, and reads and writes the records of plan, occurrences and step durations. Also operators'
+//! requests about them. Planning itself is in [`swiftsail_deadline_planning`].
 
 use super::dependency_lookup::JobReadOutcome;
 use super::plugins::admin_error_reply;
@@ -18,175 +20,196 @@
 };
 use swiftsail_replicated_records::Versioned;
 
-/// Keys among the records of the order.
-const PLAN: &str = "dispatch";
-const DUE: &str = "due/";
-const TOOK: &str = "took/";
+/// Key of the deadline plan, below the common prefix of all replicated records.
+const PLAN_KEY: &str = "dispatch";
+/// Prefix of the keys of occurrences.
+const OCCURRENCE_PREFIX: &str = "due/";
+/// Prefix of the keys of step durations.
+const DURATIONS_PREFIX: &str = "took/";
 
 impl ClusterState {
-    /// When a job will be done, at the stated chance, and what it waits for. What waits for a place is taken to find
-    /// one after a boot and a fetch.
+    /// Time until a job is expected to be done, ms, at [`DURATION_QUANTILE`], and what it waits for. None for a service.
+    /// Waiting tasks are assumed to find a machine and to start after [`DEFAULT_BOOT_MS`], tasks that are bound and not
+    /// running after half of it.
     fn predicted_run_time(&self, job: &Job, now: u64) -> (Option<f64>, &'static str) {
         if job.spec.kind == crate::job::JobKind::Service {
             return (None, "it runs until it is cancelled");
         }
-        let run = |kind: &str| self.run_time_history.run_time(&job.id, &job.spec, kind);
-        let mut last: f64 = 0.0;
-        for attempt in job.attempts.values().filter(|a| a.occupies_resources()) {
-            let kind = self.machines.get(&attempt.machine).map_or("", |m| m.machine_type.as_str());
-            let left = match (attempt.phase(), attempt.running_since) {
+        let run_time =
+            |machine_type: &str| self.run_time_history.run_time(&job.id, &job.spec, machine_type);
+        let mut longest_ms: f64 = 0.0;
+        for attempt in job.attempts.values().filter(|attempt| attempt.occupies_resources()) {
+            let machine = self.machines.get(&attempt.machine);
+            let machine_type = machine.map_or("", |machine| machine.machine_type.as_str());
+            let remaining = match (attempt.phase(), attempt.running_since) {
                 (AttemptPhase::Running, Some(at)) => {
-                    run(kind).remaining(now.saturating_sub(at) as f64)
+                    run_time(machine_type).remaining(now.saturating_sub(at) as f64)
                 }
-                _ => crate::completion_time::Pmf::clone(&run(kind)).shifted(DEFAULT_BOOT_MS / 2.0),
+                _ => crate::completion_time::Pmf::clone(&run_time(machine_type))
+                    .shifted(DEFAULT_BOOT_MS / 2.0),
             };
-            last = last.max(left.quantile(DURATION_QUANTILE));
+            longest_ms = longest_ms.max(remaining.quantile(DURATION_QUANTILE));
         }
         if job.waiting.is_empty() && job.backing_off.is_empty() {
-            return (Some(last), "it runs");
+            return (Some(longest_ms), "it runs");
         }
-        let waits = run("").quantile(DURATION_QUANTILE) + DEFAULT_BOOT_MS;
-        let why = if job.is_job_at_fault() {
+        let waiting_ms = run_time("").quantile(DURATION_QUANTILE) + DEFAULT_BOOT_MS;
+        let wait_reason = if job.is_job_at_fault() {
             "it fails on every machine"
         } else {
             "its tasks wait for a place"
         };
-        (Some(last.max(waits)), why)
+        (Some(longest_ms.max(waiting_ms)), wait_reason)
     }
 }
 
 impl Controller {
-    /// A new leader has the arrivals of its predecessor, to the millisecond.
+    /// Restores occurrences and step durations of a new leader from their records, so that every deadline is exactly
+    /// that of the predecessor. Unreadable records are left unchanged and ignored.
     pub(super) fn restore_deadline_plan(&mut self) {
-        let mut board = DeadlineTracker::default();
-        for (key, value) in self.replicated_records.records.get_by_prefix(DUE) {
+        let mut tracker = DeadlineTracker::default();
+        for (key, value) in self.replicated_records.records.get_by_prefix(OCCURRENCE_PREFIX) {
             match Occurrence::from_record(key, value) {
-                Ok(arrival) => board.restore(key.trim_start_matches(DUE), arrival),
+                Ok(occurrence) => {
+                    tracker.restore(key.trim_start_matches(OCCURRENCE_PREFIX), occurrence);
+                }
                 Err(e) => tracing::error!(cause = %e, "unreadable occurrence record ignored"),
             }
         }
-        for (key, value) in self.replicated_records.records.get_by_prefix(TOOK) {
-            if let Ok(took) = StepDurations::from_record(key, value) {
-                board.restore_durations(key.trim_start_matches(TOOK), took);
+        for (key, value) in self.replicated_records.records.get_by_prefix(DURATIONS_PREFIX) {
+            if let Ok(durations) = StepDurations::from_record(key, value) {
+                tracker.restore_durations(key.trim_start_matches(DURATIONS_PREFIX), durations);
             }
         }
-        self.replicated_records.deadline_tracker = board;
+        self.replicated_records.deadline_tracker = tracker;
         self.replicated_records.deadlines_checked_at = 0;
     }
 
-    /// With every timer step of a leader, now and then: arrivals go on.
+    /// Timer step of the leader, every [`DEADLINE_PLAN_INTERVAL_MS`]: updates the occurrences, gives jobs the deadlines
+    /// that follow, and requests writes of the records that have changed.
     #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub(super) fn update_deadline_plan(&mut self) {
         let now = self.now;
-        let Some(calendar) = self.replicated_records.calendar.clone() else { return };
+        let Some(schedule) = self.replicated_records.schedule.clone() else { return };
         if now.monotonic < self.replicated_records.deadlines_checked_at + DEADLINE_PLAN_INTERVAL_MS
             || !self.replicated_records.records.is_loaded()
         {
             return;
         }
-        let Some(leader) = &mut self.cluster_state else { return };
+        let Some(state) = &mut self.cluster_state else { return };
         self.replicated_records.deadlines_checked_at = now.monotonic;
-        let board = &mut self.replicated_records.deadline_tracker;
-        board.sync_with_schedule(&calendar, now.wall_clock);
+        let tracker = &mut self.replicated_records.deadline_tracker;
+        tracker.sync_with_schedule(&schedule, now.wall_clock);
         let mut jobs: BTreeMap<&str, StepJob> = BTreeMap::new();
-        for (id, job) in leader.jobs.iter().filter(|(_, j)| j.state() == JobState::Live) {
-            let (left, why) = leader.predicted_run_time(job, now.monotonic);
-            let work = StepJob {
+        for (id, job) in state.jobs.iter().filter(|(_, job)| job.state() == JobState::Live) {
+            let (remaining_ms, wait_reason) = state.predicted_run_time(job, now.monotonic);
+            let step_job = StepJob {
                 attributes: facts_of(id, &job.spec),
                 accepted_at_wall: job.accepted_wall,
-                expected_end_wall: left.map(|ms| now.wall_clock + ms.max(0.0) as u64),
-                wait_reason: why.into(),
+                expected_end_wall: remaining_ms.map(|ms| now.wall_clock + ms.max(0.0) as u64),
+                wait_reason: wait_reason.into(),
             };
-            jobs.insert(id, work);
+            jobs.insert(id, step_job);
         }
-        let finals = &self.final_records;
-        let ended = |id: &str| finals.get(id).map(|r| r.state == FinalState::Done);
-        let told = board.update(&calendar, &jobs, ended, now.wall_clock);
-        for it in told {
-            let (step, cause) = it.lateness_cause.unwrap_or_default();
-            match it.phase {
+        let final_records = &self.final_records;
+        let outcome =
+            |id: &str| final_records.get(id).map(|record| record.state == FinalState::Done);
+        let events = tracker.update(&schedule, &jobs, outcome, now.wall_clock);
+        for event in events {
+            let (step, cause) = event.lateness_cause.unwrap_or_default();
+            match event.phase {
                 OccurrencePhase::Late | OccurrencePhase::Missed => {
-                    tracing::warn!(arrival = %it.key, phase = ?it.phase, step, cause, "dispatch deadline at risk");
+                    tracing::warn!(arrival = %event.key, phase = ?event.phase, step, cause, "deadline missed or at risk");
                 }
-                phase => tracing::info!(arrival = %it.key, ?phase, "occurrence changed phase"),
+                phase => tracing::info!(arrival = %event.key, ?phase, "occurrence changed phase"),
             }
-            leader.events.note(
+            state.events.note(
                 "arrival",
-                format!("{:?}", it.phase).to_lowercase(),
-                &it.key,
+                format!("{:?}", event.phase).to_lowercase(),
+                &event.key,
                 Some(&cause),
             );
         }
-        // The sooner of its own deadline and the arrival's is what a job is judged by.
-        let steady = |wall: u64| (now.monotonic + wall).saturating_sub(now.wall_clock);
-        let dues: Vec<(JobId, Option<u64>)> =
-            leader.jobs.keys().map(|id| (id.clone(), board.deadline_of(id).map(steady))).collect();
-        for (id, due) in dues {
-            if let Some(job) = leader.jobs.get_mut(&id) {
-                job.set_occurrence_deadline(due);
+        // A job is scheduled by the earlier of its own deadline and that of the occurrence.
+        let to_monotonic = |wall: u64| (now.monotonic + wall).saturating_sub(now.wall_clock);
+        let deadlines: Vec<(JobId, Option<u64>)> = state
+            .jobs
+            .keys()
+            .map(|id| (id.clone(), tracker.deadline_of(id).map(to_monotonic)))
+            .collect();
+        for (id, deadline) in deadlines {
+            if let Some(job) = state.jobs.get_mut(&id) {
+                job.set_occurrence_deadline(deadline);
             }
         }
-        for (key, arrival) in board.take_changed_occurrences() {
-            let key = format!("{DUE}{key}");
-            match arrival {
-                Some(arrival) => {
-                    self.replicated_records.records.put(&key, arrival.to_record());
+        for (key, occurrence) in tracker.take_changed_occurrences() {
+            let key = format!("{OCCURRENCE_PREFIX}{key}");
+            match occurrence {
+                Some(occurrence) => {
+                    self.replicated_records.records.put(&key, occurrence.to_record());
                 }
                 None => self.replicated_records.records.remove(&key),
             }
         }
-        for (step, took) in board.take_changed_durations() {
-            self.replicated_records.records.put(&format!("{TOOK}{step}"), took.to_record());
+        for (step, durations) in tracker.take_changed_durations() {
+            let key = format!("{DURATIONS_PREFIX}{step}");
+            self.replicated_records.records.put(&key, durations.to_record());
         }
-        // What became of a job that ended under another leader stands in its final record.
-        let open: Vec<JobId> = board
+        // The outcome of a job that ended under another leader is in its final record, which is to be read.
+        let unknown: Vec<JobId> = tracker
             .jobs_of_submitted_steps()
-            .filter(|id| !leader.jobs.contains_key(*id) && !self.final_records.contains_key(id))
+            .filter(|id| !state.jobs.contains_key(*id) && !self.final_records.contains_key(id))
             .map(JobId::from)
             .collect();
-        for id in open {
+        for id in unknown {
             self.read_occurrence_job(id, true);
         }
     }
 
+    /// Reads the record of a job that performs a step: under the key of archived final records (`final_key`), or under the
+    /// job's own key, which holds a live job, or a final record that is not archived yet.
     fn read_occurrence_job(&mut self, id: JobId, final_key: bool) {
         let key = keys::place(&id, final_key);
-        let until = RetryPolicy::OnceBefore(self.now.monotonic + STORE_TIMEOUT_MS);
-        let purpose = CallContext::ReadOccurrenceJob { job: id, final_key };
-        self.store.push(StoreCall::Get(key), purpose, CallPriority::Low, until);
+        let policy = RetryPolicy::OnceBefore(self.now.monotonic + STORE_TIMEOUT_MS);
+        let context = CallContext::ReadOccurrenceJob { job: id, final_key };
+        self.store.push(StoreCall::Get(key), context, CallPriority::Low, policy);
     }
 
-    /// The read of an occurrence's job has ended; what is over is remembered. The last place was read first, so a job
-    /// that is not there may still stand in its first place.
+    /// The read of a job that performs a step has ended; a final record is cached. The key of archived records is read
+    /// first; a job that is not found there is read under its own key. If its record is archived between the two reads,
+    /// the reads after the next update find it.
     pub(super) fn on_occurrence_job_read(
         &mut self,
         id: &JobId,
         final_key: bool,
         outcome: &StoreOutcome,
     ) {
-        let location = self.process_job_read(id, final_key, outcome);
-        if let JobReadOutcome::Found(VisitedJob::NeverAccepted) = location {
+        let read = self.process_job_read(id, final_key, outcome);
+        if let JobReadOutcome::Found(VisitedJob::NeverAccepted) = read {
             self.read_occurrence_job(id.clone(), false);
         }
     }
 
-    /// The plan of the highest version counts, as with tiers.
-    pub(super) fn read_plan(&mut self) {
-        let found = self.replicated_records.records.get_committed(PLAN);
-        let held = found.map(|value| DeadlinePlan::from_record(PLAN, value));
-        if let Some(Err(e)) = &held {
+    /// Puts the stored deadline plan in force, if it differs from the one in force. If this controller leads and its own
+    /// file has a plan of a higher version, requests a write of that one. A stored plan that cannot be read is never
+    /// overwritten.
+    pub(super) fn apply_deadline_plan(&mut self) {
+        let value = self.replicated_records.records.get_committed(PLAN_KEY);
+        let stored = value.map(|value| DeadlinePlan::from_record(PLAN_KEY, value));
+        if let Some(Err(e)) = &stored {
             tracing::error!(cause = %e, "new dispatch plan rejected, keeping the active one");
             return;
         }
-        let there = held.as_ref().and_then(|h| h.as_ref().ok()).map_or(0, |p| p.version);
-        if let Some(Ok(plan)) = held
-            && self.replicated_records.calendar.as_ref().is_none_or(|c| *c.plan() != plan)
+        let stored_version =
+            stored.as_ref().and_then(|plan| plan.as_ref().ok()).map_or(0, |plan| plan.version);
+        if let Some(Ok(plan)) = stored
+            && self.replicated_records.schedule.as_ref().is_none_or(|active| *active.plan() != plan)
         {
             let version = plan.version;
             match DeadlineSchedule::new(plan) {
-                Ok(calendar) => {
+                Ok(schedule) => {
                     tracing::info!(version, "dispatch plan activated");
-                    self.replicated_records.calendar = Some(Rc::new(calendar));
+                    self.replicated_records.schedule = Some(Rc::new(schedule));
                 }
                 Err(e) => {
                     tracing::error!(cause = %e, "new dispatch plan rejected, keeping the active one")
@@ -195,133 +218,142 @@
         }
         let own = self
             .replicated_records
-            .own_plan
+            .own_schedule
             .clone()
             .filter(|_| self.replicated_records.records.is_loaded());
         let Some(own) =
-            own.filter(|own| own.plan().version > there && self.cluster_state.is_some())
+            own.filter(|own| own.plan().version > stored_version && self.cluster_state.is_some())
         else {
             return;
         };
-        self.replicated_records.records.put(PLAN, own.plan().to_record());
+        self.replicated_records.records.put(PLAN_KEY, own.plan().to_record());
     }
 
-    /// An operator offers another plan.
+    /// Handles an operator's request to replace the deadline plan, which must be valid and of a higher version. The
+    /// operator is answered once it is committed.
     pub(super) fn set_deadline_plan(&mut self, request: RequestId, body: &[u8]) {
-        let refused = self.dispatch_refusal();
-        if let Some(reply) = refused {
+        let error_reply = self.deadline_planning_unavailable();
+        if let Some(reply) = error_reply {
             return self.answer(request, reply);
         }
         let offered = serde_json::from_slice::<DeadlinePlan>(body).map_err(|e| {
             format!("the plan cannot be read: {e}; send JSON with version, arrival, chain")
         });
-        let calendar = offered.and_then(|p| DeadlineSchedule::new(p).map_err(|e| e.to_string()));
-        let calendar = match calendar {
-            Ok(calendar) => calendar,
-            Err(why) => return self.answer(request, admin_error_reply(422, why)),
+        let schedule =
+            offered.and_then(|plan| DeadlineSchedule::new(plan).map_err(|e| e.to_string()));
+        let schedule = match schedule {
+            Ok(schedule) => schedule,
+            Err(error) => return self.answer(request, admin_error_reply(422, error)),
         };
-        let there = self.replicated_records.calendar.as_ref().map_or(0, |c| c.plan().version);
-        if calendar.plan().version <= there {
-            let why = format!("plan {there} is in force; give yours a higher version");
-            return self.answer(request, admin_error_reply(409, why));
+        let active = self.replicated_records.schedule.as_ref();
+        let active_version = active.map_or(0, |active| active.plan().version);
+        if schedule.plan().version <= active_version {
+            let error = format!("plan {active_version} is in force; give yours a higher version");
+            return self.answer(request, admin_error_reply(409, error));
         }
-        self.submit_record_write(request, PLAN, calendar.plan().to_record());
+        self.submit_record_write(request, PLAN_KEY, schedule.plan().to_record());
     }
 
-    fn dispatch_refusal(&self) -> Option<Reply> {
-        if self.replicated_records.calendar.is_none() {
-            let why = "dispatch is switched off; give the operators' file a [dispatch] table";
-            return Some(admin_error_reply(409, why));
+    /// The error reply to an operator if this controller cannot serve requests about deadlines: they are disabled, or it
+    /// does not lead.
+    fn deadline_planning_unavailable(&self) -> Option<Reply> {
+        if self.replicated_records.schedule.is_none() {
+            let error = "dispatch is switched off; give the operators' file a [dispatch] table";
+            return Some(admin_error_reply(409, error));
         }
         self.cluster_state.is_none().then(|| self.reply_not_leader())
     }
 
-    /// An operator adds one arrival: JSON with name, chain and at_ms, the time of day.
+    /// Handles an operator's request to add one occurrence: JSON with `name`, `chain` and `at_ms`, the wall-clock time
+    /// when it is due, ms since the Unix epoch. The operator is answered once it is committed.
     pub(super) fn add_occurrence(&mut self, request: RequestId, body: &[u8]) {
         #[derive(serde::Deserialize)]
-        struct SingleJob {
+        struct NewOccurrence {
             name: String,
             chain: String,
             at_ms: u64,
         }
-        if let Some(reply) = self.dispatch_refusal() {
+        if let Some(reply) = self.deadline_planning_unavailable() {
             return self.answer(request, reply);
         }
-        let single = match serde_json::from_slice::<SingleJob>(body) {
-            Ok(single) => single,
+        let new_occurrence = match serde_json::from_slice::<NewOccurrence>(body) {
+            Ok(new_occurrence) => new_occurrence,
             Err(e) => {
-                let why =
+                let error =
                     format!("the arrival cannot be read: {e}; send JSON with name, chain, at_ms");
-                return self.answer(request, admin_error_reply(400, why));
+                return self.answer(request, admin_error_reply(400, error));
             }
         };
-        let SingleJob { name, chain, at_ms } = single;
-        let named = !name.is_empty()
+        let NewOccurrence { name, chain, at_ms } = new_occurrence;
+        let is_valid_name = !name.is_empty()
             && name.len() <= swiftsail_deadline_planning::constants::MAX_NAME_BYTES
             && name.chars().all(|c| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-');
-        if !named || at_ms <= self.now.wall_clock {
-            let why =
+        if !is_valid_name || at_ms <= self.now.wall_clock {
+            let error =
                 "a name has 1 to 40 lower-case letters, digits and dashes, and the time is to come";
-            return self.answer(request, admin_error_reply(422, why));
+            return self.answer(request, admin_error_reply(422, error));
         }
-        let Some(calendar) = self.replicated_records.calendar.clone() else { return };
+        let Some(schedule) = self.replicated_records.schedule.clone() else { return };
         let Some(key) = self
             .replicated_records
             .deadline_tracker
-            .add_occurrence(&calendar, &name, &chain, at_ms)
+            .add_occurrence(&schedule, &name, &chain, at_ms)
         else {
-            let why =
+            let error =
                 format!("no chain `{chain}`, or too many arrivals are open; see dispatch show");
-            return self.answer(request, admin_error_reply(422, why));
+            return self.answer(request, admin_error_reply(422, error));
         };
-        let arrival = self
+        let record = self
             .replicated_records
             .deadline_tracker
             .occurrences()
-            .find(|(k, _)| **k == key)
-            .map(|(_, a)| a.to_record());
-        self.submit_record_write(request, &format!("{DUE}{key}"), arrival.unwrap_or_default());
+            .find(|(other, _)| **other == key)
+            .map(|(_, occurrence)| occurrence.to_record());
+        let key = format!("{OCCURRENCE_PREFIX}{key}");
+        self.submit_record_write(request, &key, record.unwrap_or_default());
     }
 
-    /// All arrivals and their steps, for operators; of one if it is named.
-    pub(super) fn occurrences_reply(&self, of: Option<&str>) -> Reply {
-        if let Some(reply) = self.dispatch_refusal() {
+    /// The open occurrences with their steps, for operators: all, or those with this key or entry name.
+    pub(super) fn occurrences_reply(&self, selected: Option<&str>) -> Reply {
+        if let Some(reply) = self.deadline_planning_unavailable() {
             return reply;
         }
         let now = self.now.wall_clock;
-        let its = |key: &str, a: &Occurrence| {
-            of.is_none_or(|id| {
-                id == key || id == a.entry_name || id == a.entry_name.trim_start_matches('+')
+        let is_selected = |key: &str, occurrence: &Occurrence| {
+            let entry_name = &occurrence.entry_name;
+            selected.is_none_or(|name| {
+                name == key || name == entry_name || name == entry_name.trim_start_matches('+')
             })
         };
         let rows = self
             .replicated_records
             .deadline_tracker
             .occurrences()
-            .filter(|(key, a)| its(key, a))
-            .map(|(key, a)| {
-                let steps = a.steps.iter().map(|s| {
+            .filter(|(key, occurrence)| is_selected(key, occurrence))
+            .map(|(key, occurrence)| {
+                let steps = occurrence.steps.iter().map(|step| {
                     json!({
-                        "step": s.name,
-                        "stage": format!("{:?}", s.phase()).to_lowercase(),
-                        "job": s.job,
-                        "deadline_ms": s.deadline,
-                        "latest_start_ms": s.latest_start,
-                        "left_s": (s.deadline as i64 - now as i64) / 1_000,
+                        "step": step.name,
+                        "stage": format!("{:?}", step.phase()).to_lowercase(),
+                        "job": step.job,
+                        "deadline_ms": step.deadline,
+                        "latest_start_ms": step.latest_start,
+                        "left_s": (step.deadline as i64 - now as i64) / 1_000,
                     })
                 });
+                let warning = occurrence.lateness_warning.as_ref();
                 json!({
                     "arrival": key,
-                    "name": a.entry_name,
-                    "chain": a.chain,
-                    "phase": format!("{:?}", a.phase()).to_lowercase(),
-                    "in_s": (a.due_at as i64 - now as i64) / 1_000,
-                    "stuck_at": a.lateness_warning.as_ref().map(|w| &w.0),
-                    "why": a.lateness_warning.as_ref().map(|w| &w.1),
+                    "name": occurrence.entry_name,
+                    "chain": occurrence.chain,
+                    "phase": format!("{:?}", occurrence.phase()).to_lowercase(),
+                    "in_s": (occurrence.due_at as i64 - now as i64) / 1_000,
+                    "stuck_at": warning.map(|(step, _)| step),
+                    "why": warning.map(|(_, cause)| cause),
                     "steps": steps.collect::<Vec<_>>(),
                 })
             });
-        let version = self.replicated_records.calendar.as_ref().map(|c| c.plan().version);
+        let version = self.replicated_records.schedule.as_ref().map(|active| active.plan().version);
         Reply::json(200, &json!({ "version": version, "arrivals": rows.collect::<Vec<_>>() }))
     }
 }
--- a/crates/controller/src/controller/gpu_lending.rs
+++ b/crates/controller/src/controller/gpu_lending.rs
@@ -115,7 +115,7 @@
     pub(super) fn update_gpu_loans(&mut self) {
         let now = self.now;
         let Some(state) = &mut self.cluster_state else { return };
-        let durable = self.replicated_records.lends_gpus();
+        let durable = self.replicated_records.are_loans_durable();
         for lender in state.gpu_loans.lenders_with_requests() {
             let key = format!("{LOAN_PREFIX}{lender}");
             let is_committed = self.replicated_records.records.get_committed(&key).is_some()
@@ -140,7 +140,7 @@
     /// Restores the loans from their records: a new leader completes or ends those of its predecessor.
     pub(super) fn restore_gpu_loans(&mut self) {
         let Some(state) =
-            self.cluster_state.as_mut().filter(|_| self.replicated_records.lends_gpus())
+            self.cluster_state.as_mut().filter(|_| self.replicated_records.are_loans_durable())
         else {
             return;
         };
@@ -172,7 +172,7 @@
         let rows: Vec<_> = rows.collect();
         let record = job.and_then(|id| self.cluster_state.as_ref()?.gpu_loans.lender_record(id));
         json!({
-            "durable": self.replicated_records.lends_gpus(),
+            "durable": self.replicated_records.are_loans_durable(),
             "loans": rows,
             "stopped_ms": record.map(|record| record.preempted_at.clone()).unwrap_or_default(),
         })
