--- a/crates/controller/src/controller/policy_evaluation.rs
+++ b/crates/controller/src/controller/policy_evaluation.rs
@@ -1,5 +1,7 @@
-//! Policy and plug-ins asked before a pass: facts of jobs, classes, teams and the cluster in, values
-//! for placement and fleet out. A set of plug-ins changes between passes, never within one.
+//! Evaluation of the operators' policy and of plug-ins before each scheduling cycle: attributes of jobs, classes, teams and
+//! the cluster are passed in, and the results are the [`CyclePolicy`] that placement and fleet management use. Also the
+//! advice of plug-ins on submissions, and the explanation of a job's policy for operators. The set of plug-ins changes
+//! between cycles, never within one.
 
 use super::{Controller, Now, Reply};
 use crate::cluster_state::{ClusterState, team_amounts};
@@ -19,40 +21,44 @@
 use swiftsail_protocol::users::ErrorResponse;
 use swiftsail_quota::ResourceQuantities;
 
-/// Milliseconds of a day.
+/// Milliseconds in a day.
 const DAY_MS: u64 = 86_400_000;
 
-/// What is asked before a pass, and of what.
+/// What is evaluated before a scheduling cycle, and the inputs beside the cluster state.
 pub struct PolicyContext<'a> {
-    /// The policy.
+    /// The operators' policy.
     pub policy: &'a mut SchedulingPolicy,
-    /// The plug-ins.
+    /// The host that runs the plug-ins.
     pub plugin_host: &'a mut PluginHost,
-    /// The teams.
+    /// The teams of the settings.
     pub teams: &'a [TeamSettings],
-    /// The machine types.
+    /// The machine types of the cloud.
     pub machine_types: &'a [MachineType],
-    /// The time.
+    /// The time, on both clocks.
     pub now: Now,
 }
 
-/// Works out how the pass to come is steered. A round (`full`) asks anew; between rounds only jobs
-/// that have not been asked about are.
+/// Updates the policy of the next scheduling cycle. Before a mapping round (`full`) everything is evaluated anew; between
+/// rounds only live jobs with waiting tasks that have not been evaluated since.
 pub fn evaluate_job_policies(
-    tables: &ClusterState,
-    asking: PolicyContext,
-    steering: &mut CyclePolicy,
+    state: &ClusterState,
+    context: PolicyContext,
+    cycle_policy: &mut CyclePolicy,
     full: bool,
 ) {
-    let PolicyContext { policy, plugin_host: host, teams, machine_types: types, now } = asking;
-    host.begin_cycle(now.monotonic);
-    // What does not depend on facts costs none.
-    let by_job = policy.has_job_expressions() || host.has_scheduling_hooks();
-    let asks = by_job || full && policy.has_cluster_expressions();
+    let PolicyContext { policy, plugin_host, teams, machine_types, now } = context;
+    plugin_host.begin_cycle(now.monotonic);
+    // Attributes are computed only if anything depends on them.
+    let is_per_job = policy.has_job_expressions() || plugin_host.has_scheduling_hooks();
+    let needs_cluster = is_per_job || full && policy.has_cluster_expressions();
     let none = AttributeValues::new(&[], Vec::new());
-    let cluster = if asks { cluster_of(tables, types, now.wall_clock).0 } else { none };
+    let cluster = if needs_cluster {
+        cluster_attributes(state, machine_types, now.wall_clock).0
+    } else {
+        none
+    };
     if full {
-        *steering = CyclePolicy {
+        *cycle_policy = CyclePolicy {
             dropping_toggle: policy.cluster_value(PolicyParameter::DroppingToggle, &cluster) as u32,
             queue_limit: policy.cluster_value(PolicyParameter::QueueLimit, &cluster) as usize,
             round_interval_ms: (policy.cluster_value(PolicyParameter::RoundIntervalS, &cluster)
@@ -60,155 +66,174 @@
             headroom_tasks: policy.cluster_value(PolicyParameter::ServiceHeadroom, &cluster) as u32,
             idle_timeout_ms: (policy.cluster_value(PolicyParameter::IdleTimeoutS, &cluster)
                 * MS_PER_S) as u64,
-            bounds: steering.bounds.clone(),
-            default_job: default_policies(policy),
+            bounds: cycle_policy.bounds.clone(),
+            default_job: default_job_policy(policy),
             job_overrides: HashMap::new(),
         };
     }
-    if !by_job {
-        steering.job_overrides.clear();
+    if !is_per_job {
+        cycle_policy.job_overrides.clear();
         return;
     }
-    let usage = tables.usage(teams);
-    let mut advisor =
-        PolicyEvaluator { policy, host, cluster, now: now.monotonic, orders: BTreeMap::new() };
-    let names: Vec<String> = types.iter().map(|t| t.name.clone()).collect();
-    for job in tables.jobs.values() {
-        let asks = job.state() == JobState::Live && !job.waiting.is_empty();
-        if !asks || steering.job_overrides.contains_key(&job.id) {
+    let usage = state.usage(teams);
+    let mut evaluator = PolicyEvaluator {
+        policy,
+        plugin_host,
+        cluster,
+        now: now.monotonic,
+        class_orders: BTreeMap::new(),
+    };
+    let type_names: Vec<String> = machine_types.iter().map(|t| t.name.clone()).collect();
+    for job in state.jobs.values() {
+        let has_waiting_tasks = job.state() == JobState::Live && !job.waiting.is_empty();
+        if !has_waiting_tasks || cycle_policy.job_overrides.contains_key(&job.id) {
             continue;
         }
-        let team = team_of(&job.spec, teams, &usage);
-        let facts = job_of(job, now.monotonic, now.wall_clock);
-        let (found, _) = advisor.evaluate(tables, job, &facts, &team, &names);
-        steering.job_overrides.insert(job.id.clone(), found);
+        let team = team_attributes(&job.spec, teams, &usage);
+        let attributes = job_attributes(job, now.monotonic, now.wall_clock);
+        let (job_policy, _) = evaluator.evaluate(state, job, &attributes, &team, &type_names);
+        cycle_policy.job_overrides.insert(job.id.clone(), job_policy);
     }
-    for (name, flaw) in policy.take_new_failures() {
-        tracing::error!(setting = name, cause = %flaw, "policy expression failed, using its default");
+    for (name, diagnostic) in policy.take_new_failures() {
+        tracing::error!(setting = name, cause = %diagnostic, "policy expression failed, using its default");
     }
 }
 
 impl Controller {
-    /// Works out how the pass to come is steered.
+    /// Updates the policy of the leader's next scheduling cycle; `full`: of a mapping round.
     pub(super) fn update_job_policies(&mut self, full: bool) {
         let Controller {
-            cluster_state: Some(leader),
+            cluster_state: Some(state),
             policy,
-            plugin_host: host,
-            job_policies: steering,
+            plugin_host,
+            job_policies,
             settings,
             now,
-            machine_types: types,
+            machine_types,
             ..
         } = self
         else {
             return;
         };
-        let types: &[MachineType] = types.as_deref().map_or(&[], Vec::as_slice);
+        let machine_types: &[MachineType] = machine_types.as_deref().map_or(&[], Vec::as_slice);
         let teams = &settings.settings.teams;
         evaluate_job_policies(
-            leader,
-            PolicyContext { policy, plugin_host: host, teams, machine_types: types, now: *now },
-            steering,
+            state,
+            PolicyContext { policy, plugin_host, teams, machine_types, now: *now },
+            job_policies,
             full,
         );
     }
 
-    /// What plug-ins advise on a new submission. Production work is never sent away.
+    /// Runs the admission plug-ins on a new submission. Returns the reply (429 with `Retry-After`) if one of them asks the
+    /// user to come back later. Production jobs are always admitted.
     pub(super) fn admission_advice(&mut self, id: &JobId, spec: &JobSpec) -> Option<Reply> {
         if spec.priority == Priority::Production || !self.plugin_host.has_active_hook(Hook::Admit) {
             return None;
         }
-        let job = facts_of(id, spec, f64::from(spec.tasks), 0.0, spec.deadline_s, 0.0);
+        let job = spec_attributes(id, spec, f64::from(spec.tasks), 0.0, spec.deadline_s, 0.0);
         let cluster = self.cluster_attributes_for_peers();
         let cluster = if cluster.is_empty() { self.cluster_attributes.clone() } else { cluster };
-        let second = HookContext::Cluster(cluster_facts(&cluster));
-        let verdict = self.plugin_host.run_hook(Hook::Admit, &job, &second, self.now.monotonic);
+        let context = HookContext::Cluster(cluster_attributes_from_numbers(&cluster));
+        let result = self.plugin_host.run_hook(Hook::Admit, &job, &context, self.now.monotonic);
         let Some(HookAnswer::RetryAfterS(wait)) =
-            verdict.composed.filter(|a| *a != HookAnswer::RetryAfterS(0.0))
+            result.composed.filter(|answer| *answer != HookAnswer::RetryAfterS(0.0))
         else {
             return None;
         };
-        let who: Vec<&str> = verdict
+        let plugins: Vec<&str> = result
             .responses
             .iter()
-            .filter(|s| matches!(s.answer, Some(HookAnswer::RetryAfterS(at)) if at > 0.0))
-            .map(|s| s.plugin.as_str())
+            .filter(
+                |response| matches!(response.answer, Some(HookAnswer::RetryAfterS(s)) if s > 0.0),
+            )
+            .map(|response| response.plugin.as_str())
             .collect();
-        let error = format!("plug-in {} asks to come back in {wait} s", who.join(", "));
+        let error = format!("plug-in {} asks to come back in {wait} s", plugins.join(", "));
         Some(Reply {
             retry_after: Some(wait.ceil() as u32),
             ..Reply::new(429, &ErrorResponse { error })
         })
     }
 
-    /// Attributes of the cluster for the other controllers, if the leader's plug-ins need them there.
+    /// Attributes of the cluster for the other controllers' admission plug-ins; empty if there are none, or if this
+    /// controller does not lead.
     pub(super) fn cluster_attributes_for_peers(&self) -> Vec<f64> {
-        let Some(leader) =
+        let Some(state) =
             self.cluster_state.as_ref().filter(|_| self.plugin_host.has_active_hook(Hook::Admit))
         else {
             return Vec::new();
         };
-        let types: &[MachineType] = self.machine_types.as_deref().map_or(&[], Vec::as_slice);
-        cluster_of(leader, types, self.now.wall_clock).1
+        let machine_types: &[MachineType] =
+            self.machine_types.as_deref().map_or(&[], Vec::as_slice);
+        cluster_attributes(state, machine_types, self.now.wall_clock).1
     }
 
-    /// Who said what of a job, and what was taken. None: it is not known here.
+    /// For operators: what policy and plug-ins decide for a job, what is applied, and what the job waits for. None if
+    /// this controller does not lead or knows no live job of this id.
     pub(super) fn explain_job(&mut self, id: &str) -> Option<serde_json::Value> {
         let Controller {
-            cluster_state: Some(leader),
+            cluster_state: Some(state),
             policy,
-            plugin_host: host,
+            plugin_host,
             settings,
             now,
-            machine_types: types,
+            machine_types,
             ..
         } = self
         else {
             return None;
         };
-        let job = leader.jobs.get(id)?;
-        let types: &[MachineType] = types.as_deref().map_or(&[], Vec::as_slice);
+        let job = state.jobs.get(id)?;
+        let machine_types: &[MachineType] = machine_types.as_deref().map_or(&[], Vec::as_slice);
         let teams = &settings.settings.teams;
-        let usage = leader.usage(teams);
-        let (cluster, _) = cluster_of(leader, types, now.wall_clock);
-        let names: Vec<String> = types.iter().map(|t| t.name.clone()).collect();
-        let team = team_of(&job.spec, teams, &usage);
-        let facts = job_of(job, now.monotonic, now.wall_clock);
-        let mut advisor =
-            PolicyEvaluator { policy, host, cluster, now: now.monotonic, orders: BTreeMap::new() };
-        let set = advisor.by_policy(&facts, &team);
-        let (found, verdicts) = advisor.evaluate(leader, job, &facts, &team, &names);
-        let verdicts: BTreeMap<&str, HookResult> =
-            verdicts.into_iter().map(|(hook, v)| (hook.name(), v)).collect();
+        let usage = state.usage(teams);
+        let (cluster, _) = cluster_attributes(state, machine_types, now.wall_clock);
+        let type_names: Vec<String> = machine_types.iter().map(|t| t.name.clone()).collect();
+        let team = team_attributes(&job.spec, teams, &usage);
+        let attributes = job_attributes(job, now.monotonic, now.wall_clock);
+        let mut evaluator = PolicyEvaluator {
+            policy,
+            plugin_host,
+            cluster,
+            now: now.monotonic,
+            class_orders: BTreeMap::new(),
+        };
+        let from_policy = evaluator.evaluate_policy(&attributes, &team);
+        let (applied, results) = evaluator.evaluate(state, job, &attributes, &team, &type_names);
+        let results: BTreeMap<&str, HookResult> =
+            results.into_iter().map(|(hook, result)| (hook.name(), result)).collect();
         Some(serde_json::json!({
             "job": id,
             "priority": job.spec.priority,
-            "waits": waits(leader, job, teams, &usage),
-            "lent": lent_gpus(leader, id),
-            "policy": { "threshold": set.pruning_threshold, "spot_share": set.spot_share },
-            "hooks": verdicts,
+            "waits": describe_wait(state, job, teams, &usage),
+            "lent": describe_lent_gpus(state, id),
+            "policy": {
+                "threshold": from_policy.pruning_threshold,
+                "spot_share": from_policy.spot_share,
+            },
+            "hooks": results,
             "taken": {
-                "threshold": found.pruning_threshold,
-                "spot_share": found.spot_share,
-                "class_order": found.class_order,
-                "priority": found.score,
-                "avoid_types": found.avoided_types,
+                "threshold": applied.pruning_threshold,
+                "spot_share": applied.spot_share,
+                "class_order": applied.class_order,
+                "priority": applied.score,
+                "avoid_types": applied.avoided_types,
             },
         }))
     }
 }
 
-/// Why tasks of a job wait, as far as its team's limit and what the job itself does say.
-fn waits(
-    tables: &ClusterState,
+/// Why a job's tasks wait, as far as that follows from its team's limit and its own state.
+fn describe_wait(
+    state: &ClusterState,
     job: &Job,
     teams: &[TeamSettings],
     usage: &[ResourceQuantities],
 ) -> serde_json::Value {
-    let number = teams.iter().position(|t| t.name == job.spec.team);
-    let team = number.map(|n| (&teams[n], &usage[n], tables.cap(n, &teams[n])));
-    let each = team_amounts(&job.spec);
+    let index = teams.iter().position(|team| team.name == job.spec.team);
+    let team = index.map(|index| (&teams[index], &usage[index], state.cap(index, &teams[index])));
+    let per_task = team_amounts(&job.spec);
     let limit = team.map(|(team, used, cap)| {
         serde_json::json!({
             "team": team.name,
@@ -216,11 +241,11 @@
             "cpus_most": team.cpus_max,
             "gpus_used": used.gpus.to_f64(),
             "gpus_most": team.gpus_max,
-            "more_tasks": cap.remaining(*used).times_covering(each),
+            "more_tasks": cap.remaining(*used).times_covering(per_task),
         })
     });
-    let held_back = team.is_some_and(|(_, used, cap)| !cap.allows(*used, each));
-    let why = match (job.waiting.is_empty(), job.gang_state()) {
+    let is_limited = team.is_some_and(|(_, used, cap)| !cap.allows(*used, per_task));
+    let reason = match (job.waiting.is_empty(), job.gang_state()) {
         _ if job.state() == JobState::Awaiting => "the jobs that it awaits: see `pipeline show`",
         (true, _) if job.backing_off.is_empty() => "nothing waits",
         (true, _) if job.is_job_at_fault() => {
@@ -229,24 +254,25 @@
         (true, _) => "a pause after a failure",
         (false, GangState::Fetching) => "the rest of the gang still fetches its image",
         (false, GangState::Stopping) => "the rest of the gang is being stopped",
-        (false, GangState::Whole) if held_back => "its team's limit",
+        (false, GangState::Whole) if is_limited => "its team's limit",
         (false, GangState::Whole) => "room, or a place where its chance is above the threshold",
     };
-    serde_json::json!({ "tasks": job.waiting.len(), "for": why, "limit": limit })
+    serde_json::json!({ "tasks": job.waiting.len(), "for": reason, "limit": limit })
 }
 
-/// What a job has lent, in words.
-fn lent_gpus(tables: &ClusterState, id: &str) -> Vec<String> {
-    let loans = tables.gpu_loans.lender_record(id).into_iter().flat_map(|l| &l.loans);
-    let said = loans.map(|l| {
-        let (to, on, stage) = (&l.borrower, &l.machine, l.phase());
-        format!("gave {} GPUs to {to} at {} ms on {on}: {stage:?}", l.gpus, l.phase_since_wall)
+/// Text for each open loan in which a job is the lender.
+fn describe_lent_gpus(state: &ClusterState, id: &str) -> Vec<String> {
+    let loans = state.gpu_loans.lender_record(id).into_iter().flat_map(|record| &record.loans);
+    let texts = loans.map(|loan| {
+        let (gpus, since) = (loan.gpus, loan.phase_since_wall);
+        let (borrower, machine, phase) = (&loan.borrower, &loan.machine, loan.phase());
+        format!("gave {gpus} GPUs to {borrower} at {since} ms on {machine}: {phase:?}")
     });
-    said.collect()
+    texts.collect()
 }
 
-/// What holds for jobs that nothing distinguishes.
-fn default_policies(policy: &mut SchedulingPolicy) -> JobPolicy {
+/// The policy of jobs that are not evaluated one by one.
+fn default_job_policy(policy: &mut SchedulingPolicy) -> JobPolicy {
     let none = AttributeValues::new(&[], Vec::new());
     JobPolicy {
         pruning_threshold: policy.job_value(PolicyParameter::PruningThreshold, &none, &none, &none),
@@ -255,98 +281,96 @@
     }
 }
 
+/// Evaluates policy and plug-ins for the jobs of one cycle.
 struct PolicyEvaluator<'a> {
     policy: &'a mut SchedulingPolicy,
-    host: &'a mut PluginHost,
+    plugin_host: &'a mut PluginHost,
     cluster: AttributeValues,
     now: u64,
-    /// Verdicts on the order of classes, one a class.
-    orders: BTreeMap<String, HookResult>,
+    /// Results of the class order hook, which runs once for each class.
+    class_orders: BTreeMap<String, HookResult>,
 }
 
 impl PolicyEvaluator<'_> {
     /// What the policy alone sets for a job.
-    fn by_policy(&mut self, facts: &AttributeValues, team: &AttributeValues) -> JobPolicy {
+    fn evaluate_policy(&mut self, job: &AttributeValues, team: &AttributeValues) -> JobPolicy {
         JobPolicy {
             pruning_threshold: self.policy.job_value(
                 PolicyParameter::PruningThreshold,
-                facts,
-                team,
-                &self.cluster,
-            ),
-            spot_share: self.policy.job_value(
-                PolicyParameter::SpotShare,
-                facts,
+                job,
                 team,
                 &self.cluster,
             ),
+            spot_share: self.policy.job_value(PolicyParameter::SpotShare, job, team, &self.cluster),
             ..JobPolicy::default()
         }
     }
 
-    /// Asks policy and plug-ins about a job.
+    /// What policy and plug-ins together set for a job, and the result of each hook.
     fn evaluate(
         &mut self,
-        tables: &ClusterState,
+        state: &ClusterState,
         job: &Job,
-        facts: &AttributeValues,
+        attributes: &AttributeValues,
         team: &AttributeValues,
-        types: &[String],
+        type_names: &[String],
     ) -> (JobPolicy, Vec<(Hook, HookResult)>) {
-        let mut found = self.by_policy(facts, team);
-        let mut verdicts = Vec::new();
-        // Where production work may go is not for plug-ins to narrow: it stays first whatever they say.
-        let narrows = |hook: Hook| matches!(hook, Hook::SpotShare | Hook::AvoidTypes);
+        let mut job_policy = self.evaluate_policy(attributes, team);
+        let mut results = Vec::new();
+        // Plug-ins cannot restrict on which machines production jobs run: these come first whatever plug-ins answer.
+        let restricts_machines = |hook: Hook| matches!(hook, Hook::SpotShare | Hook::AvoidTypes);
         for hook in [Hook::Priority, Hook::ClassOrder, Hook::SpotShare, Hook::AvoidTypes] {
-            let out_of_reach = narrows(hook) && job.spec.priority == Priority::Production;
-            if out_of_reach || !self.host.has_active_hook(hook) {
+            let is_exempt = restricts_machines(hook) && job.spec.priority == Priority::Production;
+            if is_exempt || !self.plugin_host.has_active_hook(hook) {
                 continue;
             }
-            let verdict = match hook {
-                Hook::ClassOrder => match self.orders.get(&job.spec.class) {
+            let result = match hook {
+                Hook::ClassOrder => match self.class_orders.get(&job.spec.class) {
                     Some(known) => known.clone(),
                     None => {
-                        let class = class_of(tables, &job.spec.class);
-                        let second = HookContext::Cluster(self.cluster.clone());
-                        let fresh = self.host.run_hook(hook, &class, &second, self.now);
-                        self.orders.insert(job.spec.class.clone(), fresh.clone());
-                        fresh
+                        let class = class_attributes(state, &job.spec.class);
+                        let context = HookContext::Cluster(self.cluster.clone());
+                        let result = self.plugin_host.run_hook(hook, &class, &context, self.now);
+                        self.class_orders.insert(job.spec.class.clone(), result.clone());
+                        result
                     }
                 },
-                Hook::AvoidTypes => self.host.run_hook(
+                Hook::AvoidTypes => self.plugin_host.run_hook(
                     hook,
-                    facts,
-                    &HookContext::MachineTypes(types.to_vec()),
+                    attributes,
+                    &HookContext::MachineTypes(type_names.to_vec()),
                     self.now,
                 ),
-                _ => self.host.run_hook(
+                _ => self.plugin_host.run_hook(
                     hook,
-                    facts,
+                    attributes,
                     &HookContext::Cluster(self.cluster.clone()),
                     self.now,
                 ),
             };
-            match &verdict.composed {
-                Some(HookAnswer::Score(score)) => found.score = *score,
-                Some(HookAnswer::ClassOrder(order)) => found.class_order = *order,
-                // Both are limits: the lower holds.
+            match &result.composed {
+                Some(HookAnswer::Score(score)) => job_policy.score = *score,
+                Some(HookAnswer::ClassOrder(order)) => job_policy.class_order = *order,
+                // The policy and the plug-ins both set an upper limit: the lower one applies.
                 Some(HookAnswer::SpotShare(share)) => {
-                    found.spot_share = found.spot_share.min(*share)
+                    job_policy.spot_share = job_policy.spot_share.min(*share)
                 }
-                Some(HookAnswer::AvoidTypes(names)) => found.avoided_types.clone_from(names),
+                Some(HookAnswer::AvoidTypes(names)) => job_policy.avoided_types.clone_from(names),
                 _ => {}
             }
-            verdicts.push((hook, verdict));
+            results.push((hook, result));
         }
-        (found, verdicts)
+        (job_policy, results)
     }
 }
 
-fn text(it: &str) -> AttributeValue {
-    AttributeValue::Text(it.to_string())
+fn text(value: &str) -> AttributeValue {
+    AttributeValue::Text(value.to_string())
 }
 
-fn facts_of(
+/// Attributes of a job with this specification, in the order of [`JOB_ATTRIBUTES`]. `left_s`: time to its deadline;
+/// none: it has no deadline.
+fn spec_attributes(
     id: &str,
     spec: &JobSpec,
     waiting: f64,
@@ -386,80 +410,86 @@
     AttributeValues::new(JOB_ATTRIBUTES, values)
 }
 
-fn job_of(job: &Job, now: u64, wall: u64) -> AttributeValues {
-    let left = job.deadline.map(|due| (due as f64 - now as f64) / MS_PER_S);
-    let age = wall.saturating_sub(job.accepted_wall) as f64 / MS_PER_S;
+/// Attributes of an accepted job. `now` is monotonic time, `wall` the wall clock, both in ms.
+fn job_attributes(job: &Job, now: u64, wall: u64) -> AttributeValues {
+    let left_s = job.deadline.map(|deadline| (deadline as f64 - now as f64) / MS_PER_S);
+    let age_s = wall.saturating_sub(job.accepted_wall) as f64 / MS_PER_S;
     let running = f64::from(job.task_counts().1);
-    facts_of(&job.id, &job.spec, job.waiting.len() as f64, running, left, age)
+    spec_attributes(&job.id, &job.spec, job.waiting.len() as f64, running, left_s, age_s)
 }
 
-fn class_of(tables: &ClusterState, class: &str) -> AttributeValues {
+/// Attributes of a job class, summed over its jobs.
+fn class_attributes(state: &ClusterState, class: &str) -> AttributeValues {
     let (mut jobs, mut waiting, mut running, mut late) = (0, 0, 0, 0);
-    for job in tables.jobs.values().filter(|j| j.spec.class == class) {
+    for job in state.jobs.values().filter(|job| job.spec.class == class) {
         jobs += 1;
         waiting += if job.has_queued_tasks() { job.waiting.len() as i64 } else { 0 };
         running += i64::from(job.task_counts().1);
         late += i64::from(job.missed_deadline);
     }
-    let count = [jobs, waiting, running, late].map(AttributeValue::Integer);
-    AttributeValues::new(CLASS_ATTRIBUTES, [text(class)].into_iter().chain(count).collect())
+    let counts = [jobs, waiting, running, late].map(AttributeValue::Integer);
+    AttributeValues::new(CLASS_ATTRIBUTES, [text(class)].into_iter().chain(counts).collect())
 }
 
-fn team_of(
+/// Attributes of a job's team; all numbers are 0 for a team that the settings do not name.
+fn team_attributes(
     spec: &JobSpec,
     teams: &[TeamSettings],
     usage: &[ResourceQuantities],
 ) -> AttributeValues {
-    let found = teams.iter().zip(usage).find(|(t, _)| t.name == spec.team);
-    let numbers = found.map_or([0.0; 6], |(t, used)| {
-        [used.cpus.to_f64(), t.cpus, t.cpus_max, used.gpus.to_f64(), t.gpus, t.gpus_max]
+    let team = teams.iter().zip(usage).find(|(team, _)| team.name == spec.team);
+    let numbers = team.map_or([0.0; 6], |(team, used)| {
+        let (used_cpus, used_gpus) = (used.cpus.to_f64(), used.gpus.to_f64());
+        [used_cpus, team.cpus, team.cpus_max, used_gpus, team.gpus, team.gpus_max]
     });
     let numbers = numbers.map(AttributeValue::Number);
     AttributeValues::new(TEAM_ATTRIBUTES, [text(&spec.team)].into_iter().chain(numbers).collect())
 }
 
-/// Attributes of the cluster, and the same as numbers.
-fn cluster_of(
-    tables: &ClusterState,
-    types: &[MachineType],
+/// Attributes of the cluster, and the same as plain numbers in the order of [`CLUSTER_ATTRIBUTES`], as they are sent to
+/// the other controllers.
+fn cluster_attributes(
+    state: &ClusterState,
+    machine_types: &[MachineType],
     wall: u64,
 ) -> (AttributeValues, Vec<f64>) {
     let (mut late, mut waiting, mut running) = (0, 0, 0);
-    for job in tables.jobs.values() {
+    for job in state.jobs.values() {
         late += usize::from(job.missed_deadline);
         waiting += if job.has_queued_tasks() { job.waiting.len() } else { 0 };
         running += job.task_counts().1 as usize;
     }
-    let (mut ready, mut free, mut spot, mut cpus) = (0, 0.0, 0.0, 0.0);
-    for machine in tables.machines.values() {
-        let size = types.iter().find(|t| t.name == machine.machine_type).map_or(0.0, |t| t.cpus);
-        cpus += size;
-        spot += if machine.spot { size } else { 0.0 };
+    let (mut ready, mut free_cpus, mut spot_cpus, mut cpus) = (0, 0.0, 0.0, 0.0);
+    for machine in state.machines.values() {
+        let machine_type = machine_types.iter().find(|t| t.name == machine.machine_type);
+        let machine_cpus = machine_type.map_or(0.0, |t| t.cpus);
+        cpus += machine_cpus;
+        spot_cpus += if machine.spot { machine_cpus } else { 0.0 };
         if machine.state() == MachineState::Ready {
             ready += 1;
-            free += machine.free_resources().map_or(0.0, |r| r.cpus);
+            free_cpus += machine.free_resources().map_or(0.0, |resources| resources.cpus);
         }
     }
     let numbers = vec![
-        tables.jobs.len() as f64,
+        state.jobs.len() as f64,
         late as f64,
         waiting as f64,
         running as f64,
-        tables.machines.len() as f64,
+        state.machines.len() as f64,
         f64::from(ready),
-        free,
-        spot,
+        free_cpus,
+        spot_cpus,
         cpus,
-        f64::from(tables.misses),
+        f64::from(state.misses),
         (wall % DAY_MS) as f64 / MS_PER_S,
     ];
-    (cluster_facts(&numbers), numbers)
+    (cluster_attributes_from_numbers(&numbers), numbers)
 }
 
-/// Attributes of the cluster from numbers; what is not told is 0.
-fn cluster_facts(numbers: &[f64]) -> AttributeValues {
-    let value = |(n, attribute): (usize, &swiftsail_policy::attributes::Attribute)| {
-        let number = numbers.get(n).copied().unwrap_or(0.0);
+/// Attributes of the cluster from numbers in the order of [`CLUSTER_ATTRIBUTES`]; missing ones are 0.
+fn cluster_attributes_from_numbers(numbers: &[f64]) -> AttributeValues {
+    let value = |(index, attribute): (usize, &swiftsail_policy::attributes::Attribute)| {
+        let number = numbers.get(index).copied().unwrap_or(0.0);
         match attribute.1 {
             swiftsail_policy::attributes::AttributeType::Integer => {
                 AttributeValue::Integer(number as i64)
