--- a/tests/gpu_lending.rs
+++ b/tests/gpu_lending.rs
@@ -1,5 +1,4 @@
-//! Accelerators taken for others and given back: the state machine of a loan, every order of steps of a small one,
-//! and controllers that fail in the midst of many.
+//! GPU loans: the state machine of a loan, a model check of one loan, and many loans across failovers.
 
 mod common;
 
@@ -21,7 +20,8 @@
     FaultRates, START_MS, Simulation, gpu_job_body, gpu_machine_offers,
 };
 
-fn loan_facts(bits: u8) -> LoanObservation {
+/// An observation from one bit for each field.
+fn observation(bits: u8) -> LoanObservation {
     let bit = |n: u8| bits & (1 << n) != 0;
     LoanObservation {
         lender_is_live: bit(0),
@@ -34,16 +34,18 @@
     }
 }
 
-fn open_loan(now: u64) -> GpuLoans {
+/// One requested loan of a machine, from lender `wk-l` to borrower `wk-b`.
+fn requested_loan(now: u64) -> GpuLoans {
     let mut loans = GpuLoans::default();
     assert!(loans.request_loan("wk-l", "wk-b", &[("m-1".into(), 2.0)], now));
     loans
 }
 
-/// Whatever is seen in whatever order, by one leader or by several that read its record: stages never go back, none
-/// but serving lasts for ever, room is kept for one job at a time, and nobody is stopped before that is written down.
+/// For any sequence of observations, by one leader or by several that read its record: a loan's phase never goes back,
+/// every phase but serving ends within its timeout, the machine is reserved for one job at a time, and the lender is
+/// stopped only in the phase for that, which begins when the record is committed.
 #[test]
-fn a_loan_goes_one_way_and_ends() {
+fn loan_phases_advance_and_end() {
     let mut runner = TestRunner::new_with_rng(
         Config { cases: 400, failure_persistence: None, ..Config::default() },
         TestRng::from_seed(RngAlgorithm::ChaCha, &[35; 32]),
@@ -52,34 +54,39 @@
     runner
         .run(&history, |history| {
             let mut now = 1_000_000;
-            let mut loans = open_loan(now);
+            let mut loans = requested_loan(now);
             let mut last = LoanPhase::Asked;
-            for (bits, ms, handed) in history {
+            for (bits, ms, leader_changes) in history {
                 now += ms;
-                if handed {
-                    // A new leader reads what was written.
-                    let lent = loans.lender_record("wk-l").map(|l| l.to_record());
+                if leader_changes {
+                    // The new leader restores the loans from the record.
+                    let record = loans.lender_record("wk-l").map(|record| record.to_record());
                     loans = GpuLoans::default();
-                    if let Some(record) = lent {
+                    if let Some(record) = record {
                         loans.restore(
                             "wk-l",
-                            LenderRecord::from_record("loan/wk-l", &record).expect("it is sound"),
+                            LenderRecord::from_record("loan/wk-l", &record).expect("it is valid"),
                         );
                     }
                 }
                 if bits & 128 != 0 {
                     loans.on_committed("wk-l", now);
                 }
-                let todo = loans.advance_loans(now, |_, _| loan_facts(bits));
-                let keeps =
-                    todo.iter().filter(|t| matches!(t, LoanAction::ReserveMachine { .. })).count();
-                prop_assert!(keeps <= 1, "{todo:?}");
-                let Some(loan) = loans.lender_record("wk-l").and_then(|l| l.loans.first()) else {
+                let actions = loans.advance_loans(now, |_, _| observation(bits));
+                let reservations = actions
+                    .iter()
+                    .filter(|action| matches!(action, LoanAction::ReserveMachine { .. }))
+                    .count();
+                prop_assert!(reservations <= 1, "{actions:?}");
+                let Some(loan) =
+                    loans.lender_record("wk-l").and_then(|record| record.loans.first())
+                else {
                     break;
                 };
                 prop_assert!(loan.phase() >= last, "{last:?} to {:?}", loan.phase());
-                let stops = todo.iter().any(|t| matches!(t, LoanAction::StopLender { .. }));
-                prop_assert_eq!(stops, loan.phase() == LoanPhase::Stopping);
+                let is_stopped =
+                    actions.iter().any(|action| matches!(action, LoanAction::StopLender { .. }));
+                prop_assert_eq!(is_stopped, loan.phase() == LoanPhase::Stopping);
                 prop_assert!(
                     loan.phase() == LoanPhase::Serving
                         || now
@@ -96,77 +103,87 @@
         .unwrap();
 }
 
-/// A job is not stopped again and again, whoever leads.
+/// A demand for GPUs that comes and goes every minute, under a new leader each time, preempts the same lender only as
+/// often as its limit allows.
 #[test]
-fn surges_that_come_and_go_do_not_make_work_swing() {
-    let (mut loans, mut stops) = (GpuLoans::default(), 0);
+fn preemptions_of_a_lender_are_limited() {
+    let (mut loans, mut preemptions) = (GpuLoans::default(), 0);
     for minute in 0..60u64 {
         let now = 10_000_000 + minute * 60_000;
         if loans.request_loan("wk-l", "wk-b", &[("m-1".into(), 2.0)], now) {
-            stops += 1;
+            preemptions += 1;
         }
         loans.on_committed("wk-l", now);
-        // Given back at once each time.
+        // The lender leaves, the borrower runs and ends, and the lender returns.
         for bits in [0b0100_1111, 0b0010_1011, 0b0100_1011, 0b0001_1011] {
-            loans.advance_loans(now + 1_000, |_, _| loan_facts(bits));
+            loans.advance_loans(now + 1_000, |_, _| observation(bits));
         }
-        let record = loans.lender_record("wk-l").map(|l| l.to_record());
+        let record = loans.lender_record("wk-l").map(|record| record.to_record());
         loans = GpuLoans::default();
         if let Some(record) = record {
             loans.restore(
                 "wk-l",
-                LenderRecord::from_record("loan/wk-l", &record).expect("it is sound"),
+                LenderRecord::from_record("loan/wk-l", &record).expect("it is valid"),
             );
         }
     }
-    assert_eq!(stops, MAX_PREEMPTIONS_PER_WINDOW, "stops in an hour");
+    assert_eq!(preemptions, MAX_PREEMPTIONS_PER_WINDOW, "preemptions in an hour");
 }
 
-/// One loan with its leader, its record and its machine: every order of asking, writing, confirming, stopping,
-/// binding, ending, crashing and waiting.
+/// Model of one loan with its leader, its record and its machine, for all orders of steps.
 #[derive(Clone, Hash)]
 struct LoanModel {
     now: u64,
-    /// What the leader knows, as its record would be; none: no leader has read it yet.
+    /// The leader's loans, encoded as their record; empty: it has none.
     leader_record: Option<String>,
-    /// What the state service holds.
+    /// The record in the state service, encoded in the same way.
     stored_record: Option<String>,
     lender_running: bool,
     borrower_running: bool,
     borrower_finished: bool,
+    /// Whether the lender's task was told to stop.
     stopped: bool,
     stops: u8,
     crashes: u8,
-    /// The guard is taken away: the stop does not wait for the record.
+    /// Removes the rule that the lender is stopped only after the record is committed.
     stops_before_record: bool,
     violation: Option<&'static str>,
 }
 
 #[derive(Clone, Debug)]
 enum LoanStep {
-    Ask,
-    Write,
-    Step,
-    Leave,
-    Bind,
-    End,
+    /// The leader requests the loan.
+    Request,
+    /// The leader's record is committed.
+    CommitRecord,
+    /// The leader advances the loan and executes the actions.
+    Advance,
+    /// The lender's stopped task ends.
+    StopLender,
+    /// The borrower's task is bound to the machine and starts.
+    BindBorrower,
+    /// The borrower ends.
+    FinishBorrower,
+    /// The leader crashes; the next one reads the record.
     Crash,
+    /// 30 s pass.
     Wait,
 }
 
 impl LoanModel {
-    fn read_loans(&self) -> GpuLoans {
+    fn leader_loans(&self) -> GpuLoans {
         let mut loans = GpuLoans::default();
-        if let Some(held) = self.leader_record.as_ref().filter(|h| !h.is_empty()) {
-            let value: Value = serde_json::from_str(held).expect("it is JSON");
-            loans.restore("wk-l", LenderRecord::from_record("l", &value).expect("it is sound"));
+        if let Some(record) = self.leader_record.as_ref().filter(|record| !record.is_empty()) {
+            let value: Value = serde_json::from_str(record).expect("it is JSON");
+            loans.restore("wk-l", LenderRecord::from_record("l", &value).expect("it is valid"));
         }
         loans
     }
 
-    fn record_loans(&mut self, loans: &GpuLoans) {
+    fn set_leader_loans(&mut self, loans: &GpuLoans) {
+        let record = loans.lender_record("wk-l");
         self.leader_record =
-            Some(loans.lender_record("wk-l").map_or(String::new(), |l| l.to_record().to_string()));
+            Some(record.map_or(String::new(), |record| record.to_record().to_string()));
     }
 }
 
@@ -174,78 +191,82 @@
     type Step = LoanStep;
 
     fn enabled_steps(&self) -> Vec<LoanStep> {
-        let mut all = vec![LoanStep::Write, LoanStep::Step];
-        let waits = !self.borrower_running && !self.borrower_finished;
-        if waits && self.lender_running {
-            all.push(LoanStep::Ask);
+        let mut steps = vec![LoanStep::CommitRecord, LoanStep::Advance];
+        let borrower_waits = !self.borrower_running && !self.borrower_finished;
+        if borrower_waits && self.lender_running {
+            steps.push(LoanStep::Request);
         }
         if self.lender_running && self.stopped {
-            all.push(LoanStep::Leave);
+            steps.push(LoanStep::StopLender);
         }
-        if waits && !self.lender_running {
-            all.push(LoanStep::Bind);
+        if borrower_waits && !self.lender_running {
+            steps.push(LoanStep::BindBorrower);
         }
         if self.borrower_running {
-            all.push(LoanStep::End);
+            steps.push(LoanStep::FinishBorrower);
         }
         if self.crashes < 2 {
-            all.push(LoanStep::Crash);
+            steps.push(LoanStep::Crash);
         }
         if self.now < 400_000 {
-            all.push(LoanStep::Wait);
+            steps.push(LoanStep::Wait);
         }
-        all
+        steps
     }
 
     fn apply(&mut self, step: &LoanStep) {
-        let mut loans = self.read_loans();
+        let mut loans = self.leader_loans();
         match step {
-            LoanStep::Ask => {
+            LoanStep::Request => {
                 loans.request_loan("wk-l", "wk-b", &[("m-1".into(), 2.0)], self.now);
-                self.record_loans(&loans);
+                self.set_leader_loans(&loans);
             }
-            LoanStep::Write => self.stored_record = self.leader_record.clone(),
-            LoanStep::Step => {
+            LoanStep::CommitRecord => self.stored_record = self.leader_record.clone(),
+            LoanStep::Advance => {
                 if self.stops_before_record || self.stored_record == self.leader_record {
                     loans.on_committed("wk-l", self.now);
                 }
-                let (lender_on, borrower_on, over) =
+                let (lender_on, borrower_on, borrower_finished) =
                     (self.lender_running, self.borrower_running, self.borrower_finished);
-                let todo = loans.advance_loans(self.now, |_, _| LoanObservation {
+                let actions = loans.advance_loans(self.now, |_, _| LoanObservation {
                     lender_is_live: true,
-                    borrower_is_live: !over,
-                    borrower_is_waiting: !over && !borrower_on,
+                    borrower_is_live: !borrower_finished,
+                    borrower_is_waiting: !borrower_finished && !borrower_on,
                     machine_is_available: true,
                     lender_on_machine: lender_on,
                     borrower_on_machine: borrower_on,
                     lender_is_waiting: !lender_on,
                 });
-                for it in todo {
-                    if matches!(it, LoanAction::StopLender { .. })
+                for action in actions {
+                    if matches!(action, LoanAction::StopLender { .. })
                         && self.lender_running
                         && !self.stopped
                     {
                         (self.stopped, self.stops) = (true, self.stops + 1);
-                        let known = self.stored_record.as_ref().is_some_and(|w| w.contains("wk-b"));
-                        if !known {
-                            self.violation =
-                                Some("stopped for what the next leader would not know");
+                        let stored = self.stored_record.as_ref();
+                        let is_recorded = stored.is_some_and(|record| record.contains("wk-b"));
+                        if !is_recorded {
+                            self.violation = Some(
+                                "lender stopped for a loan that the next leader would not know",
+                            );
                         }
                     }
-                    if let LoanAction::ReserveMachine { job, .. } = it
+                    if let LoanAction::ReserveMachine { job, .. } = action
                         && job == "wk-l"
                         && !self.lender_running
                         && !self.borrower_running
                     {
-                        // It goes on where it was.
+                        // The lender continues on the machine that is reserved for it.
                         (self.lender_running, self.stopped) = (true, false);
                     }
                 }
-                self.record_loans(&loans);
+                self.set_leader_loans(&loans);
+            }
+            LoanStep::StopLender => self.lender_running = false,
+            LoanStep::BindBorrower => self.borrower_running = true,
+            LoanStep::FinishBorrower => {
+                (self.borrower_running, self.borrower_finished) = (false, true);
             }
-            LoanStep::Leave => self.lender_running = false,
-            LoanStep::Bind => self.borrower_running = true,
-            LoanStep::End => (self.borrower_running, self.borrower_finished) = (false, true),
             LoanStep::Crash => {
                 self.crashes += 1;
                 self.leader_record = self.stored_record.clone();
@@ -256,16 +277,16 @@
 
     fn violation(&self) -> Option<String> {
         if self.lender_running && self.borrower_running {
-            return Some("two on one machine".into());
+            return Some("lender and borrower run on the same machine".into());
         }
         if usize::from(self.stops) > MAX_PREEMPTIONS_PER_WINDOW {
-            return Some("it swings".into());
+            return Some("lender preempted too often".into());
         }
         self.violation.map(str::to_string)
     }
 }
 
-fn check_one_loan(hasty: bool) -> LoanModel {
+fn initial_model(stops_before_record: bool) -> LoanModel {
     LoanModel {
         now: 0,
         leader_record: Some(String::new()),
@@ -276,45 +297,49 @@
         stopped: false,
         stops: 0,
         crashes: 0,
-        stops_before_record: hasty,
+        stops_before_record,
         violation: None,
     }
 }
 
-/// Nothing breaks in any order; without the rule that the record comes first, it does within a few steps.
+/// No order of steps violates the model's invariants. Without the rule that the record is committed before the lender is
+/// stopped, the checker finds a violation within a few steps.
 #[test]
-fn every_order_of_one_loan() {
-    let found = check_model(check_one_loan(false), 14, 60_000);
-    assert!(found.violation.is_none(), "{:?}", found.violation);
-    assert!(found.states > 2_000, "{} worlds", found.states);
-    let hasty =
-        check_model(check_one_loan(true), 14, 60_000).violation.expect("the guard is needed");
-    assert!(hasty.1.len() <= 4, "{hasty:?}");
+fn model_check_of_one_loan() {
+    let result = check_model(initial_model(false), 14, 60_000);
+    assert!(result.violation.is_none(), "{:?}", result.violation);
+    assert!(result.states > 2_000, "{} states", result.states);
+    let violation = check_model(initial_model(true), 14, 60_000)
+        .violation
+        .expect("a violation without the rule");
+    assert!(violation.1.len() <= 4, "{violation:?}");
 }
 
 fn operator_with_loans() -> OperatorSettings {
-    OperatorSettings::parse("loans", "[loans]\ndurable = true\n").expect("it is sound")
+    OperatorSettings::parse("loans", "[loans]\ndurable = true\n").expect("the file is valid")
 }
 
+/// Number of a job's tasks on machines.
 fn running_tasks(world: &Simulation, id: &str) -> usize {
-    let tasks = world.cluster.workers.values().filter(|w| !w.is_terminated).flat_map(|w| &w.tasks);
-    tasks.filter(|t| t.is_on_machine() && t.name.starts_with(&format!("{id}/"))).count()
+    let live_workers = world.cluster.workers.values().filter(|worker| !worker.is_terminated);
+    let tasks = live_workers.flat_map(|worker| &worker.tasks);
+    tasks.filter(|task| task.is_on_machine() && task.name.starts_with(&format!("{id}/"))).count()
 }
 
-/// When the last of a job's tasks started for the first time, ms from the beginning.
+/// When the last of a job's tasks started for the first time, ms since the start of the simulation.
 fn last_task_started_ms(world: &Simulation, id: &str) -> Option<u64> {
-    let own = world
+    let tasks = world
         .cluster
         .first_started_at
         .iter()
         .filter(|(task, _)| task.starts_with(&format!("{id}/")));
-    own.map(|(_, at)| at - START_MS).max()
+    tasks.map(|(_, at)| at - START_MS).max()
 }
 
-/// Idle-hours batches fill every accelerator. Fine-tuning within its guarantee, gangs of one and of several whole
-/// machines in one zone, begins soon all the same.
+/// Batch jobs use every GPU. Gangs of one and of several whole machines that are within their team's guarantee start soon
+/// all the same, also if the leader crashes meanwhile.
 #[test]
-fn fine_tuning_takes_its_guarantee_from_batches() {
+fn guaranteed_gangs_preempt_batch_jobs() {
     for seed in 0..3 {
         let mut world =
             Simulation::with_offers(seed, FaultRates::NONE, 400_000, gpu_machine_offers(1));
@@ -339,22 +364,22 @@
     }
 }
 
-/// Serving surges while fine-tuning has borrowed what serving is guaranteed; leaders crash in the midst of stops,
-/// starts and returns. Replicas run, nothing breaks, the lenders go on from what they have saved, and in the end
-/// nothing is lent any more, in tables and records alike.
+/// Services ask for the GPUs that they are guaranteed while gangs of another team use them. Leaders crash while lenders
+/// are stopped, borrowers start, and machines are returned. The replicas run, no invariant is violated, all jobs end, and
+/// no loan is left in the cluster state or in the records.
 #[test]
-fn what_was_lent_is_given_back_whoever_leads() {
-    let mut lent = 0;
+fn loans_are_returned_across_failovers() {
+    let mut observed_loans = 0;
     for seed in 0..8u64 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let weather = FaultRates {
+        let fault_rates = FaultRates {
             message_loss: 0.005,
             message_delay: 0.0,
             crashes: 0,
             outages_and_hangs: 0,
         };
-        let weather = if seed < 2 { FaultRates::NONE } else { weather };
-        let mut world = Simulation::with_offers(seed, weather, 400_000, gpu_machine_offers(1));
+        let fault_rates = if seed < 2 { FaultRates::NONE } else { fault_rates };
+        let mut world = Simulation::with_offers(seed, fault_rates, 400_000, gpu_machine_offers(1));
         world.operator = operator_with_loans();
         world.restart_delay_ms = (seed % 3 == 0).then_some(100);
         for n in 0..4 {
@@ -368,16 +393,17 @@
             world.submit(90_000 + n * 2_000, Some(172_000 + n * 4_000), body);
         }
         for until in [150_000u64, 240_000] {
-            let mut crash = if until < 200_000 { 93_000 } else { 168_000 };
-            while seed > 0 && crash < until {
-                world.run_until(crash);
-                let tables =
+            let mut crash_at = if until < 200_000 { 93_000 } else { 168_000 };
+            while seed > 0 && crash_at < until {
+                world.run_until(crash_at);
+                let states =
                     world.controllers.iter().flatten().filter_map(Controller::cluster_state);
-                lent += tables.map(|t| t.gpu_loans.open_loan_count()).sum::<usize>();
+                observed_loans +=
+                    states.map(|state| state.gpu_loans.open_loan_count()).sum::<usize>();
                 if let Some(node) = leader_index(&world) {
-                    world.schedule_crash(crash, node);
+                    world.schedule_crash(crash_at, node);
                 }
-                crash += rng.random_range(9_000..25_000);
+                crash_at += rng.random_range(9_000..25_000);
             }
             if until < 200_000 {
                 world.run_until(167_000);
@@ -388,30 +414,30 @@
         }
         world.run_until(900_000);
         assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
-        let unfinished = world.jobs.iter().filter(|j| !j.is_over()).map(|j| j.id.as_str());
+        let unfinished = world.jobs.iter().filter(|job| !job.is_over()).map(|job| job.id.as_str());
         let unfinished: Vec<&str> = unfinished.collect();
         assert!(unfinished.is_empty(), "seed {seed}: {unfinished:?}");
-        let tables = world
+        let state = world
             .controllers
             .iter()
             .flatten()
             .find_map(Controller::cluster_state)
             .expect("a leader");
-        assert_eq!(tables.gpu_loans.open_loan_count(), 0, "seed {seed}");
+        assert_eq!(state.gpu_loans.open_loan_count(), 0, "seed {seed}");
         let records = world.store.list("order/loan/", None, 100).entries.len();
         assert_eq!(records, 0, "seed {seed}: records of jobs that are over");
     }
-    assert!(lent > 0, "nothing was ever lent");
+    assert!(observed_loans > 0, "no loan was observed");
 }
 
-/// Operators see what is lent, and by whom.
+/// Operators can list the loans: the leader replies with them, another controller that it does not lead.
 #[test]
-fn operators_see_what_is_lent() {
+fn operators_can_list_loans() {
     let mut world = Simulation::with_offers(1, FaultRates::NONE, 400_000, gpu_machine_offers(1));
     world.operator = operator_with_loans();
     let id = world.schedule_admin_request(20_000, 0, AdminRequest::Loans(None));
     world.run_until(21_000);
-    let reply = world.admin_answers.remove(&id).expect("an answer");
+    let reply = world.admin_answers.remove(&id).expect("a reply");
     let body: Value = serde_json::from_slice(&reply.body).expect("JSON");
     assert!(reply.status == 421 || body["loans"].as_array().is_some_and(Vec::is_empty), "{body}");
 }
--- a/tests/tiers.rs
+++ b/tests/tiers.rs
@@ -1,4 +1,5 @@
-//! Tiers and the line: the table and its checker, records, and an order that no change of leader moves.
+//! Priority tiers: validation of tier tables, the queue order, the store of replicated records, and their behaviour
+//! across failovers.
 
 mod common;
 
@@ -29,9 +30,9 @@
     TierTableRecord { format_version: 0, version: 1, tiers: tiers.iter().map(tier).collect() }
 }
 
-/// Each flaw is refused with the tier, the place where there is one, and the remedy.
+/// Each invalid table is rejected with an error that names the tier and the cause.
 #[test]
-fn a_table_that_is_not_sound_is_refused() {
+fn invalid_tier_tables_are_rejected() {
     let production = r#"job.priority == "production""#;
     let cases: [(&[(&str, &str)], &str); 9] = [
         (&[("core", r#"job.clas == "x""#)], "did you mean `class`"),
@@ -44,194 +45,216 @@
         (&[("core", production), ("core", "true")], "its name is taken"),
         (&[("Core", production)], "lower-case"),
     ];
-    for (tiers, part) in cases {
-        let refused = TierTable::new(tier_table(tiers)).expect_err(part).to_string();
-        assert!(refused.contains(part) && refused.contains("tier "), "{part}: {refused}");
+    for (tiers, expected) in cases {
+        let error = TierTable::new(tier_table(tiers)).expect_err(expected).to_string();
+        assert!(error.contains(expected) && error.contains("tier "), "{expected}: {error}");
     }
-    let many: Vec<(String, &str)> = (0..40).map(|n| (format!("t{n}"), production)).collect();
-    let many: Vec<(&str, &str)> = many.iter().map(|(n, w)| (n.as_str(), *w)).collect();
-    assert!(TierTable::new(tier_table(&many)).is_err());
-    TierTable::new(TierTableRecord::default()).expect("the built-in table is sound");
+    let too_many: Vec<(String, &str)> = (0..40).map(|n| (format!("t{n}"), production)).collect();
+    let too_many: Vec<(&str, &str)> =
+        too_many.iter().map(|(name, when)| (name.as_str(), *when)).collect();
+    assert!(TierTable::new(tier_table(&too_many)).is_err());
+    TierTable::new(TierTableRecord::default()).expect("the built-in table is valid");
 }
 
-/// The file under `deploy/` is sound, and a flaw in such a file is told with its line.
+/// The tier table under `deploy/` is valid.
 #[test]
-fn the_deployed_table_is_sound() {
+fn deployed_tier_table_is_valid() {
     let text = include_str!("../deploy/tiers.toml");
-    let operator = OperatorSettings::parse("deploy/tiers.toml", text).expect("it is sound");
+    let operator = OperatorSettings::parse("deploy/tiers.toml", text).expect("the file is valid");
     let record = swiftsail_controller::controller::tier_table_from_settings(
         operator.tiers.as_ref().expect("a table"),
     );
-    TierTable::new(record).expect("its tiers are sound");
+    TierTable::new(record).expect("the table is valid");
 }
 
-/// The line of generated jobs: by priority, tier, guarantee, acceptance; the same whatever the order in which
-/// they are told; nobody earlier of the same standing comes later.
+/// The queue order of generated jobs: by priority, tier and guarantee, and within these by acceptance, whatever the order
+/// in which the jobs are passed in.
 #[test]
-fn the_line_is_a_function_of_records() {
+fn queue_order_depends_on_records_alone() {
     let jobs = prop::collection::vec((0..4usize, 0..3u8, 0..5u64, 0..2usize, 1..9u32), 1..30);
     let teams = ["red", "blue"];
     test_runner(34, 200)
         .run(&(jobs, any::<u64>()), |(jobs, seed)| {
             let ids: Vec<String> = (0..jobs.len()).map(|n| format!("wk-{n}")).collect();
-            let entry = |n: usize| {
-                let (rank, tier, accepted_wall, team, cpus) = jobs[n];
-                let whole = (f64::from(cpus), 0.0);
-                let (rank, team) = (JobPriorityAttribute::ALL[rank], teams[team]);
+            let waiting_job = |index: usize| {
+                let (priority, tier, accepted_wall, team, cpus) = jobs[index];
                 WaitingJob {
-                    id: &ids[n],
-                    priority: rank,
+                    id: &ids[index],
+                    priority: JobPriorityAttribute::ALL[priority],
                     tier,
                     accepted_at_wall: accepted_wall,
-                    team,
-                    total_resources: whole,
+                    team: teams[team],
+                    total_resources: (f64::from(cpus), 0.0),
                 }
             };
             let guarantees: HashMap<&str, (f64, f64)> = HashMap::from([("red", (12.0, 0.0))]);
-            let first = queue_order((0..jobs.len()).map(entry), &guarantees);
-            let mut turned: Vec<usize> = (0..jobs.len()).collect();
-            turned.rotate_left(seed as usize % jobs.len());
-            turned.reverse();
-            prop_assert_eq!(&first, &queue_order(turned.into_iter().map(entry), &guarantees));
-            let number =
-                |p: &swiftsail_tiers::QueuePosition| ids.iter().position(|i| i == p.job_id());
-            for pair in first.windows(2) {
-                let (a, b) = (jobs[number(&pair[0]).unwrap()], jobs[number(&pair[1]).unwrap()]);
-                prop_assert!(a.0 >= b.0, "priority first");
-                prop_assert!(a.0 > b.0 || a.1 <= b.1, "then tiers");
-                let same = (a.0, a.1, pair[0].is_beyond_guarantee())
+            let queue = queue_order((0..jobs.len()).map(waiting_job), &guarantees);
+            let mut shuffled: Vec<usize> = (0..jobs.len()).collect();
+            shuffled.rotate_left(seed as usize % jobs.len());
+            shuffled.reverse();
+            prop_assert_eq!(
+                &queue,
+                &queue_order(shuffled.into_iter().map(waiting_job), &guarantees)
+            );
+            let index_of = |position: &swiftsail_tiers::QueuePosition| {
+                ids.iter().position(|id| id == position.job_id())
+            };
+            for pair in queue.windows(2) {
+                let (a, b) = (jobs[index_of(&pair[0]).unwrap()], jobs[index_of(&pair[1]).unwrap()]);
+                prop_assert!(a.0 >= b.0, "not ordered by priority");
+                prop_assert!(a.0 > b.0 || a.1 <= b.1, "not ordered by tier within a priority");
+                let is_same = (a.0, a.1, pair[0].is_beyond_guarantee())
                     == (b.0, b.1, pair[1].is_beyond_guarantee());
-                prop_assert!(!same || a.2 <= b.2, "then acceptance");
+                prop_assert!(!is_same || a.2 <= b.2, "not ordered by acceptance");
             }
             Ok(())
         })
         .unwrap();
 }
 
-/// A book and a store under it, with news that come late or twice, conflicts and changes of what is wanted: in the
-/// end what is wanted stands, each value was written once, and never more than a tenth of the changes were used.
+/// A record store and a state service with late and repeated watch changes, conflicts, writes by others, and requests that
+/// change: in the end every requested value is committed and nothing is pending, the store never writes faster than its
+/// tenth of the deployment's rate allows, and an unchanged store writes nothing.
 #[test]
 #[expect(clippy::too_many_lines, reason = "not split yet")]
-fn a_book_brings_what_is_wanted_to_stand() {
+fn record_store_commits_requested_values() {
     let steps = prop::collection::vec((0..4usize, 0..6u8, 0..5u8), 1..60);
     let limits =
         StoreLimits { writes_per_second: 20.0, max_transaction_writes: 16, max_value_bytes: 8_192 };
     test_runner(34, 200)
         .run(&steps, |steps| {
-            let (mut now, mut epoch) = (1_000, 1u64);
-            let mut book = RecordStore::new("order/", limits, now);
-            let mut store: BTreeMap<String, (Value, u64)> = BTreeMap::new();
-            let mut news: Vec<(String, Option<Value>, u64)> = Vec::new();
-            let page = |store: &BTreeMap<String, (Value, u64)>| {
-                let own = |k: &String| k.strip_prefix("order/").unwrap().to_string();
-                store.iter().map(|(k, (v, s))| (own(k), v.clone(), *s)).collect::<Vec<_>>()
+            let (mut now, mut revision) = (1_000, 1u64);
+            let mut records = RecordStore::new("order/", limits, now);
+            // The state service: value and mod revision by full key.
+            let mut service: BTreeMap<String, (Value, u64)> = BTreeMap::new();
+            let mut changes: Vec<(String, Option<Value>, u64)> = Vec::new();
+            let page = |service: &BTreeMap<String, (Value, u64)>| {
+                let own_key = |key: &String| key.strip_prefix("order/").unwrap().to_string();
+                service
+                    .iter()
+                    .map(|(key, (value, mod_revision))| {
+                        (own_key(key), value.clone(), *mod_revision)
+                    })
+                    .collect::<Vec<_>>()
             };
-            book.on_page(page(&store), epoch, false);
+            records.on_page(page(&service), revision, false);
             let (mut written, begin) = (0u64, now);
-            let mut want: BTreeMap<String, u8> = BTreeMap::new();
-            let mut ends = steps.clone();
-            ends.extend([(1, 0, 0); 60]);
-            for (what, key, value) in ends {
+            let mut requested: BTreeMap<String, u8> = BTreeMap::new();
+            let mut steps = steps.clone();
+            steps.extend([(1, 0, 0); 60]);
+            for (action, key, value) in steps {
                 now += 700;
                 let key = format!("k{key}");
-                match what {
+                match action {
                     0 => {
-                        want.insert(key.clone(), value);
-                        book.put(&key, json!(value));
+                        requested.insert(key.clone(), value);
+                        records.put(&key, json!(value));
                     }
-                    2 => book.on_watch_changes(news.clone(), epoch),
+                    2 => records.on_watch_changes(changes.clone(), revision),
                     3 => {
-                        // A late write of somebody else's.
-                        epoch += 1;
-                        store.insert(format!("order/{key}"), (json!(99), epoch));
-                        want.entry(key).or_insert(99);
+                        // A late write by another controller, which the watch has not delivered.
+                        revision += 1;
+                        service.insert(format!("order/{key}"), (json!(99), revision));
+                        requested.entry(key).or_insert(99);
                     }
                     _ => {
-                        let Some(txn) = book.next_transaction(now) else { continue };
-                        let stamp = |k: &String| store.get(k).map_or(0, |s| s.1);
-                        if txn.conditions.iter().any(|(k, s)| stamp(k) != *s) {
-                            prop_assert!(book.on_outcome(txn.id, WriteOutcome::Conflict));
-                            book.on_page(page(&store), epoch, false);
+                        let Some(transaction) = records.next_transaction(now) else { continue };
+                        let mod_revision =
+                            |key: &String| service.get(key).map_or(0, |entry| entry.1);
+                        let mut conditions = transaction.conditions.iter();
+                        if conditions.any(|(key, expected)| mod_revision(key) != *expected) {
+                            prop_assert!(
+                                records.on_outcome(transaction.id, WriteOutcome::Conflict)
+                            );
+                            records.on_page(page(&service), revision, false);
                             continue;
                         }
-                        epoch += 1;
-                        written += txn.writes.len() as u64;
-                        for (k, v) in &txn.writes {
-                            let own = k.strip_prefix("order/").unwrap().to_string();
-                            news.push((own, v.clone(), epoch));
-                            store.insert(k.clone(), (v.clone().unwrap(), epoch));
+                        revision += 1;
+                        written += transaction.writes.len() as u64;
+                        for (key, value) in &transaction.writes {
+                            let own_key = key.strip_prefix("order/").unwrap().to_string();
+                            changes.push((own_key, value.clone(), revision));
+                            service.insert(key.clone(), (value.clone().unwrap(), revision));
                         }
-                        prop_assert!(!book.on_outcome(txn.id, WriteOutcome::Committed(epoch)));
                         prop_assert!(
-                            !book.on_outcome(txn.id, WriteOutcome::Conflict),
-                            "told twice"
+                            !records.on_outcome(transaction.id, WriteOutcome::Committed(revision))
+                        );
+                        prop_assert!(
+                            !records.on_outcome(transaction.id, WriteOutcome::Conflict),
+                            "a second outcome of the same transaction counted"
                         );
                     }
                 }
                 let allowed = 20.0 + (now - begin) as f64 / 1_000.0 * 2.0;
-                prop_assert!(written as f64 <= allowed, "{written} changes by {now}");
+                prop_assert!(written as f64 <= allowed, "{written} writes by {now} ms");
             }
             prop_assert!(
-                book.pending_keys().is_empty(),
-                "{:?} is still wanted",
-                book.pending_keys()
+                records.pending_keys().is_empty(),
+                "still pending: {:?}",
+                records.pending_keys()
             );
             prop_assert!(
-                book.next_transaction(now + 60_000).is_none(),
-                "nothing changes, nothing is written"
+                records.next_transaction(now + 60_000).is_none(),
+                "a transaction without a change"
             );
-            for (key, value) in want.iter().filter(|(_, v)| **v != 99) {
-                let held = store.get(&format!("order/{key}")).map(|s| s.0.clone());
-                let late = held == Some(json!(99));
-                prop_assert!(late || held == Some(json!(value)), "{key}: {held:?}, wanted {value}");
+            for (key, value) in requested.iter().filter(|(_, value)| **value != 99) {
+                let stored = service.get(&format!("order/{key}")).map(|entry| entry.0.clone());
+                let is_overwritten = stored == Some(json!(99));
+                prop_assert!(
+                    is_overwritten || stored == Some(json!(value)),
+                    "{key}: {stored:?}, requested {value}"
+                );
             }
             Ok(())
         })
         .unwrap();
 }
 
-/// A record of a later form, and one half written, are told apart and left as they are.
+/// A record of a later format version and one with missing fields are rejected with different errors, so that an older
+/// release never overwrites a record that it cannot read.
 #[test]
-fn records_of_later_programs_are_left_alone() {
+fn unreadable_records_are_rejected() {
     let later = json!({"v": 9, "version": 3, "tier": []});
     assert!(matches!(
         TierTableRecord::from_record("tiers", &later),
         Err(RecordReadError::UnsupportedFormat { found: 9, .. })
     ));
-    let half = json!({"v": 1, "version": 3});
+    let incomplete = json!({"v": 1, "version": 3});
     assert!(matches!(
-        TierTableRecord::from_record("tiers", &half),
+        TierTableRecord::from_record("tiers", &incomplete),
         Err(RecordReadError::Malformed { .. })
     ));
-    let whole = tier_table(&[("core", "true")]);
+    let readable = tier_table(&[("core", "true")]);
     assert_eq!(
-        TierTableRecord::from_record("tiers", &whole.to_record()).map(|t| t.tiers),
-        Ok(whole.tiers)
+        TierTableRecord::from_record("tiers", &readable.to_record()).map(|record| record.tiers),
+        Ok(readable.tiers)
     );
 }
 
-fn run_queue_names(node: &Controller) -> Vec<String> {
+/// Ids of a controller's jobs in queue order; empty if it does not lead.
+fn queued_job_ids(controller: &Controller) -> Vec<String> {
     let settings: std::sync::Arc<Settings> = controller_settings(0);
-    let Some(tables) = node.cluster_state() else { return Vec::new() };
-    tables.queue_order(&settings.settings.teams).iter().map(|p| p.job_id().to_string()).collect()
+    let Some(state) = controller.cluster_state() else { return Vec::new() };
+    let queue = state.queue_order(&settings.settings.teams);
+    queue.iter().map(|position| position.job_id().to_string()).collect()
 }
 
-/// At every crash point of generated histories the line that the next leader reads is the old one's, for all
-/// jobs that both know: whatever the old one had in memory.
+/// Leaders crash in generated histories. The queue order of the next leader, which it computes from records, is that of
+/// the crashed one for all jobs that both know: nothing that only the old leader had in memory affects it.
 #[test]
-fn no_change_of_leader_reorders_the_line() {
+fn failovers_keep_queue_order() {
     let operator =
         OperatorSettings::parse("deploy/tiers.toml", include_str!("../deploy/tiers.toml"));
-    let operator = operator.expect("it is sound");
+    let operator = operator.expect("the file is valid");
     let mut compared = 0;
     for seed in 0..6u64 {
-        let weather = FaultRates {
+        let fault_rates = FaultRates {
             message_loss: 0.01,
             message_delay: 0.01,
             crashes: 0,
             outages_and_hangs: 0,
         };
-        let mut world = Simulation::with_capacity(seed, weather, 150_000, 2);
+        let mut world = Simulation::with_capacity(seed, fault_rates, 150_000, 2);
         world.operator = if seed % 2 == 0 { operator.clone() } else { OperatorSettings::default() };
         world.restart_delay_ms = (seed % 3 == 0).then_some(50);
         submit_mixed_load(&mut world, 6);
@@ -239,69 +262,74 @@
             let id = format!("wk-x{n}");
             world.submit(3_000 + n * 3_100, None, job_body(&id, "service", "blue", 2, 2.0, 0.0));
         }
-        for at in 0..9 {
-            world.run_until(8_000 + at * 7_300 + seed * 400);
+        for crash in 0..9 {
+            let crash_at = 8_000 + crash * 7_300 + seed * 400;
+            world.run_until(crash_at);
             let Some(node) = leader_index(&world) else { continue };
-            let before = run_queue_names(world.controllers[node].as_ref().expect("it leads"));
-            world.schedule_crash(8_000 + at * 7_300 + seed * 400, node);
-            let until = 8_000 + at * 7_300 + seed * 400;
+            let before = queued_job_ids(world.controllers[node].as_ref().expect("it leads"));
+            world.schedule_crash(crash_at, node);
             for ms in (0..7_000).step_by(100) {
-                world.run_until(until + ms);
+                world.run_until(crash_at + ms);
                 let Some(next) = leader_index(&world) else { continue };
-                let after = run_queue_names(world.controllers[next].as_ref().expect("it leads"));
-                let both = |one: &[String], other: &[String]| -> Vec<String> {
+                let after = queued_job_ids(world.controllers[next].as_ref().expect("it leads"));
+                let common = |one: &[String], other: &[String]| -> Vec<String> {
                     one.iter().filter(|id| other.contains(id)).cloned().collect()
                 };
-                assert_eq!(both(&before, &after), both(&after, &before), "seed {seed} at {until}");
-                compared += both(&before, &after).len();
+                assert_eq!(
+                    common(&before, &after),
+                    common(&after, &before),
+                    "seed {seed} at {crash_at}"
+                );
+                compared += common(&before, &after).len();
                 break;
             }
         }
         world.run_until(420_000);
         assert_all_jobs_over(&world, &format!("seed {seed}"));
     }
-    assert!(compared > 300, "{compared} places were compared");
+    assert!(compared > 300, "{compared} positions compared");
 }
 
-/// Controllers with different files: the highest version counts for all, whoever leads, and stays.
+/// Controllers whose files have a table of a lower version than the stored one: the highest version stays in force, also
+/// after all controllers have crashed. Tables that are invalid or not of a higher version are rejected.
 #[test]
-fn the_highest_table_counts_and_stays() {
+fn highest_tier_table_version_stays_in_force() {
     let mut world = Simulation::new(3, FaultRates::NONE, 100_000);
     let text = include_str!("../deploy/tiers.toml");
-    world.operator = OperatorSettings::parse("old", text).expect("it is sound");
+    world.operator = OperatorSettings::parse("old", text).expect("the file is valid");
     submit_mixed_load(&mut world, 2);
     world.run_until(10_000);
-    let ask = |world: &mut Simulation, at: u64, ask: AdminRequest| {
-        let node = leader_index(world).expect("somebody leads");
-        let id = world.schedule_admin_request(at, node, ask);
+    let send = |world: &mut Simulation, at: u64, request: AdminRequest| {
+        let leader = leader_index(world).expect("a leader");
+        let id = world.schedule_admin_request(at, leader, request);
         world.run_until(at + 9_000);
-        let reply = world.admin_answers.remove(&id).expect("an answer");
+        let reply = world.admin_answers.remove(&id).expect("a reply");
         (reply.status, serde_json::from_slice::<Value>(&reply.body).unwrap_or_default())
     };
     let newer = tier_table(&[("core", r#"job.priority == "production""#)]);
     let newer = TierTableRecord { version: 7, ..newer };
     let body = serde_json::to_vec(&newer).expect("it is JSON");
-    assert_eq!(ask(&mut world, 10_000, AdminRequest::SetTiers(body.clone())).0, 200);
-    assert_eq!(ask(&mut world, 20_000, AdminRequest::SetTiers(body)).0, 409, "not higher");
-    let bad =
+    assert_eq!(send(&mut world, 10_000, AdminRequest::SetTiers(body.clone())).0, 200);
+    assert_eq!(send(&mut world, 20_000, AdminRequest::SetTiers(body)).0, 409, "version not higher");
+    let invalid =
         serde_json::to_vec(&tier_table(&[("batch", r#"job.kind == "array""#)])).expect("JSON");
-    assert_eq!(ask(&mut world, 30_000, AdminRequest::SetTiers(bad)).0, 422);
-    assert_eq!(ask(&mut world, 40_000, AdminRequest::SetTiers(b"{".to_vec())).0, 422);
+    assert_eq!(send(&mut world, 30_000, AdminRequest::SetTiers(invalid)).0, 422);
+    assert_eq!(send(&mut world, 40_000, AdminRequest::SetTiers(b"{".to_vec())).0, 422);
     (0..3).for_each(|node| world.schedule_crash(50_000, node));
     world.run_until(60_000);
-    let (_, shown) = ask(&mut world, 60_000, AdminRequest::Tiers);
-    assert_eq!((&shown["version"], &shown["file"]), (&json!(7), &json!(1)), "{shown}");
-    let (status, why) = ask(&mut world, 70_000, AdminRequest::ExplainTier("wk-s0".into()));
-    assert_eq!((status, &why["tier"]), (200, &json!("core")), "{why}");
+    let (_, tiers) = send(&mut world, 60_000, AdminRequest::Tiers);
+    assert_eq!((&tiers["version"], &tiers["file"]), (&json!(7), &json!(1)), "{tiers}");
+    let (status, explanation) = send(&mut world, 70_000, AdminRequest::ExplainTier("wk-s0".into()));
+    assert_eq!((status, &explanation["tier"]), (200, &json!("core")), "{explanation}");
     world.run_until(300_000);
     assert_all_jobs_over(&world, "tiers");
 }
 
-/// On machines that arrays keep full, with leaders that crash: no array's task is bound to room that a replica which
-/// waits could have had, beyond one pass.
+/// On machines that arrays keep full, with leaders that crash: no array task is bound to resources that a waiting service
+/// replica could have had, for longer than one scheduling cycle.
 #[test]
-fn waiting_core_work_is_not_passed_over() {
-    let mut passes = 0;
+fn waiting_core_jobs_are_not_overtaken() {
+    let mut cycles = 0;
     for seed in 0..6u64 {
         let mut world = Simulation::with_capacity(seed, FaultRates::NONE, 200_000, 1);
         world.checks_priority_inversions = true;
@@ -316,10 +344,10 @@
         for at in (1..8).map(|n| n * 20_000) {
             world.run_until(at);
             if let Some(node) = leader_index(&world) {
-                passes += world.controllers[node]
+                cycles += world.controllers[node]
                     .as_ref()
                     .and_then(Controller::cluster_state)
-                    .map_or(0, |t| t.cycles);
+                    .map_or(0, |state| state.cycles);
                 if seed > 1 {
                     world.schedule_crash(at + seed * 77, node);
                 }
@@ -333,5 +361,5 @@
         );
         assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
     }
-    assert!(passes > 500, "{passes} passes");
+    assert!(cycles > 500, "{cycles} cycles");
 }
