--- a/crates/controller/src/controller/deadline_planning.rs
+++ b/crates/controller/src/controller/deadline_planning.rs
@@ -5,7 +5,7 @@
 use super::dependency_lookup::JobReadOutcome;
 use super::plugins::admin_error_reply;
 use super::{CallContext, Controller, Reply, RequestId};
-use crate::cluster_state::{ClusterState, facts_of};
+use crate::cluster_state::{ClusterState, job_attributes};
 use crate::constants::{DEADLINE_PLAN_INTERVAL_MS, DEFAULT_BOOT_MS, STORE_TIMEOUT_MS};
 use crate::job::{AttemptPhase, FinalState, Job, JobId, JobState, keys};
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
@@ -104,7 +104,7 @@
         for (id, job) in state.jobs.iter().filter(|(_, job)| job.state() == JobState::Live) {
             let (remaining_ms, wait_reason) = state.predicted_run_time(job, now.monotonic);
             let step_job = StepJob {
-                attributes: facts_of(id, &job.spec),
+                attributes: job_attributes(id, &job.spec),
                 accepted_at_wall: job.accepted_wall,
                 expected_end_wall: remaining_ms.map(|ms| now.wall_clock + ms.max(0.0) as u64),
                 wait_reason: wait_reason.into(),
@@ -123,7 +123,7 @@
                 }
                 phase => tracing::info!(arrival = %event.key, ?phase, "occurrence changed phase"),
             }
-            state.events.note(
+            state.events.record(
                 "arrival",
                 format!("{:?}", event.phase).to_lowercase(),
                 &event.key,
@@ -169,7 +169,7 @@
     /// Reads the record of a job that performs a step: under the key of archived final records (`final_key`), or under the
     /// job's own key, which holds a live job, or a final record that is not archived yet.
     fn read_occurrence_job(&mut self, id: JobId, final_key: bool) {
-        let key = keys::place(&id, final_key);
+        let key = keys::job_or_final_record(&id, final_key);
         let policy = RetryPolicy::OnceBefore(self.now.monotonic + STORE_TIMEOUT_MS);
         let context = CallContext::ReadOccurrenceJob { job: id, final_key };
         self.store.push(StoreCall::Get(key), context, CallPriority::Low, policy);
--- a/crates/controller/src/controller/gpu_lending.rs
+++ b/crates/controller/src/controller/gpu_lending.rs
@@ -102,7 +102,7 @@
             if self.gpu_loans.request_loan(lender, by, machines, wall) {
                 let gpus: f64 = machines.iter().map(|(_, gpus)| gpus).sum();
                 tracing::info!(job = %lender, to = %by, machines = machines.len(), gpus, "GPU loan requested");
-                self.events.note("job", "lends", lender, Some(by));
+                self.events.record("job", "lends", lender, Some(by));
             }
         }
         victims.into_iter().filter(|(id, _)| !lenders.contains_key(id)).collect()
--- a/crates/controller/src/controller/policy_evaluation.rs
+++ b/crates/controller/src/controller/policy_evaluation.rs
@@ -4,7 +4,7 @@
 //! between cycles, never within one.
 
 use super::{Controller, Now, Reply};
-use crate::cluster_state::{ClusterState, team_amounts};
+use crate::cluster_state::{ClusterState, quota_per_task};
 use crate::constants::{MS_PER_S, NO_DEADLINE_S};
 use crate::cycle_policy::{CyclePolicy, JobPolicy};
 use crate::job::{GangState, Job, JobId, JobKind, JobSpec, JobState, Priority};
@@ -75,7 +75,7 @@
         cycle_policy.job_overrides.clear();
         return;
     }
-    let usage = state.usage(teams);
+    let usage = state.quota_usage(teams);
     let mut evaluator = PolicyEvaluator {
         policy,
         plugin_host,
@@ -187,7 +187,7 @@
         let job = state.jobs.get(id)?;
         let machine_types: &[MachineType] = machine_types.as_deref().map_or(&[], Vec::as_slice);
         let teams = &settings.settings.teams;
-        let usage = state.usage(teams);
+        let usage = state.quota_usage(teams);
         let (cluster, _) = cluster_attributes(state, machine_types, now.wall_clock);
         let type_names: Vec<String> = machine_types.iter().map(|t| t.name.clone()).collect();
         let team = team_attributes(&job.spec, teams, &usage);
@@ -232,8 +232,8 @@
     usage: &[ResourceQuantities],
 ) -> serde_json::Value {
     let index = teams.iter().position(|team| team.name == job.spec.team);
-    let team = index.map(|index| (&teams[index], &usage[index], state.cap(index, &teams[index])));
-    let per_task = team_amounts(&job.spec);
+    let team = index.map(|index| (&teams[index], &usage[index], state.quota_limit(index, &teams[index])));
+    let per_task = quota_per_task(&job.spec);
     let limit = team.map(|(team, used, cap)| {
         serde_json::json!({
             "team": team.name,
@@ -480,7 +480,7 @@
         free_cpus,
         spot_cpus,
         cpus,
-        f64::from(state.misses),
+        f64::from(state.deadline_misses),
         (wall % DAY_MS) as f64 / MS_PER_S,
     ];
     (cluster_attributes_from_numbers(&numbers), numbers)
--- a/crates/controller/src/controller/quota_accounts.rs
+++ b/crates/controller/src/controller/quota_accounts.rs
@@ -8,7 +8,7 @@
 use super::store_calls::DEPOSED;
 use super::{CallContext, Controller};
 use crate::Time;
-use crate::cluster_state::{ClusterState, team_amounts};
+use crate::cluster_state::{ClusterState, quota_per_task};
 use crate::constants::{QUOTA_READ_INTERVAL_MS, QUOTA_RETRY_MS};
 use crate::job::keys;
 use crate::quota_records::{self, KEY_PREFIX};
@@ -172,7 +172,7 @@
         let teams = &self.settings.settings.teams;
         let used: BTreeMap<String, ResourceQuantities> = match &self.cluster_state {
             Some(state) => {
-                teams.iter().map(|team| team.name.clone()).zip(state.usage(teams)).collect()
+                teams.iter().map(|team| team.name.clone()).zip(state.quota_usage(teams)).collect()
             }
             None => BTreeMap::new(),
         };
@@ -294,16 +294,16 @@
     /// Stops array tasks of teams that exceed their limit until the rest fits: of the lowest priority first, then of the
     /// shortest run time. Tasks that are being stopped already count as gone.
     fn preempt_over_limit(&mut self, teams: &[TeamSettings], now: Time) {
-        let used = self.usage(teams);
+        let used = self.quota_usage(teams);
         let mut stops = Vec::new();
         for (index, team) in teams.iter().enumerate() {
-            let remaining = self.cap(index, team).remaining(used[index]);
+            let remaining = self.quota_limit(index, team).remaining(used[index]);
             let jobs =
                 self.jobs.values().filter(|job| job.spec.team == team.name && !job.is_cancelled());
             let mut excess = ResourceQuantities::default() - remaining;
             let mut candidates = Vec::new();
             for job in jobs {
-                let per_task = team_amounts(&job.spec);
+                let per_task = quota_per_task(&job.spec);
                 let occupying =
                     job.attempts.iter().filter(|(_, attempt)| attempt.occupies_resources());
                 for (task, attempt) in occupying {
--- a/crates/controller/src/controller/replicated_records.rs
+++ b/crates/controller/src/controller/replicated_records.rs
@@ -8,7 +8,7 @@
 use super::store_calls::DEPOSED;
 use super::{CallContext, Controller, Reply, RequestId};
 use crate::Time;
-use crate::cluster_state::{ClusterState, facts_of};
+use crate::cluster_state::{ClusterState, job_attributes};
 use crate::constants::{RECORD_WRITE_TIMEOUT_MS, RECORDS_RETRY_MS, STORE_TIMEOUT_MS};
 use crate::job::{Job, JobId, keys};
 use crate::settings::StoreSettings;
@@ -110,7 +110,7 @@
             operator.tiers.is_some() || operator.loans.durable || own_schedule.is_some();
         ReplicatedRecords {
             sync: if is_enabled { RecordSync::Due(0) } else { RecordSync::Off },
-            records: RecordStore::new(keys::ORDER, store_limits(state), now),
+            records: RecordStore::new(keys::REPLICATED_RECORDS, store_limits(state), now),
             read_number: 0,
             is_watching: false,
             tier_table: own_tier_table.clone().unwrap_or_default(),
@@ -213,8 +213,8 @@
 
     /// Reads the next page of records, after the key `from`, which is without the prefix.
     fn list_records(&mut self, from: Option<String>, context: CallContext, priority: CallPriority) {
-        let from = from.map(|key| format!("{}{key}", keys::ORDER));
-        let call = StoreCall::List { prefix: keys::ORDER.into(), from };
+        let from = from.map(|key| format!("{}{key}", keys::REPLICATED_RECORDS));
+        let call = StoreCall::List { prefix: keys::REPLICATED_RECORDS.into(), from };
         let policy = match priority {
             CallPriority::Leadership => RetryPolicy::UntilDefinite,
             _ => RetryPolicy::OnceBefore(self.now.monotonic + STORE_TIMEOUT_MS),
@@ -257,7 +257,9 @@
     /// Applies a page of records. Returns the key after which to read the next page; none: it was the last.
     fn apply_record_page(&mut self, page: KeyPage) -> Option<String> {
         let without_prefix =
-            |key: String| key.strip_prefix(keys::ORDER).map(str::to_string).unwrap_or(key);
+            |key: String| {
+            key.strip_prefix(keys::REPLICATED_RECORDS).map(str::to_string).unwrap_or(key)
+        };
         let records = page
             .entries
             .into_iter()
@@ -276,7 +278,7 @@
         if std::mem::replace(&mut self.replicated_records.is_watching, true) {
             return;
         }
-        let call = StoreCall::Watch { prefix: keys::ORDER.into(), from };
+        let call = StoreCall::Watch { prefix: keys::REPLICATED_RECORDS.into(), from };
         let until = self.now.monotonic + STORE_TIMEOUT_MS;
         self.store.push(
             call,
@@ -306,7 +308,9 @@
             (CallContext::WatchRecords, StoreOutcome::Changes(changes)) => {
                 self.replicated_records.is_watching = false;
                 let without_prefix =
-                    |key: &str| key.strip_prefix(keys::ORDER).unwrap_or(key).to_string();
+                    |key: &str| {
+                    key.strip_prefix(keys::REPLICATED_RECORDS).unwrap_or(key).to_string()
+                };
                 let to_change = |event: WatchEvent| match (event.put_key, event.deleted_key) {
                     (Some(key), _) => {
                         Some((without_prefix(&key), Some(event.value), event.mod_revision))
@@ -478,7 +482,10 @@
     pub(super) fn tier_for_submission(&self, id: &JobId, spec: &JobSpec) -> Option<String> {
         let is_enabled = self.replicated_records.is_enabled();
         is_enabled.then(|| {
-            self.replicated_records.tier_table.accepting_tier_name(&facts_of(id, spec)).to_string()
+            self.replicated_records
+                .tier_table
+                .accepting_tier_name(&job_attributes(id, spec))
+                .to_string()
         })
     }
 
@@ -581,7 +588,7 @@
             return admin_error_reply(404, format!("job `{id}` is not alive; poll it"));
         };
         let table = &self.replicated_records.tier_table;
-        let matched_tier = table.match_tier(&facts_of(&job.id, &job.spec));
+        let matched_tier = table.match_tier(&job_attributes(&job.id, &job.spec));
         let queue = state.queue_order(&self.settings.settings.teams);
         let is_waiting = |id: &str| state.jobs.get(id).is_some_and(Job::has_queued_tasks);
         let waiting_ahead = queue
@@ -618,7 +625,7 @@
         &self,
         teams: &[crate::settings::TeamSettings],
     ) -> std::collections::BTreeMap<u8, TierQueueSummary> {
-        let usage = self.usage(teams);
+        let usage = self.quota_usage(teams);
         let mut summaries: std::collections::BTreeMap<u8, TierQueueSummary> = Default::default();
         for position in self.queue_order(teams) {
             let Some(job) = self.jobs.get(position.job_id()).filter(|job| job.has_queued_tasks())
@@ -627,8 +634,8 @@
             };
             let team = teams.iter().position(|team| team.name == job.spec.team);
             let is_limited = team.is_some_and(|index| {
-                let per_task = crate::cluster_state::team_amounts(&job.spec);
-                !self.cap(index, &teams[index]).allows(usage[index], per_task)
+                let per_task = crate::cluster_state::quota_per_task(&job.spec);
+                !self.quota_limit(index, &teams[index]).allows(usage[index], per_task)
             });
             let summary = summaries.entry(job.tier.tier).or_default();
             summary.0 += 1;
