--- a/crates/controller/src/controller/policy_evaluation.rs
+++ b/crates/controller/src/controller/policy_evaluation.rs
@@ -232,7 +232,8 @@
     usage: &[ResourceQuantities],
 ) -> serde_json::Value {
     let index = teams.iter().position(|team| team.name == job.spec.team);
-    let team = index.map(|index| (&teams[index], &usage[index], state.quota_limit(index, &teams[index])));
+    let team =
+        index.map(|index| (&teams[index], &usage[index], state.quota_limit(index, &teams[index])));
     let per_task = quota_per_task(&job.spec);
     let limit = team.map(|(team, used, cap)| {
         serde_json::json!({
--- a/crates/controller/src/controller/replicated_records.rs
+++ b/crates/controller/src/controller/replicated_records.rs
@@ -256,8 +256,7 @@
 
     /// Applies a page of records. Returns the key after which to read the next page; none: it was the last.
     fn apply_record_page(&mut self, page: KeyPage) -> Option<String> {
-        let without_prefix =
-            |key: String| {
+        let without_prefix = |key: String| {
             key.strip_prefix(keys::REPLICATED_RECORDS).map(str::to_string).unwrap_or(key)
         };
         let records = page
@@ -307,8 +306,7 @@
             (CallContext::ReadRecords { .. }, _) => self.replicated_records.advance(retry),
             (CallContext::WatchRecords, StoreOutcome::Changes(changes)) => {
                 self.replicated_records.is_watching = false;
-                let without_prefix =
-                    |key: &str| {
+                let without_prefix = |key: &str| {
                     key.strip_prefix(keys::REPLICATED_RECORDS).unwrap_or(key).to_string()
                 };
                 let to_change = |event: WatchEvent| match (event.put_key, event.deleted_key) {
