--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -111,7 +111,9 @@
                     }
                 }
             }
-            AdminRequest::ChangePlugin(name, step) => self.change_plugin(request, &name, step),
+            AdminRequest::ChangePlugin(name, transition) => {
+                self.change_plugin(request, &name, transition);
+            }
             _ => {
                 let statuses = self.plugin_host.statuses();
                 let body = json!({ "node": self.settings.host_name, "plugins": statuses });
--- a/crates/controller/src/controller/deadline_planning.rs
+++ b/crates/controller/src/controller/deadline_planning.rs
@@ -22,10 +22,10 @@
 
 /// Key of the deadline plan, below the common prefix of all replicated records.
 const PLAN_KEY: &str = "dispatch";
-/// Prefix of the keys of occurrences.
-const OCCURRENCE_PREFIX: &str = "due/";
-/// Prefix of the keys of step durations.
-const DURATIONS_PREFIX: &str = "took/";
+/// Prefix of the keys of occurrences, by the time when each is due.
+const DUE: &str = "due/";
+/// Prefix of the keys of step durations: how long each step took.
+const TOOK: &str = "took/";
 
 impl ClusterState {
     /// Time until a job is expected to be done, ms, at [`DURATION_QUANTILE`], and what it waits for. None for a service.
@@ -68,17 +68,17 @@
     /// that of the predecessor. Unreadable records are left unchanged and ignored.
     pub(super) fn restore_deadline_plan(&mut self) {
         let mut tracker = DeadlineTracker::default();
-        for (key, value) in self.replicated_records.records.get_by_prefix(OCCURRENCE_PREFIX) {
+        for (key, value) in self.replicated_records.records.get_by_prefix(DUE) {
             match Occurrence::from_record(key, value) {
                 Ok(occurrence) => {
-                    tracker.restore(key.trim_start_matches(OCCURRENCE_PREFIX), occurrence);
+                    tracker.restore(key.trim_start_matches(DUE), occurrence);
                 }
                 Err(e) => tracing::error!(cause = %e, "unreadable occurrence record ignored"),
             }
         }
-        for (key, value) in self.replicated_records.records.get_by_prefix(DURATIONS_PREFIX) {
+        for (key, value) in self.replicated_records.records.get_by_prefix(TOOK) {
             if let Ok(durations) = StepDurations::from_record(key, value) {
-                tracker.restore_durations(key.trim_start_matches(DURATIONS_PREFIX), durations);
+                tracker.restore_durations(key.trim_start_matches(TOOK), durations);
             }
         }
         self.replicated_records.deadline_tracker = tracker;
@@ -143,7 +143,7 @@
             }
         }
         for (key, occurrence) in tracker.take_changed_occurrences() {
-            let key = format!("{OCCURRENCE_PREFIX}{key}");
+            let key = format!("{DUE}{key}");
             match occurrence {
                 Some(occurrence) => {
                     self.replicated_records.records.put(&key, occurrence.to_record());
@@ -152,7 +152,7 @@
             }
         }
         for (step, durations) in tracker.take_changed_durations() {
-            let key = format!("{DURATIONS_PREFIX}{step}");
+            let key = format!("{TOOK}{step}");
             self.replicated_records.records.put(&key, durations.to_record());
         }
         // The outcome of a job that ended under another leader is in its final record, which is to be read.
@@ -309,7 +309,7 @@
             .occurrences()
             .find(|(other, _)| **other == key)
             .map(|(_, occurrence)| occurrence.to_record());
-        let key = format!("{OCCURRENCE_PREFIX}{key}");
+        let key = format!("{DUE}{key}");
         self.submit_record_write(request, &key, record.unwrap_or_default());
     }
 
--- a/crates/controller/src/controller/gpu_lending.rs
+++ b/crates/controller/src/controller/gpu_lending.rs
@@ -12,7 +12,7 @@
 use swiftsail_replicated_records::Versioned;
 
 /// Prefix of the keys of lenders' records, below the common prefix of all replicated records.
-const LOAN_PREFIX: &str = "loan/";
+const PREFIX: &str = "loan/";
 
 impl ClusterState {
     /// What the cluster state shows of a loan's jobs and machine.
@@ -117,7 +117,7 @@
         let Some(state) = &mut self.cluster_state else { return };
         let durable = self.replicated_records.are_loans_durable();
         for lender in state.gpu_loans.lenders_with_requests() {
-            let key = format!("{LOAN_PREFIX}{lender}");
+            let key = format!("{PREFIX}{lender}");
             let is_committed = self.replicated_records.records.get_committed(&key).is_some()
                 && self.replicated_records.records.is_committed(&key);
             if !durable || is_committed {
@@ -127,7 +127,7 @@
         state.advance_gpu_loans(now.monotonic, now.wall_clock);
         let changed = state.gpu_loans.take_changed();
         for (lender, record) in changed.into_iter().filter(|_| durable) {
-            let key = format!("{LOAN_PREFIX}{lender}");
+            let key = format!("{PREFIX}{lender}");
             match record {
                 Some(record) => {
                     self.replicated_records.records.put(&key, record.to_record());
@@ -144,9 +144,9 @@
         else {
             return;
         };
-        for (key, value) in self.replicated_records.records.get_by_prefix(LOAN_PREFIX) {
+        for (key, value) in self.replicated_records.records.get_by_prefix(PREFIX) {
             match LenderRecord::from_record(key, value) {
-                Ok(record) => state.gpu_loans.restore(key.trim_start_matches(LOAN_PREFIX), record),
+                Ok(record) => state.gpu_loans.restore(key.trim_start_matches(PREFIX), record),
                 Err(e) => tracing::error!(cause = %e, "unreadable loan record ignored"),
             }
         }
--- a/crates/controller/src/controller/plugins.rs
+++ b/crates/controller/src/controller/plugins.rs
@@ -185,9 +185,9 @@
     }
 
     /// A store call about plug-ins, or an operator's listing of jobs, has ended.
-    pub(super) fn on_plugin_store(&mut self, end: FinishedCall<CallContext>) {
+    pub(super) fn on_plugin_store(&mut self, call: FinishedCall<CallContext>) {
         let retry = PluginSync::Due(self.now.monotonic + PLUGINS_RETRY_MS);
-        match (end.context, end.outcome) {
+        match (call.context, call.outcome) {
             (CallContext::ReadPlugins, StoreOutcome::Page(page)) => self.on_plugin_page(page),
             (CallContext::WatchPlugins, StoreOutcome::Changes(changes)) => {
                 if changes.events.is_empty() {
@@ -262,7 +262,7 @@
         let hooks = self
             .plugin_host
             .validate_source(offer.kind, &offer.source)
-            .map_err(|flaw| OfferError::InvalidSource(format!("plug-in {name}: {flaw}")))?;
+            .map_err(|error| OfferError::InvalidSource(format!("plug-in {name}: {error}")))?;
         let is_new = !self.plugins.known.contains_key(name);
         if is_new && self.plugins.installed_count() >= MAX_PLUGINS {
             return Err(OfferError::TooMany);
@@ -310,28 +310,33 @@
             .enumerate()
             .map(|(index, chunk)| put_mutation(chunk_key(name, version, index as u32), chunk))
             .collect();
-        // As much of the replaced source is deleted as the transaction has room for.
-        let room = self.settings.settings.state.txn_ops - 1 - mutations.len();
+        // The replaced source is deleted as far as the transaction's maximum number of mutations allows.
+        let remaining = self.settings.settings.state.txn_ops - 1 - mutations.len();
         let deletions = replaced.iter().flat_map(|plugin| source_deletions(&plugin.record));
-        mutations.extend(deletions.take(room));
+        mutations.extend(deletions.take(remaining));
         let requester = WriteRequester::Operator(request);
         self.write_plugin(requester, KnownPlugin { record, mod_revision }, mutations);
     }
 
     /// Enables, disables or removes a plug-in for an operator.
-    pub(super) fn change_plugin(&mut self, request: RequestId, name: &str, step: PluginTransition) {
+    pub(super) fn change_plugin(
+        &mut self,
+        request: RequestId,
+        name: &str,
+        transition: PluginTransition,
+    ) {
         let known = self.plugins.known.get(name).filter(|plugin| plugin.is_installed()).cloned();
         let Some(mut plugin) = known else {
             let error = format!("no plug-in `{name}`; see the list");
             return self.answer(request, admin_error_reply(http_status::NOT_FOUND, error));
         };
         let before = plugin.record.state;
-        if !plugin.record.apply_transition(step, self.now.wall_clock) {
-            let error =
-                format!("plug-in {name} is {before:?}: {step:?} does not apply").to_lowercase();
+        if !plugin.record.apply_transition(transition, self.now.wall_clock) {
+            let error = format!("plug-in {name} is {before:?}: {transition:?} does not apply")
+                .to_lowercase();
             return self.answer(request, admin_error_reply(http_status::CONFLICT, error));
         }
-        let mutations = match step {
+        let mutations = match transition {
             PluginTransition::Remove => source_deletions(&plugin.record).collect(),
             _ => Vec::new(),
         };
--- a/crates/controller/src/controller/quota_accounts.rs
+++ b/crates/controller/src/controller/quota_accounts.rs
@@ -24,7 +24,7 @@
 const LEADER_PARTITION: &str = "all";
 /// Prefix, before a controller's name, of the partitions that hold no quota: their records only name the limits of that
 /// controller's settings.
-const SETTINGS_PARTITION_PREFIX: &str = "seen-";
+const OBSERVED_PREFIX: &str = "seen-";
 
 /// This controller's quota accounts, one a page.
 #[derive(Debug)]
@@ -41,6 +41,7 @@
 }
 
 impl QuotaAccounts {
+    /// Accounts of the controller named `node`, whose records are not read yet. They are used only if `enabled`.
     pub fn new(enabled: bool, node: &str, teams: &[TeamSettings]) -> QuotaAccounts {
         let names =
             quota_records::divide_into_pages(teams.iter().map(|t| t.name.clone()).collect());
@@ -52,7 +53,7 @@
             names.iter().map(|page| page.iter().filter_map(limit).collect()).collect();
         let settings_accounts = configured_limits
             .iter()
-            .map(|_| QuotaAccount::new(&format!("{SETTINGS_PARTITION_PREFIX}{node}"), 0))
+            .map(|_| QuotaAccount::new(&format!("{OBSERVED_PREFIX}{node}"), 0))
             .collect();
         QuotaAccounts {
             enabled,
@@ -81,7 +82,7 @@
 /// that controller writes its record. In its place the condition names a key that is never written.
 fn store_key_on(page: usize) -> impl Fn(&QuotaKey) -> String {
     move |key| match key {
-        QuotaKey::FencingToken(partition) if partition.starts_with(SETTINGS_PARTITION_PREFIX) => {
+        QuotaKey::FencingToken(partition) if partition.starts_with(OBSERVED_PREFIX) => {
             format!("{KEY_PREFIX}{page}/none")
         }
         other => quota_records::store_key(page, other),
@@ -147,7 +148,7 @@
         for index in 0..self.quota_accounts.configured_limits.len() {
             let page = quota_records::parse_page(index, listed);
             let is_known = |partition: &PartitionId| {
-                let controller = partition.strip_prefix(SETTINGS_PARTITION_PREFIX);
+                let controller = partition.strip_prefix(OBSERVED_PREFIX);
                 let others = self.settings.others.iter().map(|other| &other.host_name);
                 controller.is_none_or(|controller| {
                     others.chain([&self.settings.host_name]).any(|name| name == controller)
--- a/crates/controller/src/controller/replicated_records.rs
+++ b/crates/controller/src/controller/replicated_records.rs
@@ -64,7 +64,7 @@
     loans_durable: bool,
     /// The deadline schedule of this controller's operators' file.
     pub(super) own_schedule: Option<Rc<DeadlineSchedule>>,
-    /// The deadline schedule in force; none: deadline planning is disabled.
+    /// The deadline schedule in force; none: there is no deadline plan.
     pub(super) schedule: Option<Rc<DeadlineSchedule>>,
     /// The open occurrences of the schedule.
     pub(super) deadline_tracker: DeadlineTracker,
--- a/crates/deadline-planning/src/schedule.rs
+++ b/crates/deadline-planning/src/schedule.rs
@@ -88,7 +88,7 @@
     pub version: u64,
     /// Entries of the schedule.
     #[serde(default, rename = "arrival")]
-    pub arrivals: Vec<ScheduleEntry>,
+    pub entries: Vec<ScheduleEntry>,
     /// The chains that the entries refer to.
     #[serde(default, rename = "chain")]
     pub chains: Vec<ChainDefinition>,
@@ -139,7 +139,7 @@
 
 impl std::fmt::Debug for DeadlineSchedule {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("DeadlineSchedule").field("plan", &self.plan).finish_non_exhaustive()
+        f.debug_struct("Calendar").field("plan", &self.plan).finish_non_exhaustive()
     }
 }
 
@@ -161,7 +161,7 @@
 impl DeadlineSchedule {
     /// Validates and compiles a plan. An error names the invalid part and the remedy.
     pub fn new(plan: DeadlinePlan) -> Result<DeadlineSchedule, PlanError> {
-        let (entries, chains) = (plan.arrivals.len(), plan.chains.len());
+        let (entries, chains) = (plan.entries.len(), plan.chains.len());
         if entries > MAX_SCHEDULE_ENTRIES {
             let cause = format!(
                 "{entries} entries, {MAX_SCHEDULE_ENTRIES} at most; use `days` for what comes again and again"
@@ -188,8 +188,8 @@
             }
         }
         let mut entry_times = Vec::with_capacity(entries);
-        for (index, entry) in plan.arrivals.iter().enumerate() {
-            if plan.arrivals[..index].iter().any(|earlier| earlier.name == entry.name) {
+        for (index, entry) in plan.entries.iter().enumerate() {
+            if plan.entries[..index].iter().any(|earlier| earlier.name == entry.name) {
                 return Err(plan_error("arrival", &entry.name, "its name is taken; rename it"));
             }
             if !plan.chains.iter().any(|chain| chain.name == entry.chain) {
--- a/crates/deadline-planning/src/tracker.rs
+++ b/crates/deadline-planning/src/tracker.rs
@@ -110,7 +110,7 @@
     /// submitted and which no operator has added. At [`MAX_OCCURRENCES`] none is added.
     pub fn sync_with_schedule(&mut self, schedule: &DeadlineSchedule, now_wall: u64) {
         let mut scheduled: BTreeSet<String> = BTreeSet::new();
-        for (index, entry) in schedule.plan().arrivals.iter().enumerate() {
+        for (index, entry) in schedule.plan().entries.iter().enumerate() {
             let horizon = now_wall + PLANNING_HORIZON_MS;
             for due_at in schedule.occurrences_between(index, now_wall, horizon) {
                 let key = Occurrence::key(&entry.name, due_at);
--- a/crates/gpu-lending/src/gpu_loans.rs
+++ b/crates/gpu-lending/src/gpu_loans.rs
@@ -23,7 +23,7 @@
     /// A task of the borrower is bound to the machine.
     #[serde(rename = "v")]
     Serving,
-    /// The borrower does not use the machine any more, or never will; it is reserved for the lender.
+    /// The borrower does not use the machine any more, or did not take it in time; it is reserved for the lender.
     #[serde(rename = "e")]
     Ending,
     /// A task of the lender is on the machine again.
--- a/tests/recorded_bytes/operators.rs
+++ b/tests/recorded_bytes/operators.rs
@@ -162,7 +162,7 @@
     let chains = vec![ChainDefinition { name: "lists".into(), steps }];
     assert_eq!(
         *found.plan(),
-        DeadlinePlan { format_version: 0, version: 5, arrivals: vec![north, once], chains }
+        DeadlinePlan { format_version: 0, version: 5, entries: vec![north, once], chains }
     );
 }
 
@@ -178,7 +178,7 @@
     assert_eq!(names, ["core", "production", "high", "whole-machines", "normal"]);
     let plan = read(include_str!("../../deploy/dispatch.toml")).dispatch.expect("there is a plan");
     let plan = compile_deadline_plan(plan).expect("it is sound");
-    assert_eq!((plan.plan().arrivals.len(), plan.plan().chains[0].steps.len()), (2, 2));
+    assert_eq!((plan.plan().entries.len(), plan.plan().chains[0].steps.len()), (2, 2));
 }
 
 /// The machines that `swiftsail local` offers, as its built-in file names them.
--- a/tests/recorded_bytes/records.rs
+++ b/tests/recorded_bytes/records.rs
@@ -213,7 +213,7 @@
     };
     let steps = vec![step("count", &[]), step("list", &["count"])];
     let chains = vec![ChainDefinition { name: "lists".into(), steps }];
-    DeadlinePlan { format_version: 0, version: 3, arrivals: vec![entry, once], chains }
+    DeadlinePlan { format_version: 0, version: 3, entries: vec![entry, once], chains }
 }
 
 fn dispatch() -> Vec<Case> {
