--- a/tests/quota_transfers.rs
+++ b/tests/quota_transfers.rs
@@ -1,4 +1,5 @@
-//! Amounts among several deciders: every order of steps in small worlds, and long days in larger ones.
+//! Quota transfers between the partitions of several controllers: every interleaving in small models, and randomised
+//! simulations with more controllers and teams.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -16,67 +17,69 @@
 
 fn check_quota_model(
     without: RemovedGuard,
-    chances: FaultBudget,
-    most: usize,
+    faults: FaultBudget,
+    max_states: usize,
 ) -> CheckResult<QuotaStep> {
-    check_model(QuotaModel::new(2, 2, without, chances).with_initial_records(2), 40, most)
+    check_model(QuotaModel::new(2, 2, without, faults).with_initial_records(2), 40, max_states)
 }
 
 const FEW_FAULTS: FaultBudget = FaultBudget { crashes: 1, lost_answers: 1, limit_changes: 0 };
 
 #[test]
-fn no_order_of_steps_breaks_a_limit() {
-    for chances in [FEW_FAULTS, FaultBudget { crashes: 0, lost_answers: 1, limit_changes: 1 }] {
-        let found = check_quota_model(RemovedGuard::None, chances, 60_000);
-        assert!(found.violation.is_none(), "{found:?}");
+fn limits_hold_in_every_interleaving() {
+    for faults in [FEW_FAULTS, FaultBudget { crashes: 0, lost_answers: 1, limit_changes: 1 }] {
+        let result = check_quota_model(RemovedGuard::None, faults, 60_000);
+        assert!(result.violation.is_none(), "{result:?}");
         assert!(
-            found.states == 60_000 && found.depth >= 6,
-            "{} worlds, {}",
-            found.states,
-            found.depth
+            result.states == 60_000 && result.depth >= 6,
+            "{} states, depth {}",
+            result.states,
+            result.depth
         );
     }
 }
 
-/// Each guard that keeps a limit is needed: without it the explorer finds a history that breaks one.
+/// Every guard that enforces limits is necessary: without it the model checker finds a sequence of steps that violates
+/// one, and with all guards it finds none in as many states.
 #[test]
-fn every_guard_is_needed() {
+fn removing_any_guard_violates_a_limit() {
     let crash = FaultBudget { crashes: 1, lost_answers: 0, limit_changes: 0 };
-    let calm = FaultBudget { crashes: 0, lost_answers: 0, limit_changes: 0 };
+    let no_faults = FaultBudget { crashes: 0, lost_answers: 0, limit_changes: 0 };
     let change = FaultBudget { crashes: 0, lost_answers: 0, limit_changes: 2 };
     let guards = [
         (RemovedGuard::FencingToken, crash),
-        (RemovedGuard::OwnRevision, calm),
-        (RemovedGuard::OtherRevision, calm),
-        (RemovedGuard::InFlightTransactions, calm),
-        (RemovedGuard::UnconfirmedTerminations, calm),
+        (RemovedGuard::OwnRevision, no_faults),
+        (RemovedGuard::OtherRevision, no_faults),
+        (RemovedGuard::InFlightTransactions, no_faults),
+        (RemovedGuard::UnconfirmedTerminations, no_faults),
         (RemovedGuard::LowestLimit, change),
     ];
-    for (without, chances) in guards {
-        let found = check_quota_model(without, chances, 200_000);
+    for (without, faults) in guards {
+        let result = check_quota_model(without, faults, 200_000);
         let (what, history) =
-            found.violation.unwrap_or_else(|| panic!("{without:?} is not missed"));
+            result.violation.unwrap_or_else(|| panic!("no violation without {without:?}"));
         assert!(history.len() <= 10, "{without:?}: {what}, after {history:?}");
-        let same = check_quota_model(RemovedGuard::None, chances, found.states);
+        let same = check_quota_model(RemovedGuard::None, faults, result.states);
         assert!(same.violation.is_none(), "{same:?}");
     }
 }
 
-// ---- long days -----------------------------------------------------------------------------------
+// ---- simulations ---------------------------------------------------------------------------------
 
 const STEP_MS: u64 = 50;
 const TEAMS: usize = 12;
 const LIMIT: f64 = 100.0;
 
-/// A task that waits or runs: urgency, CPUs, and when it ends.
+/// A waiting or running task.
 #[derive(Debug, Clone, Copy)]
 struct SimulatedTask {
     urgency_level: usize,
     cpus: f64,
+    /// Run time of a waiting task, end time of a running one, ms.
     ends_at: u64,
 }
 
-struct SimulatedDecider {
+struct SimulatedController {
     name: String,
     fencing_token: u64,
     planner: Option<QuotaPlanner>,
@@ -85,7 +88,7 @@
     running: Vec<Vec<SimulatedTask>>,
 }
 
-enum QuotaMail {
+enum InFlightMessage {
     Transaction(usize, u64, QuotaTransaction, bool),
     TransactionOutcome(usize, u64, (u64, u64), TransactionOutcome),
     PeerMessage(usize, usize, QuotaMessage),
@@ -96,14 +99,14 @@
     rng: StdRng,
     store: FakeStore,
     last_fencing_token: u64,
-    deciders: Vec<SimulatedDecider>,
-    messages_in_flight: Vec<(u64, QuotaMail)>,
+    controllers: Vec<SimulatedController>,
+    messages_in_flight: Vec<(u64, InFlightMessage)>,
     store_outage: std::ops::Range<u64>,
-    peer_partition: std::ops::Range<u64>,
+    controllers_disconnected: std::ops::Range<u64>,
     message_loss: f64,
     message_delay: f64,
     transaction_count: u64,
-    refused_count: u64,
+    rejected_count: u64,
     violations: Vec<String>,
 }
 
@@ -117,32 +120,32 @@
 
 fn key_text(key: &QuotaKey) -> String {
     match key {
-        QuotaKey::FencingToken(d) => format!("token/{d}"),
+        QuotaKey::FencingToken(s) => format!("token/{s}"),
         other => quota_records::store_key(0, other),
     }
 }
 
 impl QuotaSimulation {
-    fn new(seed: u64, deciders: usize) -> QuotaSimulation {
+    fn new(seed: u64, controllers: usize) -> QuotaSimulation {
         let limits =
             StoreSettings { rps: 600.0, write_rps: 60.0, value_kb: 8.0, txn_ops: 16, next: None };
-        let mut day = QuotaSimulation {
+        let mut simulation = QuotaSimulation {
             now: 1_000,
             rng: StdRng::seed_from_u64(seed),
             store: FakeStore::new(limits, 1_000),
             last_fencing_token: 0,
-            deciders: Vec::new(),
+            controllers: Vec::new(),
             messages_in_flight: Vec::new(),
             store_outage: 0..0,
-            peer_partition: 0..0,
+            controllers_disconnected: 0..0,
             message_loss: 0.0,
             message_delay: 0.0,
             transaction_count: 0,
-            refused_count: 0,
+            rejected_count: 0,
             violations: Vec::new(),
         };
-        for n in 0..deciders {
-            day.deciders.push(SimulatedDecider {
+        for n in 0..controllers {
+            simulation.controllers.push(SimulatedController {
                 name: format!("share-{n}"),
                 fencing_token: 0,
                 planner: None,
@@ -151,46 +154,48 @@
                 running: vec![Vec::new(); TEAMS],
             });
         }
-        day
+        simulation
     }
 
     fn crash(&mut self, n: usize) {
-        self.deciders[n].planner = None;
-        self.deciders[n].restarts_at = self.now + 2_000;
+        self.controllers[n].planner = None;
+        self.controllers[n].restarts_at = self.now + 2_000;
     }
 
     fn take_over(&mut self, n: usize) {
-        // The store is the arbiter of tokens, as ever: a key of the decider, written anew.
-        let key = format!("token/{}", self.deciders[n].name);
+        // The fencing token is the mod revision of a newly written key of the partition.
+        let key = format!("token/{}", self.controllers[n].name);
         let write = Mutation::Put { key, value: 1.into(), lease: None };
-        let done = self
+        let result = self
             .store
             .apply_transaction(&Transaction { preconditions: Vec::new(), mutations: vec![write] });
-        let TransactionResult::Committed(token) = done else { panic!("{done:?}") };
-        let pace = 100 * self.deciders.len() as u64;
-        let mut planner = QuotaPlanner::new(&self.deciders[n].name, token, pace);
+        let TransactionResult::Committed(token) = result else { panic!("{result:?}") };
+        let transaction_interval_ms = 100 * self.controllers.len() as u64;
+        let mut planner =
+            QuotaPlanner::new(&self.controllers[n].name, token, transaction_interval_ms);
         planner.set_limits(team_limits());
         self.last_fencing_token += 1;
-        (self.deciders[n].fencing_token, self.deciders[n].planner) = (token, Some(planner));
+        (self.controllers[n].fencing_token, self.controllers[n].planner) = (token, Some(planner));
     }
 
-    fn quota_need(decider: &SimulatedDecider, t: usize) -> TeamDemand {
-        let mut need = TeamDemand::default();
-        for task in &decider.running[t] {
-            need.used[task.urgency_level] += ResourceQuantities::from_request(task.cpus, 0.0);
+    fn team_demand(controller: &SimulatedController, t: usize) -> TeamDemand {
+        let mut demand = TeamDemand::default();
+        for task in &controller.running[t] {
+            demand.used[task.urgency_level] += ResourceQuantities::from_request(task.cpus, 0.0);
         }
-        for task in &decider.waiting[t] {
-            need.wanted[task.urgency_level] += ResourceQuantities::from_request(task.cpus, 0.0);
+        for task in &controller.waiting[t] {
+            demand.wanted[task.urgency_level] += ResourceQuantities::from_request(task.cpus, 0.0);
         }
-        need
+        demand
     }
 
     fn used_cpus(&self, t: usize) -> f64 {
-        self.deciders.iter().flat_map(|d| &d.running[t]).map(|task| task.cpus).sum()
+        self.controllers.iter().flat_map(|s| &s.running[t]).map(|task| task.cpus).sum()
     }
 
     fn wanted_cpus(&self, t: usize) -> f64 {
-        let waiting: f64 = self.deciders.iter().flat_map(|d| &d.waiting[t]).map(|t| t.cpus).sum();
+        let waiting: f64 =
+            self.controllers.iter().flat_map(|s| &s.waiting[t]).map(|t| t.cpus).sum();
         waiting + self.used_cpus(t)
     }
 
@@ -198,7 +203,7 @@
         for _ in 0..tasks {
             let cpus = f64::from(self.rng.random_range(1..=10u32)) / 10.0;
             let ends = self.rng.random_range(2_000..8_000);
-            self.deciders[n].waiting[t].push(SimulatedTask {
+            self.controllers[n].waiting[t].push(SimulatedTask {
                 urgency_level: level,
                 cpus,
                 ends_at: ends,
@@ -206,27 +211,32 @@
         }
     }
 
-    fn post_message(&mut self, after: u64, mail: QuotaMail) {
+    fn post_message(&mut self, after: u64, mail: InFlightMessage) {
         let lost = self.rng.random_bool(self.message_loss);
-        let late = self.rng.random_bool(self.message_delay);
-        let after = if late { self.rng.random_range(2_000..20_000) } else { after };
+        let delayed = self.rng.random_bool(self.message_delay);
+        let after = if delayed { self.rng.random_range(2_000..20_000) } else { after };
         if !lost {
             self.messages_in_flight.push((self.now + after, mail));
         }
     }
 
     fn execute_actions(&mut self, n: usize, actions: Vec<QuotaAction>) {
-        let token = self.deciders[n].fencing_token;
+        let token = self.controllers[n].fencing_token;
         for action in actions {
             match action {
                 QuotaAction::SendTransaction(txn) => {
-                    // Its answer may be lost: after a second it is not known.
-                    let by = txn.id;
+                    // If the answer is lost, the outcome is reported as unknown after one second.
+                    let id = txn.id;
                     self.messages_in_flight.push((
                         self.now + 1_000,
-                        QuotaMail::TransactionOutcome(n, token, by, TransactionOutcome::Unknown),
+                        InFlightMessage::TransactionOutcome(
+                            n,
+                            token,
+                            id,
+                            TransactionOutcome::Unknown,
+                        ),
                     ));
-                    self.post_message(10, QuotaMail::Transaction(n, token, txn, true));
+                    self.post_message(10, InFlightMessage::Transaction(n, token, txn, true));
                 }
                 QuotaAction::ReadPage if !self.store_outage.contains(&self.now) => {
                     let page = quota_records::parse_page(
@@ -234,23 +244,28 @@
                         &self.store.list(quota_records::KEY_PREFIX, None, 1_000),
                     );
                     let now = self.now;
-                    if let Some(holder) = &mut self.deciders[n].planner {
-                        holder.on_page(&page, now);
+                    if let Some(planner) = &mut self.controllers[n].planner {
+                        planner.on_page(&page, now);
                     }
                 }
                 QuotaAction::ReadPage => {}
                 QuotaAction::SendMessage(to, message) => {
-                    let to = self.deciders.iter().position(|d| d.name == to).expect("a decider");
-                    if !self.peer_partition.contains(&self.now) {
-                        self.post_message(5, QuotaMail::PeerMessage(n, to, message));
+                    let to = self
+                        .controllers
+                        .iter()
+                        .position(|s| s.name == to)
+                        .expect("the partition exists");
+                    if !self.controllers_disconnected.contains(&self.now) {
+                        self.post_message(5, InFlightMessage::PeerMessage(n, to, message));
                     }
                 }
                 QuotaAction::StopWork { team: name, level, amount } => {
-                    let t = (0..TEAMS).find(|t| team_name(*t) == name).expect("a team");
+                    let t = (0..TEAMS).find(|t| team_name(*t) == name).expect("the team exists");
                     let mut left = amount.cpus.to_f64();
-                    // Proof takes a moment: they end soon, and are counted until then.
-                    for task in
-                        self.deciders[n].running[t].iter_mut().filter(|t| t.urgency_level > level)
+                    // Termination is confirmed after 400 ms; the tasks count as used until then.
+                    for task in self.controllers[n].running[t]
+                        .iter_mut()
+                        .filter(|t| t.urgency_level > level)
                     {
                         if left > 0.0 {
                             left -= task.cpus;
@@ -262,12 +277,12 @@
         }
     }
 
-    fn deliver_message(&mut self, mail: QuotaMail) {
+    fn deliver_message(&mut self, mail: InFlightMessage) {
         match mail {
-            QuotaMail::Transaction(n, token, txn, answer) => {
-                let refused = !self.store.admit(txn.writes.len(), self.now);
-                self.refused_count += u64::from(refused);
-                if refused || self.store_outage.contains(&self.now) {
+            InFlightMessage::Transaction(n, token, txn, answer) => {
+                let is_rejected = !self.store.admit(txn.writes.len(), self.now);
+                self.rejected_count += u64::from(is_rejected);
+                if is_rejected || self.store_outage.contains(&self.now) {
                     return;
                 }
                 self.transaction_count += txn.writes.len() as u64;
@@ -281,14 +296,17 @@
                     other => panic!("{other:?}"),
                 };
                 if answer {
-                    self.post_message(10, QuotaMail::TransactionOutcome(n, token, txn.id, outcome));
+                    self.post_message(
+                        10,
+                        InFlightMessage::TransactionOutcome(n, token, txn.id, outcome),
+                    );
                 }
             }
-            QuotaMail::TransactionOutcome(n, token, by, outcome)
-                if self.deciders[n].fencing_token == token =>
+            InFlightMessage::TransactionOutcome(n, token, id, outcome)
+                if self.controllers[n].fencing_token == token =>
             {
-                let Some(holder) = &mut self.deciders[n].planner else { return };
-                match holder.account.on_outcome(by, &outcome) {
+                let Some(planner) = &mut self.controllers[n].planner else { return };
+                match planner.account.on_outcome(id, &outcome) {
                     AccountStep::Resend(txn) => {
                         self.execute_actions(n, vec![QuotaAction::SendTransaction(txn)])
                     }
@@ -296,58 +314,59 @@
                     AccountStep::Wait => {}
                 }
             }
-            QuotaMail::PeerMessage(from, to, message) => {
-                let (name, now) = (self.deciders[from].name.clone(), self.now);
-                if let Some(holder) = &mut self.deciders[to].planner {
-                    let actions = holder.on_message(&name, message, now);
+            InFlightMessage::PeerMessage(from, to, message) => {
+                let (name, now) = (self.controllers[from].name.clone(), self.now);
+                if let Some(planner) = &mut self.controllers[to].planner {
+                    let actions = planner.on_message(&name, message, now);
                     self.execute_actions(to, actions);
                 }
             }
-            QuotaMail::TransactionOutcome(..) => {}
+            InFlightMessage::TransactionOutcome(..) => {}
         }
     }
 
     fn run_step(&mut self) {
         self.now += STEP_MS;
         let now = self.now;
-        for decider in &mut self.deciders {
-            decider.running.iter_mut().for_each(|tasks| tasks.retain(|t| t.ends_at > now));
+        for controller in &mut self.controllers {
+            controller.running.iter_mut().for_each(|tasks| tasks.retain(|t| t.ends_at > now));
         }
         let (due, later) =
             std::mem::take(&mut self.messages_in_flight).into_iter().partition(|m| m.0 <= now);
         self.messages_in_flight = later;
-        let due: Vec<(u64, QuotaMail)> = due;
+        let due: Vec<(u64, InFlightMessage)> = due;
         due.into_iter().for_each(|(_, mail)| self.deliver_message(mail));
-        for n in 0..self.deciders.len() {
-            if self.deciders[n].planner.is_none()
-                && now >= self.deciders[n].restarts_at
+        for n in 0..self.controllers.len() {
+            if self.controllers[n].planner.is_none()
+                && now >= self.controllers[n].restarts_at
                 && !self.store_outage.contains(&now)
             {
                 self.take_over(n);
             }
-            // The watch of the page, and what waits.
+            // Stands for the watch of the quota page.
             if now.is_multiple_of(STEP_MS * 4) {
                 self.execute_actions(n, vec![QuotaAction::ReadPage]);
             }
-            let away = self.store_outage.contains(&now);
-            let decider = &mut self.deciders[n];
-            let Some(mut holder) = decider.planner.take() else { continue };
+            let store_is_down = self.store_outage.contains(&now);
+            let controller = &mut self.controllers[n];
+            let Some(mut planner) = controller.planner.take() else { continue };
             for t in 0..TEAMS {
-                decider.waiting[t].sort_by_key(|t| std::cmp::Reverse(t.urgency_level));
-                holder.set_demand(&team_name(t), QuotaSimulation::quota_need(decider, t));
-                while let Some(next) = decider.waiting[t].last().copied()
-                    && !away
-                    && holder
+                controller.waiting[t].sort_by_key(|t| std::cmp::Reverse(t.urgency_level));
+                planner.set_demand(&team_name(t), QuotaSimulation::team_demand(controller, t));
+                while let Some(next) = controller.waiting[t].last().copied()
+                    && !store_is_down
+                    && planner
                         .bindable_amount(&team_name(t), next.urgency_level)
                         .covers(ResourceQuantities::from_request(next.cpus, 0.0))
                 {
-                    decider.waiting[t].pop();
-                    decider.running[t].push(SimulatedTask { ends_at: now + next.ends_at, ..next });
-                    holder.set_demand(&team_name(t), QuotaSimulation::quota_need(decider, t));
+                    controller.waiting[t].pop();
+                    controller.running[t]
+                        .push(SimulatedTask { ends_at: now + next.ends_at, ..next });
+                    planner.set_demand(&team_name(t), QuotaSimulation::team_demand(controller, t));
                 }
             }
-            let actions = holder.tick(now);
-            decider.planner = Some(holder);
+            let actions = planner.tick(now);
+            controller.planner = Some(planner);
             self.execute_actions(n, actions);
         }
         self.check_invariants();
@@ -371,7 +390,7 @@
         }
     }
 
-    /// Lets time pass. Returns what each team used on the mean of the second half, as a share of its limit.
+    /// Runs the simulation for `ms`. Returns each team's mean usage in the second half, as a share of its limit.
     fn run(&mut self, ms: u64, mut arrivals: impl FnMut(&mut QuotaSimulation)) -> Vec<f64> {
         let (begin, mut used, mut steps) = (self.now, vec![0.0; TEAMS], 0.0);
         while self.now < begin + ms {
@@ -390,19 +409,20 @@
         used.iter().map(|u| u / steps).collect()
     }
 
-    /// Lets time pass until a team uses so much of its limit. Returns the time it took, ms.
+    /// Runs the simulation until a team uses `share` of its limit, and fails after `timeout_ms`. Returns the elapsed
+    /// time, ms.
     fn run_until_used(
         &mut self,
         t: usize,
         share: f64,
-        most: u64,
+        timeout_ms: u64,
         mut arrivals: impl FnMut(&mut QuotaSimulation),
     ) -> u64 {
         let begin = self.now;
         while self.used_cpus(t) < LIMIT * share {
             assert!(
-                self.now < begin + most,
-                "{} of {} after {most} ms",
+                self.now < begin + timeout_ms,
+                "{} of {} after {timeout_ms} ms",
                 self.used_cpus(t),
                 team_name(t)
             );
@@ -413,226 +433,250 @@
     }
 }
 
-/// Keeps so many CPUs of a team wanted at a decider.
-fn keep_running(day: &mut QuotaSimulation, n: usize, t: usize, level: usize, cpus: f64) {
-    while day.deciders[n].waiting[t].iter().map(|t| t.cpus).sum::<f64>() < cpus {
-        day.submit(n, t, level, 4);
+/// Submits tasks of a team to a controller until at least `cpus` are waiting there.
+fn keep_waiting(simulation: &mut QuotaSimulation, n: usize, t: usize, level: usize, cpus: f64) {
+    while simulation.controllers[n].waiting[t].iter().map(|t| t.cpus).sum::<f64>() < cpus {
+        simulation.submit(n, t, level, 4);
     }
 }
 
-/// A hot team's work moves from decider to decider; its amounts follow.
+/// The work of a team at its limit moves from one controller to the next, and its quota must follow.
 #[test]
-fn a_hot_teams_amounts_follow_its_work() {
-    for deciders in [3, 8] {
-        let mut day = QuotaSimulation::new(7, deciders);
-        let mut took = Vec::new();
+fn quota_follows_work_between_controllers() {
+    for controllers in [3, 8] {
+        let mut simulation = QuotaSimulation::new(7, controllers);
+        let mut transfer_times = Vec::new();
         for turn in 0..6 {
-            let at = turn % deciders;
-            let begin = day.now;
-            let alone = |d: &QuotaSimulation| {
-                QuotaSimulation::quota_need(&d.deciders[at], 0).total_used().cpus.to_f64()
+            let at = turn % controllers;
+            let begin = simulation.now;
+            let has_all_quota = |s: &QuotaSimulation| {
+                QuotaSimulation::team_demand(&s.controllers[at], 0).total_used().cpus.to_f64()
                     >= 0.95 * LIMIT
             };
-            while !alone(&day) {
-                assert!(day.now < begin + 15_000, "{} used", day.used_cpus(0));
-                keep_running(&mut day, at, 0, 2, 150.0);
-                day.run_step();
+            while !has_all_quota(&simulation) {
+                assert!(simulation.now < begin + 15_000, "{} used", simulation.used_cpus(0));
+                keep_waiting(&mut simulation, at, 0, 2, 150.0);
+                simulation.run_step();
             }
-            took.push(day.now - begin);
-            let used = day.run(16_000, |d| keep_running(d, at, 0, 2, 150.0))[0];
+            transfer_times.push(simulation.now - begin);
+            let used = simulation.run(16_000, |s| keep_waiting(s, at, 0, 2, 150.0))[0];
             assert!(used >= 0.95, "{used} of the limit used");
-            day.deciders[at].waiting[0].clear();
+            simulation.controllers[at].waiting[0].clear();
         }
-        // The tasks that the others still ran take up to 8 s to end.
-        assert!(took.iter().all(|ms| *ms <= 11_000), "{took:?}");
+        // Tasks that still run on the other controllers take up to 8 s to end.
+        assert!(transfer_times.iter().all(|ms| *ms <= 11_000), "{transfer_times:?}");
     }
 }
 
-/// Wanted everywhere at once: nobody is over, nobody starves, and little moves once it is divided.
+/// All controllers want quota of all teams at once: no limit is exceeded, no controller starves, and few transactions
+/// are sent once the quota is divided.
 #[test]
-fn all_decide_at_once() {
-    for deciders in [3, 8] {
-        let mut day = QuotaSimulation::new(8, deciders);
-        let all = |d: &mut QuotaSimulation| {
-            (0..deciders).for_each(|n| (0..TEAMS).for_each(|t| keep_running(d, n, t, 2, 60.0)))
+fn quota_is_divided_under_contention() {
+    for controllers in [3, 8] {
+        let mut simulation = QuotaSimulation::new(8, controllers);
+        let all = |s: &mut QuotaSimulation| {
+            (0..controllers).for_each(|n| (0..TEAMS).for_each(|t| keep_waiting(s, n, t, 2, 60.0)))
         };
-        day.run(20_000, all);
-        let before = day.transaction_count;
-        let used = day.run(20_000, all);
-        // Of the 60 changes a second that the state service takes, once it is divided: two at most.
+        simulation.run(20_000, all);
+        let before = simulation.transaction_count;
+        let used = simulation.run(20_000, all);
+        // Once the quota is divided: at most two of the 60 writes per second that the state service allows.
         assert!(
-            day.transaction_count - before <= 40,
-            "{} changes in 20 s",
-            day.transaction_count - before
+            simulation.transaction_count - before <= 40,
+            "{} writes in 20 s",
+            simulation.transaction_count - before
         );
         assert!(used.iter().all(|u| *u >= 0.95), "{used:?}");
-        let least = |d: &SimulatedDecider| {
+        let min_used_by = |s: &SimulatedController| {
             (0..TEAMS)
-                .map(|t| QuotaSimulation::quota_need(d, t).total_used().cpus.to_f64())
+                .map(|t| QuotaSimulation::team_demand(s, t).total_used().cpus.to_f64())
                 .fold(f64::MAX, f64::min)
         };
-        let least = day.deciders.iter().map(least).fold(f64::MAX, f64::min);
-        assert!(least >= 0.3 * LIMIT / deciders as f64, "some decider uses {least} of a team");
+        let min_used = simulation.controllers.iter().map(min_used_by).fold(f64::MAX, f64::min);
+        assert!(
+            min_used >= 0.3 * LIMIT / controllers as f64,
+            "a controller uses only {min_used} CPUs of a team"
+        );
     }
 }
 
-/// Production of a team at its limit does not wait for the team's other work elsewhere.
+/// Production work of a team at its limit does not wait for less urgent work of the team in another partition: that
+/// work is stopped.
 #[test]
-fn production_elsewhere_has_less_urgent_work_stopped() {
-    let mut day = QuotaSimulation::new(9, 3);
-    day.run_until_used(0, 0.95, 12_000, |d| keep_running(d, 0, 0, 2, 150.0));
-    day.submit(1, 0, 0, 40);
-    let wants: f64 = day.deciders[1].waiting[0].iter().map(|t| t.cpus).sum();
-    let begin = day.now;
-    while !day.deciders[1].waiting[0].is_empty() {
+fn production_preempts_less_urgent_work_of_other_partitions() {
+    let mut simulation = QuotaSimulation::new(9, 3);
+    simulation.run_until_used(0, 0.95, 12_000, |s| keep_waiting(s, 0, 0, 2, 150.0));
+    simulation.submit(1, 0, 0, 40);
+    let wanted: f64 = simulation.controllers[1].waiting[0].iter().map(|t| t.cpus).sum();
+    let begin = simulation.now;
+    while !simulation.controllers[1].waiting[0].is_empty() {
         assert!(
-            day.now < begin + 4_000,
-            "{} of {wants} CPUs of production wait",
-            day.wanted_cpus(0)
+            simulation.now < begin + 4_000,
+            "{} CPUs used and wanted, of them {wanted} of production, after 4 s",
+            simulation.wanted_cpus(0)
         );
-        keep_running(&mut day, 0, 0, 2, 150.0);
-        day.run_step();
+        keep_waiting(&mut simulation, 0, 0, 2, 150.0);
+        simulation.run_step();
     }
-    assert!(day.violations.is_empty(), "{:?}", day.violations);
+    assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
 }
 
-/// Crashes, cuts between deciders, the state service away, lost and late messages, all at once and wanted
-/// everywhere: never over a limit; after the last fault the hot team is back at its limit.
+/// Crashes, network partitions between controllers, outages of the state service, and lost and late messages, under
+/// contention: no limit is ever exceeded, and after the last fault the busiest team returns to its limit within 15 s.
 #[test]
-fn rough_days_break_no_limit_and_all_comes_back() {
-    let mut back = Vec::new();
+fn limits_hold_under_faults_and_usage_recovers() {
+    let mut recovery_times = Vec::new();
     for seed in 0..6 {
-        let deciders = [3, 5, 8][seed as usize % 3];
-        let mut day = QuotaSimulation::new(seed, deciders);
-        (day.message_loss, day.message_delay) = (0.05, 0.02);
+        let controllers = [3, 5, 8][seed as usize % 3];
+        let mut simulation = QuotaSimulation::new(seed, controllers);
+        (simulation.message_loss, simulation.message_delay) = (0.05, 0.02);
         for round in 0..5u64 {
-            let (now, n) = (day.now, day.rng.random_range(0..deciders));
+            let (now, n) = (simulation.now, simulation.rng.random_range(0..controllers));
             match round {
-                0 | 3 => day.crash(n),
-                1 => day.store_outage = now..now + 6_000,
-                2 => day.peer_partition = now..now + 8_000,
-                _ => (0..deciders).for_each(|n| day.crash(n)),
+                0 | 3 => simulation.crash(n),
+                1 => simulation.store_outage = now..now + 6_000,
+                2 => simulation.controllers_disconnected = now..now + 8_000,
+                _ => (0..controllers).for_each(|n| simulation.crash(n)),
             }
-            day.run(12_000, |d| {
-                let (n, t) = (d.rng.random_range(0..deciders), d.rng.random_range(0..TEAMS));
-                let level = d.rng.random_range(0..3);
-                d.submit(n, t, level, 2);
-                keep_running(d, 0, 0, 2, 100.0);
+            simulation.run(12_000, |s| {
+                let (n, t) = (s.rng.random_range(0..controllers), s.rng.random_range(0..TEAMS));
+                let level = s.rng.random_range(0..3);
+                s.submit(n, t, level, 2);
+                keep_waiting(s, 0, 0, 2, 100.0);
             });
         }
-        (day.message_loss, day.message_delay) = (0.0, 0.0);
-        back.push(day.run_until_used(0, 0.95, 15_000, |d| keep_running(d, 0, 0, 2, 150.0)));
+        (simulation.message_loss, simulation.message_delay) = (0.0, 0.0);
+        recovery_times
+            .push(simulation.run_until_used(0, 0.95, 15_000, |s| keep_waiting(s, 0, 0, 2, 150.0)));
     }
 }
 
-/// A settings file with a lower limit reaches one controller first: the lower counts, and comes into force as
-/// work that is stopped for it is proved gone. It rises again only when all name the higher.
+/// A settings file with a lower limit reaches one controller first: the lower limit applies, and comes into force as
+/// the work stopped for it is confirmed terminated. The limit rises again only when all controllers have the higher
+/// one.
 #[test]
-fn the_lower_of_two_limits_counts() {
+fn lowest_configured_limit_applies() {
     let lower = |cpus: f64| {
         let mut settings = team_limits();
         settings.insert(team_name(0), QuotaAccount::limits_from_settings(cpus, 0.0));
         settings
     };
-    let set = |day: &mut QuotaSimulation, n: usize, cpus: f64| {
-        day.deciders[n].planner.as_mut().expect("a holder").set_limits(lower(cpus));
+    let set = |simulation: &mut QuotaSimulation, n: usize, cpus: f64| {
+        simulation.controllers[n]
+            .planner
+            .as_mut()
+            .expect("the controller runs")
+            .set_limits(lower(cpus));
     };
-    let mut day = QuotaSimulation::new(11, 3);
-    let all = |d: &mut QuotaSimulation| (0..3).for_each(|n| keep_running(d, n, 0, 1, 60.0));
-    assert!(day.run(12_000, all)[0] >= 0.95);
-    set(&mut day, 1, 60.0);
-    day.run(4_000, all);
-    assert!(day.used_cpus(0) <= 60.0, "{} used of 60", day.used_cpus(0));
-    let used = day.run(8_000, all)[0];
+    let mut simulation = QuotaSimulation::new(11, 3);
+    let all = |s: &mut QuotaSimulation| (0..3).for_each(|n| keep_waiting(s, n, 0, 1, 60.0));
+    assert!(simulation.run(12_000, all)[0] >= 0.95);
+    set(&mut simulation, 1, 60.0);
+    simulation.run(4_000, all);
+    assert!(simulation.used_cpus(0) <= 60.0, "{} used of 60", simulation.used_cpus(0));
+    let used = simulation.run(8_000, all)[0];
     assert!((0.55..=0.6).contains(&used), "{used}");
     for n in [0, 2] {
-        set(&mut day, n, 60.0);
+        set(&mut simulation, n, 60.0);
     }
-    set(&mut day, 1, 100.0);
-    assert!(day.run(8_000, all)[0] <= 0.6, "two of three still name the lower");
+    set(&mut simulation, 1, 100.0);
+    assert!(
+        simulation.run(8_000, all)[0] <= 0.6,
+        "two of three controllers still have the lower limit"
+    );
     for n in [0, 2] {
-        set(&mut day, n, 100.0);
+        set(&mut simulation, n, 100.0);
     }
-    assert!(day.run(8_000, all)[0] >= 0.95);
-    // A team that nobody names any more gives up its amounts.
+    assert!(simulation.run(8_000, all)[0] >= 0.95);
+    // The quota of a team that no settings contain any more is returned, and the team is removed.
     for n in 0..3 {
-        day.deciders[n].waiting[0].clear();
+        simulation.controllers[n].waiting[0].clear();
         let mut without = team_limits();
         without.remove(&team_name(0));
-        day.deciders[n].planner.as_mut().expect("a holder").set_limits(without);
+        simulation.controllers[n]
+            .planner
+            .as_mut()
+            .expect("the controller runs")
+            .set_limits(without);
     }
-    day.run(14_000, |_| ());
-    let page =
-        quota_records::parse_page(0, &day.store.list(quota_records::KEY_PREFIX, None, 1_000));
+    simulation.run(14_000, |_| ());
+    let page = quota_records::parse_page(
+        0,
+        &simulation.store.list(quota_records::KEY_PREFIX, None, 1_000),
+    );
     assert!(!page.pool.0.teams.contains_key(&team_name(0)), "{page:?}");
 }
 
-/// A decider that is no longer there holds nothing back: its amounts go to the pool, then it leaves the page.
+/// A partition that is retired returns its quota to the pool, and its holding is then removed from the page.
 #[test]
-fn a_decider_that_retires_leaves_nothing_behind() {
-    let mut day = QuotaSimulation::new(12, 3);
-    let all = |d: &mut QuotaSimulation| (0..3).for_each(|n| keep_running(d, n, 0, 1, 60.0));
-    day.run(10_000, all);
-    (0..TEAMS).for_each(|t| day.deciders[2].waiting[t].clear());
-    day.run(16_000, |d| (0..2).for_each(|n| keep_running(d, n, 0, 1, 60.0)));
-    let mut holder = day.deciders[2].planner.take().expect("a holder");
-    day.deciders[2].restarts_at = u64::MAX;
-    let txn = holder.account.remove_holding().expect("it holds nothing");
+fn retired_partition_releases_its_quota() {
+    let mut simulation = QuotaSimulation::new(12, 3);
+    let all = |s: &mut QuotaSimulation| (0..3).for_each(|n| keep_waiting(s, n, 0, 1, 60.0));
+    simulation.run(10_000, all);
+    (0..TEAMS).for_each(|t| simulation.controllers[2].waiting[t].clear());
+    simulation.run(16_000, |s| (0..2).for_each(|n| keep_waiting(s, n, 0, 1, 60.0)));
+    let mut planner = simulation.controllers[2].planner.take().expect("the controller runs");
+    simulation.controllers[2].restarts_at = u64::MAX;
+    let txn = planner.account.remove_holding().expect("its holding is empty");
     assert!(matches!(
-        day.store.apply_transaction(&quota_records::to_transaction(&txn, key_text)),
+        simulation.store.apply_transaction(&quota_records::to_transaction(&txn, key_text)),
         TransactionResult::Committed(_)
     ));
-    assert!(day.run(8_000, |d| (0..2).for_each(|n| keep_running(d, n, 0, 1, 60.0)))[0] >= 0.95);
-    let page =
-        quota_records::parse_page(0, &day.store.list(quota_records::KEY_PREFIX, None, 1_000));
+    assert!(
+        simulation.run(8_000, |s| (0..2).for_each(|n| keep_waiting(s, n, 0, 1, 60.0)))[0] >= 0.95
+    );
+    let page = quota_records::parse_page(
+        0,
+        &simulation.store.list(quota_records::KEY_PREFIX, None, 1_000),
+    );
     assert_eq!(page.holdings.len(), 2);
 }
 
-/// A guarantee is by the sum: a team that uses little here and much elsewhere is beyond it. What others borrowed
-/// is recalled where most of it is, once, and answered when it is proved gone.
+/// A guarantee applies to the usage in all partitions: a team that uses little here and much elsewhere exceeds it.
+/// Quota used beyond a guarantee is revoked in the partition that uses the most, once at a time, and the revocation is
+/// confirmed when the stopped tasks are confirmed terminated.
 #[test]
-fn borrowed_work_is_recalled_where_most_of_it_is() {
-    let mut day = QuotaSimulation::new(13, 3);
-    let used = |d: &QuotaSimulation, n: usize| {
-        QuotaSimulation::quota_need(&d.deciders[n], 1).total_used().cpus.to_f64()
+fn borrowed_quota_is_revoked_where_most_is_used() {
+    let mut simulation = QuotaSimulation::new(13, 3);
+    let used = |s: &QuotaSimulation, n: usize| {
+        QuotaSimulation::team_demand(&s.controllers[n], 1).total_used().cpus.to_f64()
     };
-    day.run(12_000, |d| {
-        for (n, most) in [(0, 20.0), (1, 60.0), (2, 10.0)] {
-            if used(d, n) < most {
-                keep_running(d, n, 1, 2, 5.0);
+    simulation.run(12_000, |s| {
+        for (n, max_used) in [(0, 20.0), (1, 60.0), (2, 10.0)] {
+            if used(s, n) < max_used {
+                keep_waiting(s, n, 1, 2, 5.0);
             }
         }
     });
     let guarantees = BTreeMap::from([(team_name(1), ResourceQuantities::from_limit(30.0, 0.0))]);
-    let before: Vec<f64> = (0..3).map(|n| used(&day, n)).collect();
-    let now = day.now;
-    let holder = day.deciders[0].planner.as_mut().expect("a holder");
+    let before: Vec<f64> = (0..3).map(|n| used(&simulation, n)).collect();
+    let now = simulation.now;
+    let planner = simulation.controllers[0].planner.as_mut().expect("the controller runs");
     let one = ResourceQuantities::from_request(1.0, 0.0);
-    assert!(!holder.is_within_guarantee(
+    assert!(!planner.is_within_guarantee(
         &team_name(1),
         ResourceQuantities::from_limit(30.0, 0.0),
         one
     ));
-    assert!(holder.is_within_guarantee(
+    assert!(planner.is_within_guarantee(
         &team_name(1),
         ResourceQuantities::from_limit(300.0, 0.0),
         one
     ));
-    let lacks = ResourceQuantities::from_request(15.0, 0.0);
-    let asked = holder
-        .revoke_borrowed_quota(&guarantees, lacks, now)
-        .expect("there is something to recall");
+    let missing = ResourceQuantities::from_request(15.0, 0.0);
+    let action =
+        planner.revoke_borrowed_quota(&guarantees, missing, now).expect("there is quota to revoke");
     assert!(
-        holder.revoke_borrowed_quota(&guarantees, lacks, now).is_none(),
-        "one question at a time"
+        planner.revoke_borrowed_quota(&guarantees, missing, now).is_none(),
+        "one revocation at a time"
     );
-    assert!(matches!(&asked, QuotaAction::SendMessage(to, _) if to == "share-1"), "{asked:?}");
-    day.execute_actions(0, vec![asked]);
-    day.run(1_500, |_| ());
-    assert!(used(&day, 1) <= before[1] - 15.0, "{before:?}, now {}", used(&day, 1));
-    let holder = day.deciders[0].planner.as_mut().expect("a holder");
+    assert!(matches!(&action, QuotaAction::SendMessage(to, _) if to == "share-1"), "{action:?}");
+    simulation.execute_actions(0, vec![action]);
+    simulation.run(1_500, |_| ());
+    assert!(used(&simulation, 1) <= before[1] - 15.0, "{before:?}, now {}", used(&simulation, 1));
+    let planner = simulation.controllers[0].planner.as_mut().expect("the controller runs");
     assert!(
-        holder.revoke_borrowed_quota(&guarantees, lacks, day.now).is_some(),
-        "the first has come to its end"
+        planner.revoke_borrowed_quota(&guarantees, missing, simulation.now).is_some(),
+        "the first revocation has ended"
     );
 }
