--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -1,5 +1,6 @@
-//! Jobs that await others: who may begin, what is called off, deadlines along the chain; as pure values against plain
-//! re-statements, and on the real cores under crashes, outages and lost answers.
+//! Jobs with dependencies: readiness, cancellation by dependency and effective deadlines. The dag crate is compared
+//! with a naive implementation of the rules, and simulations run the real controllers under crashes, outages and lost
+//! messages.
 
 mod common;
 
@@ -32,7 +33,7 @@
     format!("wk-{n}").into()
 }
 
-/// Jobs that each await some of those before them, and how some of the first have ended.
+/// Jobs that each depend on some of the previous jobs, and the outcomes of the jobs that have ended.
 struct RandomDependencies {
     depends_on: Vec<Vec<JobId>>,
     outcomes: BTreeMap<usize, JobOutcome>,
@@ -41,38 +42,38 @@
 fn random_dependencies(seed: u64) -> RandomDependencies {
     let mut rng = StdRng::seed_from_u64(seed);
     let count = rng.random_range(2..30);
-    let awaits: Vec<Vec<JobId>> = (0..count)
+    let depends_on: Vec<Vec<JobId>> = (0..count)
         .map(|n| (0..n).filter(|_| rng.random_bool(0.15)).map(job_id).collect())
         .collect();
-    let mut fates = BTreeMap::new();
-    for (n, before) in awaits.iter().enumerate() {
-        // What awaits something that is not done can't be; anything may be cancelled.
-        let may_end = before.iter().all(|a| {
+    let mut outcomes = BTreeMap::new();
+    for (n, dependencies) in depends_on.iter().enumerate() {
+        // A job can be done only if all its dependencies are; any job can be cancelled.
+        let can_be_done = dependencies.iter().all(|a| {
             let number: usize = a[3..].parse().expect("a number");
-            matches!(fates.get(&number), Some(JobOutcome::Done(_)))
+            matches!(outcomes.get(&number), Some(JobOutcome::Done(_)))
         });
         if rng.random_bool(0.1) {
-            fates.insert(n, JobOutcome::Cancelled);
-        } else if may_end && rng.random_bool(0.7) {
-            fates.insert(n, JobOutcome::Done(rng.random_range(1..1_000)));
+            outcomes.insert(n, JobOutcome::Cancelled);
+        } else if can_be_done && rng.random_bool(0.7) {
+            outcomes.insert(n, JobOutcome::Done(rng.random_range(1..1_000)));
         }
     }
-    RandomDependencies { depends_on: awaits, outcomes: fates }
+    RandomDependencies { depends_on, outcomes }
 }
 
 impl RandomDependencies {
-    /// The rules of the page, read off the drawing.
+    /// The expected state of a job, by a naive implementation of the rules.
     fn expected_state(&self, n: usize) -> DependencyState {
         let number = |a: &JobId| a[3..].parse::<usize>().expect("a number");
-        let fate = |a: &JobId| self.outcomes.get(&number(a)).copied();
-        let off = |a: &JobId| {
-            fate(a) == Some(JobOutcome::Cancelled)
+        let outcome = |a: &JobId| self.outcomes.get(&number(a)).copied();
+        let is_cancelled = |a: &JobId| {
+            outcome(a) == Some(JobOutcome::Cancelled)
                 || self.expected_state(number(a)) == DependencyState::CancelledByDependency
         };
-        if self.depends_on[n].iter().any(off) {
+        if self.depends_on[n].iter().any(is_cancelled) {
             return DependencyState::CancelledByDependency;
         }
-        let done = |a: &JobId| match fate(a) {
+        let done = |a: &JobId| match outcome(a) {
             Some(JobOutcome::Done(at)) => Some(at),
             _ => None,
         };
@@ -84,99 +85,103 @@
     }
 }
 
-/// In whatever order jobs become known and end, each stands where the page says; a reader who walks back from one
-/// job says the same of it.
+/// In whatever order jobs are added and end, each has the state that the rules require, and a traversal from the job
+/// comes to the same result.
 #[test]
-fn jobs_stand_where_those_before_them_leave_them() {
-    let mut met = [0; 3];
+fn graph_and_traversal_match_the_naive_rules() {
+    let mut state_counts = [0; 3];
     for seed in 0..400 {
-        let drawn = random_dependencies(seed);
+        let dependencies = random_dependencies(seed);
         let mut rng = StdRng::seed_from_u64(seed ^ 0x51);
         let mut graph = DependencyGraph::default();
         let mut events: Vec<(bool, usize)> =
-            (0..drawn.depends_on.len()).map(|n| (true, n)).collect();
-        events.extend(drawn.outcomes.keys().map(|n| (false, *n)));
+            (0..dependencies.depends_on.len()).map(|n| (true, n)).collect();
+        events.extend(dependencies.outcomes.keys().map(|n| (false, *n)));
         for n in (1..events.len()).rev() {
             events.swap(n, rng.random_range(0..=n));
         }
-        let mut told: BTreeMap<JobId, DependencyState> = BTreeMap::new();
+        let mut reported: BTreeMap<JobId, DependencyState> = BTreeMap::new();
         let mut ended = BTreeSet::new();
-        for (new, n) in events {
+        for (is_addition, n) in events {
             let mut changed = Vec::new();
-            if new {
-                graph.add_job(&job_id(n), &drawn.depends_on[n]);
-                // As a leader does: what is over already is told again for the newcomer.
-                for a in &drawn.depends_on[n] {
+            if is_addition {
+                graph.add_job(&job_id(n), &dependencies.depends_on[n]);
+                // Like a leader, repeats the outcomes of dependencies that have already ended.
+                for a in &dependencies.depends_on[n] {
                     let number: usize = a[3..].parse().expect("a number");
-                    let off = graph.state_of(a) == Some(DependencyState::CancelledByDependency);
+                    let is_cancelled =
+                        graph.state_of(a) == Some(DependencyState::CancelledByDependency);
                     if ended.contains(&number) {
-                        changed.extend(graph.on_job_ended(a, drawn.outcomes[&number]));
-                    } else if off {
+                        changed.extend(graph.on_job_ended(a, dependencies.outcomes[&number]));
+                    } else if is_cancelled {
                         changed.extend(graph.on_job_ended(a, JobOutcome::Cancelled));
                     }
                 }
             } else {
                 ended.insert(n);
-                changed.extend(graph.on_job_ended(&job_id(n), drawn.outcomes[&n]));
+                changed.extend(graph.on_job_ended(&job_id(n), dependencies.outcomes[&n]));
             }
-            for (job, standing) in changed {
-                assert_eq!(told.insert(job.clone(), standing), None, "seed {seed}: {job} twice");
+            for (job, state) in changed {
+                assert_eq!(reported.insert(job.clone(), state), None, "seed {seed}: {job} twice");
             }
         }
-        for n in (0..drawn.depends_on.len()).filter(|n| !drawn.depends_on[*n].is_empty()) {
-            let expected = drawn.expected_state(n);
+        for n in
+            (0..dependencies.depends_on.len()).filter(|n| !dependencies.depends_on[*n].is_empty())
+        {
+            let expected = dependencies.expected_state(n);
             assert_eq!(graph.state_of(&job_id(n)), Some(expected), "seed {seed}: wk-{n}");
-            met[match expected {
+            state_counts[match expected {
                 DependencyState::Waiting => 0,
                 DependencyState::Ready(_) => 1,
                 DependencyState::CancelledByDependency => 2,
             }] += 1;
-            let mut walk = DependencyTraversal::new(&drawn.depends_on[n]);
-            while let Some(next) = walk.next_job().cloned() {
+            let mut traversal = DependencyTraversal::new(&dependencies.depends_on[n]);
+            while let Some(next) = traversal.next_job().cloned() {
                 let number: usize = next[3..].parse().expect("a number");
-                walk.on_job_state(&match drawn.outcomes.get(&number) {
-                    Some(fate) => VisitedJob::Ended(*fate),
-                    None => VisitedJob::Live(drawn.depends_on[number].clone()),
+                traversal.on_job_state(&match dependencies.outcomes.get(&number) {
+                    Some(outcome) => VisitedJob::Ended(*outcome),
+                    None => VisitedJob::Live(dependencies.depends_on[number].clone()),
                 });
             }
-            let off = walk.verdict() == Some(DependencyVerdict::CancelledByDependency);
+            let is_cancelled =
+                traversal.verdict() == Some(DependencyVerdict::CancelledByDependency);
             assert_eq!(
-                off,
+                is_cancelled,
                 expected == DependencyState::CancelledByDependency,
-                "seed {seed}: wk-{n} by walking"
+                "seed {seed}: wk-{n} by traversal"
             );
         }
     }
-    assert!(met.iter().all(|n| *n > 200), "{met:?}");
+    assert!(state_counts.iter().all(|n| *n > 200), "{state_counts:?}");
 }
 
-/// What was never accepted is told whatever else is cancelled; a record that claims a circle ends no walk never, and
-/// its jobs wait.
+/// A direct dependency that was never accepted is reported even if another one is cancelled. Corrupt records that form
+/// a cycle do not keep a traversal or the deadline search from ending, and the jobs of the cycle wait.
 #[test]
-fn odd_records_harm_nobody() {
-    let mut walk = DependencyTraversal::new(&[job_id(1), job_id(2), job_id(1)]);
-    walk.on_job_state(&VisitedJob::Ended(JobOutcome::Cancelled));
-    assert_eq!(walk.next_job(), Some(&job_id(2)), "each that is named must be known");
-    walk.on_job_state(&VisitedJob::NeverAccepted);
-    assert_eq!(walk.verdict(), Some(DependencyVerdict::UnknownDependency(job_id(2))));
-    let mut walk = DependencyTraversal::new(&[job_id(1)]);
+fn unknown_dependencies_and_cycles_are_handled() {
+    let mut traversal = DependencyTraversal::new(&[job_id(1), job_id(2), job_id(1)]);
+    traversal.on_job_state(&VisitedJob::Ended(JobOutcome::Cancelled));
+    assert_eq!(traversal.next_job(), Some(&job_id(2)), "every direct dependency is visited");
+    traversal.on_job_state(&VisitedJob::NeverAccepted);
+    assert_eq!(traversal.verdict(), Some(DependencyVerdict::UnknownDependency(job_id(2))));
+    let mut traversal = DependencyTraversal::new(&[job_id(1)]);
     for _ in 0..3 {
-        if let Some(next) = walk.next_job().cloned() {
-            walk.on_job_state(&VisitedJob::Live(vec![next, job_id(1), job_id(2)]));
+        if let Some(next) = traversal.next_job().cloned() {
+            traversal.on_job_state(&VisitedJob::Live(vec![next, job_id(1), job_id(2)]));
         }
     }
-    assert_eq!(walk.verdict(), Some(DependencyVerdict::NotCancelled));
+    assert_eq!(traversal.verdict(), Some(DependencyVerdict::NotCancelled));
     let mut graph = DependencyGraph::default();
     graph.add_job(&job_id(1), &[job_id(2)]);
     graph.add_job(&job_id(2), &[job_id(1)]);
     graph.add_job(&job_id(3), &[job_id(3)]);
-    let asked = |_: &JobId| {
+    let required = |_: &JobId| {
         Some(JobRequirements { deadline: Some(9), priority: 1, duration: FixedDuration(1.0) })
     };
-    assert!(!effective_requirements(&graph, 0, asked).is_empty());
+    assert!(!effective_requirements(&graph, 0, required).is_empty());
     assert_eq!(graph.state_of("wk-1"), Some(DependencyState::Waiting));
-    let off = graph.on_job_ended(&job_id(1), JobOutcome::Cancelled);
-    assert_eq!(off.len(), 2, "{off:?}");
+    let changed = graph.on_job_ended(&job_id(1), JobOutcome::Cancelled);
+    assert_eq!(changed.len(), 2, "{changed:?}");
     graph.remove_job(&job_id(1));
     graph.remove_job(&job_id(2));
     graph.remove_job(&job_id(3));
@@ -190,58 +195,61 @@
     fn followed_by(&self, next: &FixedDuration) -> FixedDuration {
         FixedDuration(self.0 + next.0)
     }
-    fn quantile(&self, chance: f64) -> f64 {
-        assert_eq!(chance, DOWNSTREAM_PROBABILITY);
+    fn quantile(&self, probability: f64) -> f64 {
+        assert_eq!(probability, DOWNSTREAM_PROBABILITY);
         self.0
     }
 }
 
-/// The soonest that any way through what comes after leaves, and the highest priority of it; what is over or called off
-/// needs nothing any more; and where time is short for all, each has its part of it.
+/// A job inherits the earliest deadline over all downstream paths and the highest downstream priority. Ended and
+/// cancelled jobs require nothing. If too little time is left for a path, it is divided in proportion to the durations.
 #[test]
-fn deadlines_go_backward_along_every_way() {
+fn deadlines_propagate_backward_along_all_paths() {
     let mut graph = DependencyGraph::default();
     // 1 -> 2 -> 4, 1 -> 3 -> 4 -> 5, 1 -> 6
-    for (job, awaits) in [(2, vec![1]), (3, vec![1]), (4, vec![2, 3]), (5, vec![4]), (6, vec![1])] {
-        graph.add_job(&job_id(job), &awaits.into_iter().map(job_id).collect::<Vec<_>>());
+    for (job, depends_on) in
+        [(2, vec![1]), (3, vec![1]), (4, vec![2, 3]), (5, vec![4]), (6, vec![1])]
+    {
+        graph.add_job(&job_id(job), &depends_on.into_iter().map(job_id).collect::<Vec<_>>());
     }
-    let takes = |n: usize| [0.0, 10.0, 20.0, 50.0, 5.0, 8.0, 400.0][n];
-    let asked = |job: &JobId| {
+    let duration = |n: usize| [0.0, 10.0, 20.0, 50.0, 5.0, 8.0, 400.0][n];
+    let required = |job: &JobId| {
         let n: usize = job[3..].parse().expect("a number");
-        let due = match n {
+        let deadline = match n {
             5 => Some(1_000),
             6 => Some(1_390),
             _ => None,
         };
         Some(JobRequirements {
-            deadline: due,
+            deadline,
             priority: if n == 5 { 7 } else { n % 2 },
-            duration: FixedDuration(takes(n)),
+            duration: FixedDuration(duration(n)),
         })
     };
-    let needed = effective_requirements(&graph, 0, asked);
-    let due = |n: usize| needed[&job_id(n)].effective_deadline;
-    assert_eq!(due(4), Some(992));
-    assert_eq!(due(3), Some(987));
-    assert_eq!(due(2), Some(987));
-    assert_eq!(due(1), Some(937), "by 3, 4 and 5, not by 6, which leaves it until 990");
-    assert_eq!(needed[&job_id(1)].priority, 7);
-    assert!(!needed.contains_key(&job_id(6)), "nobody awaits it");
-    // At 970 the chain 3, 4, 5 needs 63: each has its part of the 30 that are left, and none is overdue.
-    let late = effective_requirements(&graph, 970, asked);
+    let effective = effective_requirements(&graph, 0, required);
+    let deadline = |n: usize| effective[&job_id(n)].effective_deadline;
+    assert_eq!(deadline(4), Some(992));
+    assert_eq!(deadline(3), Some(987));
+    assert_eq!(deadline(2), Some(987));
+    assert_eq!(deadline(1), Some(937), "by the path over 3, 4 and 5; 6 alone would allow 990");
+    assert_eq!(effective[&job_id(1)].priority, 7);
+    assert!(!effective.contains_key(&job_id(6)), "it has no dependents");
+    // At 970 the chain 3, 4, 5 takes 63 ms: the remaining 30 ms are divided, and no job counts as overdue.
+    let late = effective_requirements(&graph, 970, required);
     assert_eq!(late[&job_id(4)].effective_deadline, Some(992));
-    assert_eq!(late[&job_id(3)].effective_deadline, Some(993), "50 of 63 of 30, after 970");
+    assert_eq!(late[&job_id(3)].effective_deadline, Some(993), "970 plus 50/63 of 30");
     graph.on_job_ended(&job_id(4), JobOutcome::Cancelled);
-    let off = effective_requirements(&graph, 0, asked);
+    let after_cancellation = effective_requirements(&graph, 0, required);
     assert!(
-        !off.contains_key(&job_id(4)) && off[&job_id(1)].effective_deadline == Some(990),
-        "{off:?}"
+        !after_cancellation.contains_key(&job_id(4))
+            && after_cancellation[&job_id(1)].effective_deadline == Some(990),
+        "{after_cancellation:?}"
     );
 }
 
 // ---- records and versions ----------------------------------------------------------------------
 
-fn job_record(awaits: &[&str]) -> JobRecord {
+fn job_record(depends_on: &[&str]) -> JobRecord {
     JobRecord {
         cancelled: false,
         cancelled_wall: 0,
@@ -249,12 +257,12 @@
         chunk_tasks: 256,
         write_number: 0,
         tier: None,
-        depends_on: awaits.iter().map(|a| JobId::from(*a)).collect(),
+        depends_on: depends_on.iter().map(|a| JobId::from(*a)).collect(),
         spec: job_spec(JobKind::Array, 4, 1.0, "img"),
     }
 }
 
-/// What an earlier version reads of a job's key: the fields that it cannot do without, as it wrote them.
+/// The fields that an earlier version requires in a job record.
 #[derive(serde::Deserialize)]
 #[allow(dead_code)]
 struct EarlierVersionRecord {
@@ -263,93 +271,100 @@
     j: Value,
 }
 
-/// A job that awaits nothing is written as ever; one that awaits others cannot be read, and so not be started, by an
-/// earlier version; both are read again as they were, as is what an earlier version has written.
+/// The record of a job without dependencies can be read by an earlier version. That of a job with dependencies cannot,
+/// so that an earlier version does not start it too early. This version reads both, and records of earlier versions.
 #[test]
-fn an_earlier_version_cannot_read_what_it_would_start_too_early() {
-    let plain = serde_json::to_value(job_record(&[])).expect("it has a form");
-    let waits = serde_json::to_value(job_record(&["wk-1", "wk-2"])).expect("it has a form");
+fn earlier_version_cannot_read_jobs_with_dependencies() {
+    let plain = serde_json::to_value(job_record(&[])).expect("it can be serialised");
+    let dependent =
+        serde_json::to_value(job_record(&["wk-1", "wk-2"])).expect("it can be serialised");
     assert!(serde_json::from_value::<EarlierVersionRecord>(plain.clone()).is_ok());
-    assert!(serde_json::from_value::<EarlierVersionRecord>(waits.clone()).is_err());
-    for (value, awaits) in [(plain, &[][..]), (waits.clone(), &["wk-1", "wk-2"][..])] {
+    assert!(serde_json::from_value::<EarlierVersionRecord>(dependent.clone()).is_err());
+    for (value, depends_on) in [(plain, &[][..]), (dependent.clone(), &["wk-1", "wk-2"][..])] {
         let Some(StoredJob::Live(read)) = StoredJob::read(&value) else { panic!("{value}") };
-        assert_eq!(*read, job_record(awaits));
+        assert_eq!(*read, job_record(depends_on));
     }
-    // As the version in production wrote it.
+    // As written by the version in production.
     let fixture = json!({"at": 1_700_000_000_000_u64, "c": 256, "x": false, "xat": 0, "w": 0,
-        "j": serde_json::to_value(job_spec(JobKind::Array, 4, 1.0, "img")).expect("it has a form")});
+        "j": serde_json::to_value(job_spec(JobKind::Array, 4, 1.0, "img")).expect("it can be serialised")});
     assert_eq!(StoredJob::read(&fixture), Some(StoredJob::Live(Box::new(job_record(&[])))));
-    let over = StoredJob::read(&json!({"e": "d", "n": 4}));
-    let last = FinalRecord { state: FinalState::Done, done: 4, ended_wall: None };
-    assert_eq!(over, Some(StoredJob::Finished(last)));
-    // Neither, or both: not read, never a panic.
+    let finished = StoredJob::read(&json!({"e": "d", "n": 4}));
+    let final_record = FinalRecord { state: FinalState::Done, done: 4, ended_wall: None };
+    assert_eq!(finished, Some(StoredJob::Finished(final_record)));
+    // Records with missing fields, or with fields of both formats, are rejected without a panic.
     for field in ["p", "c", "at"] {
-        let mut odd = waits.clone();
-        odd.as_object_mut().expect("a map").remove(field);
-        assert_eq!(StoredJob::read(&odd), None, "without {field}");
+        let mut invalid = dependent.clone();
+        invalid.as_object_mut().expect("a map").remove(field);
+        assert_eq!(StoredJob::read(&invalid), None, "without {field}");
     }
-    let mut twice = waits.clone();
-    twice["j"] = fixture["j"].clone();
-    assert_eq!(StoredJob::read(&twice), None);
+    let mut both = dependent.clone();
+    both["j"] = fixture["j"].clone();
+    assert_eq!(StoredJob::read(&both), None);
 }
 
-fn job_with_dependencies(name: &str, awaits: &[&str], shards: u32, eta_s: f64) -> Value {
-    let mut body = job_body(name, "array", "blue", shards, 1.0, eta_s);
-    body["awaits"] = json!(awaits);
+fn job_with_dependencies(name: &str, depends_on: &[&str], tasks: u32, eta_s: f64) -> Value {
+    let mut body = job_body(name, "array", "blue", tasks, 1.0, eta_s);
+    body["awaits"] = json!(depends_on);
     body["due_s"] = Value::Null;
     body
 }
 
 fn encode_body(body: &Value) -> Vec<u8> {
-    rmp_serde::to_vec_named(body).expect("JSON packs")
+    rmp_serde::to_vec_named(body).expect("JSON can be encoded")
 }
 
+/// Dependencies in a submission must be a list of non-empty names, at most 256.
 #[test]
-fn submissions_name_jobs_or_are_malformed() {
+fn malformed_dependencies_are_rejected() {
     let read = |awaits: Value| {
         let mut body = job_with_dependencies("wk-9", &[], 1, 1.0);
         body["awaits"] = awaits;
         read_submission(&encode_body(&body)).expect("the id can be read")
     };
     let names = |awaits: Value| -> Vec<String> {
-        let it = read(awaits);
-        assert!(it.spec.is_ok());
-        it.depends_on.iter().map(|a| a.to_string()).collect()
+        let submission = read(awaits);
+        assert!(submission.spec.is_ok());
+        submission.depends_on.iter().map(|a| a.to_string()).collect()
     };
     assert_eq!(names(json!(["wk-1", "wk-2", "wk-1"])), ["wk-1", "wk-2"]);
     assert!(names(json!([])).is_empty() && names(Value::Null).is_empty());
-    assert_eq!(names(json!(["no id at all"])), ["no id at all"], "known to nobody: not malformed");
+    assert_eq!(
+        names(json!(["no id at all"])),
+        ["no id at all"],
+        "an unknown name is not malformed"
+    );
     let many: Vec<String> = (0..257).map(|n| format!("wk-{n}")).collect();
-    for bad in [json!("wk-1"), json!([1]), json!([null]), json!({}), json!([""]), json!(many)] {
-        assert!(read(bad.clone()).spec.is_err(), "{bad}");
+    for malformed in [json!("wk-1"), json!([1]), json!([null]), json!({}), json!([""]), json!(many)]
+    {
+        assert!(read(malformed.clone()).spec.is_err(), "{malformed}");
     }
 }
 
-/// Until each other controller has said that its version knows such jobs, none is accepted; then that is noted once,
-/// and one who reads the note needs no other word.
+/// Jobs with dependencies are accepted only after every other controller has reported a version that supports them.
+/// This is then recorded in the state service, and the record alone is sufficient for other controllers.
 #[test]
-fn no_such_job_is_accepted_while_an_earlier_version_may_serve() {
+fn dependencies_are_rejected_while_an_earlier_version_may_run() {
     let now = Now { monotonic: START_MS, wall_clock: START_MS };
-    let beat = |node: &str, form| Heartbeat {
+    let heartbeat = |node: &str, form| Heartbeat {
         controller: node.into(),
         incarnation: 7,
         format_version: form,
         ..Heartbeat::default()
     };
-    let ask = |node: &mut Controller, n: u64| {
+    let submit = |node: &mut Controller, n: u64| {
         let body = encode_body(&job_with_dependencies("wk-9", &["wk-1"], 1, 1.0));
         node.handle(Event::UserRequest(n, UserRequest::Submit(body)), now);
         let actions = node.take_actions();
-        let raises = actions.iter().any(|a| match a {
+        let records_format = actions.iter().any(|a| match a {
             Action::CallStore(_, StoreCall::Commit(c)) => {
                 c.preconditions.iter().any(|w| w.key == "term/form")
             }
             _ => false,
         });
-        let reads = actions.iter().any(
+        let reads_dependency = actions.iter().any(
             |a| matches!(a, Action::CallStore(_, StoreCall::Get(key)) if key.ends_with("wk-1")),
         );
-        (raises, reads)
+        (records_format, reads_dependency)
     };
     let ready = || {
         let mut node = Controller::new(controller_settings(0), 3, now);
@@ -367,17 +382,17 @@
         node
     };
     let mut node = ready();
-    assert_eq!(ask(&mut node, 1), (false, false), "nobody was heard");
-    node.handle(Event::Heartbeat(beat("n1", FORMAT_VERSION)), now);
-    assert_eq!(ask(&mut node, 2), (false, false), "n2 was not heard");
-    node.handle(Event::Heartbeat(beat("n2", 0)), now);
-    assert_eq!(ask(&mut node, 3), (false, false), "n2 is of an earlier version");
-    node.handle(Event::Heartbeat(beat("n2", FORMAT_VERSION)), now);
-    node.handle(Event::Heartbeat(beat("n1", 0)), now);
-    assert_eq!(ask(&mut node, 4), (false, false), "n1 has gone back");
-    node.handle(Event::Heartbeat(beat("n1", FORMAT_VERSION)), now);
-    assert_eq!(ask(&mut node, 5), (true, false), "all know it");
-    // The note of another is enough.
+    assert_eq!(submit(&mut node, 1), (false, false), "no heartbeat received");
+    node.handle(Event::Heartbeat(heartbeat("n1", FORMAT_VERSION)), now);
+    assert_eq!(submit(&mut node, 2), (false, false), "no heartbeat of n2");
+    node.handle(Event::Heartbeat(heartbeat("n2", 0)), now);
+    assert_eq!(submit(&mut node, 3), (false, false), "n2 has an earlier version");
+    node.handle(Event::Heartbeat(heartbeat("n2", FORMAT_VERSION)), now);
+    node.handle(Event::Heartbeat(heartbeat("n1", 0)), now);
+    assert_eq!(submit(&mut node, 4), (false, false), "n1 was downgraded");
+    node.handle(Event::Heartbeat(heartbeat("n1", FORMAT_VERSION)), now);
+    assert_eq!(submit(&mut node, 5), (true, false), "all controllers support it");
+    // A format version recorded by another controller is sufficient.
     let mut node = ready();
     let pair = |key: &str, value| swiftsail_protocol::state::KeyValue {
         key: key.into(),
@@ -388,13 +403,19 @@
     let pairs = vec![pair("term/form", json!({ "form": FORMAT_VERSION }))];
     let page = KeyPage { entries: pairs, has_next: false, revision: 9 };
     node.handle(Event::StoreResponse(1, StoreOutcome::Page(page)), now);
-    assert_eq!(ask(&mut node, 6), (false, true), "what it awaits is looked up");
+    assert_eq!(submit(&mut node, 6), (false, true), "its dependency is read");
 }
 
-// ---- on the real cores -------------------------------------------------------------------------
+// ---- simulations -------------------------------------------------------------------------------
 
-/// Four stages, of which the second has three jobs, and what users set on the last.
-fn submit_pipeline(world: &mut Simulation, name: &str, at_ms: u64, cancel: Option<(usize, u64)>) {
+/// Submits a pipeline of four stages, of which the second has three jobs and the last has a deadline and a higher
+/// priority.
+fn submit_pipeline(
+    simulation: &mut Simulation,
+    name: &str,
+    at_ms: u64,
+    cancel: Option<(usize, u64)>,
+) {
     let ids: Vec<String> = (0..6).map(|n| format!("wk-{name}{n}")).collect();
     let stages: [(&[usize], u32, f64); 6] = [
         (&[], 3, 4.0),
@@ -404,258 +425,299 @@
         (&[1, 2, 3], 2, 4.0),
         (&[4], 2, 3.0),
     ];
-    for (n, (awaits, shards, eta_s)) in stages.into_iter().enumerate() {
-        let awaits: Vec<&str> = awaits.iter().map(|a| ids[*a].as_str()).collect();
-        let mut body = job_with_dependencies(&ids[n], &awaits, shards, eta_s);
+    for (n, (depends_on, tasks, eta_s)) in stages.into_iter().enumerate() {
+        let depends_on: Vec<&str> = depends_on.iter().map(|a| ids[*a].as_str()).collect();
+        let mut body = job_with_dependencies(&ids[n], &depends_on, tasks, eta_s);
         body["rank"] = if n == 5 { "high" } else { "low" }.into();
         if n == 5 {
             body["due_s"] = json!(90.0);
         }
         let cancel = cancel.filter(|(of, _)| *of == n).map(|(_, at)| at);
-        world.submit(at_ms + n as u64 * 400, cancel, body);
+        simulation.submit(at_ms + n as u64 * 400, cancel, body);
     }
 }
 
-fn last_status(world: &Simulation, id: &str) -> String {
-    let job = world.jobs.iter().find(|j| j.id == id).expect("it was submitted");
+fn last_status(simulation: &Simulation, id: &str) -> String {
+    let job = simulation.jobs.iter().find(|j| j.id == id).expect("it was submitted");
     job.last_status.clone().unwrap_or_default()
 }
 
-/// While one controller is of an earlier version pipelines are put off, at every controller and whoever ends; all else is
-/// served; and once it has been replaced they are taken and run.
+/// While one controller has an earlier version, jobs with dependencies are not accepted by any controller, also after a
+/// crash, and all other jobs are served. After the upgrade they are accepted and run.
 #[test]
-fn pipelines_are_put_off_while_versions_mix() {
+fn pipelines_are_deferred_during_rolling_upgrade() {
     for seed in 0..6 {
-        let mut world = Simulation::new(seed, FaultRates::NONE, 1_000);
-        world.old_version_until_ms[seed as usize % 3] = 70_000;
-        world.schedule_crash(40_000, (seed as usize + 1) % 3);
-        submit_pipeline(&mut world, "a", 20_000, None);
-        world.submit(20_000, None, job_body("wk-p", "array", "blue", 3, 1.0, 5.0));
-        world.run_until(70_000);
-        let accepted =
-            |world: &Simulation, id: &str| world.jobs.iter().any(|j| j.id == id && j.accepted);
+        let mut simulation = Simulation::new(seed, FaultRates::NONE, 1_000);
+        simulation.old_version_until_ms[seed as usize % 3] = 70_000;
+        simulation.schedule_crash(40_000, (seed as usize + 1) % 3);
+        submit_pipeline(&mut simulation, "a", 20_000, None);
+        simulation.submit(20_000, None, job_body("wk-p", "array", "blue", 3, 1.0, 5.0));
+        simulation.run_until(70_000);
+        let accepted = |simulation: &Simulation, id: &str| {
+            simulation.jobs.iter().any(|j| j.id == id && j.accepted)
+        };
         assert!(
-            accepted(&world, "wk-a0") && last_status(&world, "wk-p") == "done",
-            "seed {seed}: others are served"
+            accepted(&simulation, "wk-a0") && last_status(&simulation, "wk-p") == "done",
+            "seed {seed}: jobs without dependencies are served"
         );
         for n in 1..6 {
-            assert!(!accepted(&world, &format!("wk-a{n}")), "seed {seed}: wk-a{n} was accepted");
+            assert!(
+                !accepted(&simulation, &format!("wk-a{n}")),
+                "seed {seed}: wk-a{n} was accepted"
+            );
         }
-        world.run_until(200_000);
-        assert_all_jobs_over(&world, &format!("seed {seed}"));
+        simulation.run_until(200_000);
+        assert_all_jobs_over(&simulation, &format!("seed {seed}"));
     }
 }
 
-/// Stages run one after the other, and the next begins soon after the one before it.
+/// Stages run one after another, and each starts soon after the previous one.
 #[test]
-fn a_pipeline_runs_in_order_and_without_delay() {
-    let mut world = Simulation::new(1, FaultRates::NONE, 1_000);
-    world.submit(500, None, job_body("wk-s", "array", "blue", 30, 1.0, 60.0));
-    submit_pipeline(&mut world, "a", 30_000, None);
-    world.run_until(120_000);
-    assert_all_jobs_over(&world, "calm");
-    let ended = world.jobs.iter().find(|j| j.id == "wk-a5").and_then(|j| j.accepted_at);
-    assert!(ended.is_some());
-    // 4, 5, 4 and 3 s of work, a few fetches and hand-overs.
-    let at = world.jobs.iter().map(|j| j.last_answered_at).max().expect("answered");
-    assert!(at < START_MS + 120_000, "{}", at - START_MS);
+fn pipeline_stages_run_in_order_without_delay() {
+    let mut simulation = Simulation::new(1, FaultRates::NONE, 1_000);
+    simulation.submit(500, None, job_body("wk-s", "array", "blue", 30, 1.0, 60.0));
+    submit_pipeline(&mut simulation, "a", 30_000, None);
+    simulation.run_until(120_000);
+    assert_all_jobs_over(&simulation, "no faults");
+    let accepted_at = simulation.jobs.iter().find(|j| j.id == "wk-a5").and_then(|j| j.accepted_at);
+    assert!(accepted_at.is_some());
+    // 4, 5, 4 and 3 s of run time, image fetches and the delays between stages.
+    let last_answer_at =
+        simulation.jobs.iter().map(|j| j.last_answered_at).max().expect("answered");
+    assert!(last_answer_at < START_MS + 120_000, "{}", last_answer_at - START_MS);
 }
 
-/// A cancellation takes all that needs the job with it, through others too, at whatever point it comes, and nothing
-/// else; what names a cancelled job later is accepted and called off; one answered `done` calls nothing off.
+/// Cancelling a job at any time cancels exactly its direct and transitive dependents. Later submissions that depend on
+/// a cancelled job are accepted and cancelled. If the cancellation comes too late and is answered with `done`, nothing
+/// is cancelled.
 #[test]
-fn a_cancellation_takes_with_it_what_needs_the_job() {
-    let (mut off, mut done) = (0, 0);
+fn cancellation_reaches_exactly_the_dependents() {
+    let (mut cancelled_count, mut done_count) = (0, 0);
     for seed in 0..24 {
-        let mut world = Simulation::new(seed, FaultRates::NONE, 1_000);
-        let which = seed as usize % 5;
-        submit_pipeline(&mut world, "a", 15_000, Some((which, 15_500 + seed * 1_500)));
-        submit_pipeline(&mut world, "b", 16_000, None);
-        let named = format!("wk-a{which}");
-        world.submit(80_000, None, job_with_dependencies("wk-late", &[&named, "wk-b0"], 2, 3.0));
-        world.submit(80_500, None, job_with_dependencies("wk-later", &["wk-late"], 2, 3.0));
-        world.submit(80_500, None, job_with_dependencies("wk-fine", &["wk-b5", "wk-b1"], 2, 3.0));
-        world.run_until(200_000);
-        assert_all_jobs_over(&world, &format!("seed {seed}"));
-        assert_eq!(last_status(&world, "wk-fine"), "done");
-        let told = last_status(&world, &named);
-        match told.as_str() {
-            "done" => done += 1,
-            _ => off += 1,
+        let mut simulation = Simulation::new(seed, FaultRates::NONE, 1_000);
+        let cancelled = seed as usize % 5;
+        submit_pipeline(&mut simulation, "a", 15_000, Some((cancelled, 15_500 + seed * 1_500)));
+        submit_pipeline(&mut simulation, "b", 16_000, None);
+        let cancelled_id = format!("wk-a{cancelled}");
+        simulation.submit(
+            80_000,
+            None,
+            job_with_dependencies("wk-late", &[&cancelled_id, "wk-b0"], 2, 3.0),
+        );
+        simulation.submit(80_500, None, job_with_dependencies("wk-later", &["wk-late"], 2, 3.0));
+        simulation.submit(
+            80_500,
+            None,
+            job_with_dependencies("wk-fine", &["wk-b5", "wk-b1"], 2, 3.0),
+        );
+        simulation.run_until(200_000);
+        assert_all_jobs_over(&simulation, &format!("seed {seed}"));
+        assert_eq!(last_status(&simulation, "wk-fine"), "done");
+        let status = last_status(&simulation, &cancelled_id);
+        match status.as_str() {
+            "done" => done_count += 1,
+            _ => cancelled_count += 1,
         }
-        let after: &[usize] = [&[1, 2, 3, 4, 5][..], &[4, 5], &[4, 5], &[4, 5], &[5]][which];
+        let dependents: &[usize] =
+            [&[1, 2, 3, 4, 5][..], &[4, 5], &[4, 5], &[4, 5], &[5]][cancelled];
         for n in 0..6 {
-            let expected = if after.contains(&n) || n == which { told.as_str() } else { "done" };
-            assert_eq!(last_status(&world, &format!("wk-a{n}")), expected, "seed {seed}: wk-a{n}");
+            let expected =
+                if dependents.contains(&n) || n == cancelled { status.as_str() } else { "done" };
+            assert_eq!(
+                last_status(&simulation, &format!("wk-a{n}")),
+                expected,
+                "seed {seed}: wk-a{n}"
+            );
         }
-        let late = if told == "done" { "done" } else { "withdrawn" };
+        let late_status = if status == "done" { "done" } else { "withdrawn" };
         assert_eq!(
-            (last_status(&world, "wk-late"), last_status(&world, "wk-later")),
-            (late.into(), late.into())
+            (last_status(&simulation, "wk-late"), last_status(&simulation, "wk-later")),
+            (late_status.into(), late_status.into())
         );
     }
-    assert!(off >= 6 && done >= 4, "{off} cancelled in time, {done} not");
+    assert!(
+        cancelled_count >= 6 && done_count >= 4,
+        "{cancelled_count} cancelled in time, {done_count} not"
+    );
 }
 
-/// A hundred jobs after one, which is cancelled as the leader ends: whoever is asked says so in time.
+/// A job with a hundred dependents is cancelled just before the leader crashes: every controller reports the dependents
+/// as cancelled in time, and no job stays open.
 #[test]
-fn a_hundred_jobs_after_a_cancelled_one() {
+fn cancellation_with_many_dependents_survives_leader_crash() {
     for seed in 0..3 {
-        let mut world = Simulation::new(seed, FaultRates::NONE, 1_000);
-        world.submit(500, Some(60_000), job_body("wk-1", "array", "blue", 2, 1.0, 300.0));
+        let mut simulation = Simulation::new(seed, FaultRates::NONE, 1_000);
+        simulation.submit(500, Some(60_000), job_body("wk-1", "array", "blue", 2, 1.0, 300.0));
         for n in 0..100 {
-            let before = if n % 4 == 3 { format!("wk-x{}", n - 1) } else { "wk-1".to_string() };
-            world.submit(
+            let dependency = if n % 4 == 3 { format!("wk-x{}", n - 1) } else { "wk-1".to_string() };
+            simulation.submit(
                 10_000 + n * 150,
                 None,
-                job_with_dependencies(&format!("wk-x{n}"), &[&before], 3, 4.0),
+                job_with_dependencies(&format!("wk-x{n}"), &[&dependency], 3, 4.0),
             );
         }
-        world.run_until(60_000);
-        if let Some(node) = leader_index(&world) {
-            world.schedule_crash(60_020, node);
+        simulation.run_until(60_000);
+        if let Some(node) = leader_index(&simulation) {
+            simulation.schedule_crash(60_020, node);
         }
-        world.run_until(160_000);
-        assert_all_jobs_over(&world, &format!("seed {seed}"));
-        let open = world
+        simulation.run_until(160_000);
+        assert_all_jobs_over(&simulation, &format!("seed {seed}"));
+        let cluster_state = simulation
             .controllers
             .iter()
             .flatten()
             .find_map(Controller::cluster_state)
-            .expect("somebody leads");
-        assert!(open.jobs.is_empty(), "{} are still to be ended", open.jobs.len());
+            .expect("a controller leads");
+        assert!(cluster_state.jobs.is_empty(), "{} jobs are still open", cluster_state.jobs.len());
     }
 }
 
-/// What is named must have been accepted: else 422 at every controller, and a repeat of an accepted job is answered
-/// from its record whatever it names.
+/// A dependency must be an accepted job; otherwise every controller answers 422. A repeated submission of an accepted
+/// job is answered from its record, whatever dependencies it names.
 #[test]
-fn only_what_was_accepted_may_be_awaited() {
-    let mut world = Simulation::new(4, FaultRates::NONE, 1_000);
-    world.submit(500, None, job_body("wk-1", "array", "blue", 1, 1.0, 5.0));
+fn dependencies_must_be_accepted_jobs() {
+    let mut simulation = Simulation::new(4, FaultRates::NONE, 1_000);
+    simulation.submit(500, None, job_body("wk-1", "array", "blue", 1, 1.0, 5.0));
     for n in 0..6 {
         let name = format!("wk-n{n}");
         let itself = [name.as_str()];
-        let awaits = match n % 4 {
+        let depends_on = match n % 4 {
             0 => &["wk-none"][..],
             1 => &["wk-1", "wk-none"],
             2 => &itself,
             _ => &["not an id"],
         };
-        world.submit(20_000 + n as u64 * 700, None, job_with_dependencies(&name, awaits, 1, 2.0));
+        simulation.submit(
+            20_000 + n as u64 * 700,
+            None,
+            job_with_dependencies(&name, depends_on, 1, 2.0),
+        );
     }
-    world.submit(60_000, None, job_with_dependencies("wk-2", &["wk-1"], 1, 2.0));
-    world.submit(90_000, None, job_with_dependencies("wk-2", &["wk-none"], 1, 2.0));
-    world.run_until(130_000);
-    assert!(world.violations.is_empty(), "{:?}", world.violations);
-    assert_eq!(last_status(&world, "wk-2"), "done");
+    simulation.submit(60_000, None, job_with_dependencies("wk-2", &["wk-1"], 1, 2.0));
+    simulation.submit(90_000, None, job_with_dependencies("wk-2", &["wk-none"], 1, 2.0));
+    simulation.run_until(130_000);
+    assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
+    assert_eq!(last_status(&simulation, "wk-2"), "done");
     for n in 0..6 {
-        let job = world.jobs.iter().find(|j| j.id == format!("wk-n{n}")).expect("submitted");
+        let job = simulation.jobs.iter().find(|j| j.id == format!("wk-n{n}")).expect("submitted");
         assert!(!job.accepted, "{} was accepted", job.id);
     }
-    assert!(world.jobs.last().expect("submitted").accepted, "a repeat of a known job");
+    assert!(
+        simulation.jobs.last().expect("submitted").accepted,
+        "a repeated submission of an accepted job"
+    );
 }
 
-/// While it waits a job holds no part of its team's limit, however much it will take.
+/// A job that waits for its dependencies uses nothing of its team's limit, however large it is.
 #[test]
-fn what_waits_holds_nothing_of_a_limit() {
-    let mut world = Simulation::new(6, FaultRates::NONE, 1_000);
+fn waiting_job_uses_no_quota() {
+    let mut simulation = Simulation::new(6, FaultRates::NONE, 1_000);
     let mut long = job_body("wk-1", "array", "red", 1, 1.0, 100.0);
     long["due_s"] = Value::Null;
-    world.submit(500, None, long);
+    simulation.submit(500, None, long);
     let mut big = job_with_dependencies("wk-2", &["wk-1"], 9, 4.0);
     (big["crew"], big["cpus"]) = ("red".into(), json!(4.0));
-    world.submit(2_000, None, big);
+    simulation.submit(2_000, None, big);
     let mut other = job_body("wk-3", "array", "red", 9, 4.0, 5.0);
     other["due_s"] = Value::Null;
-    world.submit(3_000, None, other);
-    world.run_until(60_000);
+    simulation.submit(3_000, None, other);
+    simulation.run_until(60_000);
     assert_eq!(
-        last_status(&world, "wk-3"),
+        last_status(&simulation, "wk-3"),
         "done",
         "{:?}",
-        world.jobs.iter().map(|j| &j.last_status).collect::<Vec<_>>()
+        simulation.jobs.iter().map(|j| &j.last_status).collect::<Vec<_>>()
     );
-    assert_eq!(last_status(&world, "wk-2"), "pending");
-    world.run_until(200_000);
-    assert_all_jobs_over(&world, "in the end");
+    assert_eq!(last_status(&simulation, "wk-2"), "pending");
+    simulation.run_until(200_000);
+    assert_all_jobs_over(&simulation, "at the end");
 }
 
-/// Pipelines in rough weather: crashes of one and all, outages, lost and late answers, cancellations anywhere; last
-/// jobs submitted when the others are long over and moved to their last place, under other leaders.
+/// Pipelines under crashes of single and all controllers, outages, lost and late messages, and cancellations of any
+/// job. A last job is submitted when its dependencies have long ended and their records are archived, under another
+/// leader.
 #[test]
-fn pipelines_hold_in_rough_weather() {
-    let mut called_off = 0;
+fn pipelines_complete_under_faults() {
+    let mut cancelled_by_dependency = 0;
     for seed in seeds_from_environment("PIPELINES").unwrap_or(0..12) {
         let mut rng = StdRng::seed_from_u64(seed ^ 0xa7);
-        let rough = seed % 2 == 0;
-        let weather = FaultRates {
-            message_loss: if rough { 0.03 } else { 0.0 },
-            message_delay: if rough { 0.02 } else { 0.0 },
+        let has_message_faults = seed % 2 == 0;
+        let faults = FaultRates {
+            message_loss: if has_message_faults { 0.03 } else { 0.0 },
+            message_delay: if has_message_faults { 0.02 } else { 0.0 },
             crashes: rng.random_range(0..5),
             outages_and_hangs: rng.random_range(0..3),
         };
-        let mut world = Simulation::new(seed, weather, 150_000);
-        world.restart_delay_ms = [None, Some(100), Some(1_000)][rng.random_range(0..3)];
+        let mut simulation = Simulation::new(seed, faults, 150_000);
+        simulation.restart_delay_ms = [None, Some(100), Some(1_000)][rng.random_range(0..3)];
         if rng.random_bool(0.5) {
-            world.add_fault_window(20_000, 120_000, Fault::ConsistencyProbes);
+            simulation.add_fault_window(20_000, 120_000, Fault::ConsistencyProbes);
         }
         for n in 0..5 {
             let at = rng.random_range(5_000..110_000);
             let cancel = rng
                 .random_bool(0.6)
                 .then(|| (rng.random_range(0..6), at + rng.random_range(2_500..40_000)));
-            submit_pipeline(&mut world, ["a", "b", "c", "d", "e"][n], at, cancel);
+            submit_pipeline(&mut simulation, ["a", "b", "c", "d", "e"][n], at, cancel);
         }
-        (0..3).for_each(|n| world.schedule_crash(rng.random_range(60_000..140_000), n));
-        world.submit(170_000, None, job_with_dependencies("wk-z", &["wk-a5", "wk-b0"], 2, 3.0));
-        world.run_until(420_000);
-        assert_all_jobs_over(&world, &format!("seed {seed}"));
-        called_off += world
+        (0..3).for_each(|n| simulation.schedule_crash(rng.random_range(60_000..140_000), n));
+        simulation.submit(
+            170_000,
+            None,
+            job_with_dependencies("wk-z", &["wk-a5", "wk-b0"], 2, 3.0),
+        );
+        simulation.run_until(420_000);
+        assert_all_jobs_over(&simulation, &format!("seed {seed}"));
+        cancelled_by_dependency += simulation
             .jobs
             .iter()
             .filter(|j| j.cancel_at.is_none() && j.last_status.as_deref() == Some("withdrawn"))
             .count();
     }
-    assert!(called_off > 8, "{called_off} jobs were called off");
+    assert!(cancelled_by_dependency > 8, "{cancelled_by_dependency} jobs cancelled by dependency");
 }
 
-/// Machines for what is about to begin are booted by then, and not long before; nothing of it is bound meanwhile.
+/// Machines for a dependent job are rented before its dependency ends, but not long before.
 #[test]
-fn machines_are_up_when_the_next_stage_begins() {
-    let mut world = Simulation::with_capacity(8, FaultRates::NONE, 1_000, 40);
-    // From these it learns how far its class keeps to its estimates.
+fn machines_are_rented_ahead_of_the_next_stage() {
+    let mut simulation = Simulation::with_capacity(8, FaultRates::NONE, 1_000, 40);
+    // These jobs let the controllers learn how accurate the estimates of the class are.
     for n in 0..4 {
-        world.submit(300, None, job_body(&format!("wk-t{n}"), "array", "blue", 10, 0.5, 4.0));
+        simulation.submit(300, None, job_body(&format!("wk-t{n}"), "array", "blue", 10, 0.5, 4.0));
     }
-    world.submit(60_000, None, job_body("wk-1", "array", "blue", 2, 1.0, 100.0));
+    simulation.submit(60_000, None, job_body("wk-1", "array", "blue", 2, 1.0, 100.0));
     let mut next = job_with_dependencies("wk-2", &["wk-1"], 40, 6.0);
     next["cpus"] = json!(4.0);
-    world.submit(62_000, None, next);
-    let up =
-        |world: &Simulation| world.cluster.workers.values().filter(|w| !w.is_terminated).count();
-    world.run_until(110_000);
-    let (before, mut rented, mut done) = (up(&world), None, None);
+    simulation.submit(62_000, None, next);
+    let machine_count = |simulation: &Simulation| {
+        simulation.cluster.workers.values().filter(|w| !w.is_terminated).count()
+    };
+    simulation.run_until(110_000);
+    let (before, mut rented, mut done) = (machine_count(&simulation), None, None);
     assert!(before <= 6, "{before} machines for two tasks");
     for at in (110_000..300_000).step_by(200) {
-        world.run_until(at);
-        if up(&world) >= 20 {
+        simulation.run_until(at);
+        if machine_count(&simulation) >= 20 {
             rented.get_or_insert(at);
         }
-        if (0..2).all(|t| world.cluster.finished_tasks.contains(&format!("wk-1/{t}"))) {
+        if (0..2).all(|t| simulation.cluster.finished_tasks.contains(&format!("wk-1/{t}"))) {
             done.get_or_insert(at);
         }
     }
-    assert_all_jobs_over(&world, "in the end");
+    assert_all_jobs_over(&simulation, "at the end");
     let (rented, done) = (rented.expect("machines were rented"), done.expect("it was done"));
-    assert!(rented < done && done - rented < 60_000, "rented at {rented}, awaited until {done}");
+    assert!(
+        rented < done && done - rented < 60_000,
+        "rented at {rented}, dependency done at {done}"
+    );
 }
 
-// ---- limits to come ----------------------------------------------------------------------------
+// ---- announced limits --------------------------------------------------------------------------
 
-/// The lower of the limits that hold and those to come is kept to; nonsense to come is not believed.
+/// The lower of the current and the announced limits of the state service applies; invalid announced limits are
+/// ignored.
 #[test]
-fn the_lower_of_the_limits_is_kept_to() {
+fn lower_of_current_and_announced_limits_applies() {
     let text = |next: &str| {
         format!(
             "host_name = \"n0\"\nfront = \"127.0.0.1:1\"\ncluster_listen = \"127.0.0.1:2\"\n\
@@ -667,27 +729,28 @@
         )
     };
     let read = |next: &str| {
-        let state = Settings::parse("a test", &text(next)).expect("sound").settings.state;
+        let state =
+            Settings::parse("a test", &text(next)).expect("the settings are valid").settings.state;
         (state.rps, state.write_rps, state.value_kb, state.txn_ops)
     };
-    let as_now = (150.0, 20.0, 32.0, 16);
-    assert_eq!(read(""), as_now);
+    let current = (150.0, 20.0, 32.0, 16);
+    assert_eq!(read(""), current);
     let next = "[settings.state.next]\n";
-    assert_eq!(read(next), as_now);
+    assert_eq!(read(next), current);
     assert_eq!(
         read(&format!("{next}write_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 5\n")),
         (150.0, 15.0, 2.0, 5)
     );
-    assert_eq!(read(&format!("{next}rps = 900.0\nvalue_kb = 64.0\ntxn_ops = 16\n")), as_now);
+    assert_eq!(read(&format!("{next}rps = 900.0\nvalue_kb = 64.0\ntxn_ops = 16\n")), current);
     assert_eq!(
         read(&format!("{next}rps = 0.0\nwrite_rps = -3.0\nvalue_kb = nan\ntxn_ops = 0\n")),
-        as_now
+        current
     );
 }
 
-/// Ids are shared, not copied, however many jobs await one.
+/// The id of a job with many dependents is shared, not copied.
 #[test]
-fn a_thousand_jobs_after_one_cost_little() {
+fn dependency_ids_are_shared() {
     let mut graph = DependencyGraph::default();
     let first = job_id(0);
     for n in 1..=1_000 {
--- a/tests/job_dependencies_model.rs
+++ b/tests/job_dependencies_model.rs
@@ -1,5 +1,6 @@
-//! Every order of events in a small world of two stages: acceptance, a cancellation, ends, moves to the last place, late
-//! bindings, leaders that begin anew, a question read step by step. Each guard left out is found.
+//! Model check of a pipeline of two jobs: all interleavings of acceptance, cancellation, job ends, archiving of
+//! records, delayed bindings, changes of leader, and the reads of a user's status request. Without any one of the
+//! guards, the checker finds a violation.
 
 use swiftsail_dag::{
     DependencyGraph, DependencyState, DependencyTraversal, DependencyVerdict, JobId, JobOutcome,
@@ -7,47 +8,50 @@
 };
 use swiftsail_simulation::model_checker::{CheckResult, Model, check_model};
 
-/// What is left out to see that the explorer finds it.
+/// Guard that is removed to verify that the model checker finds a violation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum RemovedGuard {
     None,
-    /// A leader binds what awaits others like anything else.
+    /// A leader binds jobs without waiting for their dependencies.
     DependencyWait,
-    /// A leader takes a job that it knows nothing of for done.
+    /// A leader assumes that a job that it does not know is done.
     OutcomeLookup,
-    /// Whoever is asked reads a job's last place before its first.
+    /// A status request reads the archive before the live record.
     LookupOrder,
-    /// Whoever is asked goes by what it read of the job before the question, and by nothing before it.
+    /// A status request relies on earlier reads and does not read the dependency.
     LookupFreshness,
 }
 
-/// A job's record in the state service.
+/// State of a job's record in the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum StoredJobRecord {
     Absent,
     Live,
     Cancelled,
-    Over(bool),
-    Moved(bool),
+    /// The live record contains the end: done, or cancelled.
+    Ended(bool),
+    /// The record has been moved to the archive.
+    Archived(bool),
 }
 
-/// What a leader knows.
+/// State of a leader.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct ModelLeader {
-    /// Jobs in its tables that are not over: cancelled or not.
+    /// Jobs known to be live, and whether each is cancelled.
     jobs: [Option<bool>; 2],
     graph: DependencyGraph,
-    /// It asks what became of the first: it has read that it is not in its first place.
+    /// Set while the outcome of the first job is being looked up: its live record was not found.
     outcome_lookup: Option<bool>,
 }
 
+/// A user's request for the status of the second job, in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct PendingQuestion {
+struct PendingRequest {
     lookup: DependencyTraversal,
-    /// The cancellation had been told when it was asked.
-    cancellation_told: bool,
-    /// Which place is read next: the other was read, and it was not there.
-    reads_second_place: bool,
+    /// Whether the cancellation had been confirmed to the user before the request.
+    cancellation_confirmed: bool,
+    /// Whether the second of the two locations is read next, as the record was not in the first.
+    reads_second_location: bool,
 }
 
 #[derive(Debug, Clone, Hash)]
@@ -56,14 +60,14 @@
     store: [StoredJobRecord; 2],
     fencing_token: u8,
     leader: Option<ModelLeader>,
-    /// Bindings under way: under which token.
+    /// Fencing tokens of the bindings in flight.
     bindings_in_flight: [Option<u8>; 2],
     bound: [bool; 2],
     started: [bool; 2],
     finished: [bool; 2],
-    cancellation_told: bool,
-    question: Option<PendingQuestion>,
-    /// An answer said that the second is called off.
+    cancellation_confirmed: bool,
+    request: Option<PendingRequest>,
+    /// Whether an answer has reported the second job as cancelled.
     reported_cancelled: bool,
     violation: Option<&'static str>,
 }
@@ -80,9 +84,9 @@
     Start(usize),
     Finish(usize),
     RecordEnd(usize),
-    MoveRecord(usize),
-    Ask,
-    Read,
+    ArchiveRecord(usize),
+    StartRequest,
+    ReadRecord,
 }
 
 fn job_id(n: usize) -> JobId {
@@ -104,25 +108,25 @@
             bound: [false; 2],
             started: [false; 2],
             finished: [false; 2],
-            cancellation_told: false,
-            question: None,
+            cancellation_confirmed: false,
+            request: None,
             reported_cancelled: false,
             violation: None,
         }
     }
 
-    /// A leader takes in a job's record from its first place.
+    /// A leader reads a job's live record.
     fn observe_record(&self, leader: &mut ModelLeader, n: usize) {
-        let over = match self.store[n] {
+        let ended = match self.store[n] {
             StoredJobRecord::Live => None,
             StoredJobRecord::Cancelled => Some(false),
-            StoredJobRecord::Over(done) => Some(done),
-            StoredJobRecord::Absent | StoredJobRecord::Moved(_) => return,
+            StoredJobRecord::Ended(done) => Some(done),
+            StoredJobRecord::Absent | StoredJobRecord::Archived(_) => return,
         };
-        if matches!(self.store[n], StoredJobRecord::Over(_)) {
+        if matches!(self.store[n], StoredJobRecord::Ended(_)) {
             leader.jobs[n] = None;
         } else {
-            leader.jobs[n] = Some(over.is_some());
+            leader.jobs[n] = Some(ended.is_some());
             if n == 1 {
                 leader.graph.add_job(&job_id(1), &[job_id(0)]);
                 if leader.jobs[0] == Some(true) {
@@ -130,7 +134,7 @@
                 }
             }
         }
-        if let Some(done) = over {
+        if let Some(done) = ended {
             leader.graph.on_job_ended(&job_id(n), job_outcome(done));
         }
     }
@@ -148,12 +152,12 @@
             {
                 DependencyState::Ready(0)
             }
-            Some(standing) => standing,
+            Some(state) => state,
             None => DependencyState::Ready(0),
         }
     }
 
-    /// A leader's end of a job, if it has come to one: done, or not.
+    /// Outcome that the leader may record for a job: done or cancelled; `None` if the job has not ended.
     fn final_result(&self, n: usize) -> Option<bool> {
         let leader = self.leader.as_ref()?;
         let cancelled = leader.jobs[n]?
@@ -162,34 +166,35 @@
             && self.bindings_in_flight[n].is_none_or(|t| t != self.fencing_token)
             || self.finished[n];
         match (cancelled, self.store[n]) {
-            // What it has seen of the record is the condition of its write.
+            // The write is conditional on the record that the leader has read.
             (true, StoredJobRecord::Live | StoredJobRecord::Cancelled) if idle => Some(false),
             (false, StoredJobRecord::Live) if self.finished[n] => Some(true),
             _ => None,
         }
     }
 
-    fn answer_question(&mut self, walk: &DependencyTraversal, told: bool) {
-        let Some(verdict) = walk.verdict() else { return };
-        self.question = None;
-        let off = verdict == DependencyVerdict::CancelledByDependency;
-        if !off && told {
+    /// Answers the status request once the traversal has a verdict, and checks the answer.
+    fn answer_request(&mut self, traversal: &DependencyTraversal, cancellation_confirmed: bool) {
+        let Some(verdict) = traversal.verdict() else { return };
+        self.request = None;
+        let is_cancelled = verdict == DependencyVerdict::CancelledByDependency;
+        if !is_cancelled && cancellation_confirmed {
             self.violation =
-                Some("orphaned: called open though its user was told before the question");
+                Some("orphaned: reported as open after the cancellation was confirmed");
         }
-        if !off && self.reported_cancelled {
-            self.violation = Some("went_back: called open after it was called off");
+        if !is_cancelled && self.reported_cancelled {
+            self.violation = Some("reverted: reported as open after it was reported as cancelled");
         }
-        if off
+        if is_cancelled
             && self.store[0] != StoredJobRecord::Cancelled
             && !matches!(
                 self.store[0],
-                StoredJobRecord::Over(false) | StoredJobRecord::Moved(false)
+                StoredJobRecord::Ended(false) | StoredJobRecord::Archived(false)
             )
         {
-            self.violation = Some("went_back: called off though nothing was cancelled");
+            self.violation = Some("reverted: reported as cancelled although nothing was cancelled");
         }
-        self.reported_cancelled |= off;
+        self.reported_cancelled |= is_cancelled;
     }
 }
 
@@ -200,36 +205,39 @@
         let accepted = |n: usize| self.store[n] != StoredJobRecord::Absent;
         let leader = self.leader.as_ref();
         let mut steps = Vec::new();
-        let mut may = |step: DependencyStep, allowed: bool| {
+        let mut enable_if = |step: DependencyStep, allowed: bool| {
             if allowed {
                 steps.push(step);
             }
         };
-        may(DependencyStep::TakeLeadership, self.fencing_token < 3);
-        may(
+        enable_if(DependencyStep::TakeLeadership, self.fencing_token < 3);
+        enable_if(
             DependencyStep::StartOutcomeLookup,
             leader.is_some_and(|l| l.jobs[1] == Some(false) && l.jobs[0].is_none()),
         );
-        may(DependencyStep::Ask, self.question.is_none() && self.store[1] == StoredJobRecord::Live);
-        may(DependencyStep::Read, self.question.is_some());
+        enable_if(
+            DependencyStep::StartRequest,
+            self.request.is_none() && self.store[1] == StoredJobRecord::Live,
+        );
+        enable_if(DependencyStep::ReadRecord, self.request.is_some());
         for n in 0..2 {
-            let knows = |l: &ModelLeader| {
+            let is_ready = |l: &ModelLeader| {
                 l.jobs[n] == Some(false)
                     && matches!(self.dependency_state(l, n), DependencyState::Ready(_))
             };
-            let first = !accepted(n) && (n == 0 || accepted(0));
-            may(DependencyStep::Accept(n), first);
-            may(DependencyStep::Cancel(n), self.store[n] == StoredJobRecord::Live);
-            may(DependencyStep::ObserveRecord(n), leader.is_some());
-            let free = !self.bound[n] && self.bindings_in_flight[n].is_none();
-            may(DependencyStep::Bind(n), free && leader.is_some_and(knows));
-            may(DependencyStep::Commit(n), self.bindings_in_flight[n].is_some());
-            may(DependencyStep::Start(n), self.bound[n] && !self.started[n]);
-            may(DependencyStep::Finish(n), self.started[n] && !self.finished[n]);
-            may(DependencyStep::RecordEnd(n), self.final_result(n).is_some());
-            may(
-                DependencyStep::MoveRecord(n),
-                leader.is_some() && matches!(self.store[n], StoredJobRecord::Over(_)),
+            let can_accept = !accepted(n) && (n == 0 || accepted(0));
+            enable_if(DependencyStep::Accept(n), can_accept);
+            enable_if(DependencyStep::Cancel(n), self.store[n] == StoredJobRecord::Live);
+            enable_if(DependencyStep::ObserveRecord(n), leader.is_some());
+            let is_unbound = !self.bound[n] && self.bindings_in_flight[n].is_none();
+            enable_if(DependencyStep::Bind(n), is_unbound && leader.is_some_and(is_ready));
+            enable_if(DependencyStep::Commit(n), self.bindings_in_flight[n].is_some());
+            enable_if(DependencyStep::Start(n), self.bound[n] && !self.started[n]);
+            enable_if(DependencyStep::Finish(n), self.started[n] && !self.finished[n]);
+            enable_if(DependencyStep::RecordEnd(n), self.final_result(n).is_some());
+            enable_if(
+                DependencyStep::ArchiveRecord(n),
+                leader.is_some() && matches!(self.store[n], StoredJobRecord::Ended(_)),
             );
         }
         steps
@@ -241,7 +249,7 @@
             DependencyStep::Accept(n) => self.store[n] = StoredJobRecord::Live,
             DependencyStep::Cancel(n) => {
                 self.store[n] = StoredJobRecord::Cancelled;
-                self.cancellation_told |= n == 0;
+                self.cancellation_confirmed |= n == 0;
             }
             DependencyStep::TakeLeadership => {
                 self.fencing_token += 1;
@@ -256,88 +264,90 @@
             }
             DependencyStep::StartOutcomeLookup => {
                 let Some(leader) = &mut self.leader else { return };
-                let told = match (leader.outcome_lookup, self.store[0]) {
-                    (_, StoredJobRecord::Over(done)) if leader.outcome_lookup.is_none() => {
+                let outcome = match (leader.outcome_lookup, self.store[0]) {
+                    (_, StoredJobRecord::Ended(done)) if leader.outcome_lookup.is_none() => {
                         Some(done)
                     }
-                    (Some(_), StoredJobRecord::Moved(done)) => Some(done),
+                    (Some(_), StoredJobRecord::Archived(done)) => Some(done),
                     _ => None,
                 };
-                leader.outcome_lookup = if told.is_none() { Some(true) } else { None };
-                if let Some(done) = told {
+                leader.outcome_lookup = if outcome.is_none() { Some(true) } else { None };
+                if let Some(done) = outcome {
                     leader.graph.on_job_ended(&job_id(0), job_outcome(done));
                 }
             }
             DependencyStep::Bind(n) => self.bindings_in_flight[n] = Some(self.fencing_token),
             DependencyStep::Commit(n) => {
                 let token = self.bindings_in_flight[n].take();
-                let leads = token == Some(self.fencing_token);
-                self.bound[n] |= leads && self.store[n] == StoredJobRecord::Live;
+                let is_current = token == Some(self.fencing_token);
+                self.bound[n] |= is_current && self.store[n] == StoredJobRecord::Live;
             }
             DependencyStep::Start(n) => {
                 self.started[n] = true;
                 if n == 1 && !self.finished[0] {
-                    self.violation = Some("too_early");
+                    self.violation = Some("started before its dependency was done");
                 }
-                if matches!(self.store[n], StoredJobRecord::Over(_) | StoredJobRecord::Moved(_)) {
-                    self.violation = Some("a start after the end");
+                if matches!(self.store[n], StoredJobRecord::Ended(_) | StoredJobRecord::Archived(_))
+                {
+                    self.violation = Some("started after its end was recorded");
                 }
             }
             DependencyStep::Finish(n) => self.finished[n] = true,
             DependencyStep::RecordEnd(n) => {
                 let Some(done) = self.final_result(n) else { return };
-                self.store[n] = StoredJobRecord::Over(done);
+                self.store[n] = StoredJobRecord::Ended(done);
                 if let Some(leader) = &mut self.leader {
                     leader.jobs[n] = None;
                     leader.graph.on_job_ended(&job_id(n), job_outcome(done));
                     leader.graph.remove_job(&job_id(n));
                 }
             }
-            DependencyStep::MoveRecord(n) => {
-                if let StoredJobRecord::Over(done) = self.store[n] {
-                    self.store[n] = StoredJobRecord::Moved(done);
+            DependencyStep::ArchiveRecord(n) => {
+                if let StoredJobRecord::Ended(done) = self.store[n] {
+                    self.store[n] = StoredJobRecord::Archived(done);
                 }
             }
-            DependencyStep::Ask => {
-                let told = self.cancellation_told;
-                let walks = self.removed_guard != RemovedGuard::LookupFreshness;
-                let walk = DependencyTraversal::new(&[job_id(0)][..usize::from(walks)]);
-                self.question = Some(PendingQuestion {
-                    lookup: walk.clone(),
-                    cancellation_told: told,
-                    reads_second_place: false,
+            DependencyStep::StartRequest => {
+                let cancellation_confirmed = self.cancellation_confirmed;
+                let reads_dependency = self.removed_guard != RemovedGuard::LookupFreshness;
+                let traversal =
+                    DependencyTraversal::new(&[job_id(0)][..usize::from(reads_dependency)]);
+                self.request = Some(PendingRequest {
+                    lookup: traversal.clone(),
+                    cancellation_confirmed,
+                    reads_second_location: false,
                 });
-                self.answer_question(&walk, told);
+                self.answer_request(&traversal, cancellation_confirmed);
             }
-            DependencyStep::Read => {
-                let Some(mut question) = self.question.take() else { return };
-                let last_place = question.reads_second_place
+            DependencyStep::ReadRecord => {
+                let Some(mut request) = self.request.take() else { return };
+                let reads_archive = request.reads_second_location
                     != (self.removed_guard == RemovedGuard::LookupOrder);
-                let seen = match self.store[0] {
-                    StoredJobRecord::Moved(done) if last_place => {
+                let visited = match self.store[0] {
+                    StoredJobRecord::Archived(done) if reads_archive => {
                         Some(VisitedJob::Ended(job_outcome(done)))
                     }
-                    StoredJobRecord::Over(done) if !last_place => {
+                    StoredJobRecord::Ended(done) if !reads_archive => {
                         Some(VisitedJob::Ended(job_outcome(done)))
                     }
-                    StoredJobRecord::Cancelled if !last_place => {
+                    StoredJobRecord::Cancelled if !reads_archive => {
                         Some(VisitedJob::Ended(JobOutcome::Cancelled))
                     }
-                    StoredJobRecord::Live if !last_place => Some(VisitedJob::Live(Vec::new())),
-                    _ if question.reads_second_place => Some(VisitedJob::NeverAccepted),
+                    StoredJobRecord::Live if !reads_archive => Some(VisitedJob::Live(Vec::new())),
+                    _ if request.reads_second_location => Some(VisitedJob::NeverAccepted),
                     _ => None,
                 };
-                let told = question.cancellation_told;
-                match seen {
-                    Some(seen) => {
-                        question.lookup.on_job_state(&seen);
-                        let walk = question.lookup.clone();
-                        self.question = Some(question);
-                        self.answer_question(&walk, told);
+                let cancellation_confirmed = request.cancellation_confirmed;
+                match visited {
+                    Some(visited) => {
+                        request.lookup.on_job_state(&visited);
+                        let traversal = request.lookup.clone();
+                        self.request = Some(request);
+                        self.answer_request(&traversal, cancellation_confirmed);
                     }
                     None => {
-                        self.question =
-                            Some(PendingQuestion { reads_second_place: true, ..question })
+                        self.request =
+                            Some(PendingRequest { reads_second_location: true, ..request })
                     }
                 }
             }
@@ -349,31 +359,35 @@
     }
 }
 
-fn check_dependency_model(without: RemovedGuard) -> CheckResult<DependencyStep> {
-    check_model(DependencyModel::new(without), 40, 1_500_000)
+fn check_dependency_model(removed_guard: RemovedGuard) -> CheckResult<DependencyStep> {
+    check_model(DependencyModel::new(removed_guard), 40, 1_500_000)
 }
 
 #[test]
-fn in_every_order_stages_keep_the_rules() {
-    let found = check_dependency_model(RemovedGuard::None);
-    assert!(found.violation.is_none(), "{:?}", found.violation);
+fn dependency_rules_hold_in_every_interleaving() {
+    let result = check_dependency_model(RemovedGuard::None);
+    assert!(result.violation.is_none(), "{:?}", result.violation);
     assert!(
-        found.is_exhaustive && found.states > 2_000,
-        "{} worlds, whole: {}",
-        found.states,
-        found.is_exhaustive
+        result.is_exhaustive && result.states > 2_000,
+        "{} states, exhaustive: {}",
+        result.states,
+        result.is_exhaustive
     );
 }
 
 #[test]
-fn each_guard_of_pipelines_is_needed() {
-    for without in [
+fn removing_any_guard_violates_a_rule() {
+    for removed_guard in [
         RemovedGuard::DependencyWait,
         RemovedGuard::OutcomeLookup,
         RemovedGuard::LookupOrder,
         RemovedGuard::LookupFreshness,
     ] {
-        let found = check_dependency_model(without);
-        assert!(found.violation.is_some(), "{without:?}: nothing found in {} worlds", found.states);
+        let result = check_dependency_model(removed_guard);
+        assert!(
+            result.violation.is_some(),
+            "no violation without {removed_guard:?} in {} states",
+            result.states
+        );
     }
 }
