--- a/crates/failure-detector/src/failure_detector.rs
+++ b/crates/failure-detector/src/failure_detector.rs
@@ -1,4 +1,4 @@
-//! One state machine for each silent machine, and the pattern of all.
+//! One state machine for each machine, and the detection of partitions from which machines are silent together.
 
 use crate::Time;
 use crate::constants::{
@@ -11,127 +11,131 @@
 use rustc_hash::FxHashMap;
 use std::hash::Hash;
 
-/// Where a machine stands.
+/// Presumed state of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Liveness {
-    /// It reports as it should.
+    /// It reports in time.
     Alive,
     /// A report is late.
     Late,
-    /// Late beyond what its intervals explain: it is asked directly.
+    /// Its report is later than its intervals explain: it is probed.
     Suspected,
-    /// It takes no connection, while others around it go on.
+    /// It accepts no connection, while others in its zone and of its controller report.
     PresumedDead,
-    /// Everything in its zone, or of its controller, is silent with it.
+    /// Nearly all machines of its zone, or of its controller, are silent.
     PresumedPartitioned,
-    /// It takes connections and answers nothing.
+    /// It accepts connections and does not respond.
     PresumedHung,
 }
 
-/// What came of a probe.
+/// Outcome of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// It answered.
+    /// It responded.
     Answered,
-    /// The connection was refused or reset: the machine or something before it is there.
+    /// The connection was refused or reset: the machine, or something in front of it, is up.
     Refused,
-    /// It took the connection and gave no answer.
+    /// It accepted the connection and did not respond in time.
     NoResponse,
-    /// No connection came about.
+    /// No connection was established in time.
     NoConnection,
 }
 
-/// What is known of a machine from outside this package.
+/// What the caller knows of a machine.
 #[derive(Debug, Clone, Copy)]
 pub struct MachineObservation<'a> {
     /// Its zone.
     pub zone: &'a str,
-    /// The controller that hears it; none: the leader itself, or nobody yet.
+    /// The controller that it reports to; none: the leader itself, or none yet.
     pub reporting_controller: Option<&'a str>,
-    /// A controller in its zone is heard: the zone is not cut off.
+    /// A controller in its zone is reachable: the zone is not partitioned.
     pub zone_is_reachable: bool,
-    /// When it was last heard under this term; none: not yet, and it should be up.
+    /// When a message of any kind last proved it alive under this term; none: not yet, although it should be up.
     pub last_contact_at: Option<Time>,
-    /// Production work is bound to it.
+    /// A task of a production job is bound to it.
     pub has_production_work: bool,
-    /// Its hearing or its numbers are in doubt: it is asked directly although it reports.
+    /// It is to be probed although it reports: its inbound reachability is in doubt.
     pub probe_requested: bool,
 }
 
-/// What is remembered of a machine.
+/// What the detector remembers of a machine.
 #[derive(Debug, Clone, Copy)]
 pub struct MonitoredMachine {
     liveness: Liveness,
     since: Time,
-    /// Last report, and learned interval and deviation, ms.
-    last_report_at: Time,
+    last_contact_at: Time,
+    /// Learned mean of the intervals between contacts, ms.
     mean_interval: f32,
+    /// Learned mean absolute deviation from it, ms.
     interval_deviation: f32,
+    /// Consecutive failed probes.
     failed_probes: u8,
+    /// A probe since the last contact was accepted and not answered.
     accepts_without_answer: bool,
     probed_at: Time,
-    /// When it was last presumed cut off.
+    /// When it last ceased to be presumed partitioned.
     partition_ended_at: Time,
+    /// Number of the last check that included it.
     last_check: u64,
 }
 
 impl MonitoredMachine {
-    /// Where it stands.
+    /// Its presumed state.
     pub fn liveness(&self) -> Liveness {
         self.liveness
     }
 
-    /// Since when.
+    /// When it entered that state.
     pub fn since(&self) -> Time {
         self.since
     }
 
-    /// The one function that changes the state. True if it was another.
+    /// The one function that changes the presumed state. Returns whether it changed.
     fn advance_liveness(&mut self, to: Liveness, now: Time) -> bool {
-        let new = self.liveness != to;
-        if new {
-            // Probes that failed in a cut say nothing once it has ended.
+        let changed = self.liveness != to;
+        if changed {
+            // Probes that failed during a partition prove nothing once it has ended.
             if self.liveness == Liveness::PresumedPartitioned {
                 (self.failed_probes, self.accepts_without_answer, self.partition_ended_at) =
                     (0, false, now);
             }
             (self.liveness, self.since) = (to, now);
         }
-        new
+        changed
     }
 
-    fn record_report(&mut self, heard: Time) {
-        if heard <= self.last_report_at {
+    fn record_contact(&mut self, at: Time) {
+        if at <= self.last_contact_at {
             return;
         }
-        if self.last_report_at > 0 {
-            let off = (heard - self.last_report_at) as f32 - self.mean_interval;
-            self.mean_interval += off * INTERVAL_EWMA_WEIGHT as f32;
+        if self.last_contact_at > 0 {
+            let error = (at - self.last_contact_at) as f32 - self.mean_interval;
+            self.mean_interval += error * INTERVAL_EWMA_WEIGHT as f32;
             self.interval_deviation +=
-                (off.abs() - self.interval_deviation) * INTERVAL_EWMA_WEIGHT as f32;
+                (error.abs() - self.interval_deviation) * INTERVAL_EWMA_WEIGHT as f32;
         }
-        self.last_report_at = heard;
+        self.last_contact_at = at;
         (self.failed_probes, self.accepts_without_answer) = (0, false);
     }
 }
 
-/// The detector of one term.
+/// The failure detector of one term.
 #[derive(Debug)]
 pub struct FailureDetector<K> {
-    /// When the term began: nobody is late before it has had time to find the leader.
+    /// When the term began. The silence of a machine without contact counts from then: it needs time to find the leader.
     since: Time,
     report_period_ms: f64,
     lease_ms: f64,
     machines: FxHashMap<K, MonitoredMachine>,
-    /// Probes on their way, and how many may be.
+    /// Probes that have not ended.
     probes_in_flight: usize,
     max_probes_in_flight: usize,
     check_count: u64,
 }
 
 impl<K: Clone + Eq + Hash> FailureDetector<K> {
-    /// A detector for a term that began at `since`; report period and lease in s. So many probes may be
-    /// on their way at once.
+    /// A detector for a term that began at `since`. `report_s` is the report period and `lease_s` the lease, both in s. At
+    /// most `max_probes_in_flight` probes are open at once.
     pub fn new(
         since: Time,
         report_s: f64,
@@ -149,52 +153,52 @@
         }
     }
 
-    /// What is remembered of a machine.
+    /// What is remembered of a machine. None: it was not part of the last check.
     pub fn get(&self, id: &K) -> Option<&MonitoredMachine> {
         self.machines.get(id)
     }
 
-    /// A probe has ended. An answer is news for whoever takes the report; here it ends the doubt.
+    /// A probe has ended. A response clears earlier failures; the report that it carries is for the caller to process.
     pub fn on_probe_outcome(&mut self, id: &K, probe: ProbeOutcome) {
         self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
-        let Some(member) = self.machines.get_mut(id) else { return };
+        let Some(machine) = self.machines.get_mut(id) else { return };
         match probe {
             ProbeOutcome::Answered => {
-                (member.failed_probes, member.accepts_without_answer) = (0, false)
+                (machine.failed_probes, machine.accepts_without_answer) = (0, false)
             }
-            // Something answers for it: that is neither death nor a hang.
-            ProbeOutcome::Refused => member.failed_probes = 0,
+            // Something there refuses connections: it is neither dead nor hung.
+            ProbeOutcome::Refused => machine.failed_probes = 0,
             ProbeOutcome::NoResponse => {
-                (member.failed_probes, member.accepts_without_answer) =
-                    (member.failed_probes.saturating_add(1), true)
+                (machine.failed_probes, machine.accepts_without_answer) =
+                    (machine.failed_probes.saturating_add(1), true)
             }
             ProbeOutcome::NoConnection => {
-                member.failed_probes = member.failed_probes.saturating_add(1)
+                machine.failed_probes = machine.failed_probes.saturating_add(1)
             }
         }
     }
 
-    /// Time for which a machine has been silent, ms, and after which that is no jitter.
+    /// For how long a machine has been silent, and how long a silence jitter explains, both in ms.
     fn silence_and_tolerance_ms(
         &self,
-        member: &MonitoredMachine,
-        heard: Option<Time>,
+        machine: &MonitoredMachine,
+        last_contact_at: Option<Time>,
         now: Time,
     ) -> (f64, f64) {
-        let usual = self.report_period_ms * (1.0 + REPORT_JITTER_SHARE) + LATE_SLACK_MS;
-        match heard {
+        let tolerated = self.report_period_ms * (1.0 + REPORT_JITTER_SHARE) + LATE_SLACK_MS;
+        match last_contact_at {
             Some(at) => {
                 let learned = f64::from(
-                    member.mean_interval + LATE_DEVIATIONS as f32 * member.interval_deviation,
+                    machine.mean_interval + LATE_DEVIATIONS as f32 * machine.interval_deviation,
                 );
-                (now.saturating_sub(at) as f64, usual.max(learned))
+                (now.saturating_sub(at) as f64, tolerated.max(learned))
             }
-            None => (now.saturating_sub(self.since) as f64, usual),
+            None => (now.saturating_sub(self.since) as f64, tolerated),
         }
     }
 
-    /// Looks at all machines: which to ask now, and which verdicts are new. Costs a look at each machine
-    /// and memory for those known alone.
+    /// Checks all machines: returns which to probe now, and which have just been presumed other than alive or suspected.
+    /// Machines that are not among `machines` are forgotten. Takes time linear in the number of machines.
     #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub fn check_machines<'a>(
         &mut self,
@@ -205,121 +209,129 @@
         K: 'a,
     {
         self.check_count += 1;
-        let (round, report_ms) = (self.check_count, self.report_period_ms);
-        // First pass: who is silent, and where.
+        let (check, report_ms) = (self.check_count, self.report_period_ms);
+        // First pass: counts machines and silent ones, by zone and by reporting controller.
         let mut zones: FxHashMap<&str, (usize, usize)> = FxHashMap::default();
-        let mut vias: FxHashMap<Option<&str>, (usize, usize)> = FxHashMap::default();
-        for (id, seen) in machines.clone() {
-            let member = self.machines.entry(id.clone()).or_insert(MonitoredMachine {
+        let mut controllers: FxHashMap<Option<&str>, (usize, usize)> = FxHashMap::default();
+        for (id, observation) in machines.clone() {
+            let machine = self.machines.entry(id.clone()).or_insert(MonitoredMachine {
                 liveness: Liveness::Alive,
                 since: now,
-                last_report_at: 0,
+                last_contact_at: 0,
                 mean_interval: report_ms as f32,
                 interval_deviation: (report_ms * REPORT_JITTER_SHARE / 2.0) as f32,
                 failed_probes: 0,
                 accepts_without_answer: false,
                 probed_at: 0,
                 partition_ended_at: 0,
-                last_check: round,
+                last_check: check,
             });
-            member.last_check = round;
-            if let Some(heard) = seen.last_contact_at {
-                member.record_report(heard);
+            machine.last_check = check;
+            if let Some(at) = observation.last_contact_at {
+                machine.record_contact(at);
             }
-            let member = *member;
-            let (silent, usual) = self.silence_and_tolerance_ms(&member, seen.last_contact_at, now);
-            let silent = usize::from(silent > usual);
-            let count = |entry: &mut (usize, usize)| {
-                entry.0 += 1;
-                entry.1 += silent;
+            let machine = *machine;
+            let (silent_ms, tolerated_ms) =
+                self.silence_and_tolerance_ms(&machine, observation.last_contact_at, now);
+            let silent = usize::from(silent_ms > tolerated_ms);
+            let count = |(all, silent_ones): &mut (usize, usize)| {
+                *all += 1;
+                *silent_ones += silent;
             };
-            count(zones.entry(seen.zone).or_default());
-            if seen.last_contact_at.is_some() {
-                count(vias.entry(seen.reporting_controller).or_default());
+            count(zones.entry(observation.zone).or_default());
+            if observation.last_contact_at.is_some() {
+                count(controllers.entry(observation.reporting_controller).or_default());
             }
         }
-        self.machines.retain(|_, m| m.last_check == round);
-        let cut = |of: Option<&(usize, usize)>| {
-            of.is_some_and(|(all, silent)| {
+        self.machines.retain(|_, m| m.last_check == check);
+        let is_partitioned = |counts: Option<&(usize, usize)>| {
+            counts.is_some_and(|(all, silent)| {
                 *all >= MIN_PARTITION_MACHINES
                     && *silent as f64 >= *all as f64 * PARTITION_SILENT_SHARE
             })
         };
-        // Second pass: what each silence means.
-        let (mut ask, mut verdicts) = (Vec::new(), Vec::new());
-        for (id, seen) in machines {
-            let Some(&member) = self.machines.get(id) else { continue };
-            let (silent, usual) = self.silence_and_tolerance_ms(&member, seen.last_contact_at, now);
-            // All workers of a controller fall silent when it ends or is cut off from them; those that
-            // live have found another by now, or will in a moment.
-            let moving =
-                seen.last_contact_at.is_some() && silent <= usual + 2.0 * CONTROLLER_FAILOVER_MS;
-            let deaf = moving && cut(vias.get(&seen.reporting_controller));
-            let apart = !seen.zone_is_reachable && cut(zones.get(seen.zone));
-            let state = if silent <= usual {
+        // Second pass: the presumed state of each machine.
+        let (mut to_probe, mut presumptions) = (Vec::new(), Vec::new());
+        for (id, observation) in machines {
+            let Some(&machine) = self.machines.get(id) else { continue };
+            let (silent_ms, tolerated_ms) =
+                self.silence_and_tolerance_ms(&machine, observation.last_contact_at, now);
+            // When a controller crashes or is partitioned from its workers, all of them fall silent. Live ones fail over
+            // to another within this time.
+            let may_be_failing_over = observation.last_contact_at.is_some()
+                && silent_ms <= tolerated_ms + 2.0 * CONTROLLER_FAILOVER_MS;
+            let controller_partitioned = may_be_failing_over
+                && is_partitioned(controllers.get(&observation.reporting_controller));
+            let zone_partitioned =
+                !observation.zone_is_reachable && is_partitioned(zones.get(observation.zone));
+            let state = if silent_ms <= tolerated_ms {
                 Liveness::Alive
-            } else if deaf || apart {
+            } else if controller_partitioned || zone_partitioned {
                 Liveness::PresumedPartitioned
-            } else if member.liveness == Liveness::PresumedPartitioned {
+            } else if machine.liveness == Liveness::PresumedPartitioned {
                 Liveness::Suspected
-            } else if member.failed_probes >= FAILED_PROBES_THRESHOLD {
-                if member.accepts_without_answer {
+            } else if machine.failed_probes >= FAILED_PROBES_THRESHOLD {
+                if machine.accepts_without_answer {
                     Liveness::PresumedHung
                 } else {
                     Liveness::PresumedDead
                 }
-            } else if silent <= usual + report_ms * REPORT_JITTER_SHARE {
+            } else if silent_ms <= tolerated_ms + report_ms * REPORT_JITTER_SHARE {
                 Liveness::Late
             } else {
                 Liveness::Suspected
             };
-            // Who was never heard under this term is asked before it is late: it may not have found this
-            // leader yet, and a predecessor may have known that it is dead.
-            let early = seen.last_contact_at.is_none() && silent > INITIAL_PROBE_DELAY_MS;
-            let pause = match state {
-                Liveness::Alive | Liveness::Late if early || seen.probe_requested => {
+            // A machine without contact under this term is probed before it is late: it may not have found this leader
+            // yet, and the previous leader may have known that it is dead.
+            let probe_unseen =
+                observation.last_contact_at.is_none() && silent_ms > INITIAL_PROBE_DELAY_MS;
+            let interval_ms = match state {
+                Liveness::Alive | Liveness::Late if probe_unseen || observation.probe_requested => {
                     PROBE_INTERVAL_MS
                 }
                 Liveness::Alive | Liveness::Late => u64::MAX,
                 Liveness::Suspected | Liveness::PresumedDead => PROBE_INTERVAL_MS,
                 Liveness::PresumedPartitioned | Liveness::PresumedHung => SLOW_PROBE_INTERVAL_MS,
             };
-            let Some(member) = self.machines.get_mut(id) else { continue };
-            if member.advance_liveness(state, now)
+            let Some(machine) = self.machines.get_mut(id) else { continue };
+            if machine.advance_liveness(state, now)
                 && state != Liveness::Suspected
                 && state != Liveness::Alive
             {
-                verdicts.push((id.clone(), state));
+                presumptions.push((id.clone(), state));
             }
-            let due = pause < u64::MAX && now >= member.probed_at + pause;
+            let due = interval_ms < u64::MAX && now >= machine.probed_at + interval_ms;
             if due && self.probes_in_flight < self.max_probes_in_flight {
-                member.probed_at = now;
+                machine.probed_at = now;
                 self.probes_in_flight += 1;
-                ask.push(id.clone());
+                to_probe.push(id.clone());
             }
         }
-        (ask, verdicts)
+        (to_probe, presumptions)
     }
 
-    /// Whether a machine should be returned by now: a decision with a cost. What is dead holds capacity
-    /// and work; what hangs or is cut off may go on, with what it has done.
-    pub fn should_terminate(&self, id: &K, seen: MachineObservation, now: Time) -> bool {
-        let Some(member) = self.machines.get(id) else { return false };
-        let (silent, usual) = self.silence_and_tolerance_ms(member, seen.last_contact_at, now);
-        // Silence in a cut that has ended counts from its end: who lives reports soon.
-        let silent = silent.min(now.saturating_sub(member.partition_ended_at) as f64);
-        let detour = usual + REDIRECT_GRACE_MS;
-        let late = self.lease_ms * SILENT_RETURN_LEASE_SHARE;
-        let limit = match member.liveness {
+    /// Whether a machine has been silent for long enough to be returned to the cloud. Either choice has a cost: a dead
+    /// machine blocks capacity and its tasks, while a hung or partitioned one may yet continue them.
+    pub fn should_terminate(&self, id: &K, observation: MachineObservation, now: Time) -> bool {
+        let Some(machine) = self.machines.get(id) else { return false };
+        let (silent_ms, tolerated_ms) =
+            self.silence_and_tolerance_ms(machine, observation.last_contact_at, now);
+        // After a partition, silence counts from its end: live machines report soon.
+        let silent_ms = silent_ms.min(now.saturating_sub(machine.partition_ended_at) as f64);
+        let redirected_ms = tolerated_ms + REDIRECT_GRACE_MS;
+        let silent_limit_ms = self.lease_ms * SILENT_RETURN_LEASE_SHARE;
+        let limit_ms = match machine.liveness {
             Liveness::Alive | Liveness::Late => return false,
-            Liveness::Suspected => late,
-            Liveness::PresumedDead if seen.has_production_work => detour,
-            Liveness::PresumedDead => detour.max(self.lease_ms * DEAD_RETURN_LEASE_SHARE),
-            Liveness::PresumedHung if seen.has_production_work => {
+            Liveness::Suspected => silent_limit_ms,
+            Liveness::PresumedDead if observation.has_production_work => redirected_ms,
+            Liveness::PresumedDead => redirected_ms.max(self.lease_ms * DEAD_RETURN_LEASE_SHARE),
+            Liveness::PresumedHung if observation.has_production_work => {
                 self.lease_ms * HUNG_RETURN_LEASE_SHARE
             }
-            Liveness::PresumedHung | Liveness::PresumedPartitioned => late * PARTITION_GRACE_FACTOR,
+            Liveness::PresumedHung | Liveness::PresumedPartitioned => {
+                silent_limit_ms * PARTITION_GRACE_FACTOR
+            }
         };
-        silent > limit
+        silent_ms > limit_ms
     }
 }
--- a/crates/failure-detector/src/inbound_reachability.rs
+++ b/crates/failure-detector/src/inbound_reachability.rs
@@ -1,80 +1,81 @@
-//! Whether a machine hears: its reports arrive, but do the answers and commands reach it? A report alone is
-//! life and not hearing. A machine that does not hear loses its lease again and again, and looks the best
-//! place there is each time: empty, ready, its images held.
+//! Inbound reachability: whether responses and commands reach a machine whose reports arrive. A report proves that the
+//! machine is alive, not that it is reachable. A machine that is unreachable inbound loses its lease again and again, and
+//! looks like the best placement each time: empty, ready, with images in its cache.
 
 use crate::Time;
 use crate::constants::{IGNORED_COMMANDS_SUSPECT, IGNORED_COMMANDS_UNREACHABLE, RELAPSE_WINDOW_MS};
 
-/// Where a machine's hearing stands.
+/// Presumed inbound reachability of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum InboundReachability {
-    /// As far as anybody can tell.
+    /// Nothing says otherwise.
     #[default]
     Reachable,
-    /// It did not do what it was told, or lost a lease that was answered: it is asked directly, and given
-    /// nothing new.
+    /// It did not execute commands, or lost a lease although its reports were answered: it is probed, and gets no new
+    /// tasks.
     Suspected,
-    /// What is said to it does not arrive.
+    /// Responses and commands do not reach it.
     Unreachable,
 }
 
-/// What tells of a machine's hearing.
+/// Evidence of a machine's inbound reachability.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReachabilityEvidence {
-    /// A report shows what the answer to an earlier one has ordered.
+    /// A report shows that a command in the response to an earlier one was executed.
     CommandExecuted,
-    /// A report shows nothing of what the answer to the one before has ordered.
+    /// A report shows nothing of what the response to the previous one commanded.
     CommandIgnored,
     /// Its session ended although reports of the last lease were answered.
     SessionLostThoughAnswered,
-    /// Its session has lasted for longer than a lease, on answers alone.
+    /// Its session has lasted for longer than a lease, which only responses renew.
     SessionOutlastedLease,
-    /// It answered a question asked directly.
+    /// It responded to a probe.
     ProbeAnswered,
-    /// A question asked directly found no connection, or no answer.
+    /// A probe found no connection, or no response.
     ProbeFailed,
 }
 
-/// What is remembered of a machine's hearing.
+/// Inbound reachability of one machine, and the evidence that it is judged by.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReachabilityTracker {
     reachability: InboundReachability,
     since: Time,
-    ignored_orders: u8,
-    /// It lost another lease soon after it was believed to hear again: a question answered does not show
-    /// that answers to reports arrive.
+    /// Consecutive reports after which a command was ignored.
+    ignored_commands: u8,
+    /// It lost another lease soon after it was presumed reachable again: a response to a probe does not prove that
+    /// responses to reports arrive.
     ignores_probe_answers: bool,
-    /// Until when a lease lost counts as another.
+    /// Until when another lost lease counts as a relapse.
     relapse_until: Time,
 }
 
 impl ReachabilityTracker {
-    /// Where it stands.
+    /// The presumed reachability.
     pub fn reachability(&self) -> InboundReachability {
         self.reachability
     }
 
-    /// Since when.
+    /// When it last changed.
     pub fn since(&self) -> Time {
         self.since
     }
 
-    /// Whether it may be given work.
+    /// Whether nothing speaks against placing tasks on the machine.
     pub fn is_reachable(&self) -> bool {
         self.reachability == InboundReachability::Reachable
     }
 
-    /// The one function that changes what is held of a machine's hearing. True if it stands elsewhere now.
-    pub fn apply_evidence(&mut self, sign: ReachabilityEvidence, now: Time) -> bool {
-        let count = match sign {
-            ReachabilityEvidence::CommandIgnored => self.ignored_orders.saturating_add(1),
+    /// The one function that changes the reachability. Returns whether it changed.
+    pub fn apply_evidence(&mut self, evidence: ReachabilityEvidence, now: Time) -> bool {
+        let ignored_commands = match evidence {
+            ReachabilityEvidence::CommandIgnored => self.ignored_commands.saturating_add(1),
             ReachabilityEvidence::CommandExecuted | ReachabilityEvidence::SessionOutlastedLease => {
                 0
             }
-            _ => self.ignored_orders,
+            _ => self.ignored_commands,
         };
-        let to = match (self.reachability, sign) {
-            // An order that was carried out, or a lease that lives, is proof whatever was held before.
+        let to = match (self.reachability, evidence) {
+            // An executed command or a lease still alive proves reachability, whatever was presumed before.
             (
                 _,
                 ReachabilityEvidence::CommandExecuted | ReachabilityEvidence::SessionOutlastedLease,
@@ -83,23 +84,23 @@
                 InboundReachability::Reachable
             }
             (_, ReachabilityEvidence::SessionLostThoughAnswered) => {
-                let again =
+                let is_relapse =
                     now < self.relapse_until || self.reachability != InboundReachability::Reachable;
                 self.relapse_until = now + RELAPSE_WINDOW_MS;
-                self.ignores_probe_answers |= again;
-                if again {
+                self.ignores_probe_answers |= is_relapse;
+                if is_relapse {
                     InboundReachability::Unreachable
                 } else {
                     InboundReachability::Suspected
                 }
             }
             (InboundReachability::Reachable, ReachabilityEvidence::CommandIgnored)
-                if count >= IGNORED_COMMANDS_SUSPECT =>
+                if ignored_commands >= IGNORED_COMMANDS_SUSPECT =>
             {
                 InboundReachability::Suspected
             }
             (InboundReachability::Suspected, ReachabilityEvidence::CommandIgnored)
-                if count >= IGNORED_COMMANDS_UNREACHABLE =>
+                if ignored_commands >= IGNORED_COMMANDS_UNREACHABLE =>
             {
                 InboundReachability::Unreachable
             }
@@ -110,13 +111,14 @@
                 InboundReachability::Suspected | InboundReachability::Unreachable,
                 ReachabilityEvidence::ProbeAnswered,
             ) if !self.ignores_probe_answers => InboundReachability::Reachable,
-            (held, _) => held,
+            (unchanged, _) => unchanged,
         };
-        let moved = to != self.reachability;
-        self.ignored_orders = if moved && to == InboundReachability::Reachable { 0 } else { count };
-        if moved {
+        let changed = to != self.reachability;
+        self.ignored_commands =
+            if changed && to == InboundReachability::Reachable { 0 } else { ignored_commands };
+        if changed {
             (self.reachability, self.since) = (to, now);
         }
-        moved
+        changed
     }
 }
--- a/crates/failure-detector/src/lib.rs
+++ b/crates/failure-detector/src/lib.rs
@@ -1,9 +1,10 @@
-//! Which machines live, by evidence. Pure: times and outcomes come in, verdicts go out. A verdict never
-//! proves anything: it decides when a machine is asked, and when it is returned, which is the proof.
+//! Failure detection of machines. Pure: observations and probe outcomes come in, presumptions go out. A presumption
+//! proves nothing: it decides when a machine is probed and when it is returned to the cloud, and only the return proves
+//! that its tasks are gone.
 //!
-//! The detector of silence learns the intervals between a machine's reports, after the accrual idea of
-//! Hayashibara and others ("The phi accrual failure detector", 2004); a probe before a verdict and the
-//! look at the pattern follow SWIM (Das, Gupta, Motivala, 2002).
+//! The intervals between a machine's reports are learned, after the accrual idea of Hayashibara and others ("The phi
+//! accrual failure detector", 2004). Probing a machine before it is presumed dead, and looking at which others are silent,
+//! follow SWIM (Das, Gupta, Motivala, 2002).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -17,5 +18,5 @@
 };
 pub use inbound_reachability::{InboundReachability, ReachabilityEvidence, ReachabilityTracker};
 
-/// Steady time in ms.
+/// Monotonic time, ms.
 pub type Time = u64;
