--- a/crates/controller/src/store/mod.rs
+++ b/crates/controller/src/store/mod.rs
@@ -1,4 +1,6 @@
-//! The state service's client as a pure machine: budget, order, retries, unknown outcomes.
+//! Client of the state service as a state machine without I/O: rate limits, priorities, retries, unknown outcomes. The
+//! runtime sends the calls that [`StoreClient::take_due_calls`] returns, and passes each outcome to
+//! [`StoreClient::finish`].
 
 use crate::Time;
 use crate::constants::{MS_PER_S, STORE_BACKOFF_MAX_MS, STORE_BACKOFF_MS, STORE_IN_FLIGHT_MAX};
@@ -13,16 +15,16 @@
 pub enum StoreCall {
     /// Read one key.
     Get(String),
-    /// Read a page of keys.
+    /// Read a page of the keys with a prefix.
     List {
         /// Prefix.
         prefix: String,
-        /// Begin after this key.
+        /// The page begins after this key; none: at the first.
         from: Option<String>,
     },
-    /// A transaction.
+    /// Execute a transaction.
     Commit(Transaction),
-    /// A new lease.
+    /// Create a lease.
     GrantLease {
         /// Time to live, ms.
         ttl_ms: u64,
@@ -31,67 +33,68 @@
     RenewLease(u64),
     /// End a lease at once.
     RevokeLease(u64),
-    /// Read what has changed, without waiting.
+    /// Read the changes of keys with a prefix, without waiting for any.
     ReadChanges {
         /// Prefix.
         prefix: String,
-        /// After this revision.
+        /// Only changes after this revision.
         from: u64,
     },
-    /// Wait for changes.
+    /// Wait for changes of keys with a prefix.
     Watch {
         /// Prefix.
         prefix: String,
-        /// After this revision.
+        /// Only changes after this revision.
         from: u64,
     },
 }
 
 impl StoreCall {
+    /// Mutations that count against the write rate.
     fn write_count(&self) -> f64 {
         match self {
-            StoreCall::Commit(c) => c.mutations.len() as f64,
+            StoreCall::Commit(transaction) => transaction.mutations.len() as f64,
             _ => 0.0,
         }
     }
 }
 
-/// What came of a call.
+/// Outcome of a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreOutcome {
-    /// The key.
+    /// The key and its value.
     Found(KeyValue),
-    /// No such key.
+    /// The key does not exist.
     Missing {
         /// Revision of the store.
         revision: u64,
     },
-    /// A page.
+    /// A page of keys.
     Page(KeyPage),
     /// Committed at this revision.
     Committed(u64),
-    /// A condition failed.
+    /// Not executed: preconditions on these keys failed.
     Conflict(Vec<String>),
     /// The lease named does not exist.
     NoSuchLease,
-    /// A lease.
+    /// The lease granted.
     LeaseGranted(u64),
-    /// Changes.
+    /// Changes since the revision asked for.
     Changes(WatchResponse),
-    /// The watch asked for changes that are no longer kept.
+    /// The changes asked for have been compacted.
     Compacted,
-    /// Not executed: over a limit.
+    /// Not executed: a rate limit was exceeded.
     RateLimited,
-    /// Not executed: the service is away, or refuses this node.
+    /// Not executed: the service is unavailable, or refuses this node.
     Unavailable,
-    /// The request is malformed: a defect.
+    /// Not executed: the request is malformed, which is a defect of this client.
     Malformed(String),
-    /// May have been executed, or may yet be.
+    /// No response: the call may have been executed, or may yet be.
     Unknown,
 }
 
 impl StoreOutcome {
-    /// Whether the service did its work.
+    /// Whether the service processed the call and responded.
     pub fn is_answered(&self) -> bool {
         !matches!(
             self,
@@ -100,26 +103,26 @@
     }
 }
 
-/// Order in which calls leave.
+/// Priority of a call, the highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallPriority {
-    /// The term.
+    /// Calls that leadership depends on.
     Leadership,
-    /// Submissions and cancellations, bindings of tasks that are to start (those leave half of the changes), and the
+    /// Submissions, cancellations, bindings of tasks to be started (which leave half of the write rate to others), and the
     /// reads that serve all polls.
     High,
-    /// Polls, ends, and what else somebody waits for.
+    /// Polls, final records, and other calls that somebody waits for.
     Normal,
-    /// What nothing waits for.
+    /// Calls that nothing waits for.
     Low,
-    /// What may wait until the service has nothing else to do for this node.
+    /// Calls that may wait until this node has no others.
     Background,
 }
 
-/// How long a call is tried.
+/// How often and for how long a call is tried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// Once, and only if it leaves before this time.
+    /// Once, and only if it can be sent before this time.
     OnceBefore(Time),
     /// Until it has a definite outcome.
     UntilDefinite,
@@ -132,120 +135,131 @@
     priority: CallPriority,
     retry_policy: RetryPolicy,
     not_before: Time,
-    tries: u32,
+    attempts: u32,
+    /// An attempt had no response: it may have been executed.
     uncertain: bool,
-    /// When it last left.
-    left: Time,
+    /// When it was last sent.
+    sent_at: Time,
 }
 
-/// Part of the budget that a call leaves to more urgent ones, by its urgency.
-const SPARE: [f64; 5] = [0.0, 0.05, 0.1, 0.4, 0.7];
+/// Share of each rate limit that a call leaves to those of higher priority, by [`CallPriority`].
+const RESERVED_SHARE: [f64; 5] = [0.0, 0.05, 0.1, 0.4, 0.7];
 
-/// A call's end, for the one that asked.
+/// A finished call and its outcome.
 #[derive(Debug)]
 pub struct FinishedCall<P> {
-    /// What it was for.
+    /// Passed to [`StoreClient::push`] with the call.
     pub context: P,
-    /// What came of it.
+    /// Its outcome.
     pub outcome: StoreOutcome,
-    /// An earlier try had no answer: a conflict may be with that try itself.
+    /// An earlier attempt had no response: a conflict may be with that attempt itself.
     pub uncertain: bool,
 }
 
-/// Tokens that fill at a rate, up to a burst.
+/// Token bucket: tokens are added at a rate, up to a capacity.
 #[derive(Debug)]
 pub struct TokenBucket {
+    /// Tokens added a second.
     rate: f64,
-    most: f64,
-    held: f64,
-    at: Time,
+    capacity: f64,
+    tokens: f64,
+    refilled_at: Time,
 }
 
 impl TokenBucket {
-    /// A full bucket that holds one second's worth.
+    /// A full bucket with a capacity of one second's tokens. `rate` is in tokens a second.
     pub fn new(rate: f64, now: Time) -> TokenBucket {
         TokenBucket::with_burst_seconds(rate, 1.0, now)
     }
-    /// A full bucket that holds so many seconds' worth.
+
+    /// A full bucket with a capacity of `seconds` seconds' tokens.
     pub fn with_burst_seconds(rate: f64, seconds: f64, now: Time) -> TokenBucket {
-        let most = (rate * seconds).max(1.0);
-        TokenBucket { rate, most, held: most, at: now }
+        let capacity = (rate * seconds).max(1.0);
+        TokenBucket { rate, capacity, tokens: capacity, refilled_at: now }
     }
-    /// Changes the rate.
+
+    /// Changes the rate, in tokens a second. The capacity becomes one second's tokens.
     pub fn set_rate(&mut self, rate: f64, now: Time) {
-        self.fill(now);
-        (self.rate, self.most) = (rate, rate.max(1.0));
-        self.held = self.held.min(self.most);
+        self.refill(now);
+        (self.rate, self.capacity) = (rate, rate.max(1.0));
+        self.tokens = self.tokens.min(self.capacity);
     }
-    fn fill(&mut self, now: Time) {
-        let passed = now.saturating_sub(self.at) as f64 / MS_PER_S;
-        self.held = (self.held + passed * self.rate).min(self.most);
-        self.at = now;
+
+    fn refill(&mut self, now: Time) {
+        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / MS_PER_S;
+        self.tokens = (self.tokens + elapsed_s * self.rate).min(self.capacity);
+        self.refilled_at = now;
     }
-    /// Whether that many may be taken now, leaving `spare` for more urgent ones. More than the
-    /// bucket can ever hold passes when it is full, and leaves a debt.
-    pub fn can_take(&mut self, wanted: f64, spare: f64, now: Time) -> bool {
-        self.fill(now);
-        self.held + 1e-9 >= (wanted + spare).min(self.most)
+
+    /// Whether `wanted` tokens may be taken now, leaving `reserved` for calls of higher priority. More than the capacity
+    /// may be taken from a full bucket, which then has a negative balance.
+    pub fn can_take(&mut self, wanted: f64, reserved: f64, now: Time) -> bool {
+        self.refill(now);
+        self.tokens + 1e-9 >= (wanted + reserved).min(self.capacity)
     }
-    /// Takes them.
+
+    /// Takes tokens. To be called after [`TokenBucket::can_take`] has allowed it.
     pub fn take(&mut self, wanted: f64) {
-        self.held -= wanted;
+        self.tokens -= wanted;
     }
 }
 
-/// The client.
+/// Client of the state service. `P` is the caller's context of a call, returned with its outcome.
 #[derive(Debug)]
 pub struct StoreClient<P> {
     requests: TokenBucket,
     writes: TokenBucket,
     queues: [VecDeque<PendingCall<P>>; 5],
-    flying: HashMap<u64, PendingCall<P>>,
-    follows: usize,
-    next: u64,
+    in_flight: HashMap<u64, PendingCall<P>>,
+    /// Watches in flight: they do not count against [`STORE_IN_FLIGHT_MAX`].
+    watches_in_flight: usize,
+    next_id: u64,
+    /// After a failure: only calls of [`CallPriority::Leadership`] are sent before this.
     paused_until: Time,
-    pause: u64,
-    repeats: RetryBudget,
+    /// Length of the next pause, ms.
+    pause_ms: u64,
+    retry_budget: RetryBudget,
     rng: StdRng,
     rps: f64,
     write_rps: f64,
-    /// When the service last did its work for this node.
+    /// When a call was last answered ([`StoreOutcome::is_answered`]).
     pub last_success_at: Option<Time>,
-    /// When it last did not.
+    /// When the service last refused a call or did not respond. Rate limits, watches and single lost responses do not
+    /// count.
     pub last_failure_at: Option<Time>,
-    /// When the latest call left that has an answer.
-    answered_left: Option<Time>,
+    /// When the latest sent of the answered calls was sent.
+    last_answered_sent_at: Option<Time>,
 }
 
 impl<P> StoreClient<P> {
-    /// A client that keeps within these rates.
+    /// A client that keeps within `rps` calls and `write_rps` mutations a second.
     pub fn new(rps: f64, write_rps: f64, now: Time) -> StoreClient<P> {
         StoreClient {
             requests: TokenBucket::new(rps, now),
             writes: TokenBucket::new(write_rps, now),
             queues: [const { VecDeque::new() }; 5],
-            flying: HashMap::new(),
-            follows: 0,
-            next: 1,
+            in_flight: HashMap::new(),
+            watches_in_flight: 0,
+            next_id: 1,
             paused_until: 0,
-            pause: STORE_BACKOFF_MS,
-            repeats: RetryBudget::new(now),
+            pause_ms: STORE_BACKOFF_MS,
+            retry_budget: RetryBudget::new(now),
             rng: StdRng::seed_from_u64(0),
             rps,
             write_rps,
             last_success_at: None,
             last_failure_at: None,
-            answered_left: None,
+            last_answered_sent_at: None,
         }
     }
 
-    /// With its own seed, so that nodes that fail together do not come back together.
+    /// Sets the seed of the backoffs' jitter, so that nodes that fail together do not retry together.
     pub fn seeded(mut self, seed: u64) -> StoreClient<P> {
         self.rng = StdRng::seed_from_u64(seed);
         self
     }
 
-    /// Sets this node's share.
+    /// Sets this node's share of the platform's rates: calls and mutations a second.
     pub fn set_rates(&mut self, rps: f64, write_rps: f64, now: Time) {
         if rps != self.rps || write_rps != self.write_rps {
             (self.rps, self.write_rps) = (rps, write_rps);
@@ -254,140 +268,149 @@
         }
     }
 
-    /// Changes a second that this node may make.
+    /// Mutations a second that this node may make.
     pub fn write_rate(&self) -> f64 {
         self.write_rps.max(1.0)
     }
 
-    /// Whether the service is known to be away: its latest word was a refusal.
+    /// Whether the service is known to be unavailable: its last failure is later than its last success.
     pub fn is_unavailable(&self) -> bool {
         self.last_failure_at.is_some() && self.last_failure_at > self.last_success_at
     }
 
-    /// Whether the queues have room for another user's call, of so many.
-    pub fn has_queue_capacity(&self, most: usize) -> bool {
-        self.queues.iter().map(VecDeque::len).sum::<usize>() < most
+    /// Whether fewer than `max_calls` calls are queued, so that another user's call may be.
+    pub fn has_queue_capacity(&self, max_calls: usize) -> bool {
+        self.queues.iter().map(VecDeque::len).sum::<usize>() < max_calls
     }
 
-    /// Whether a user's change that is asked for now would have to wait for its turn.
+    /// Whether a user's write that is queued now would have to wait.
     pub fn has_waiting_writes(&mut self, now: Time) -> bool {
         let level = CallPriority::High as usize;
-        let spare = SPARE[level] * self.write_rps;
-        !self.queues[level].is_empty() || !self.writes.can_take(1.0, spare, now)
+        let reserved = RESERVED_SHARE[level] * self.write_rps;
+        !self.queues[level].is_empty() || !self.writes.can_take(1.0, reserved, now)
     }
 
-    /// Calls that wait, by urgency.
+    /// Number of queued calls, by [`CallPriority`].
     pub fn queue_lengths(&self) -> [usize; 5] {
         [0, 1, 2, 3, 4].map(|level: usize| self.queues[level].len())
     }
 
-    /// Asks for a call.
+    /// Queues a call.
     pub fn push(
         &mut self,
         call: StoreCall,
-        purpose: P,
-        urgency: CallPriority,
-        patience: RetryPolicy,
+        context: P,
+        priority: CallPriority,
+        retry_policy: RetryPolicy,
     ) {
         let pending = PendingCall {
             call,
-            context: purpose,
-            priority: urgency,
-            retry_policy: patience,
+            context,
+            priority,
+            retry_policy,
             not_before: 0,
-            tries: 0,
+            attempts: 0,
             uncertain: false,
-            left: 0,
+            sent_at: 0,
         };
-        self.queues[urgency as usize].push_back(pending);
+        self.queues[priority as usize].push_back(pending);
     }
 
-    /// Drops what waits and no longer matters. Calls in flight still end with an outcome.
-    pub fn retain_pending(&mut self, matters: impl Fn(&P) -> bool) {
+    /// Drops the queued calls whose context does not satisfy `keep`. Calls in flight still end with an outcome.
+    pub fn retain_pending(&mut self, keep: impl Fn(&P) -> bool) {
         for queue in &mut self.queues {
-            queue.retain(|p| matters(&p.context));
+            queue.retain(|pending| keep(&pending.context));
         }
     }
 
-    /// Calls that may leave now, and those whose time has run out.
+    /// Returns the calls to be sent now, each with the id for [`StoreClient::finish`], and those that could not be sent
+    /// before their time ([`RetryPolicy::OnceBefore`]).
     pub fn take_due_calls(&mut self, now: Time) -> (Vec<(u64, StoreCall)>, Vec<FinishedCall<P>>) {
-        let (mut out, mut late) = (Vec::new(), Vec::new());
-        // A transaction of several changes that waits for its turn has it: else those of one change that
-        // came later would take what it waits for, for as long as there are any.
-        let mut starved = false;
+        let (mut due, mut expired) = (Vec::new(), Vec::new());
+        // While a transaction waits for write tokens, no later write is sent: else transactions of a single mutation would
+        // keep taking the tokens that one of several waits for.
+        let mut write_is_waiting = false;
         for level in 0..self.queues.len() {
-            let mut kept = VecDeque::new();
+            let mut waiting = VecDeque::new();
             while let Some(mut pending) = self.queues[level].pop_front() {
                 if let RetryPolicy::OnceBefore(until) = pending.retry_policy
                     && now >= until
                 {
-                    late.push(finished(pending, StoreOutcome::Unavailable));
+                    expired.push(finished(pending, StoreOutcome::Unavailable));
                     continue;
                 }
                 let writes = pending.call.write_count();
-                if writes > 0.0 && starved || !self.may_send(&pending, now) {
-                    let ready = now >= pending.not_before && now >= self.paused_until;
-                    starved |= writes > 0.0 && ready;
-                    kept.push_back(pending);
+                if writes > 0.0 && write_is_waiting || !self.may_send(&pending, now) {
+                    let is_due = now >= pending.not_before && now >= self.paused_until;
+                    write_is_waiting |= writes > 0.0 && is_due;
+                    waiting.push_back(pending);
                     continue;
                 }
-                let follow = matches!(pending.call, StoreCall::Watch { .. });
-                self.follows += usize::from(follow);
+                let is_watch = matches!(pending.call, StoreCall::Watch { .. });
+                self.watches_in_flight += usize::from(is_watch);
                 self.requests.take(1.0);
                 self.writes.take(pending.call.write_count());
-                pending.tries += 1;
-                pending.left = now;
-                let id = self.next;
-                self.next += 1;
-                out.push((id, pending.call.clone()));
-                self.flying.insert(id, pending);
+                pending.attempts += 1;
+                pending.sent_at = now;
+                let id = self.next_id;
+                self.next_id += 1;
+                due.push((id, pending.call.clone()));
+                self.in_flight.insert(id, pending);
             }
-            self.queues[level] = kept;
+            self.queues[level] = waiting;
         }
-        (out, late)
+        (due, expired)
     }
 
     fn may_send(&mut self, pending: &PendingCall<P>, now: Time) -> bool {
-        let spare = SPARE[pending.priority as usize];
-        let term = pending.priority == CallPriority::Leadership;
+        let reserved_share = RESERVED_SHARE[pending.priority as usize];
+        let is_leadership = pending.priority == CallPriority::Leadership;
         now >= pending.not_before
-            && (term || now >= self.paused_until)
-            && (term || self.flying.len() - self.follows < STORE_IN_FLIGHT_MAX)
-            && self.requests.can_take(1.0, spare * self.rps, now)
+            && (is_leadership || now >= self.paused_until)
+            && (is_leadership
+                || self.in_flight.len() - self.watches_in_flight < STORE_IN_FLIGHT_MAX)
+            && self.requests.can_take(1.0, reserved_share * self.rps, now)
             && (pending.call.write_count() == 0.0
-                || self.writes.can_take(pending.call.write_count(), spare * self.write_rps, now))
+                || self.writes.can_take(
+                    pending.call.write_count(),
+                    reserved_share * self.write_rps,
+                    now,
+                ))
     }
 
-    /// Takes the outcome of a call that left. None if it will be tried again.
+    /// Takes the outcome of a call that was sent. Returns none if the call is retried, or its id is not known.
     pub fn finish(&mut self, id: u64, outcome: StoreOutcome, now: Time) -> Option<FinishedCall<P>> {
-        let mut pending = self.flying.remove(&id)?;
-        let follow = matches!(pending.call, StoreCall::Watch { .. });
-        self.follows -= usize::from(follow);
+        let mut pending = self.in_flight.remove(&id)?;
+        let is_watch = matches!(pending.call, StoreCall::Watch { .. });
+        self.watches_in_flight -= usize::from(is_watch);
         if outcome.is_answered() {
             self.last_success_at = Some(now);
-            self.answered_left = self.answered_left.max(Some(pending.left));
-            self.pause = STORE_BACKOFF_MS;
+            self.last_answered_sent_at = self.last_answered_sent_at.max(Some(pending.sent_at));
+            self.pause_ms = STORE_BACKOFF_MS;
             self.paused_until = 0;
-            self.repeats.on_success();
+            self.retry_budget.on_success();
             return Some(finished(pending, outcome));
         }
-        // A follow that times out or ends says nothing of the service: it blocks by nature. Nor does silence if a
-        // call that left later has its answer: one was lost, and who asks now is not to be sent away for it.
-        let lost = outcome == StoreOutcome::Unknown && self.answered_left > Some(pending.left);
-        if outcome != StoreOutcome::RateLimited && !follow && !lost {
+        // A watch that times out or ends proves nothing of the service, since it blocks by design. Nor does a missing
+        // response if a call sent later was answered: a single message was lost, and users must not be turned away for it.
+        let is_single_loss =
+            outcome == StoreOutcome::Unknown && self.last_answered_sent_at > Some(pending.sent_at);
+        if outcome != StoreOutcome::RateLimited && !is_watch && !is_single_loss {
             self.last_failure_at = Some(now);
         }
-        if !follow && !lost {
-            self.paused_until = now + self.pause;
-            self.pause = (self.pause * 2).min(STORE_BACKOFF_MAX_MS);
+        if !is_watch && !is_single_loss {
+            self.paused_until = now + self.pause_ms;
+            self.pause_ms = (self.pause_ms * 2).min(STORE_BACKOFF_MAX_MS);
         }
         pending.uncertain |= outcome == StoreOutcome::Unknown;
         match pending.retry_policy {
             RetryPolicy::UntilDefinite => {
-                // Without a repeat left it waits longest: what fails is not asked ever more often.
-                let tries = if self.repeats.try_take(now) { pending.tries } else { u32::MAX };
-                let wait = backoff_ms(STORE_BACKOFF_MS, tries, STORE_BACKOFF_MAX_MS, &mut self.rng);
-                pending.not_before = now + wait;
+                // With the retry budget exhausted it gets the longest backoff: a failing service is not loaded further.
+                let attempts =
+                    if self.retry_budget.try_take(now) { pending.attempts } else { u32::MAX };
+                let wait_ms =
+                    backoff_ms(STORE_BACKOFF_MS, attempts, STORE_BACKOFF_MAX_MS, &mut self.rng);
+                pending.not_before = now + wait_ms;
                 self.queues[pending.priority as usize].push_back(pending);
                 None
             }
