--- a/crates/controller/src/controller/format_upgrade.rs
+++ b/crates/controller/src/controller/format_upgrade.rs
@@ -88,7 +88,7 @@
         }
         let transaction = Transaction {
             preconditions: vec![Precondition { key: keys::RECORD_FORMAT.into(), mod_revision: 0 }],
-            mutations: vec![super::chunks::put_change(
+            mutations: vec![super::chunks::put_mutation(
                 keys::RECORD_FORMAT.into(),
                 &FormatRecord { form: FORMAT_VERSION },
             )],
--- a/crates/controller/src/store/mod.rs
+++ b/crates/controller/src/store/mod.rs
@@ -3,7 +3,9 @@
 //! [`StoreClient::finish`].
 
 use crate::Time;
-use crate::constants::{MS_PER_S, STORE_BACKOFF_MAX_MS, STORE_BACKOFF_MS, STORE_IN_FLIGHT_MAX};
+use crate::constants::{
+    MAX_STORE_CALLS_IN_FLIGHT, MS_PER_S, STORE_INITIAL_BACKOFF_MS, STORE_MAX_BACKOFF_MS,
+};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use std::collections::{HashMap, VecDeque};
@@ -211,7 +213,7 @@
     writes: TokenBucket,
     queues: [VecDeque<PendingCall<P>>; 5],
     in_flight: HashMap<u64, PendingCall<P>>,
-    /// Watches in flight: they do not count against [`STORE_IN_FLIGHT_MAX`].
+    /// Watches in flight: they do not count against [`MAX_STORE_CALLS_IN_FLIGHT`].
     watches_in_flight: usize,
     next_id: u64,
     /// After a failure: only calls of [`CallPriority::Leadership`] are sent before this.
@@ -242,7 +244,7 @@
             watches_in_flight: 0,
             next_id: 1,
             paused_until: 0,
-            pause_ms: STORE_BACKOFF_MS,
+            pause_ms: STORE_INITIAL_BACKOFF_MS,
             retry_budget: RetryBudget::new(now),
             rng: StdRng::seed_from_u64(0),
             rps,
@@ -368,7 +370,7 @@
         now >= pending.not_before
             && (is_leadership || now >= self.paused_until)
             && (is_leadership
-                || self.in_flight.len() - self.watches_in_flight < STORE_IN_FLIGHT_MAX)
+                || self.in_flight.len() - self.watches_in_flight < MAX_STORE_CALLS_IN_FLIGHT)
             && self.requests.can_take(1.0, reserved_share * self.rps, now)
             && (pending.call.write_count() == 0.0
                 || self.writes.can_take(
@@ -386,7 +388,7 @@
         if outcome.is_answered() {
             self.last_success_at = Some(now);
             self.last_answered_sent_at = self.last_answered_sent_at.max(Some(pending.sent_at));
-            self.pause_ms = STORE_BACKOFF_MS;
+            self.pause_ms = STORE_INITIAL_BACKOFF_MS;
             self.paused_until = 0;
             self.retry_budget.on_success();
             return Some(finished(pending, outcome));
@@ -400,7 +402,7 @@
         }
         if !is_watch && !is_single_loss {
             self.paused_until = now + self.pause_ms;
-            self.pause_ms = (self.pause_ms * 2).min(STORE_BACKOFF_MAX_MS);
+            self.pause_ms = (self.pause_ms * 2).min(STORE_MAX_BACKOFF_MS);
         }
         pending.uncertain |= outcome == StoreOutcome::Unknown;
         match pending.retry_policy {
@@ -408,8 +410,12 @@
                 // With the retry budget exhausted it gets the longest backoff: a failing service is not loaded further.
                 let attempts =
                     if self.retry_budget.try_take(now) { pending.attempts } else { u32::MAX };
-                let wait_ms =
-                    backoff_ms(STORE_BACKOFF_MS, attempts, STORE_BACKOFF_MAX_MS, &mut self.rng);
+                let wait_ms = backoff_ms(
+                    STORE_INITIAL_BACKOFF_MS,
+                    attempts,
+                    STORE_MAX_BACKOFF_MS,
+                    &mut self.rng,
+                );
                 pending.not_before = now + wait_ms;
                 self.queues[pending.priority as usize].push_back(pending);
                 None
