--- a/crates/controller/src/cluster_state/quota_usage.rs
+++ b/crates/controller/src/cluster_state/quota_usage.rs
@@ -208,7 +208,7 @@
     };
     // A machine whose zone is not known could be in any. So it counts as in this zone for spreading, and as outside it
     // for keeping together.
-    let at_most = job.tasks_in_zone(zone_of, &machine.zone);
+    let at_most = job.max_attempts_in_zone(zone_of, &machine.zone);
     let mut occupying = job.attempts.values().filter(|attempt| attempt.occupies_resources());
     let any_may_be_outside =
         occupying.any(|attempt| zone_of(&attempt.machine) != Some(&machine.zone));
--- a/crates/controller/src/cluster_state/task_exits.rs
+++ b/crates/controller/src/cluster_state/task_exits.rs
@@ -72,7 +72,7 @@
     fn attribute_failure(&mut self, id: &JobId, machine_id: &MachineId, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if !job.is_job_at_fault() {
-            job.note_bad_machine(machine_id);
+            job.record_bad_machine(machine_id);
         }
         if job.on_task_failed(now) {
             self.on_job_at_fault(id);
--- a/crates/controller/src/job/attempt.rs
+++ b/crates/controller/src/job/attempt.rs
@@ -1,5 +1,5 @@
-//! Attempts: one execution of a task on one machine, from the commit of its binding to its proved end. An attempt
-//! belongs to its [`Job`](super::Job) and calls nothing; the reconciliation of worker reports advances it.
+//! Attempts: an attempt is one execution of a task on one machine, from the commit of its binding until it is confirmed
+//! gone. It belongs to its [`Job`](super::Job) and calls nothing; the reconciliation of worker reports advances it.
 
 use super::{Binding, MachineId};
 use crate::Time;
@@ -14,29 +14,29 @@
     Committing,
     /// Its binding is committed; its start may be offered in responses to heartbeats.
     Bound,
-    /// On the machine, waiting for its image.
+    /// On the machine, fetching its image.
     Fetching,
     /// On the machine, waiting for the other tasks of its gang.
     WaitingForGang,
     /// Executing.
     Running,
-    /// Saving a checkpoint after a stop.
+    /// Saving a checkpoint after a stop command.
     Saving,
     /// Ended; kept until the consequence is committed.
     Exited(ExitCause),
 }
 
-/// A wanted stop of an attempt.
+/// A request to stop an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopRequest {
-    /// When the stop was first wanted.
+    /// When the stop was first requested.
     pub requested_at: Time,
-    /// When the command was last sent straight to the worker; none: not yet.
+    /// When the stop command was last sent directly to the worker; none: not yet.
     pub sent_at: Option<Time>,
 }
 
 impl StopRequest {
-    /// A stop wanted now, of which the worker has not been sent anything.
+    /// A stop requested now, of which no command was sent yet.
     pub fn unsent(now: Time) -> StopRequest {
         StopRequest { requested_at: now, sent_at: None }
     }
@@ -51,15 +51,15 @@
     pub machine: MachineId,
     /// Session of the machine's worker when it was bound. In a later session it cannot be started.
     pub worker_session: u64,
-    /// Changed by [`Attempt::advance`] alone.
+    /// Changed only by [`Attempt::advance`].
     phase: AttemptPhase,
-    /// A report has shown it past the fetch of its image.
+    /// A report has shown a phase after the image fetch.
     image_seen: bool,
-    /// It was bound by an earlier leader: its start is never offered again.
+    /// It was bound under an earlier leader: its start is never offered again.
     pub from_previous_term: bool,
     /// The report whose response last carried the start. None: no start is outstanding.
     pub offered_in: Option<MessageOrder>,
-    /// A report has shown it.
+    /// A report has listed it.
     pub is_reported: bool,
     /// Its start must not be offered (again).
     pub start_withdrawn: bool,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// An attempt of which a new leader found the binding in the store.
+    /// An attempt whose binding a new leader has read from the store.
     pub fn restored(binding: &Binding, now: Time) -> Attempt {
         Attempt {
             phase: AttemptPhase::Bound,
@@ -104,8 +104,8 @@
         self.phase
     }
 
-    /// The one function that changes the phase. Returns whether it changed. An exited attempt stays exited: a late
-    /// report cannot bring it back.
+    /// The only function that changes the phase. Returns whether it changed. An exited attempt stays exited, whatever a
+    /// late report shows.
     pub fn advance(&mut self, to: AttemptPhase, now: Time) -> bool {
         if matches!(self.phase, AttemptPhase::Exited(_)) || self.phase == to {
             return false;
@@ -118,13 +118,13 @@
         true
     }
 
-    /// Whether its machine is assumed to have its image: a report showed it past the fetch, or an earlier leader bound
-    /// it.
+    /// Whether its machine is assumed to have its image: a report showed a phase after the fetch, or an earlier leader
+    /// bound it.
     pub fn had_image(&self) -> bool {
         self.image_seen || self.from_previous_term
     }
 
-    /// Its binding as records hold it. `task` is its task's number in the job.
+    /// Its binding as it is stored. `task` is the number of its task in the job.
     pub fn binding(&self, task: u32) -> Binding {
         Binding {
             task,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Whether it counts against its machine's resources and its team's quota: until it is known to have exited.
+    /// Whether it counts against its machine's resources and its team's quota: it does until it is known to have exited.
     pub fn occupies_resources(&self) -> bool {
         !matches!(self.phase, AttemptPhase::Exited(_))
     }
@@ -144,7 +144,7 @@
         self.phase == AttemptPhase::Exited(ExitCause::Completed)
     }
 
-    /// Whether this leader bound it and no report has shown it: its worker may never have received the start.
+    /// Whether this leader bound it and no report has listed it: its worker may never have received the start.
     pub fn may_be_unstarted(&self) -> bool {
         !self.is_reported && !self.from_previous_term
     }
--- a/crates/controller/src/job/chunks.rs
+++ b/crates/controller/src/job/chunks.rs
@@ -1,5 +1,5 @@
-//! What a job's chunk records should hold, and what a new leader restores from them and from the binding log. A chunk
-//! covers a fixed range of tasks; `controller/chunks.rs` writes and reads the records.
+//! Contents of a job's chunk records, and how a new leader restores a job from them and from the binding log. A chunk
+//! covers a fixed range of the job's tasks; `controller/chunks.rs` writes and reads the records.
 
 use super::record::task_ranges;
 use super::{Attempt, Binding, BindingChunk, FinalRecord, Job};
@@ -20,24 +20,24 @@
 /// A job's transaction that was sent and whose outcome is not known.
 #[derive(Debug, Clone)]
 pub struct InFlightTransaction {
-    /// Number of the write, held in each chunk it writes: by it a later read tells whether the write was applied.
+    /// Number of the write, stored in each chunk that it writes: a later read tells by it whether the write was applied.
     pub write_number: u64,
-    /// Chunks written.
+    /// The chunks that it writes.
     pub chunks: Vec<u32>,
     /// Attempts whose bindings it writes.
     pub bindings: Vec<TaskAttempt>,
-    /// Tasks recorded as done by it.
+    /// Tasks that it records as done.
     pub done: Vec<u32>,
-    /// The final record, if it ends the job.
+    /// The final record, if it finishes the job.
     pub final_record: Option<FinalRecord>,
 }
 
-/// What a chunk does with bindings that the binding log holds.
+/// What a chunk write does with bindings that the binding log holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoggedBindings {
     /// They stay in the log.
     Leave,
-    /// The chunk takes over as many as fit, so that the log can drop them.
+    /// The chunk takes over as many as fit, so that the log can drop them (compaction).
     TakeOver,
 }
 
@@ -46,21 +46,21 @@
 pub struct ChunkWrite {
     /// Number of the write.
     pub write_number: u64,
-    /// The latest attempt number given out so far.
+    /// The latest attempt number issued so far.
     pub last_attempt: u64,
     /// The largest value that the store takes, bytes.
     pub max_bytes: usize,
-    /// What becomes of bindings in the log.
+    /// What is done with bindings in the log.
     pub logged: LoggedBindings,
 }
 
-/// What a chunk's record holds within a bounded size.
+/// Contents of a chunk's record within a bounded size.
 struct ChunkContents {
-    /// Tasks done, as ranges with both ends.
+    /// Tasks done, as inclusive ranges.
     done: Vec<(u32, u32)>,
-    /// Bindings that no log segment holds and that fit.
+    /// Bindings that are not in the binding log and fit into the record.
     fitting: Vec<Binding>,
-    /// Bindings that no log segment holds and that do not fit.
+    /// Bindings that are not in the binding log and do not fit.
     overflowing: Vec<Binding>,
     /// Bytes still free.
     bytes_left: usize,
@@ -72,13 +72,13 @@
         task / self.chunk_tasks
     }
 
-    /// Tasks that a chunk covers.
+    /// The tasks that a chunk covers.
     fn chunk_range(&self, chunk: u32) -> Range<u32> {
         let first = chunk * self.chunk_tasks;
         first..(first + self.chunk_tasks).min(self.spec.tasks)
     }
 
-    /// Notes that the record of a task's chunk must be written. The time of the first change stays.
+    /// Marks a task's chunk as to be written. The time of the first change since the last write is kept.
     pub fn mark_chunk_dirty(&mut self, task: u32, now: Time) {
         self.dirty_chunks.entry(self.chunk_of(task)).or_insert(now);
     }
@@ -94,8 +94,8 @@
         attempts.filter(|(_, attempt)| attempt.is_completed()).map(|(task, _)| *task)
     }
 
-    /// Bindings that only the chunk can hold, since no log segment does, and that do not fit in `max_bytes`: a leader
-    /// with larger store values could write them. `is_logged` says of a task whether the log holds its binding.
+    /// Bindings that are not in the binding log and do not fit into a chunk record of `max_bytes`: they were stored when
+    /// the store allowed larger values. `is_logged` tells whether the log holds a task's binding.
     pub fn overflowing_bindings(
         &self,
         chunk: u32,
@@ -138,8 +138,8 @@
             .map(|(task, attempt)| attempt.binding(*task))
     }
 
-    /// The record of a chunk as it should be, within `write.max_bytes`. `is_logged` says of a task whether the log holds
-    /// its binding. What neither fits nor is in the log must have been returned to the log before
+    /// The up-to-date record of a chunk, within `write.max_bytes`. `is_logged` tells whether the binding log holds a task's
+    /// binding. Bindings that are not in the log and do not fit must have been returned to the log before
     /// ([`Job::overflowing_bindings`]).
     pub fn chunk_record(
         &self,
@@ -155,7 +155,8 @@
             done: contents.done,
             bindings: contents.fitting,
         };
-        // A reader takes attempts later than `covers` from the log: so no attempt that the record lacks may be covered.
+        // A reader takes attempts later than `covers` from the log, so `covers` must precede every attempt that the record
+        // lacks.
         let uncover = |covers: &mut u64, attempt: u64| {
             *covers = (*covers).min(attempt.saturating_sub(1));
         };
@@ -174,7 +175,7 @@
         record
     }
 
-    /// Restores a chunk read from the store. To be called before any [`Job::restore_log_binding`].
+    /// Restores a chunk read from the store. Must be called before any [`Job::restore_log_binding`].
     pub fn restore_chunk(
         &mut self,
         chunk: u32,
@@ -197,8 +198,8 @@
         }
     }
 
-    /// Restores a binding read from the log, unless its chunk covers it or a later attempt of its task is known. To be
-    /// called after all chunks. Returns whether it was restored.
+    /// Restores a binding read from the binding log, unless its chunk covers it or a later attempt of its task is known.
+    /// Must be called after all chunks are restored. Returns whether it was restored.
     pub fn restore_log_binding(&mut self, binding: &Binding, now: Time) -> bool {
         let chunk = self.chunk_of(binding.task);
         let covered = self.chunk_covers.get(&chunk).copied().unwrap_or(0);
--- a/crates/controller/src/job/deadlines.rs
+++ b/crates/controller/src/job/deadlines.rs
@@ -1,19 +1,19 @@
-//! When a job is due and when it should have begun: deadlines by their origin, the age that waiting is measured from, and
-//! the promised start.
+//! Deadlines of a job by their origin, the time from which its waiting is counted, and aging: whether it has waited so
+//! long that it precedes others.
 
 use super::{Job, JobKind, JobState, Priority};
 use crate::Time;
 use crate::constants::{AGING_MS, AGING_STARTED_TASKS_DIVISOR, GANG_AGING_MS};
 use std::sync::Arc;
 
-/// Deadlines of a job by origin, in steady time. The earliest counts.
+/// Deadlines of a job by origin, in monotonic time. The earliest applies.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Deadlines {
-    /// Of the job's own specification.
+    /// From the job's own specification.
     own: Option<Time>,
-    /// Of the arrival (recurring deadline) that it belongs to.
+    /// From the occurrence of a recurring deadline that it belongs to.
     occurrence: Option<Time>,
-    /// Of the jobs that depend on it.
+    /// From the jobs that depend on it.
     dependents: Option<Time>,
 }
 
@@ -28,14 +28,15 @@
 }
 
 impl Job {
-    /// Sets or clears the deadline that an arrival gives the job. It never moves the job's own to later.
+    /// Sets or clears the deadline from the occurrence that the job belongs to. The job's own deadline still applies if it
+    /// is earlier.
     pub fn set_occurrence_deadline(&mut self, due: Option<Time>) {
         self.deadlines.occurrence = due;
         self.deadline = self.deadlines.earliest();
     }
 
-    /// Sets what the jobs that depend on this one need of it: a deadline or none, and a priority, which raises its own
-    /// but never lowers it.
+    /// Sets the deadline, if any, and the priority that the jobs depending on this one require of it. The priority raises
+    /// the job's own but never lowers it.
     pub fn set_dependent_requirements(&mut self, due: Option<Time>, priority: Priority) {
         self.deadlines.dependents = due;
         self.deadline = self.deadlines.earliest();
@@ -45,31 +46,31 @@
         }
     }
 
-    /// The deadline of its own specification, whatever others the job has.
+    /// The deadline from its own specification, in monotonic time.
     pub fn own_deadline(&self) -> Option<Time> {
         self.deadlines.own
     }
 
-    /// All its dependencies are done, the last at `finished_wall` (time of day, ms): from then on it counts as waiting,
-    /// and its tasks may be placed. `wall` is the time of day now.
+    /// All its dependencies are done, the last at `finished_wall` (wall clock, ms): from then on it counts as waiting, and
+    /// its tasks may be placed. `wall` is the wall clock now.
     pub fn make_eligible(&mut self, finished_wall: u64, now: Time, wall: u64) {
         let finished_at = now.saturating_sub(wall.saturating_sub(finished_wall));
         self.eligible_at = self.eligible_at.max(finished_at);
         self.advance(JobState::Live, now);
     }
 
-    /// Whether its promised start has passed: a gang or a service has nothing placed, or an array less than the promised
-    /// part. The age is durable, so a change of leader does not postpone it.
+    /// Whether it has waited for longer than the aging time with too little placed: no task of a gang or service, or less
+    /// than the required part of an array. The time that it counts from is durable, so a failover does not postpone this.
     pub fn is_overdue_to_start(&self, now: Time) -> bool {
         let placed = (self.attempts.len() + self.done.len()) as u32;
-        let promised_tasks = match self.spec.kind {
+        let required_tasks = match self.spec.kind {
             JobKind::Array => self.spec.tasks.div_ceil(AGING_STARTED_TASKS_DIVISOR),
             JobKind::Gang | JobKind::Service => 1,
         };
-        let promise_ms = match self.spec.kind {
+        let aging_ms = match self.spec.kind {
             JobKind::Gang => GANG_AGING_MS,
             JobKind::Array | JobKind::Service => AGING_MS,
         };
-        placed < promised_tasks && now >= self.eligible_at + promise_ms
+        placed < required_tasks && now >= self.eligible_at + aging_ms
     }
 }
--- a/crates/controller/src/job/gang.rs
+++ b/crates/controller/src/job/gang.rs
@@ -1,4 +1,4 @@
-//! Gang scheduling of one job: whether the gang is complete, gathering its image or being stopped as a whole, and which
+//! Gang scheduling of one job: whether the gang is complete, fetching its image or being stopped as a whole, and which
 //! machines are reserved for its next placement.
 
 use super::{Attempt, AttemptPhase, Job, MachineId};
@@ -8,12 +8,12 @@
 /// State of a gang as a whole. A job of another kind is always [`GangState::Whole`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GangState {
-    /// It waits to be placed, or all of it is bound.
+    /// It waits to be placed, or all its tasks are bound.
     Whole,
-    /// A task has ended because the gang was incomplete in time while others still fetch the image. Those go on, since
-    /// a worker gives up a fetch that no task waits for. The gang is placed anew once its image is everywhere.
+    /// A task has exited because the gang was not complete in time, while others still fetch the image. Those continue,
+    /// since a worker aborts a fetch that no task waits for. The gang is placed again once its machines have the image.
     Fetching,
-    /// A task was lost or is to be stopped: all of the gang is stopped, and it is placed anew when none is left.
+    /// A task was lost or is to be stopped: all tasks of the gang are stopped, and it is placed again when none is left.
     Stopping,
 }
 
@@ -23,8 +23,8 @@
         self.gang_state
     }
 
-    /// The one function that changes the state of the gang: it becomes whole again only when none of its attempts is
-    /// left. Returns whether it changed.
+    /// The only function that changes the state of the gang. It becomes whole again only when no attempt is left. Returns
+    /// whether it changed.
     pub fn set_gang_state(&mut self, to: GangState) -> bool {
         let none_left = !self.attempts.values().any(Attempt::occupies_resources);
         let allowed = match (self.gang_state, to) {
@@ -39,7 +39,7 @@
         allowed
     }
 
-    /// Whether a task still fetches the image and none runs: that fetch is worth waiting for.
+    /// Whether a task still fetches the image and none is running: the fetch is worth waiting for.
     pub fn is_fetching(&self) -> bool {
         let mut phases = self.attempts.values().map(Attempt::phase);
         let any_fetches = phases.clone().any(|phase| phase == AttemptPhase::Fetching);
@@ -47,12 +47,12 @@
             && !phases.any(|phase| matches!(phase, AttemptPhase::Running | AttemptPhase::Saving))
     }
 
-    /// Machines whose resources are reserved for this gang until it is placed again: as long as others of it are still
-    /// to leave, else for [`GANG_RESERVATION_MS`], since the other machines that it needs may have to boot.
+    /// Machines whose resources are reserved for this gang until it is placed again: while attempts of it are still being
+    /// stopped, and then for [`GANG_RESERVATION_MS`], since further machines that it needs may have to boot.
     pub fn reserved_machines(&self, now: Time) -> impl Iterator<Item = &MachineId> {
-        let is_leaving = self.gang_state != GangState::Whole;
+        let is_stopping = self.gang_state != GangState::Whole;
         let is_reserved = move |(_, vacated_at): &(&MachineId, &Time)| {
-            is_leaving || now < **vacated_at + GANG_RESERVATION_MS
+            is_stopping || now < **vacated_at + GANG_RESERVATION_MS
         };
         self.vacated_machines.iter().filter(is_reserved).map(|(machine, _)| machine)
     }
--- a/crates/controller/src/job/mod.rs
+++ b/crates/controller/src/job/mod.rs
@@ -1,4 +1,4 @@
-//! One job as the leader holds it: its specification, its state, and the state of each of its tasks. A task is in exactly
+//! A job in the leader's memory: its specification, its state, and the state of each of its tasks. A task is in exactly
 //! one of [`Job::waiting`], [`Job::backing_off`], [`Job::attempts`] and [`Job::done`]. A [`Job`] belongs to
 //! `cluster_state`, which changes it; it calls nothing outside this module.
 
@@ -32,17 +32,17 @@
 /// A machine's name in the cloud.
 pub type MachineId = Arc<str>;
 
-/// The longest deadline that steady time can hold with certainty, ms: specifications may ask for any number.
+/// Maximum deadline, ms: specifications may contain any number, and the sum with the monotonic time must not overflow.
 const MAX_DEADLINE_MS: f64 = 1e15;
 
 /// State of a job in the leader's memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobState {
-    /// Accepted, and depends on jobs that are not done: none of its tasks may be bound.
+    /// Accepted, and depends on jobs that are not done yet: none of its tasks may be bound.
     Awaiting,
     /// Accepted; its tasks wait or run.
     Live,
-    /// Cancelled; its tasks are being ended.
+    /// Cancelled; its tasks are being stopped.
     Cancelling,
     /// Its final record is being committed.
     Closing,
@@ -50,67 +50,67 @@
     Closed,
 }
 
-/// A job as the leader holds it.
+/// A job in the leader's memory.
 #[derive(Debug)]
 pub struct Job {
     /// Its id.
     pub id: JobId,
-    /// What it asks for. The priority may be raised by jobs that depend on it.
+    /// Its specification. The priority may be raised by jobs that depend on it.
     pub spec: Arc<JobSpec>,
     /// Mod revision of its record in the store.
     pub mod_revision: u64,
-    /// Changed by [`Job::advance`] alone.
+    /// Changed only by [`Job::advance`].
     state: JobState,
-    /// Time of day of its acceptance, ms since the Unix epoch.
+    /// When it was accepted: wall clock, ms since the Unix epoch.
     pub accepted_wall: u64,
-    /// From when on it could have been placed, in this process's steady time, as far as clocks agree: its acceptance,
-    /// or the end of its last dependency. Both are durable, so how long it has waited outlives leaders.
+    /// Since when it could have been placed: its acceptance, or the end of its last dependency. In this process's
+    /// monotonic time, converted from the wall clock. Both times are durable, so its waiting time survives failovers.
     pub eligible_at: Time,
-    /// Name of the tier that it was accepted into, if its record has one.
+    /// Name of the tier that it was accepted into, if its record holds one.
     pub accepted_tier: Option<String>,
-    /// Its tier in the table in force, found by `accepted_tier` if that still exists.
+    /// Its tier in the current table: `accepted_tier` if that still exists.
     pub tier: TierAssignment,
-    /// The earliest of its deadlines, in steady time: its own, that of its arrival, those of jobs that depend on it.
+    /// The earliest of its deadlines, in monotonic time: its own, that of its occurrence, those of jobs that depend on it.
     pub deadline: Option<Time>,
     deadlines: Deadlines,
-    /// The priority of its own specification.
+    /// The priority in its own specification.
     pub own_priority: Priority,
-    /// When this leader learnt that it is cancelled.
+    /// When it was cancelled, in monotonic time; none: it is not cancelled.
     pub cancelled_at: Option<Time>,
     /// Tasks that wait for a machine.
     pub waiting: BTreeSet<u32>,
-    /// Tasks held back after a failure, and until when.
+    /// Tasks in backoff after a failure, and until when.
     pub backing_off: BTreeMap<u32, Time>,
-    /// Failures of each task that is not done.
+    /// Number of failures by task.
     pub failures: BTreeMap<u32, u32>,
-    /// Attempts by task: those not proved gone, and exits whose consequence is not committed.
+    /// Attempts by task: those not confirmed gone, and exited ones whose consequence is not committed yet.
     pub attempts: BTreeMap<u32, Attempt>,
-    /// Tasks done, and recorded so.
+    /// Tasks that are recorded as done in the store.
     pub done: BTreeSet<u32>,
     /// Number of tasks that a chunk covers.
     pub chunk_tasks: u32,
     /// Mod revisions of the chunks in the store.
     pub chunk_revisions: BTreeMap<u32, u64>,
-    /// Chunks whose stored record is out of date, and since when.
+    /// Chunks whose stored record is outdated, and since when.
     pub dirty_chunks: BTreeMap<u32, Time>,
-    /// Of each chunk read from the store, the latest attempt that it accounts for. Later ones are in the binding log.
+    /// By chunk read from the store: the latest attempt that it accounts for. Later ones are in the binding log.
     pub chunk_covers: BTreeMap<u32, u64>,
     /// The job's one transaction that was sent and whose outcome is not known.
     pub in_flight: Option<InFlightTransaction>,
-    /// Machines on which a task of it failed, the latest last.
+    /// Machines on which a task of this job failed, the latest last.
     pub bad_machines: VecDeque<MachineId>,
-    /// Changed by [`Job::set_failure_attribution`] alone.
+    /// Changed only by [`Job::set_failure_attribution`].
     failure_attribution: FailureAttribution,
-    /// Changed by [`Job::set_gang_state`] alone.
+    /// Changed only by [`Job::set_gang_state`].
     gang_state: GangState,
-    /// Machines that tasks of this gang have left and that have its image, and when they were left.
+    /// Machines with the gang's image that its tasks have vacated, and when.
     pub vacated_machines: BTreeMap<MachineId, Time>,
     /// Its deadline has passed and was counted as missed.
     pub missed_deadline: bool,
 }
 
 impl Job {
-    /// A job from its record. `now` is steady time, `wall` the time of day, both in ms and of the same moment.
+    /// A job from its record. `now` is the monotonic time and `wall` the wall clock of the same moment, both in ms.
     pub fn new(id: JobId, record: &JobRecord, mod_revision: u64, now: Time, wall: u64) -> Job {
         let spec = Arc::new(record.spec.clone());
         let age_ms = wall.saturating_sub(record.accepted_wall);
@@ -154,7 +154,7 @@
         self.state
     }
 
-    /// The one function that changes the state. A job returns to an earlier state only from [`JobState::Closing`], when
+    /// The only function that changes the state. A job returns to an earlier state only from [`JobState::Closing`], when
     /// the final record of a cancelled job was not committed. Returns whether the change was allowed.
     pub fn advance(&mut self, to: JobState, now: Time) -> bool {
         let allowed = matches!(
@@ -174,7 +174,7 @@
         true
     }
 
-    /// Whether tasks of it wait for a machine, and not for another job.
+    /// Whether tasks of it wait for a machine, rather than for another job.
     pub fn has_queued_tasks(&self) -> bool {
         !self.waiting.is_empty() && self.state != JobState::Awaiting
     }
@@ -189,26 +189,26 @@
         self.cancelled_at.is_some()
     }
 
-    /// Number of attempts that count against resources and quota.
+    /// Number of attempts that count against resources and quota ([`Attempt::occupies_resources`]).
     pub fn occupying_attempts(&self) -> usize {
         self.attempts.values().filter(|attempt| attempt.occupies_resources()).count()
     }
 
-    /// Attempts not proved gone that are in a zone or could be: those on machines whose zone is not known count in
-    /// every zone. `zone_of` is none for such machines.
-    pub fn tasks_in_zone<'a>(
+    /// Maximum number of attempts that occupy resources in a zone. Attempts on machines of unknown zone, for which
+    /// `zone_of` returns none, count in every zone.
+    pub fn max_attempts_in_zone<'a>(
         &self,
         zone_of: impl Fn(&MachineId) -> Option<&'a str>,
         zone: &str,
     ) -> u32 {
-        let may_be_there = |attempt: &&Attempt| {
+        let may_be_in_zone = |attempt: &&Attempt| {
             zone_of(&attempt.machine).is_none_or(|machine_zone| machine_zone == zone)
         };
-        let there = self.attempts.values().filter(may_be_there);
-        there.filter(|attempt| attempt.occupies_resources()).count() as u32
+        let attempts = self.attempts.values().filter(may_be_in_zone);
+        attempts.filter(|attempt| attempt.occupies_resources()).count() as u32
     }
 
-    /// Numbers of tasks for display: (done, running).
+    /// Numbers of tasks done and running.
     pub fn task_counts(&self) -> (u32, u32) {
         let phases = self.attempts.values().map(Attempt::phase);
         let running = phases.filter(|phase| *phase == AttemptPhase::Running).count();
--- a/crates/controller/src/job/record.rs
+++ b/crates/controller/src/job/record.rs
@@ -1,5 +1,5 @@
-//! Records that the state service holds of a job, in compact form, and their keys. What is read here was written by any
-//! earlier version and any controller: the stored bytes must not change.
+//! Records of a job in the state service, in a compact encoding, and their keys. Records may have been written by any
+//! controller of an earlier version, so their encoding must not change.
 
 use super::{JobId, JobSpec, MachineId};
 use crate::constants::{
@@ -10,30 +10,30 @@
 use std::collections::BTreeSet;
 use swiftsail_dag::JobOutcome;
 
-/// Prefixes and keys in the state service.
+/// Keys and key prefixes in the state service.
 pub mod keys {
-    /// Prefix of accepted jobs that are not over, or have just ended.
+    /// Prefix of accepted jobs: unfinished ones, and finished ones whose final record has not been archived yet.
     pub const JOBS: &str = "job/";
-    /// Prefix of final records, kept for good.
+    /// Prefix of archived final records, which are never deleted.
     pub const FINALS: &str = "end/";
     /// Prefix of binding chunks.
     pub const BINDINGS: &str = "bind/";
-    /// Prefix of the binding log's segments.
+    /// Prefix of segments of the binding log.
     pub const SHEETS: &str = "sheet/";
-    /// Prefix of plug-ins: their records, and their sources in parts.
+    /// Prefix of plug-ins: their records, and their sources in chunks.
     pub const PLUGINS: &str = "plug/";
-    /// Prefix of replicated records: tiers, dispatch plan, loans.
+    /// Prefix of replicated records: tier table, deadline plan, GPU loans.
     pub const REPLICATED_RECORDS: &str = "order/";
-    /// The record format in use, written once every controller reads it (`controller::format_upgrade`).
+    /// Key of the record format in use, written once every controller can read it (`controller::format_upgrade`).
     pub const RECORD_FORMAT: &str = "term/form";
-    /// The leadership record. Its mod revision is the fencing token.
+    /// Key of the leadership record. Its mod revision is the fencing token.
     pub const LEADER: &str = "term/leader";
     /// Prefix of the leadership record and the record format.
     pub const TERM: &str = "term/";
-    /// The machine types.
+    /// Key of the machine types.
     pub const MACHINE_TYPES: &str = "types/all";
 
-    /// Key of a job that is not over, or whose final record has not been moved yet.
+    /// Key of an unfinished job, or of a finished one whose final record has not been archived yet.
     pub fn job(id: &str) -> String {
         format!("{JOBS}{id}")
     }
@@ -43,14 +43,14 @@
         format!("{SHEETS}{number:03}")
     }
 
-    /// Key of a final record that has been moved.
+    /// Key of an archived final record.
     pub fn final_record(id: &str) -> String {
         format!("{FINALS}{id}")
     }
 
-    /// Key of a job's final place if `last`, else of its first.
-    pub fn job_or_final_record(id: &str, last: bool) -> String {
-        if last { final_record(id) } else { job(id) }
+    /// [`final_record`] if `final_key`, else [`job`].
+    pub fn job_or_final_record(id: &str, final_key: bool) -> String {
+        if final_key { final_record(id) } else { job(id) }
     }
 }
 
@@ -59,41 +59,42 @@
     format!("{}{id}/{chunk:05}", keys::BINDINGS)
 }
 
-/// Number of tasks that a chunk covers, so that the tasks done fit in a stored value however they are scattered. Bindings
-/// that do not fit beside them stay in the binding log.
+/// Number of tasks that a chunk covers: so many that the ranges of tasks done fit into a stored value in the worst case.
+/// Bindings that do not fit beside them stay in the binding log.
 pub fn chunk_size(state: &StoreSettings) -> u32 {
     let max_bytes = (state.value_kb * 1024.0) as usize;
     let max_ranges = max_bytes.saturating_sub(CHUNK_OVERHEAD_BYTES) / MAX_TASK_RANGE_BYTES;
-    // The worst case is every second task done: then a range covers one task, with a gap of one behind it.
+    // In the worst case every second task is done: each range then covers one task, followed by a gap of one.
     (max_ranges as u32).saturating_mul(2).clamp(1, MAX_CHUNK_TASKS)
 }
 
-/// Record of a job that is not over.
+/// Record of an unfinished job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "EncodedRecord", into = "EncodedRecord")]
 pub struct JobRecord {
     /// Whether its user has cancelled it.
     pub cancelled: bool,
-    /// Time of day of its cancellation, ms.
+    /// When it was cancelled: wall clock, ms.
     pub cancelled_wall: u64,
-    /// Time of day of its acceptance, ms.
+    /// When it was accepted: wall clock, ms.
     pub accepted_wall: u64,
-    /// Tasks that a chunk covers: fixed at acceptance, so that no change of settings moves a task to another chunk.
+    /// Number of tasks that a chunk covers. Fixed at acceptance, so that no change of settings moves a task to another
+    /// chunk.
     pub chunk_tasks: u32,
-    /// Number by which a write of the record is known again when its outcome was lost.
+    /// Number by which a write of the record is recognized after its response was lost.
     #[serde(rename = "nonce")]
     pub write_number: u64,
-    /// Name of the tier that it was accepted into, where tiers are held in the state service.
+    /// Name of the tier that it was accepted into, if the tier table is stored in the state service.
     pub tier: Option<String>,
-    /// Dependencies: the jobs that must be done before any task of it starts.
+    /// Dependencies: jobs that must be done before any of its tasks starts.
     #[serde(rename = "awaits")]
     pub depends_on: Vec<JobId>,
-    /// What it asks for.
+    /// Its specification.
     pub spec: JobSpec,
 }
 
-/// A [`JobRecord`] as it is stored. The specification of a job with dependencies stands under another key (`p`) than that
-/// of one without (`j`): an earlier version, which would start it at once, cannot read it and leaves it alone.
+/// Stored encoding of a [`JobRecord`]. The specification of a job with dependencies is stored in another field (`p`) than
+/// that of one without (`j`): earlier versions, which would start the job at once, cannot read it and ignore the record.
 #[derive(Serialize, Deserialize)]
 struct EncodedRecord {
     #[serde(rename = "x", default)]
@@ -114,9 +115,9 @@
     dependent: Option<(Vec<String>, JobSpec)>,
 }
 
-/// A stored job is none: it has no specification, or two.
+/// A job record does not have exactly one specification.
 #[derive(Debug, thiserror::Error)]
-#[error("a job's record asks for nothing, or twice")]
+#[error("job record must contain exactly one of the fields `j` and `p`")]
 struct AmbiguousSpec;
 
 impl TryFrom<EncodedRecord> for JobRecord {
@@ -172,7 +173,7 @@
     Cancelled,
 }
 
-/// Record of a job that is over.
+/// Record of a finished job.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct FinalRecord {
     /// How it ended.
@@ -181,15 +182,15 @@
     /// Number of tasks done.
     #[serde(rename = "n")]
     pub done: u32,
-    /// Time of day of the end, ms: from then on jobs that depend on it count as waiting. None in records of earlier
+    /// When it ended: wall clock, ms. From then on jobs that depend on it count as waiting. None in records of earlier
     /// versions.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub ended_wall: Option<u64>,
 }
 
 impl FinalRecord {
-    /// What it means for jobs that depend on this one. `now_wall` (ms) stands in where an earlier version recorded no
-    /// time of the end.
+    /// The outcome for jobs that depend on this one. `now_wall` (wall clock, ms) is used as the time of the end where an
+    /// earlier version recorded none.
     pub fn outcome(&self, now_wall: u64) -> JobOutcome {
         match self.state {
             FinalState::Done => JobOutcome::Done(self.ended_wall.unwrap_or(now_wall)),
@@ -198,17 +199,17 @@
     }
 }
 
-/// What the key of an accepted job holds.
+/// Value of a key with the prefix [`keys::JOBS`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoredJob {
-    /// It is not over.
+    /// The job is unfinished.
     Live(Box<JobRecord>),
-    /// It is over, and its final record has not been moved to `end/` yet.
+    /// The job is finished, and its final record has not been archived under [`keys::FINALS`] yet.
     Finished(FinalRecord),
 }
 
 impl StoredJob {
-    /// Decodes a stored value; none if it is neither.
+    /// Decodes a stored value. None: it is neither.
     pub fn read(value: &serde_json::Value) -> Option<StoredJob> {
         let live = JobRecord::deserialize(value).map(|record| StoredJob::Live(Box::new(record)));
         live.or_else(|_| FinalRecord::deserialize(value).map(StoredJob::Finished)).ok()
@@ -232,7 +233,7 @@
 }
 
 impl Binding {
-    /// Its size as JSON, with the comma behind it.
+    /// Its size as JSON with a trailing comma, bytes.
     pub fn bytes(&self) -> usize {
         let digits = |number: u64| number.checked_ilog10().unwrap_or(0) as usize + 1;
         let numbers =
@@ -253,25 +254,25 @@
     }
 }
 
-/// Record of a chunk: bindings and tasks done of a fixed range of a job's tasks.
+/// Record of a chunk: the bindings and the tasks done in a fixed range of a job's tasks.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct BindingChunk {
     /// Number of the write.
     #[serde(rename = "w")]
     pub write_number: u64,
-    /// Of its tasks, the chunk accounts for every attempt up to this one. Bindings of later attempts are in the binding
+    /// The chunk accounts for every attempt of its tasks up to this number. Bindings of later attempts are in the binding
     /// log.
     #[serde(rename = "l", default)]
     pub covers: u64,
-    /// Tasks done, as ranges with both ends.
+    /// Tasks done, as inclusive ranges.
     #[serde(rename = "d", default)]
     pub done: Vec<(u32, u32)>,
-    /// Bindings of attempts not proved gone.
+    /// Bindings of attempts not confirmed gone.
     #[serde(rename = "b", default)]
     pub bindings: Vec<Binding>,
 }
 
-/// Tasks as ranges with both ends, in ascending order.
+/// Tasks as inclusive ranges, in ascending order.
 pub(super) fn task_ranges(tasks: &BTreeSet<u32>) -> Vec<(u32, u32)> {
     let mut ranges: Vec<(u32, u32)> = Vec::new();
     for &task in tasks {
--- a/crates/controller/src/job/retry.rs
+++ b/crates/controller/src/job/retry.rs
@@ -1,14 +1,15 @@
-//! How a job's tasks come to wait again after an attempt: at once when it was lost, after a backoff when it failed.
+//! Retries of tasks: a task waits again at once when its attempt was lost, and after a backoff when it failed.
 
 use super::{Attempt, Job, JobKind, MachineId};
 use crate::Time;
 use crate::constants::{MAX_BAD_MACHINES, MAX_TASK_RETRY_BACKOFF_MS, TASK_RETRY_BACKOFF_MS};
 
-/// The backoff doubles so many times at most.
+/// Maximum number of times that a backoff is doubled.
 const MAX_DOUBLINGS: u32 = 8;
 
 impl Job {
-    /// Removes an attempt that is proved gone, or was never started: its task waits again.
+    /// Removes and returns a task's attempt that is confirmed gone or was never started. The task waits again unless it is
+    /// done. None: the task has no attempt.
     pub fn release_attempt(&mut self, task: u32, now: Time) -> Option<Attempt> {
         let attempt = self.attempts.remove(&task)?;
         if !self.done.contains(&task) {
@@ -21,7 +22,7 @@
         Some(attempt)
     }
 
-    /// Holds a waiting task back after a failure, for twice as long as after its last one.
+    /// Moves a waiting task into backoff after a failure, for twice as long as after its previous one.
     pub fn back_off(&mut self, task: u32, now: Time) {
         if self.waiting.remove(&task) {
             let failures = self.failures.entry(task).or_insert(0);
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Tasks whose backoff has ended wait again.
+    /// Moves tasks whose backoff has ended to those that wait.
     pub fn end_backoffs(&mut self, now: Time) {
         if self.backing_off.is_empty() {
             return;
@@ -46,11 +47,11 @@
             self.backing_off.remove(&task);
             self.waiting.insert(task);
         }
-        self.limit_suspect_job(now);
+        self.limit_tasks_of_faulty_job(now);
     }
 
-    /// Remembers a machine on which a task of this job failed: at most [`MAX_BAD_MACHINES`], the oldest forgotten first.
-    pub fn note_bad_machine(&mut self, machine: &MachineId) {
+    /// Records a machine on which a task of this job failed: at most [`MAX_BAD_MACHINES`], the oldest forgotten first.
+    pub fn record_bad_machine(&mut self, machine: &MachineId) {
         if !self.bad_machines.contains(machine) {
             if self.bad_machines.len() >= MAX_BAD_MACHINES {
                 self.bad_machines.pop_front();
--- a/crates/simulation/src/simulation/priority_inversions.rs
+++ b/crates/simulation/src/simulation/priority_inversions.rs
@@ -20,7 +20,7 @@
     let spec = &job.spec;
     let zone_of =
         |m: &swiftsail_controller::job::MachineId| tables.machines.get(m).map(|m| m.zone.as_str());
-    let there = job.tasks_in_zone(zone_of, &machine.zone);
+    let there = job.max_attempts_in_zone(zone_of, &machine.zone);
     let offered = world.cluster.cloud.offers().iter().map(|o| &o.machine_type);
     let wasteful =
         offered.clone().any(|h| h.name == machine.machine_type && h.gpus > 0.0) && spec.gpus <= 0.0;
