--- a/crates/controller/src/cluster_state/reconciliation.rs
+++ b/crates/controller/src/cluster_state/reconciliation.rs
@@ -109,7 +109,7 @@
         let Some(machine) = self.machines.get_mut(received.machine) else { return };
         let machine_type = received.types.iter().find(|t| t.name == machine.machine_type);
         let cache_gb = machine_type.map_or(0.0, |machine_type| machine_type.cache_gb);
-        machine.images.note_use(&job.spec.image, job.spec.image_gb, cache_gb);
+        machine.images.record_use(&job.spec.image, job.spec.image_gb, cache_gb);
     }
 
     /// A message lacks a bound attempt: if that proves it gone, its task is released.
--- a/crates/controller/src/machine/image_cache.rs
+++ b/crates/controller/src/machine/image_cache.rs
@@ -1,5 +1,5 @@
-//! The leader's estimate of a machine's image cache. Workers do not report it: the estimate follows the images of the
-//! tasks that ran there, and the least recently used are assumed to have been dropped.
+//! The leader's estimate of a machine's image cache. Workers do not report its contents: they are derived from the tasks
+//! that ran on the machine, assuming that the least recently used images are evicted.
 
 use std::collections::VecDeque;
 
@@ -22,25 +22,25 @@
         self.images.iter().map(|image| image.name.as_str())
     }
 
-    /// Whether an image is assumed to be there.
+    /// Whether an image is assumed to be in the cache.
     pub fn contains(&self, name: &str) -> bool {
         self.names().any(|cached| cached == name)
     }
 
-    /// Notes the use of an image, and drops those used longest ago that no longer fit in `capacity_gb`. The one just used
-    /// stays even if it alone does not fit.
-    pub fn note_use(&mut self, name: &str, size_gb: f64, capacity_gb: f64) {
+    /// Records the use of an image, and evicts the least recently used ones that no longer fit into `capacity_gb`. The image
+    /// just used stays even if it does not fit by itself.
+    pub fn record_use(&mut self, name: &str, size_gb: f64, capacity_gb: f64) {
         self.images.retain(|image| image.name != name);
         self.images.push_back(CachedImage { name: name.to_string(), size_gb });
         let mut total_gb: f64 = self.images.iter().map(|image| image.size_gb).sum();
         while total_gb > capacity_gb && self.images.len() > 1 {
-            if let Some(dropped) = self.images.pop_front() {
-                total_gb -= dropped.size_gb;
+            if let Some(evicted) = self.images.pop_front() {
+                total_gb -= evicted.size_gb;
             }
         }
     }
 
-    /// The machine's worker has restarted with an empty cache.
+    /// Empties the cache: the machine's worker has restarted.
     pub fn clear(&mut self) {
         self.images.clear();
     }
--- a/crates/controller/src/machine/machine_type.rs
+++ b/crates/controller/src/machine/machine_type.rs
@@ -1,11 +1,12 @@
-//! Machine types that the cloud offers: size, price, and what of a job they can run.
+//! Machine types that the cloud offers: their resources and prices, and whether they can run a job.
 
 use super::Resources;
 use crate::constants::MS_PER_S;
 use crate::job::JobSpec;
 use swiftsail_protocol::cloud::ListedMachineType;
 
-/// Rate assumed where the cloud gives none for a type, GB/s: a fetch time is divided by it.
+/// Image fetch rate assumed where the cloud states none for a type, GB/s: sizes are divided by the rate, so it must not be
+/// zero.
 const DEFAULT_FETCH_GB_PER_S: f64 = 0.1;
 
 /// A machine type.
@@ -23,9 +24,9 @@
     pub cache_gb: f64,
     /// Rate of image fetches, GB/s; above zero.
     pub fetch_gb_per_s: f64,
-    /// On-demand price an hour.
+    /// On-demand price per hour.
     pub price: f64,
-    /// Spot price an hour.
+    /// Spot price per hour.
     pub spot_price: f64,
     /// Usual boot time, ms.
     pub boot_ms: f64,
@@ -52,14 +53,14 @@
 }
 
 impl MachineType {
-    /// Whether a job may run on this type: the job's machine types and zone allow it, and one task fits an empty machine.
+    /// Whether a job may run on this type: the job allows the type, its zone offers it, and a task fits on an empty machine.
     pub fn allows(&self, spec: &JobSpec) -> bool {
         spec.machine_types.as_ref().is_none_or(|types| types.contains(&self.name))
             && spec.zone.as_ref().is_none_or(|zone| self.zones.contains(zone))
             && self.resources().fits_task(spec)
     }
 
-    /// Whether a job would waste machines of this type: they have GPUs, which other work needs and this job does not.
+    /// Whether a job would waste machines of this type: they have GPUs, which the job does not use and others need.
     pub fn is_wasted_on(&self, spec: &JobSpec) -> bool {
         self.gpus > 0.0 && spec.gpus <= 0.0
     }
@@ -74,7 +75,7 @@
         Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb }
     }
 
-    /// Price an hour, spot or on demand.
+    /// Price per hour, spot or on demand.
     pub fn hourly_price(&self, spot: bool) -> f64 {
         if spot { self.spot_price } else { self.price }
     }
--- a/crates/controller/src/machine/mod.rs
+++ b/crates/controller/src/machine/mod.rs
@@ -1,5 +1,5 @@
-//! Machines as the leader knows them: identity, state, the newest messages received, the tasks bound to them and the
-//! resources left. [`Machine`] belongs to `cluster_state`, which changes it; it calls nothing outside this module but the
+//! Machines in the leader's memory: identity, state, the newest messages received, the tasks bound to them and their free
+//! resources. [`Machine`] belongs to `cluster_state`, which changes it; it calls nothing outside this module but the
 //! failure detector's [`ReachabilityTracker`].
 
 mod image_cache;
@@ -38,7 +38,7 @@
     }
 }
 
-/// One attempt of one task of any job.
+/// An attempt of a task of any job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     /// The job.
@@ -52,19 +52,19 @@
 /// State of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// Known by name only, from a binding or a rental: it boots, or has not reported to this leader.
+    /// Known by name only, from a binding or a provisioning response: it boots, or has not reported to this leader yet.
     Expected,
-    /// Reports, but has not yet shown this leader's fencing token: which tasks it runs is not known.
+    /// It reports, but has not shown this leader's fencing token yet: which tasks it runs is not known.
     Registering,
-    /// Reports under this leader's fencing token: may be given work.
+    /// It reports under this leader's fencing token and may be given tasks.
     Ready,
-    /// Being emptied, to be returned to the cloud.
+    /// Its tasks are being moved to other machines, so that it can be returned to the cloud.
     Draining,
-    /// To be returned to the cloud; final.
+    /// It is being returned to the cloud. Final.
     Terminating,
 }
 
-/// A machine as the leader holds it.
+/// A machine in the leader's memory.
 #[derive(Debug)]
 pub struct Machine {
     /// Its name in the cloud.
@@ -75,21 +75,22 @@
     pub zone: String,
     /// It is a spot machine.
     pub spot: bool,
-    /// Its worker's address; empty if not known.
+    /// Address of its worker; empty if not known.
     pub address: String,
-    /// Changed by [`Machine::advance`] alone.
+    /// Changed only by [`Machine::advance`].
     state: MachineState,
-    /// Its newest message, of any kind.
+    /// Order of its newest message of any kind.
     pub last_message: MessageOrder,
-    /// Its newest report, answers to direct commands and probes not counted.
+    /// Order of its newest status report; responses to direct commands and probes do not count.
     pub last_report: MessageOrder,
-    /// When a message last proved that its worker lives.
+    /// When a message of any kind last proved that its worker is alive.
     pub last_contact_at: Option<Time>,
-    /// When a report under this leader's token last came: only its response carries starts and renews the lease.
+    /// When a status report under this leader's token last arrived: only responses to those carry starts and renew the
+    /// lease.
     pub last_report_at: Option<Time>,
-    /// It answers probes while none of its reports arrives. Changed by [`Machine::update_reports_missing`] alone.
+    /// It responds to probes while none of its reports arrives. Changed only by [`Machine::update_reports_missing`].
     reports_missing: bool,
-    /// Hash of what its last full report showed, if another controller forwards its reports.
+    /// Hash of the content of its last full report, if another controller forwards its reports.
     pub report_digest: Option<u64>,
     /// The controller that forwards its reports; none: it reports to the leader itself.
     pub forwarded_by: Option<Arc<str>>,
@@ -97,45 +98,45 @@
     pub redirected_at: Option<Time>,
     /// When this leader first knew it.
     pub known_at: Time,
-    /// When it was rented, as far as known.
+    /// When it was rented, as far as known; else when this leader first knew it.
     pub rented_at: Time,
-    /// When the cloud will reclaim it, if it has given a spot interruption notice.
+    /// When the cloud will reclaim it, if it has received a spot interruption notice.
     pub reclaimed_at: Option<Time>,
     /// When the cloud last listed it.
     pub listed_at: Option<Time>,
-    /// Attempts bound to it that are not proved gone: by job and task, the attempt's number.
+    /// Numbers of the attempts bound to it that are not confirmed gone, by job and task.
     pub tasks: BTreeMap<(JobId, u32), u64>,
-    /// Attempts reported that no binding names, and what each takes, as far as known. They take resources until a
-    /// report lacks them.
+    /// Reported attempts without a binding, and the resources of each, if known. They occupy resources until a report no
+    /// longer lists them.
     pub orphaned_tasks: BTreeMap<AttemptId, Option<Resources>>,
     /// Images assumed to be in its cache.
     pub images: ImageCache,
     /// Since when it has had no task.
     pub idle_since: Time,
-    /// Jobs whose tasks failed on it since a task last succeeded there.
+    /// Jobs whose tasks have failed on it since a task last succeeded on it.
     pub failed_jobs: BTreeSet<JobId>,
-    /// Tasks of several jobs failed on it: it is emptied and returned.
+    /// Tasks of several jobs failed on it: it is cordoned, drained and returned to the cloud.
     pub is_suspect: bool,
-    /// Its worker has restarted under this leader. Reports that it sent before, with higher numbers, may still be on
-    /// their way, and would seem to prove that tasks given to it now are gone: so it is given nothing more.
+    /// Its worker has restarted under this leader. Delayed reports from before, with higher numbers, may still arrive and
+    /// would seem to prove that tasks given to it now are gone. So it gets no more tasks.
     pub is_restarted: bool,
-    /// The highest fencing token that it has shown.
+    /// The highest fencing token in its messages.
     pub highest_token: u64,
     /// Whether responses and commands reach it.
     pub inbound: ReachabilityTracker,
     session_history: SessionHistory,
-    /// While probes are open: its newest message when the first of them was sent. An answer to any is newer.
+    /// While probes are open: its newest message when the first of them was sent. A response to any of them is newer.
     pub probe_baseline: Option<MessageOrder>,
     /// Number of probes that are open.
     pub open_probes: u32,
-    /// Resources left by what is on it; cleared by every change, recounted when next needed.
+    /// Resources not occupied by attempts. Cleared by every change, and counted again when next needed.
     free_resources: Option<Resources>,
-    /// Replicas of services are on it. Recounted with `free_resources`.
+    /// Service replicas run on it. Counted with `free_resources`.
     has_replicas: bool,
 }
 
 impl Machine {
-    /// A machine known only by name.
+    /// A machine of which only the name is known.
     pub fn new(id: MachineId, now: Time) -> Machine {
         Machine {
             id,
@@ -173,34 +174,34 @@
         }
     }
 
-    /// Resources left, if nothing has changed since they were last counted.
+    /// Its free resources. None: something has changed since they were last counted.
     pub fn free_resources(&self) -> Option<Resources> {
         self.free_resources
     }
 
-    /// Whether replicas of services are on it: it is then expected to stay long.
+    /// Whether service replicas run on it: it is then expected to be kept for long.
     pub fn has_replicas(&self) -> bool {
         self.has_replicas
     }
 
-    /// Notes the result of a count: resources left, and whether replicas of services are on it.
+    /// Sets the result of a count: the free resources, and whether service replicas run on it.
     pub fn set_free_resources(&mut self, free: Resources, has_replicas: bool) {
         self.free_resources = Some(free);
         self.has_replicas = has_replicas;
     }
 
-    /// What is on it has changed: the resources left must be counted anew.
+    /// Clears the free resources after a change: they must be counted again.
     pub fn invalidate_free_resources(&mut self) {
         self.free_resources = None;
     }
 
-    /// An attempt is bound to it.
+    /// Adds an attempt that was bound to it.
     pub fn add_task(&mut self, job: &JobId, task: u32, attempt: u64) {
         self.tasks.insert((job.clone(), task), attempt);
         self.invalidate_free_resources();
     }
 
-    /// An attempt bound to it is proved gone, or its end is committed.
+    /// Removes a task's attempt, which is confirmed gone or whose exit is committed.
     pub fn remove_task(&mut self, job: &JobId, task: u32, now: Time) {
         self.tasks.remove(&(job.clone(), task));
         self.invalidate_free_resources();
@@ -214,8 +215,8 @@
         self.state
     }
 
-    /// The one function that changes the state. A machine that is being returned never becomes usable again. Returns
-    /// whether the change was allowed.
+    /// The only function that changes the state. [`MachineState::Terminating`] is final. Returns whether the change was
+    /// allowed.
     pub fn advance(&mut self, to: MachineState) -> bool {
         use MachineState::{Draining, Expected, Ready, Registering, Terminating};
         let allowed = matches!(
@@ -231,16 +232,17 @@
         allowed
     }
 
-    /// Whether a machine that has not reported can still be expected to: it may be booting, or not have found the leader,
-    /// which leads since `leading_since`. One that is silent for longer may be gone: the machine list lags, and a new
-    /// leader still reads in it what its predecessor has returned.
+    /// Whether a machine that has not reported yet can still be expected to: it may be booting, or may not have found the
+    /// leader, which has been leading since `leading_since`. One that is silent for longer may no longer exist: the cloud's
+    /// machine list lags, so a new leader still reads machines in it that its predecessor has returned.
     pub fn is_expected_up(&self, boot_ms: f64, leading_since: Time, now: Time) -> bool {
         let max_boot_ms = boot_ms * MAX_USUAL_BOOT_FACTOR + REGISTRATION_GRACE_MS as f64;
         now < leading_since + REGISTRATION_GRACE_MS
             || (now as f64) < self.rented_at as f64 + max_boot_ms
     }
 
-    /// Takes over what the cloud's list says of it. Its own reports know better: then only the listing is noted.
+    /// Applies its entry in the cloud's machine list. The machine's own reports take precedence: once there is one, only the
+    /// time of the listing is set.
     pub fn apply_listing(&mut self, listed: &ListedMachine, now: Time) {
         self.listed_at = Some(now);
         if self.last_contact_at.is_none() {
@@ -253,7 +255,7 @@
         }
     }
 
-    /// Takes over what a report says of the machine itself.
+    /// Applies what a report states about the machine itself: type, zone, address, market, and interruption notice.
     pub fn register(&mut self, report: &StatusReport, now: Time) {
         if self.machine_type != report.machine_type {
             self.machine_type.clone_from(&report.machine_type);
@@ -269,7 +271,7 @@
         self.reclaimed_at = report.reclaim_in_s.map(|in_s| now + (in_s.max(0.0) * MS_PER_S) as u64);
     }
 
-    /// Whether nothing found of its worker or its connection keeps it from being given work. Its state is not considered.
+    /// Whether it may be given tasks as far as its worker and its connection are concerned. Its state is not considered.
     pub fn may_receive_work(&self) -> bool {
         !self.is_suspect
             && !self.is_restarted
--- a/crates/controller/src/machine/report_evidence.rs
+++ b/crates/controller/src/machine/report_evidence.rs
@@ -1,5 +1,5 @@
-//! What the sequence of a machine's reports tells of its connection: whether responses and commands reach it (*unreachable
-//! inbound*), and whether its reports reach any controller though it answers probes (*mute*).
+//! Evidence of a machine's connectivity from the sequence of its reports: whether responses and commands reach it (else it
+//! is *unreachable inbound*), and whether its reports arrive while it responds to probes (else its *reports are missing*).
 
 use super::{Machine, MessageOrder};
 use crate::Time;
@@ -8,12 +8,12 @@
     ANSWERED_LEASE_SHARE, MIN_ANSWERED_REPORTS, SESSION_LASTED_LEASES, SILENT_RETURN_LEASE_SHARE,
 };
 
-/// What this leader has seen of a worker's current session.
+/// History of a worker's current session under this leader.
 #[derive(Debug)]
 pub(super) struct SessionHistory {
     /// When the session was first seen.
     since: Time,
-    /// How many of its reports were answered under this leader's token.
+    /// Number of its reports that were answered under this leader's token.
     answered_reports: u32,
 }
 
@@ -24,8 +24,8 @@
 }
 
 impl Machine {
-    /// A newer report under this leader's token has come and is answered. Returns what its session tells of the
-    /// machine's inbound reachability, if anything. To be called before `last_message` becomes that report's.
+    /// Records that a newer report under this leader's token has arrived and is answered. Returns the evidence of the
+    /// machine's inbound reachability that its session gives, if any. Must be called before `last_message` is updated.
     pub fn on_answered_report(
         &mut self,
         session: u64,
@@ -37,25 +37,26 @@
         }
         let history = &mut self.session_history;
         history.answered_reports = history.answered_reports.saturating_add(1);
-        // Without a response, the lease would have expired and the session ended.
+        // Without responses, the lease would have expired and the session ended.
         let since = history.since.max(self.inbound.since());
         let lasted_ms = now.saturating_sub(since) as f64;
         (!self.inbound.is_reachable() && lasted_ms > lease_ms * SESSION_LASTED_LEASES)
             .then_some(ReachabilityEvidence::SessionOutlastedLease)
     }
 
-    /// The worker's lease has expired. Had responses arrived, it would not have, if enough were sent until lately.
+    /// The worker's lease has expired and a new session begins. If enough reports were answered until recently, the
+    /// responses did not arrive.
     fn on_new_session(&mut self, lease_ms: f64, now: Time) -> Option<ReachabilityEvidence> {
         let answered_before = self.session_history.answered_reports;
         self.session_history = SessionHistory { since: now, answered_reports: 1 };
         let silent_ms = self.last_contact_at.map_or(f64::MAX, |at| now.saturating_sub(at) as f64);
-        let was_heard_lately = silent_ms < lease_ms * ANSWERED_LEASE_SHARE;
-        (answered_before >= MIN_ANSWERED_REPORTS && was_heard_lately)
+        let had_recent_contact = silent_ms < lease_ms * ANSWERED_LEASE_SHARE;
+        (answered_before >= MIN_ANSWERED_REPORTS && had_recent_contact)
             .then_some(ReachabilityEvidence::SessionLostThoughAnswered)
     }
 
-    /// Checks whether its reports have ceased while it answers probes: it then loses its lease again and again, and no
-    /// start can be offered to it. Returns whether the finding has changed.
+    /// Updates whether its reports are missing while it responds to probes: it then loses its lease again and again, and no
+    /// start can be offered to it. Returns whether this has changed.
     pub fn update_reports_missing(&mut self, lease_ms: f64, now: Time) -> bool {
         let no_reports = self.since_last_report_ms(now) > lease_ms * SILENT_RETURN_LEASE_SHARE;
         let is_recent =
@@ -65,17 +66,18 @@
         std::mem::replace(&mut self.reports_missing, missing) != missing
     }
 
-    /// Whether it answers probes while none of its reports arrives.
+    /// Whether it responds to probes while none of its reports arrives.
     pub fn reports_missing(&self) -> bool {
         self.reports_missing
     }
 
-    /// Time since its last report, or since this leader first knew it, ms.
+    /// Time since its last report, or since this leader first knew it if that is later, ms.
     pub fn since_last_report_ms(&self, now: Time) -> f64 {
         now.saturating_sub(self.last_report_at.unwrap_or(0).max(self.known_at)) as f64
     }
 
-    /// Its worker has restarted: it numbers sessions and reports from the start again, and its cache is empty.
+    /// Resets what is known of its worker after a restart: sessions and reports are numbered from the start again, and the
+    /// image cache is empty.
     pub fn on_worker_restart(&mut self, now: Time) {
         self.last_message = MessageOrder::default();
         self.last_report = MessageOrder::default();
