--- a/crates/controller/src/cluster_state/cluster_events.rs
+++ b/crates/controller/src/cluster_state/cluster_events.rs
@@ -1,21 +1,21 @@
-//! Events of the cluster for those who subscribed to them: collected by the leader, taken by the controller.
+//! Cluster events for subscribers: recorded by the leader's state, and taken by the controller for delivery.
 
 use crate::constants::MAX_BUFFERED_CLUSTER_EVENTS;
 
-/// An event.
+/// A cluster event.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClusterEvent {
-    /// `task`, `job`, `machine`, `term` or `rental`.
+    /// Kind of the subject: `task`, `job`, `machine`, `term` or `rental`.
     pub kind: &'static str,
     /// What happened.
     pub event: String,
-    /// Name of the subject: which task, job, machine.
+    /// Name of the subject.
     pub subject: String,
-    /// More, if there is any.
+    /// Additional information, if any.
     pub detail: Option<String>,
 }
 
-/// Events since they were last taken. Empty, and free of cost, while nobody is subscribed.
+/// Events recorded since they were last taken. Nothing is recorded while there is no subscriber.
 #[derive(Debug, Default)]
 pub struct ClusterEvents {
     has_subscribers: bool,
@@ -23,22 +23,22 @@
 }
 
 impl ClusterEvents {
-    /// Notes an event. Events beyond [`MAX_BUFFERED_CLUSTER_EVENTS`] are lost until the others are taken.
+    /// Records an event. It is dropped if [`MAX_BUFFERED_CLUSTER_EVENTS`] events are already waiting to be taken.
     pub fn record(
         &mut self,
         kind: &'static str,
-        what: impl std::fmt::Display,
-        of: impl std::fmt::Display,
+        event: impl std::fmt::Display,
+        subject: impl std::fmt::Display,
         detail: Option<&str>,
     ) {
         if self.has_subscribers && self.pending.len() < MAX_BUFFERED_CLUSTER_EVENTS {
             let detail = detail.map(str::to_string);
-            let (what, of) = (what.to_string(), of.to_string());
-            self.pending.push(ClusterEvent { kind, event: what, subject: of, detail });
+            let (event, subject) = (event.to_string(), subject.to_string());
+            self.pending.push(ClusterEvent { kind, event, subject, detail });
         }
     }
 
-    /// Takes the events so far, and sets whether further ones are collected.
+    /// Takes the recorded events, and sets whether further ones are recorded.
     pub fn take(&mut self, has_subscribers: bool) -> Vec<ClusterEvent> {
         self.has_subscribers = has_subscribers;
         std::mem::take(&mut self.pending)
--- a/crates/controller/src/cluster_state/commands.rs
+++ b/crates/controller/src/cluster_state/commands.rs
@@ -1,5 +1,5 @@
-//! Commands to workers: those in responses to their reports, and stops sent straight to them. A start is carried by a
-//! response alone, after its binding is committed.
+//! Commands to workers: those in responses to their reports, and stop commands sent directly to them. Starts are sent only
+//! in responses, after their binding is committed.
 
 use super::status_reports::{ReceivedReport, ReportSource};
 use super::{ClusterState, task_name};
@@ -10,18 +10,18 @@
 use std::collections::BTreeMap;
 use swiftsail_protocol::workers::{Command, CommandKind, DirectCommands, TaskPhase};
 
-/// What to do for an attempt that is to be stopped.
+/// Next step of stopping an attempt.
 enum StopStep {
     /// Nothing now.
     Wait,
-    /// Send a stop.
+    /// Send a stop command.
     Send,
-    /// Its start was never offered: it is nowhere, and its task can be released.
+    /// Release its task: the start was never offered, so the attempt exists nowhere.
     Release,
 }
 
 impl ClusterState {
-    /// Appends the commands of a response: stops of orphaned tasks, forgets, stops, then starts.
+    /// Appends the commands of a response: stop commands for orphaned tasks, forget commands, other stop commands, starts.
     pub(super) fn add_commands(&mut self, received: &ReceivedReport, commands: &mut Vec<Command>) {
         self.add_orphan_commands(received, commands);
         self.add_stops(received.machine, commands);
@@ -41,14 +41,14 @@
         }
     }
 
-    /// Repeats stops that were sent straight to the worker: a network partition between may have lost them.
+    /// Repeats stop commands that were sent directly to the worker: a network partition may have lost them.
     fn add_stops(&self, machine: &MachineId, commands: &mut Vec<Command>) {
         let Some(machine) = self.machines.get(machine) else { return };
         for ((job_id, task), number) in &machine.tasks {
             let Some(job) = self.jobs.get(job_id) else { continue };
             let attempt = job.attempts.get(task).filter(|attempt| attempt.number == *number);
             let Some(attempt) = attempt else { continue };
-            // A checkpoint being saved goes on, unless the job is cancelled and nobody wants it.
+            // Saving a checkpoint is not interrupted, unless the job is cancelled and does not need it.
             let is_saving = attempt.phase() == AttemptPhase::Saving && !job.is_cancelled();
             if attempt.stop_requested.is_some() && attempt.occupies_resources() && !is_saving {
                 commands.push(stop(job_id, *task, *number, stop_grace_s(job)));
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Offers starts, in the response to a report that shows this leader's token.
+    /// Offers starts in the response to a report that shows this leader's token.
     fn add_starts(&mut self, received: &ReceivedReport, commands: &mut Vec<Command>) {
         let report = received.report;
         let Some(machine) = self.machines.get(received.machine) else { return };
@@ -71,8 +71,8 @@
             }
             let attempt = job.attempts.get_mut(task).filter(|attempt| attempt.number == *number);
             let Some(attempt) = attempt else { continue };
-            // A start found in the store under an older term is not offered again: its attempt may have run and been
-            // forgotten. The next report proves it gone.
+            // The start of an attempt bound under an earlier term is not offered again: it may have run and been forgotten
+            // by its worker. The next report then confirms that it is gone.
             if attempt.phase() == AttemptPhase::Bound
                 && !attempt.start_withdrawn
                 && attempt.may_be_unstarted()
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Stops what must stop: the commands to send straight to workers, with the workers' addresses. Called with every
-    /// timer step.
+    /// Advances the stopping of attempts. Returns the commands to send directly to workers, with the workers' addresses. To
+    /// be called on every tick.
     pub fn stop_commands(&mut self, now: Time) -> Vec<(String, DirectCommands)> {
         let mut stops: BTreeMap<MachineId, Vec<Command>> = BTreeMap::new();
         let mut never_offered = Vec::new();
@@ -120,7 +120,8 @@
         self.address_commands(stops)
     }
 
-    /// Commands by worker address. Machines that have not reported are left out: they have no address or no session yet.
+    /// The messages with these commands, by worker address. Machines without an address or a session are left out: they have
+    /// not reported yet.
     fn address_commands(
         &self,
         by_machine: BTreeMap<MachineId, Vec<Command>>,
@@ -139,9 +140,9 @@
     }
 }
 
-/// Advances the state of a job's gang. Returns whether it is whole again, to be placed anew.
+/// Advances the state of a job's gang. Returns whether it has become whole again and is to be placed again.
 fn update_gang(job: &mut Job) -> bool {
-    // The last task of a gang may also leave by being done, which releases nothing.
+    // The last attempt of a gang may also end with success, which releases nothing; so this is checked on every tick.
     let is_whole_again =
         job.gang_state() != GangState::Whole && job.set_gang_state(GangState::Whole);
     if job.gang_state() == GangState::Fetching && !job.is_fetching() {
@@ -150,7 +151,8 @@
     is_whole_again
 }
 
-/// Withdraws the start of an attempt that is to be stopped, and notes a stop that is to be sent.
+/// Withdraws the start of an attempt that is to be stopped, and returns the next step. If that is to send a stop command,
+/// the attempt is marked accordingly.
 fn next_stop_step(attempt: &mut Attempt, is_cancelled: bool, now: Time) -> StopStep {
     attempt.start_withdrawn = true;
     match attempt.phase() {
@@ -161,7 +163,7 @@
         _ => {}
     }
     let mut request = attempt.stop_requested.unwrap_or(StopRequest::unsent(now));
-    // A second stop, without grace, would end a task that saves a checkpoint.
+    // A second stop command, without grace period, would end a task that is saving a checkpoint.
     let is_saving = attempt.phase() == AttemptPhase::Saving && !is_cancelled;
     if now < request.sent_at.unwrap_or(0) + STOP_RETRY_MS
         || (is_saving && request.sent_at.is_some())
@@ -181,15 +183,15 @@
     Command { grace_s: Some(grace_s), ..command(CommandKind::Stop, job, task, attempt) }
 }
 
-/// Whether a job's starts may be offered: of a gang, once all of it is bound. A gang larger than one transaction is
-/// committed in parts, and a part alone would only wait in vain.
+/// Whether a job's starts may be offered. Those of a gang may be once all its bindings are committed: a gang larger than
+/// one transaction is committed in parts, and a part alone would only wait for the others until it times out.
 fn is_all_bound(job: &Job) -> bool {
     job.spec.kind != JobKind::Gang
         || job.attempts.len() + job.done.len() == job.spec.tasks as usize
             && job.attempts.values().all(|attempt| attempt.phase() != AttemptPhase::Committing)
 }
 
-/// Grace period of a stop, s: time to save a checkpoint, unless the job makes none or is cancelled.
+/// Grace period of a stop command, s: time to save a checkpoint, unless the job saves none or is cancelled.
 fn stop_grace_s(job: &Job) -> f64 {
     if job.is_cancelled() || job.spec.checkpoint_interval_s <= 0.0 {
         0.0
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -1,6 +1,6 @@
-//! What the leader knows under one term: jobs, machines, run queues, requests to the cloud. Each kind of change is one
-//! function here or in a submodule. The cluster state knows nobody above it: `placement` and `fleet` read it and return
-//! plans, and the controller alone applies these.
+//! The leader's state under one term: jobs, machines, run queues, and requests to the cloud. Each kind of change is one
+//! function here or in a submodule. The cluster state depends on no module above it: `placement` and `fleet` read it and
+//! return plans, and only the controller applies these.
 
 mod binding_log;
 mod cluster_events;
@@ -43,104 +43,104 @@
 use swiftsail_quota::ResourceQuantities;
 use swiftsail_tiers::TierTable;
 
-/// A job that mapping rounds could not place although its team's limit allows more.
+/// How long mapping rounds could not place a job although its team's limit allows it.
 #[derive(Debug, Clone, Copy)]
 pub struct Starvation {
-    /// Since when.
+    /// When a round first could not place it.
     pub since: Time,
     /// When a round last could not place it.
     pub last_seen: Time,
 }
 
-/// Everything the leader holds under one term. Made anew by each new leader.
+/// The leader's state under one term. Each new leader builds it from the store.
 pub struct ClusterState {
     /// The fencing token.
     pub token: u64,
-    /// Number of the leadership phase in this process: answers to calls of an earlier one are stale.
+    /// Number of this leadership phase in this process: responses to calls of an earlier one are stale.
     pub generation: u64,
-    /// When it began to lead.
+    /// When this leadership phase began.
     pub leading_since: Time,
-    /// Jobs that are not over.
+    /// Unfinished jobs.
     pub jobs: BTreeMap<JobId, Job>,
-    /// Machines known.
+    /// Known machines.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// Run times seen, by job and class.
+    /// Observed run times, by job and class.
     pub run_time_history: RunTimeHistory,
-    /// Waiting tasks that are planned to follow running ones.
+    /// Waiting tasks that are planned to run after running ones.
     pub run_queues: RunQueues,
-    /// Requests to the cloud.
+    /// Provisioning requests and machine returns.
     pub provisioning: Provisioning,
-    /// Tasks of jobs that missed their deadline since the last mapping round.
+    /// Number of unfinished tasks of jobs that have missed their deadline since the last mapping round.
     pub deadline_misses: u32,
     /// Number of scheduling cycles so far.
     pub cycles: u64,
     /// When the last scheduling cycle began.
     pub last_cycle_at: Time,
-    /// When the last mapping round was; 0: one is due at once.
+    /// When the last mapping round ran; 0: one is due at once.
     pub last_round_at: Time,
-    /// Services for which tasks are being preempted: since when, and the time to fetch the image there, ms.
+    /// Services for which tasks are being preempted: since when, and the image fetch time on the machine, ms.
     pub preempting: HashMap<JobId, (Time, f64)>,
-    /// Machines whose free resources are not given to work of the lowest priority, and until when.
+    /// Machines whose free resources are withheld from jobs of the lowest priority, and until when.
     pub yielding_machines: HashMap<MachineId, Time>,
-    /// Jobs that mapping rounds could not place.
+    /// Jobs that mapping rounds could not place although their team's limit allows it.
     pub starved_jobs: HashMap<JobId, Starvation>,
-    /// Something changed that a scheduling cycle may use.
+    /// Something has changed that may allow a scheduling cycle to place tasks.
     pub needs_scheduling: bool,
-    /// Number of attempts given out under this token.
-    attempts_given: u64,
-    /// Number of the latest write of chunks or log segments.
+    /// Number of attempt numbers issued under this token.
+    attempts_issued: u64,
+    /// Number of the latest write of chunks or binding log segments.
     pub write_number: u64,
-    /// New bindings of all jobs.
+    /// Bindings of all jobs that no chunk holds yet.
     pub binding_log: BindingLog,
-    /// Keys of chunks whose job is over, to be removed.
+    /// Keys of chunks of finished jobs, to be deleted.
     pub stale_binding_keys: Vec<String>,
-    /// Jobs that are over and whose final records are still to be moved to `end/`, with their mod revisions.
+    /// Finished jobs whose final records are not archived under `end/` yet, with their mod revisions.
     pub unarchived_jobs: VecDeque<(JobId, u64, FinalRecord)>,
-    /// Some of them are being moved.
+    /// A transaction that archives some of them is in flight.
     pub is_archiving: bool,
-    /// Number of jobs whose final record is in flight, as counted in the last timer step, plus those sent since.
+    /// Number of jobs whose final record is in flight: counted in the last tick, plus those sent since.
     pub closing_jobs: usize,
-    /// This leader is new, and still reads the store.
+    /// This leader is new and still reads the store.
     is_loading: bool,
-    /// The leader's holding of each team's limit, where limits are held in the state service; none: the settings' limits
-    /// count alone.
+    /// The leader's allocation of each team's limit, if limits are divided among controllers in the state service. None:
+    /// only the limits in the settings apply.
     pub quota_limits: Option<Vec<ResourceQuantities>>,
     /// When tasks were last preempted for a lowered limit.
     pub limit_preempted_at: Time,
-    /// Events for subscribers.
+    /// Cluster events for subscribers.
     pub events: ClusterEvents,
-    /// Machines that other controllers may answer for, and for which there is a new command.
+    /// Machines whose reports other controllers forward, and for which there is a new command.
     machines_with_commands: BTreeSet<MachineId>,
-    /// Jobs that may be finished, since something of them has ended.
+    /// Jobs of which a task has ended or which were cancelled: they may be finished.
     maybe_finished: BTreeSet<JobId>,
-    /// Revision up to which changes of jobs are known.
+    /// Revision of the store up to which changes of jobs are known.
     pub watched_revision: u64,
-    /// When the request was sent whose answer reached that revision. The success of a later call of another kind proves
-    /// nothing about the jobs.
+    /// When the request was sent whose response covered that revision: jobs are known as of then. A later call of another
+    /// kind proves nothing about them, even if it succeeds.
     pub jobs_current_as_of: Time,
-    /// When changes were last read beside the watch.
+    /// When changes were last requested in addition to the watch.
     pub changes_requested_at: Time,
-    /// Liveness of machines; created at the first check.
+    /// Failure detector; created at the first check.
     pub failure_detector: Option<FailureDetector<MachineId>>,
-    /// When that was last checked.
+    /// When the liveness of machines was last checked.
     pub machines_checked_at: Time,
-    /// Zones of which a controller is reachable, the leader's own among them.
+    /// Zones in which a controller is reachable, including the leader's own.
     pub reachable_zones: BTreeSet<String>,
-    /// Dependencies between jobs that are not over.
+    /// Dependencies between unfinished jobs.
     pub dependencies: DependencyGraph,
-    /// When deadlines were last propagated along them.
+    /// When deadlines were last propagated along the dependencies.
     pub dependency_deadlines_at: Time,
-    /// Jobs that others depend on and that have ended: until when their final record is not to be read (again).
+    /// Finished jobs that others depend on, and before when their final record is not to be read (again).
     pub(crate) dependency_reads: BTreeMap<JobId, Time>,
     /// GPU loans.
     pub gpu_loans: GpuLoans,
-    /// The tier table in force.
+    /// The current tier table.
     pub tiers: Rc<TierTable>,
     /// A worker's lease, ms; 0: leases are no evidence of reachability.
     pub lease_ms: f64,
 }
 
-/// The job and task of a task's name on the wire, or of a chunk's key.
+/// Parses `job/task`, the name of a task on the wire, or `job/chunk`, the suffix of a chunk's key.
 pub fn parse_task_name(name: &str) -> Option<(JobId, u32)> {
     let (job, task) = name.rsplit_once('/')?;
     Some((JobId::from(job), task.parse().ok()?))
@@ -171,7 +171,7 @@
             yielding_machines: HashMap::new(),
             starved_jobs: HashMap::new(),
             needs_scheduling: true,
-            attempts_given: 0,
+            attempts_issued: 0,
             write_number: 0,
             binding_log: BindingLog::default(),
             stale_binding_keys: Vec::new(),
@@ -199,15 +199,15 @@
         }
     }
 
-    /// An attempt number that no leader has used or will use.
+    /// Issues an attempt number that no other leader has used or will use.
     pub fn next_attempt_number(&mut self) -> u64 {
-        self.attempts_given += 1;
+        self.attempts_issued += 1;
         self.last_attempt_number()
     }
 
-    /// The latest attempt number given out, or a number above those of all earlier leaders.
+    /// The latest attempt number issued; if there is none yet, a number above those of all earlier leaders.
     pub fn last_attempt_number(&self) -> u64 {
-        (self.token << ATTEMPT_COUNTER_BITS) + self.attempts_given
+        (self.token << ATTEMPT_COUNTER_BITS) + self.attempts_issued
     }
 
     /// Has the next scheduling cycle include a mapping round.
@@ -215,7 +215,7 @@
         self.last_round_at = 0;
     }
 
-    /// The attempt of a task is proved gone, or was never started: the task waits again.
+    /// Removes a task's attempt that is confirmed gone or was never started: the task waits again.
     pub fn release(&mut self, id: &JobId, task: u32, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if let Some(attempt) = job.release_attempt(task, now)
@@ -227,7 +227,7 @@
         self.needs_scheduling = true;
     }
 
-    /// A gang that lost a task is stopped as a whole, and placed anew when none of it is left.
+    /// Stops a gang that has lost a task as a whole: it is placed again when no attempt is left.
     pub(crate) fn stop_gang_after_loss(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if job.spec.kind == JobKind::Gang {
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Machines with attempts of cancelled jobs that are not proved gone, and when each job was cancelled.
+    /// Machines with attempts of cancelled jobs that are not confirmed gone, and when each job was cancelled.
     pub fn machines_with_cancelled_tasks(&self) -> impl Iterator<Item = (MachineId, Time)> {
         let cancelled = self.jobs.values().filter_map(|job| Some((job, job.cancelled_at?)));
         cancelled.flat_map(|(job, cancelled_at)| {
@@ -244,8 +244,9 @@
         })
     }
 
-    /// Binds a job's first waiting task to a machine under an attempt number: in memory now, in the store with the next
-    /// write of the binding log. Its start is offered only after that. Returns the task.
+    /// Binds a job's first waiting task to a machine under an attempt number: in memory now, and in the store with the next
+    /// write of the binding log. Its start is offered only after that. Returns the task; none if the machine or the job is
+    /// not known, or no task waits.
     pub fn bind(
         &mut self,
         id: &JobId,
@@ -269,8 +270,8 @@
         Some(task)
     }
 
-    /// Requests the stop of an attempt, and with it of its whole gang. Its task waits again only after proof that it is
-    /// gone.
+    /// Requests the stop of an attempt, and with it of its whole gang. The task waits again only once the attempt is
+    /// confirmed gone.
     pub fn request_stop(&mut self, id: &JobId, task: u32, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let gang = job.spec.kind == JobKind::Gang;
@@ -282,12 +283,12 @@
         }
     }
 
-    /// Jobs of which something has ended since the last call: they may be finished.
+    /// Returns the jobs that may have finished since the last call.
     pub fn take_maybe_finished(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.maybe_finished)
     }
 
-    /// Removes a job that is over, with all that refers to it.
+    /// Removes a finished job and everything that refers to it.
     pub fn remove_job(&mut self, id: &JobId, now: Time) -> Option<Job> {
         let job = self.jobs.remove(id)?;
         for (task, attempt) in &job.attempts {
@@ -306,7 +307,8 @@
         Some(job)
     }
 
-    /// Numbers of tasks for display by the other controllers: (job, done, running), [`MAX_HEARTBEAT_TASK_COUNTS`] jobs at most.
+    /// Task counts for display by the other controllers, as (job, done, running), of at most [`MAX_HEARTBEAT_TASK_COUNTS`]
+    /// jobs.
     pub fn task_counts(&self) -> Vec<(String, u32, u32)> {
         let counts = self.jobs.iter().map(|(id, job)| (id, job.task_counts()));
         let begun = counts.filter(|(_, (done, running))| done + running > 0);
@@ -314,8 +316,8 @@
         rows.take(MAX_HEARTBEAT_TASK_COUNTS).collect()
     }
 
-    /// Begins a scheduling cycle: ends backoffs, and counts jobs past their deadline as missed, whose tasks leave their run
-    /// queues (thesis, algorithm 2, steps 1-3).
+    /// Begins a scheduling cycle: ends backoffs, and counts jobs that are past their deadline as missed and removes their
+    /// tasks from the run queues (thesis, algorithm 2, steps 1-3).
     pub fn begin_cycle(&mut self, now: Time) {
         self.last_cycle_at = now;
         self.cycles += 1;
@@ -339,8 +341,8 @@
         }
     }
 
-    /// Notes the jobs that a mapping round could not place although their team's limit allows more. A job that is placed now
-    /// and then stays starved: its time begins anew only after it was not noted for [`STARVATION_MS`].
+    /// Records the jobs that a mapping round could not place although their team's limit allows it. A job that is placed now
+    /// and then stays starved: its time restarts only after it was not recorded for [`STARVATION_MS`].
     pub fn record_starved(&mut self, jobs: Vec<JobId>, now: Time) {
         self.starved_jobs.retain(|_, starvation| now < starvation.last_seen + STARVATION_MS);
         for id in jobs {
@@ -350,13 +352,13 @@
         }
     }
 
-    /// Whether a job could not be placed for so long that others of its team come before it.
+    /// Whether a job has been starved for at least [`STARVATION_MS`]: other jobs of its team then precede it.
     pub fn is_starved(&self, id: &JobId, now: Time) -> bool {
         let starvation = self.starved_jobs.get(id);
         starvation.is_some_and(|starvation| now >= starvation.since + STARVATION_MS)
     }
 
-    /// Machines whose reports a controller forwards and for which there is a new command, at most
+    /// Machines whose reports `controller` forwards and for which there is a new command, at most
     /// [`MAX_MACHINES_WITH_COMMANDS`]. Each is returned once.
     pub fn take_machines_with_commands(&mut self, controller: &str) -> Vec<MachineId> {
         let is_forwarded = |id: &&MachineId| {
@@ -376,7 +378,7 @@
         found
     }
 
-    /// A machine is gone, proved by the cloud's 200 to its return: so are all attempts on it.
+    /// Removes a machine that is gone, as the cloud's response 200 to its return proves, and releases all attempts on it.
     pub fn on_machine_gone(&mut self, id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get(id) else { return };
         let tasks: Vec<(JobId, u32)> = machine.tasks.keys().cloned().collect();
@@ -409,7 +411,7 @@
         failed
     }
 
-    /// A machine by name. One that was not known is from now on.
+    /// The machine of a name, added if it was not known.
     pub fn machine_entry(&mut self, id: &MachineId, now: Time) -> &mut Machine {
         self.machines.entry(id.clone()).or_insert_with(|| Machine::new(id.clone(), now))
     }
