--- a/crates/controller/src/cluster_state/dependencies.rs
+++ b/crates/controller/src/cluster_state/dependencies.rs
@@ -1,6 +1,6 @@
-//! Dependencies between jobs, as far as the leader knows them. Their outcome follows from committed records alone: a job
-//! whose record says done, or that is cancelled, stays so. Therefore a binding needs no precondition on the jobs that its
-//! job depends on: it is planned only once all of them are known to be committed as done.
+//! Dependencies between jobs known to the leader. Their outcome follows from committed records only: a job that is
+//! committed as done or cancelled stays so. A binding therefore needs no precondition on the jobs that its job depends on:
+//! it is planned only once all of them are known to be committed as done.
 
 use super::ClusterState;
 use crate::Time;
@@ -15,7 +15,7 @@
 use swiftsail_dag::constants::DOWNSTREAM_PROBABILITY;
 use swiftsail_dag::{DependencyState, JobOutcome, JobRequirements, effective_requirements};
 
-/// Which way to follow dependencies from a job.
+/// Direction in which to follow dependencies from a job.
 #[derive(Debug, Clone, Copy)]
 enum Direction {
     /// To the jobs that it depends on.
@@ -25,8 +25,8 @@
 }
 
 impl ClusterState {
-    /// A job is over, or cancelled for good: settles the jobs that depend on it. `now` is steady time, `wall` the time of
-    /// day, both in ms.
+    /// Applies the outcome of a finished or cancelled job to the jobs that depend on it. `now` is the monotonic time and
+    /// `wall` the wall clock, both in ms.
     pub fn on_dependency_finished(
         &mut self,
         id: &JobId,
@@ -48,7 +48,7 @@
                 job.make_eligible(finished_wall, now, wall);
                 self.needs_scheduling = true;
             }
-            // None of its tasks was ever bound, so nothing has to be stopped: only its end is to be written.
+            // None of its tasks was ever bound, so nothing has to be stopped: only its final record is to be written.
             DependencyState::CancelledByDependency => {
                 if job.advance(JobState::Cancelling, now) {
                     tracing::info!(job = %id, "job cancelled by dependency");
@@ -58,7 +58,8 @@
         }
     }
 
-    /// A job with dependencies has become known, perhaps after one of them was cancelled: then it is cancelled too.
+    /// Cancels the dependents of the cancelled jobs that a job depends on, and thus the job itself. Called when the job has
+    /// become known, which may be after the cancellations.
     pub(super) fn cancel_dependents(&mut self, id: &JobId, now: Time, wall: u64) {
         let is_cancelled =
             |dependency: &&JobId| self.jobs.get(*dependency).is_some_and(Job::is_cancelled);
@@ -69,8 +70,8 @@
         }
     }
 
-    /// A new leader has read all jobs: settles the dependents of those that are over or cancelled. A job that has begun
-    /// had all its dependencies done.
+    /// Applies the outcomes of finished and cancelled jobs to their dependents, once a new leader has read all jobs. A job
+    /// that has begun had all its dependencies done.
     pub(super) fn settle_dependencies(&mut self, now: Time, wall: u64) {
         if self.dependencies.is_empty() {
             return;
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Jobs that others depend on and that are not among those not over: so they have ended, and their final records must
-    /// be read. Each is returned once, until its end is known or [`ClusterState::retry_unknown_dependencies`] is called.
+    /// Jobs that others depend on and that are not among the unfinished ones: they have finished, and their final records
+    /// must be read. Each is returned once, and again only after [`ClusterState::retry_unknown_dependencies`].
     pub fn unknown_dependencies(&mut self, now: Time) -> Vec<JobId> {
         let must_be_read = |id: &&JobId| {
             let is_being_read = self.dependency_reads.get(*id).is_some_and(|until| now < *until);
@@ -105,13 +106,13 @@
         unknown
     }
 
-    /// Reading such a job's final record gave no result: it is to be read again after a pause.
+    /// Reading a job's final record failed: it is to be read again after [`UNKNOWN_DEPENDENCY_RETRY_MS`].
     pub fn retry_unknown_dependencies(&mut self, id: &JobId, now: Time) {
         self.dependency_reads.insert(id.clone(), now + UNKNOWN_DEPENDENCY_RETRY_MS);
     }
 
-    /// For operators: a job and those not over that it depends on or that depend on it, directly or through others.
-    /// None: no job of that id is known that is not over.
+    /// Description for operators of a job and the unfinished jobs that it depends on or that depend on it, directly or
+    /// transitively. None: no unfinished job of that id is known.
     pub fn describe_dependencies(&self, id: &str, now: Time) -> Option<Value> {
         let (first, _) = self.jobs.get_key_value(id)?;
         let mut found = vec![first.clone()];
@@ -162,7 +163,7 @@
         }))
     }
 
-    /// Jobs whose tasks are about to wait: all their unfinished dependencies are placed and probably end within
+    /// Jobs whose tasks will be waiting soon: all their unfinished dependencies are placed and will probably end within
     /// [`UPCOMING_TASKS_HORIZON_MS`]. Those of the highest priority come first.
     pub fn upcoming_tasks(&self, now: Time) -> Vec<&Job> {
         let ends_soon = |id: &JobId| {
@@ -177,7 +178,8 @@
         upcoming
     }
 
-    /// How long a job's attempts will go on, at [`DOWNSTREAM_PROBABILITY`], ms. None while any of its tasks waits.
+    /// Time until all attempts of a job have ended with probability [`DOWNSTREAM_PROBABILITY`], ms. None while any of its
+    /// tasks waits.
     fn remaining_ms(&self, job: &Job, now: Time) -> Option<f64> {
         if job.state() != JobState::Live || !job.waiting.is_empty() || !job.backing_off.is_empty() {
             return None;
@@ -198,8 +200,8 @@
         remaining.reduce(f64::max).or(Some(0.0))
     }
 
-    /// Works out, every [`DEPENDENCY_DEADLINE_INTERVAL_MS`], by when and at which priority each job is needed by those that
-    /// depend on it.
+    /// Computes, every [`DEPENDENCY_DEADLINE_INTERVAL_MS`], the deadline and the priority that each job needs because of the
+    /// jobs that depend on it.
     pub fn propagate_deadlines(&mut self, types: &[MachineType], now: Time) {
         if self.dependencies.is_empty()
             || now < self.dependency_deadlines_at + DEPENDENCY_DEADLINE_INTERVAL_MS
@@ -209,7 +211,8 @@
         self.dependency_deadlines_at = now;
         let requirements_of = |id: &JobId| {
             let job = self.jobs.get(id).filter(|job| !job.is_cancelled())?;
-            // By class, not by job: an estimate cached for the job now would miss what its class shows until it begins.
+            // By class, not by job: an estimate cached for the job now would lack what is observed of its class before the job
+            // begins.
             let run_time =
                 self.run_time_history.prior(&job.spec.class, job.spec.runtime_estimate_s);
             let allowed = types.iter().filter(|machine_type| machine_type.allows(&job.spec));
--- a/crates/controller/src/cluster_state/job_records.rs
+++ b/crates/controller/src/cluster_state/job_records.rs
@@ -1,4 +1,4 @@
-//! Job records read from the store: those that a new leader loads, and those that the watch brings.
+//! Applies job records read from the store: those that a new leader loads, and those that the watch delivers.
 
 use super::{ClusterState, job_attributes};
 use crate::Time;
@@ -8,7 +8,7 @@
 use swiftsail_protocol::state::{KeyPage, WatchResponse};
 
 impl ClusterState {
-    /// A new leader has read a page of jobs. `now` is steady time, `wall` the time of day, both in ms.
+    /// Applies a page of jobs that a new leader has read. `now` is the monotonic time and `wall` the wall clock, both in ms.
     pub fn load_jobs(&mut self, page: &KeyPage, now: Time, wall: u64) {
         if self.watched_revision == 0 {
             self.watched_revision = page.revision;
@@ -18,8 +18,8 @@
         }
     }
 
-    /// A new leader has read everything: machines that bindings name are expected, and jobs with dependencies are settled
-    /// as far as those are known.
+    /// Completes the loading of a new leader's state: adds the machines that bindings name, and applies known outcomes to
+    /// jobs with dependencies.
     pub fn finish_loading(&mut self, now: Time, wall: u64) {
         self.is_loading = false;
         self.settle_dependencies(now, wall);
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Applies a record read from the store. Keys that are no job's are ignored.
+    /// Applies a record read from the store. Keys other than those of jobs are ignored.
     pub fn apply_job_record(
         &mut self,
         key: &str,
@@ -52,12 +52,13 @@
             Some(StoredJob::Finished(record)) => {
                 self.apply_final_record(id, record, mod_revision, now, wall);
             }
-            None => tracing::error!(key, "unreadable job record"),
+            None => tracing::error!(key, "job record cannot be decoded"),
         }
     }
 
-    /// A final record that is not moved yet. Found by a new leader, it is its predecessor's and is to be moved. A leader's
-    /// own ends are known already; but the watch may have brought back such a job with an earlier change: it goes again.
+    /// Applies a final record that is not archived yet. One that a new leader reads is from its predecessor and is to be
+    /// archived. The jobs that this leader has finished itself are removed already, but the watch may have added such a job
+    /// again with an earlier change: it is removed again.
     fn apply_final_record(
         &mut self,
         id: JobId,
@@ -66,12 +67,12 @@
         now: Time,
         wall: u64,
     ) {
-        let was_brought_back = |job: &Job| {
+        let was_added_again = |job: &Job| {
             job.mod_revision < mod_revision && job.in_flight.is_none() && job.attempts.is_empty()
         };
         if self.is_loading {
             self.unarchived_jobs.push_back((id, mod_revision, record));
-        } else if self.jobs.get(&id).is_some_and(was_brought_back) {
+        } else if self.jobs.get(&id).is_some_and(was_added_again) {
             self.jobs.remove(&id);
             self.run_queues.remove_job(&id);
             self.on_dependency_finished(&id, record.outcome(wall), now, wall);
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Applies changes of jobs, from the watch or from a read beside it. What is already known is skipped: else one could
-    /// bring back a job that was closed since the other showed it.
+    /// Applies changes of jobs from the watch, or from a read in addition to it. Changes up to the known revision are
+    /// skipped: else one source could add a job again that was closed after the other had delivered the change.
     pub fn apply_job_changes(&mut self, changes: &WatchResponse, now: Time, wall: u64) {
         let known = self.watched_revision;
         for event in changes.events.iter().filter(|event| event.mod_revision > known) {
@@ -124,8 +125,8 @@
         self.watched_revision = self.watched_revision.max(changes.revision);
     }
 
-    /// Another controller has reported a committed cancellation, made at `cancelled_wall` (time of day): the job's tasks
-    /// are stopped at once. Its record is still to be read from the state service.
+    /// Cancels a job whose committed cancellation, at `cancelled_wall` (wall clock, ms), another controller has reported: its
+    /// tasks are stopped at once. The changed record is still to be read from the state service.
     pub fn on_remote_cancellation(
         &mut self,
         id: &JobId,
--- a/crates/controller/src/cluster_state/liveness.rs
+++ b/crates/controller/src/cluster_state/liveness.rs
@@ -1,4 +1,4 @@
-//! Liveness of machines: what the failure detector is shown of them, and which it has probed.
+//! Liveness of machines: the observations passed to the failure detector, and the probes that it requests.
 
 use super::ClusterState;
 use crate::Time;
@@ -9,7 +9,7 @@
 use swiftsail_failure_detector::{FailureDetector, Liveness, MachineObservation};
 
 impl ClusterState {
-    /// Checks every machine that should be up. Returns those that are to be probed now.
+    /// Checks the liveness of all machines that should be up. Returns those to be probed now.
     pub fn check_machine_liveness(
         &mut self,
         platform: &PlatformSettings,
@@ -24,10 +24,10 @@
         });
         let observed = self.machines.values();
         let observed = observed.filter_map(|m| Some((&m.id, self.observe_machine(m)?)));
-        let (to_probe, verdicts) = failure_detector.check_machines(observed, now);
+        let (to_probe, presumptions) = failure_detector.check_machines(observed, now);
         self.failure_detector = Some(failure_detector);
         to_probe.iter().for_each(|id| self.begin_probe(id));
-        for (id, state) in verdicts {
+        for (id, state) in presumptions {
             tracing::debug!(machine = %id, ?state, "machine liveness changed");
             if state == Liveness::PresumedDead {
                 self.events.record("machine", "presumed dead", &id, None);
@@ -47,9 +47,9 @@
         }
     }
 
-    /// A probe is sent to a machine. Its answer is newer than what is known now, or the worker has restarted. The baseline
-    /// is kept while earlier probes are open: the answer to one of those may arrive instead, and be older than what was
-    /// received since.
+    /// Records that a probe is sent to a machine. Its response will be newer than the newest message known now (the
+    /// baseline), or the worker has restarted. The baseline is kept while earlier probes are open: the response to one of
+    /// those may arrive first, and be older than messages received since.
     pub fn begin_probe(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         if machine.open_probes == 0 {
@@ -58,8 +58,8 @@
         machine.open_probes += 1;
     }
 
-    /// What the failure detector is shown of a machine. None: it need not be up, since it has neither been heard under
-    /// this leader nor holds work of an earlier one.
+    /// The observation of a machine for the failure detector. None: it is being returned, or need not be up, since it has
+    /// neither contacted this leader nor has tasks from an earlier one.
     pub fn observe_machine<'a>(&self, machine: &'a Machine) -> Option<MachineObservation<'a>> {
         let should_be_up = machine.last_contact_at.is_some() || !machine.tasks.is_empty();
         if !should_be_up || machine.state() == MachineState::Terminating {
--- a/crates/controller/src/cluster_state/provisioning.rs
+++ b/crates/controller/src/cluster_state/provisioning.rs
@@ -1,5 +1,5 @@
-//! Rental requests and machine returns that the cloud has not answered, markets that it refused lately, and machines
-//! returned under this leader. `fleet` plans them, `controller` and `cloud` send them.
+//! Provisioning requests and machine returns that the cloud has not answered, markets that had no capacity recently, and
+//! machines returned under this leader. `fleet` plans requests and returns, `controller` and `cloud` send them.
 
 use super::ClusterState;
 use crate::Time;
@@ -15,19 +15,19 @@
 use swiftsail_failure_detector::constants::UNREACHABLE_RETURN_WINDOW_MS;
 use swiftsail_protocol::cloud::ProvisionMachinesRequest;
 
-/// A market: machine type, zone, and whether spot.
+/// A market: machine type, zone, and whether it is the spot market.
 pub type Market = (String, String, bool);
 
-/// Machines to rent.
+/// A request to rent machines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProvisioningRequest {
     /// Machine type.
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot or on demand.
+    /// Whether spot machines are requested, rather than on-demand ones.
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
 }
 
@@ -36,7 +36,7 @@
         (self.machine_type.clone(), self.zone.clone(), self.spot)
     }
 
-    /// The request to the cloud, under an idempotency key.
+    /// The request as it is sent to the cloud, with its idempotency key.
     pub fn to_wire(&self, request_id: &str) -> ProvisionMachinesRequest {
         ProvisionMachinesRequest {
             request_id: request_id.to_string(),
@@ -48,14 +48,14 @@
     }
 }
 
-/// A rental request without an answer.
+/// A provisioning request that has not been answered.
 #[derive(Debug, Clone)]
 pub struct OpenRequest {
-    /// What is asked for.
+    /// The request.
     pub request: ProvisioningRequest,
     /// When it was made.
     pub requested_at: Time,
-    /// It was sent at least once: its idempotency key then stands for this number of machines, which must not change.
+    /// It was sent at least once: its idempotency key then stands for this number of machines, which must no longer change.
     pub was_sent: bool,
 }
 
@@ -66,32 +66,33 @@
     hasher.finish()
 }
 
-/// Until when a market is not asked again, and for how long it was refused last.
+/// Backoff of a market that had no capacity.
 #[derive(Debug, Default)]
 struct Refusal {
+    /// No request is sent before this time.
     until: Time,
     backoff_ms: u64,
 }
 
-/// Rental requests and returns, and what is remembered of earlier ones.
+/// Provisioning requests and returns, and what is remembered of earlier ones.
 #[derive(Debug, Default)]
 pub struct Provisioning {
     /// Number of requests made, for idempotency keys.
     requests_made: u64,
-    /// By idempotency key.
+    /// Requests without a response, by idempotency key.
     open_requests: BTreeMap<String, OpenRequest>,
     refused: HashMap<Market, Refusal>,
-    /// Machines whose return was sent and not answered.
+    /// Machines whose return was sent and has not been answered.
     returning: BTreeSet<MachineId>,
     /// Machines whose return is to be sent.
     return_queue: BTreeSet<MachineId>,
-    /// Of both, those that a cancellation needs gone in time: when each was last sent; 0: not yet.
+    /// Those of both that must be returned in time for a cancellation, and when each was last sent; 0: not yet.
     urgent_returns: BTreeMap<MachineId, Time>,
-    /// Name hashes of machines returned, the oldest first.
+    /// Hashes of the names of returned machines, the oldest first.
     returned: VecDeque<u64>,
-    /// The same, for look-up.
+    /// The same as a set, for look-up.
     returned_set: FxHashSet<u64>,
-    /// When machines were returned lately because they were unreachable inbound.
+    /// When machines were recently returned because they were unreachable inbound.
     unreachable_returns: VecDeque<Time>,
     /// When the last listing of machines began.
     pub listed_at: Time,
@@ -99,20 +100,20 @@
     pub is_listing: bool,
     /// When machine types were last requested.
     pub types_requested_at: Time,
-    /// When idle machines were last looked for.
+    /// When idle machines were last searched for.
     pub idle_checked_at: Time,
-    /// When moves of replicas were last looked for.
+    /// When replica migrations were last searched for.
     pub moves_checked_at: Time,
 }
 
 impl Provisioning {
-    /// Rental requests without an answer, and when each was made.
+    /// Provisioning requests without a response, and when each was made.
     pub fn open_requests(&self) -> impl Iterator<Item = (&ProvisioningRequest, Time)> {
         self.open_requests.values().map(|open| (&open.request, open.requested_at))
     }
 
-    /// Requests for the same market that were not sent yet, by idempotency key: their number of machines may still
-    /// change.
+    /// Requests for the same market that have not been sent yet, by idempotency key: their number of machines may still be
+    /// changed.
     pub fn unsent_requests(
         &mut self,
         request: &ProvisioningRequest,
@@ -123,8 +124,8 @@
             .filter(move |(_, open)| !open.was_sent && open.request.market() == market)
     }
 
-    /// Notes a request to be sent. Returns its idempotency key, made of the fencing token and a counter: no other request
-    /// of any controller has the same.
+    /// Adds a request to be sent. Returns its idempotency key, made of the fencing token and a counter, so that no other
+    /// request of any controller has the same.
     pub fn open_request(&mut self, token: u64, request: ProvisioningRequest, now: Time) -> String {
         self.requests_made += 1;
         let request_id = format!("s{token}-{}", self.requests_made);
@@ -133,19 +134,19 @@
         request_id
     }
 
-    /// A request had no answer, and is to be sent again under the same idempotency key. Returns false if there is no such
-    /// request.
+    /// Marks a request that had no response as sent: it is to be sent again under the same idempotency key. Returns false if
+    /// there is no such request.
     pub fn mark_unanswered(&mut self, request_id: &str) -> bool {
         self.open_requests.get_mut(request_id).map(|open| open.was_sent = true).is_some()
     }
 
-    /// Whether a machine was returned under this leader. Only hashes of names are kept: with 16,000 of them the chance that
-    /// a machine is taken for another is one in a million million.
+    /// Whether a machine was returned under this leader. Only hashes of names are kept: with 16,000 of them the probability
+    /// that a machine is mistaken for another is about 10^-12.
     pub fn was_returned(&self, id: &MachineId) -> bool {
         self.returned_set.contains(&name_hash(id))
     }
 
-    fn note_returned(&mut self, id: &MachineId) {
+    fn record_returned(&mut self, id: &MachineId) {
         let hash = name_hash(id);
         if self.returned_set.insert(hash) {
             self.returned.push_back(hash);
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Number of machines returned lately because they were unreachable inbound.
+    /// Number of machines returned within [`UNREACHABLE_RETURN_WINDOW_MS`] because they were unreachable inbound.
     pub fn recent_unreachable_returns(&self, now: Time) -> usize {
         self.unreachable_returns
             .iter()
@@ -165,13 +166,14 @@
             .count()
     }
 
-    /// A machine is returned because it is unreachable inbound.
+    /// Records that a machine is returned because it is unreachable inbound.
     pub fn record_unreachable_return(&mut self, now: Time) {
         self.unreachable_returns.retain(|at| now < *at + UNREACHABLE_RETURN_WINDOW_MS);
         self.unreachable_returns.push_back(now);
     }
 
-    /// Whether a market may be asked for machines: it was not refused lately, and few requests for it are open.
+    /// Whether machines may be requested from a market: it is not in backoff, and fewer than
+    /// [`MAX_OPEN_PROVISIONING_REQUESTS`] requests for it are open.
     pub fn may_rent(&self, kind: &str, zone: &str, spot: bool, now: Time) -> bool {
         let market = (kind.to_string(), zone.to_string(), spot);
         let requests = self.open_requests.values().map(|open| &open.request);
@@ -180,18 +182,18 @@
             && self.refused.get(&market).is_none_or(|refusal| now >= refusal.until)
     }
 
-    /// The cloud refused a market: it is asked again after a backoff, which doubles with each refusal.
-    fn note_refusal(&mut self, market: Market, now: Time) {
+    /// Starts the backoff of a market that had no capacity. It doubles with each refusal.
+    fn record_refusal(&mut self, market: Market, now: Time) {
         let refusal = self.refused.entry(market).or_default();
         refusal.backoff_ms = match refusal.backoff_ms {
             0 => NO_CAPACITY_BACKOFF_MS,
-            last => (last * 2).min(MAX_NO_CAPACITY_BACKOFF_MS),
+            previous => (previous * 2).min(MAX_NO_CAPACITY_BACKOFF_MS),
         };
         refusal.until = now + refusal.backoff_ms;
     }
 
-    /// Marks a return as urgent: it waits neither for other returns nor for an answer that does not come. A return may be
-    /// sent any number of times.
+    /// Marks a return as urgent: it waits neither for other returns nor for a missing response, since a return may be sent
+    /// any number of times.
     pub fn mark_urgent(&mut self, id: &MachineId) {
         if (self.return_queue.contains(id) || self.returning.contains(id))
             && !self.urgent_returns.contains_key(id)
@@ -215,8 +217,8 @@
         batch
     }
 
-    /// The next batch of returns, marked as sent. Only one is in flight at a time, and it takes all that is queued: when
-    /// many machines are lost at once, rentals must not wait behind many calls.
+    /// The next batch of returns, marked as sent. Only one batch is in flight at a time, and it takes as many as are queued:
+    /// when many machines are lost at once, provisioning must not wait behind many calls.
     pub fn next_returns(&mut self) -> Vec<MachineId> {
         if !self.returning.is_empty() {
             return Vec::new();
@@ -234,7 +236,7 @@
         }
     }
 
-    /// A return had no answer: it is queued again, unless another try of an urgent one was answered meanwhile.
+    /// Queues a return again that had no response, unless another attempt at it was answered meanwhile.
     pub fn on_return_failed(&mut self, id: MachineId) {
         if !self.was_returned(&id) {
             self.returning.remove(&id);
@@ -244,35 +246,35 @@
 }
 
 impl ClusterState {
-    /// Queues the return of a machine. Returns whether it was not queued before.
-    pub fn request_return(&mut self, id: &MachineId, why: &str, now: Time) -> bool {
+    /// Queues the return of a machine. Returns false if it is being returned already.
+    pub fn request_return(&mut self, id: &MachineId, reason: &str, now: Time) -> bool {
         let marked = self.machine_entry(id, now).advance(MachineState::Terminating);
         if marked {
-            self.events.record("machine", "returning", id, Some(why));
-            tracing::debug!(machine = %id, why, "terminating machine");
+            self.events.record("machine", "returning", id, Some(reason));
+            tracing::debug!(machine = %id, why = reason, "terminating machine");
             self.provisioning.return_queue.insert(id.clone());
         }
         marked
     }
 
-    /// The cloud confirmed a return: the machine and all attempts on it are gone.
+    /// Handles the cloud's confirmation of a return: the machine and all attempts on it are gone.
     pub fn on_returned(&mut self, id: &MachineId, now: Time) {
         self.provisioning.returning.remove(id);
         self.provisioning.return_queue.remove(id);
         self.provisioning.urgent_returns.remove(id);
-        self.provisioning.note_returned(id);
+        self.provisioning.record_returned(id);
         self.on_machine_gone(id, now);
     }
 
-    /// The cloud answered a request with these machines. If they are fewer than requested, others are planned at once,
-    /// not with the next mapping round.
+    /// Handles the cloud's response with the machines that it provides for a request. If they are fewer than requested,
+    /// others are planned at once rather than with the next mapping round.
     pub fn on_provisioned(&mut self, request_id: &str, names: &[String], now: Time) {
         let Some(open) = self.provisioning.open_requests.remove(request_id) else { return };
         let request = open.request;
-        let what = format!("rented {} of {}", names.len(), request.count);
-        self.events.record("rental", what, &request.machine_type, Some(&request.zone));
+        let event = format!("rented {} of {}", names.len(), request.count);
+        self.events.record("rental", event, &request.machine_type, Some(&request.zone));
         if (names.len() as u32) < request.count {
-            self.provisioning.note_refusal(request.market(), now);
+            self.provisioning.record_refusal(request.market(), now);
             self.force_mapping_round();
         } else {
             self.provisioning.refused.remove(&request.market());
@@ -289,13 +291,13 @@
         }
     }
 
-    /// The cloud refused a request. Others are planned at once.
+    /// Handles the cloud's response that it has no capacity for a request. Others are planned at once.
     pub fn on_provisioning_refused(&mut self, request_id: &str, now: Time) {
         let Some(open) = self.provisioning.open_requests.remove(request_id) else { return };
         let request = open.request;
         self.events.record("rental", "no capacity", &request.machine_type, Some(&request.zone));
-        tracing::info!(kind = %request.machine_type, zone = %request.zone, spot = request.spot, "no capacity");
-        self.provisioning.note_refusal(request.market(), now);
+        tracing::info!(kind = %request.machine_type, zone = %request.zone, spot = request.spot, "provisioning request refused: no capacity");
+        self.provisioning.record_refusal(request.market(), now);
         self.force_mapping_round();
     }
 }
--- a/crates/controller/src/cluster_state/queue_order.rs
+++ b/crates/controller/src/cluster_state/queue_order.rs
@@ -1,5 +1,5 @@
-//! Queue order of the jobs that are not over: assigns each to a tier and turns it into what `swiftsail_tiers` orders. It
-//! owns no state; tiers are kept with the jobs.
+//! Queue order of the unfinished jobs: assigns each to a tier and converts it for `swiftsail_tiers`, which orders them. No
+//! state is kept here; the tier of a job is stored with it.
 
 use super::ClusterState;
 use crate::job::{Job, JobKind, JobSpec, JobState, Priority};
@@ -11,7 +11,7 @@
     queue_order,
 };
 
-/// A job's priority as tier expressions name it.
+/// The attribute by which tier expressions refer to a priority.
 pub fn priority_attribute(priority: Priority) -> JobPriorityAttribute {
     match priority {
         Priority::Production => JobPriorityAttribute::Production,
@@ -21,7 +21,7 @@
     }
 }
 
-/// Attributes of a job that tier expressions can refer to.
+/// The attributes of a job that tier expressions can refer to.
 pub fn job_attributes(id: &str, spec: &JobSpec) -> JobAttributes {
     JobAttributes {
         id: id.into(),
@@ -49,7 +49,7 @@
 }
 
 impl ClusterState {
-    /// Puts another tier table in force: every job is assigned to one of its tiers, by the job's record.
+    /// Replaces the tier table: every job is assigned to one of its tiers, according to the job's record.
     pub fn set_tiers(&mut self, tiers: Rc<TierTable>) {
         self.tiers = tiers;
         for (id, job) in &mut self.jobs {
@@ -60,8 +60,8 @@
         self.needs_scheduling = true;
     }
 
-    /// Queue positions of all jobs that are not over, made from their records, the tier table and the teams' guarantees
-    /// alone: every leader finds the same.
+    /// Queue positions of all jobs that are neither cancelled nor awaiting dependencies. They follow only from the jobs'
+    /// records, the tier table and the teams' guarantees, so every leader computes the same.
     pub fn queue_order(&self, teams: &[TeamSettings]) -> Vec<QueuePosition<'_>> {
         let guarantees: HashMap<&str, (f64, f64)> =
             teams.iter().map(|team| (team.name.as_str(), (team.cpus, team.gpus))).collect();
--- a/crates/controller/src/cluster_state/quota_usage.rs
+++ b/crates/controller/src/cluster_state/quota_usage.rs
@@ -1,5 +1,5 @@
-//! Free resources of machines, quota used by teams, and the guard: the check that every binding must pass at the moment
-//! of binding, whoever planned it.
+//! Free resources of machines, quota used by teams, and [`BindingGuard`]: the check that every binding must pass at the
+//! moment it is made, whatever planned it.
 
 use super::ClusterState;
 use crate::Time;
@@ -11,7 +11,7 @@
 use swiftsail_quota::{QuotaLimit, ResourceQuantities};
 
 impl ClusterState {
-    /// Counts the free resources of the machines on which something has changed.
+    /// Counts the free resources of the machines on which they have changed.
     pub fn count_free_resources(&mut self, types: &[MachineType]) {
         for machine in self.machines.values_mut().filter(|m| m.free_resources().is_none()) {
             if let Some(machine_type) = types.iter().find(|t| t.name == machine.machine_type) {
@@ -21,40 +21,40 @@
         }
     }
 
-    /// What each team's attempts take, in the order of `teams`. Everything not proved gone counts.
+    /// Quota used by each team, in the order of `teams`. Every attempt that is not confirmed gone counts.
     pub fn quota_usage(&self, teams: &[TeamSettings]) -> Vec<ResourceQuantities> {
         let mut usage = vec![ResourceQuantities::default(); teams.len()];
         for job in self.jobs.values() {
-            let held = job.occupying_attempts() as u32;
-            if let Some(team) = teams.iter().position(|t| held > 0 && t.name == job.spec.team) {
-                usage[team] += quota_per_task(&job.spec).multiplied_by(held);
+            let attempts = job.occupying_attempts() as u32;
+            if let Some(team) = teams.iter().position(|t| attempts > 0 && t.name == job.spec.team) {
+                usage[team] += quota_per_task(&job.spec).multiplied_by(attempts);
             }
         }
         usage
     }
 
-    /// The limit of a team, the `number`th in the settings: the lower of the settings' limit and, where limits are held in
-    /// the state service, the leader's holding.
-    pub fn quota_limit(&self, number: usize, team: &TeamSettings) -> QuotaLimit {
-        let cap = QuotaLimit::from_settings(team.cpus_max, team.gpus_max);
-        let holding = self
+    /// The limit of a team, which has the given index in the settings: the limit in the settings or, if limits are divided
+    /// among controllers in the state service, the leader's allocation if that is lower.
+    pub fn quota_limit(&self, index: usize, team: &TeamSettings) -> QuotaLimit {
+        let configured = QuotaLimit::from_settings(team.cpus_max, team.gpus_max);
+        let allocation = self
             .quota_limits
             .as_ref()
-            .map(|holdings| holdings.get(number).copied().unwrap_or_default());
-        holding.map_or(cap, |holding| cap.at_most(holding))
+            .map(|allocations| allocations.get(index).copied().unwrap_or_default());
+        allocation.map_or(configured, |allocation| configured.at_most(allocation))
     }
 }
 
-/// What one task takes of its team's quota.
+/// The quota of its team that one task of a job uses.
 pub fn quota_per_task(spec: &JobSpec) -> ResourceQuantities {
     ResourceQuantities::from_request(spec.cpus, spec.gpus)
 }
 
-/// What is on a machine.
+/// How a machine is occupied.
 struct Occupancy {
-    /// Resources that no attempt takes.
+    /// Resources that no attempt occupies.
     free: Resources,
-    /// Replicas of services are on it.
+    /// Service replicas run on it.
     has_replicas: bool,
 }
 
@@ -73,55 +73,55 @@
         }
     }
     for orphan in machine.orphaned_tasks.values() {
-        // What an orphaned task takes is not always known: then nothing counts as free.
+        // The resources of an orphaned task are not always known: then nothing counts as free.
         match orphan {
-            Some(taken) => occupancy.free.subtract(taken),
+            Some(resources) => occupancy.free.subtract(resources),
             None => occupancy.free = Resources::default(),
         }
     }
     occupancy
 }
 
-/// Whether a machine may be given work: it is ready, nothing was found against it, and it was heard lately. That its
-/// reports arrive is checked by [`Machine::update_reports_missing`], not here: when this looked at the time of the last
-/// report, every report that a loaded leader took in late made its machine unusable and lengthened the scheduling cycles,
-/// until the leader lost its lease.
+/// Whether tasks may be placed on a machine: it is ready, may receive work, is not about to be reclaimed, and was in
+/// contact recently. Whether its reports arrive is checked by [`Machine::update_reports_missing`], not here: if this
+/// considered the time of the last report, every report that an overloaded leader processes late would make its machine
+/// unschedulable and lengthen the scheduling cycles, until the leader loses its lease.
 pub fn is_schedulable(machine: &Machine, now: Time, lease_ms: f64) -> bool {
-    let is_silent = machine
-        .last_contact_at
-        .is_none_or(|heard_at| now.saturating_sub(heard_at) as f64 > lease_ms * SILENT_LEASE_SHARE);
+    let is_silent = machine.last_contact_at.is_none_or(|contact_at| {
+        now.saturating_sub(contact_at) as f64 > lease_ms * SILENT_LEASE_SHARE
+    });
     machine.state() == MachineState::Ready
         && machine.may_receive_work()
         && machine.reclaimed_at.is_none()
         && !is_silent
 }
 
-/// Why the guard refuses a binding.
+/// Why [`BindingGuard`] refuses a binding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BindingRefusal {
-    /// The job is over or cancelled, its gang is not whole, or none of its tasks waits.
+    /// The job is finished, cancelled or awaiting dependencies, its gang is not whole, or none of its tasks waits.
     JobNotReady,
     /// The machine or its type is not known, or the machine is not ready.
     MachineNotReady,
-    /// The job does not allow the machine's type, zone or spot market, given where its other tasks are.
+    /// The job does not allow the machine's type, zone or market, given the zones of its other tasks.
     PlacementConstraint,
     /// The team's limit would be exceeded, or the team is not known.
     QuotaExceeded,
-    /// The binding log is full: chunks must take some bindings over first.
+    /// The binding log is full: chunks must take over some bindings first.
     BindingLogFull,
 }
 
-/// The guard, made from the cluster state at the moment of binding: no plan, policy or plug-in gets past it.
+/// Checks each binding against the cluster state at the moment it is made. No plan, policy or plug-in can bypass it.
 pub struct BindingGuard<'a> {
     teams: &'a [TeamSettings],
     types: &'a [MachineType],
-    /// What each team uses, bindings just made included.
+    /// Quota used by each team, including the bindings just made.
     usage: Vec<ResourceQuantities>,
     limits: Vec<QuotaLimit>,
 }
 
 impl<'a> BindingGuard<'a> {
-    /// A guard that counts what teams use now.
+    /// A guard with the teams' current usage and limits.
     pub fn new(
         cluster_state: &ClusterState,
         teams: &'a [TeamSettings],
@@ -132,8 +132,8 @@
         BindingGuard { teams, types, usage: cluster_state.quota_usage(teams), limits }
     }
 
-    /// Whether a job's next waiting task may be bound to a machine. A `gang` is bound whole, even if that overfills the
-    /// binding log.
+    /// Checks whether a job's next waiting task may be bound to a machine. A task of a `gang` may be bound even if the
+    /// binding log is full, since a gang is bound as a whole.
     pub fn check(
         &self,
         cluster_state: &ClusterState,
@@ -161,7 +161,7 @@
         Ok(())
     }
 
-    /// The machine's type, market and zone are those that the job allows.
+    /// Checks that the job allows the machine's type, market and zone.
     fn check_machine(&self, spec: &JobSpec, machine: &Machine) -> Result<(), BindingRefusal> {
         let machine_type = self.types.iter().find(|t| t.name == machine.machine_type);
         let machine_type = machine_type.ok_or(BindingRefusal::MachineNotReady)?;
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Counts a task just bound.
+    /// Adds a task just bound to its team's usage.
     pub fn count(&mut self, spec: &JobSpec) {
         if let Some(team) = self.teams.iter().position(|t| t.name == spec.team) {
             self.usage[team] += quota_per_task(spec);
@@ -192,7 +192,7 @@
     }
 }
 
-/// Whether a job that must spread over zones, or stay in one, may have another task in a machine's zone.
+/// Checks whether a job that must spread over zones, or stay in one, may have another task in a machine's zone.
 fn check_zones(
     cluster_state: &ClusterState,
     job: &Job,
@@ -206,13 +206,15 @@
         let zone = cluster_state.machines.get(id).map(|m| m.zone.as_str());
         zone.filter(|zone| !zone.is_empty())
     };
-    // A machine whose zone is not known could be in any. So it counts as in this zone for spreading, and as outside it
-    // for keeping together.
-    let at_most = job.max_attempts_in_zone(zone_of, &machine.zone);
+    // A machine of unknown zone could be in any. It counts as inside this zone for spreading, and as outside it for staying
+    // in one zone.
+    let max_in_zone = job.max_attempts_in_zone(zone_of, &machine.zone);
     let mut occupying = job.attempts.values().filter(|attempt| attempt.occupies_resources());
     let any_may_be_outside =
         occupying.any(|attempt| zone_of(&attempt.machine) != Some(&machine.zone));
-    if spec.spread && at_most >= spec.max_tasks_per_zone() || spec.one_zone && any_may_be_outside {
+    if spec.spread && max_in_zone >= spec.max_tasks_per_zone()
+        || spec.one_zone && any_may_be_outside
+    {
         return Err(BindingRefusal::PlacementConstraint);
     }
     Ok(())
--- a/crates/controller/src/cluster_state/reachability.rs
+++ b/crates/controller/src/cluster_state/reachability.rs
@@ -1,5 +1,5 @@
-//! Machines whose connection fails in one direction, or whose worker restarted: which tasks given to them are taken back.
-//! The evidence itself is judged by `swiftsail_failure_detector`.
+//! Machines whose connection fails in one direction, or whose worker has restarted: which of their tasks are withdrawn or
+//! released. The evidence is evaluated by `swiftsail_failure_detector`.
 
 use super::{ClusterState, parse_task_name};
 use crate::Time;
@@ -9,8 +9,8 @@
 use swiftsail_protocol::workers::StatusReport;
 
 impl ClusterState {
-    /// Applies evidence on whether responses and commands reach a machine. Once that is in doubt, starts that no report
-    /// shows are not offered again: the next report proves that they were not taken, and the tasks move.
+    /// Applies evidence of whether responses and commands reach a machine. Once that is in doubt, starts that no report
+    /// shows are not offered again: the next report proves that they were not executed, and the tasks are placed elsewhere.
     pub fn on_reachability_evidence(
         &mut self,
         id: &MachineId,
@@ -36,11 +36,11 @@
         self.run_queues.remove_machine(id);
     }
 
-    /// A machine's reports have ceased though it answers probes, or they arrive again. In the first case tasks bound there
-    /// whose start was never offered would wait for a report: they are released, since nothing of them is anywhere.
+    /// Handles that a machine's reports have ceased while it responds to probes, or arrive again. In the first case tasks
+    /// whose start was never offered would wait for a report: they are released, since their attempts exist nowhere.
     pub fn on_reports_missing_changed(&mut self, id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get(id) else { return };
-        tracing::info!(machine = %id, mute = machine.reports_missing(), "arrival of a machine's status reports changed");
+        tracing::info!(machine = %id, mute = machine.reports_missing(), "machine's reports have ceased or resumed");
         self.needs_scheduling = true;
         if !machine.reports_missing() {
             return;
@@ -52,8 +52,8 @@
         self.run_queues.remove_machine(id);
     }
 
-    /// Withdraws the starts of a machine's attempts that no report shows. Returns the tasks of which the start was never
-    /// offered: they are nowhere.
+    /// Withdraws the starts of a machine's attempts that no report shows. Returns the tasks whose start was never offered:
+    /// their attempts exist nowhere.
     fn withdraw_unreported_starts(&mut self, id: &MachineId) -> Vec<(JobId, u32)> {
         let Some(machine) = self.machines.get(id) else { return Vec::new() };
         let mut never_offered = Vec::new();
@@ -69,8 +69,8 @@
         never_offered
     }
 
-    /// A probe of a machine has ended. An answer is newer than anything received before the probe: if its numbers are
-    /// not, the worker has restarted, and every task that the answer does not show is gone.
+    /// Handles the outcome of a probe. A response is newer than any message received before the probe was sent: if its
+    /// numbers are not, the worker has restarted, and every task that the response does not list is gone.
     pub fn on_probed(
         &mut self,
         id: &MachineId,
@@ -101,14 +101,14 @@
         self.on_reachability_evidence(id, Some(evidence), now);
     }
 
-    /// A restarted worker runs what it shows and nothing else: its other tasks are released. Those whose binding is still
-    /// being committed follow when a later report lacks them.
+    /// Releases the tasks that a restarted worker does not list: it runs no others. Those whose binding is still being
+    /// committed are released when a later report lacks them.
     fn release_unreported_tasks(&mut self, id: &MachineId, report: &StatusReport, now: Time) {
-        let shown: Vec<(JobId, u32)> =
+        let listed: Vec<(JobId, u32)> =
             report.tasks.iter().filter_map(|status| parse_task_name(&status.task)).collect();
         let Some(machine) = self.machines.get(id) else { return };
         let missing: Vec<(JobId, u32)> =
-            machine.tasks.keys().filter(|task| !shown.contains(task)).cloned().collect();
+            machine.tasks.keys().filter(|task| !listed.contains(task)).cloned().collect();
         for (job, task) in missing {
             let attempt = self.jobs.get_mut(&job).and_then(|job| job.attempts.get_mut(&task));
             let Some(attempt) = attempt.filter(|a| a.occupies_resources()) else { continue };
--- a/crates/controller/src/cluster_state/reconciliation.rs
+++ b/crates/controller/src/cluster_state/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation of a worker's message with the attempts bound to its machine. A task is placed again only after proof
-//! that its attempt is gone: a newer report that lacks it, a later session, or an exit. Elapsed time proves nothing.
+//! Reconciliation of a worker's message with the attempts bound to its machine. A task is placed again only after its
+//! attempt is confirmed gone: by a newer report that lacks it, a later session, or an exit. Elapsed time proves nothing.
 
 use super::status_reports::{ReceivedReport, ReportSource};
 use super::{ClusterState, task_name};
@@ -9,18 +9,18 @@
 use swiftsail_failure_detector::ReachabilityEvidence;
 use swiftsail_protocol::workers::{ExitCause, TaskPhase, TaskStatus};
 
-/// What a message shows of the starts that were offered to its machine.
+/// What a message shows about the starts that were offered to its machine.
 #[derive(Default)]
 struct StartOutcomes {
-    /// A start was carried out.
-    any_followed: bool,
+    /// A start was executed.
+    any_executed: bool,
     /// A start was offered in this session, and a later report lacks its attempt.
     any_ignored: bool,
 }
 
 impl StartOutcomes {
     fn evidence(&self) -> Option<ReachabilityEvidence> {
-        if self.any_followed {
+        if self.any_executed {
             return Some(ReachabilityEvidence::CommandExecuted);
         }
         self.any_ignored.then_some(ReachabilityEvidence::CommandIgnored)
@@ -39,7 +39,7 @@
 }
 
 impl ClusterState {
-    /// Compares what a machine shows with the attempts bound to it.
+    /// Compares the attempts that a message lists with those bound to its machine.
     pub(super) fn reconcile(&mut self, received: &ReceivedReport) {
         let Some(machine) = self.machines.get(received.machine) else { return };
         let bound: Vec<AttemptId> = machine
@@ -61,7 +61,7 @@
         self.on_reachability_evidence(received.machine, starts.evidence(), received.now);
     }
 
-    /// A message shows a bound attempt: it takes over the reported phase.
+    /// Handles a bound attempt that a message lists: it gets the reported phase.
     fn on_attempt_listed(
         &mut self,
         id: &AttemptId,
@@ -72,7 +72,7 @@
         let Some(job) = self.jobs.get_mut(&id.job) else { return };
         let attempt = job.attempts.get_mut(&id.task).filter(|a| a.number == id.attempt);
         let Some(attempt) = attempt else { return };
-        starts.any_followed |= !attempt.is_reported && attempt.offered_in.is_some();
+        starts.any_executed |= !attempt.is_reported && attempt.offered_in.is_some();
         attempt.is_reported = true;
         let phase = reported_phase(status);
         if !attempt.advance(phase, received.now) {
@@ -80,10 +80,10 @@
         }
         match phase {
             AttemptPhase::Running => {
-                self.note_running(id, received);
-                self.note_cached_image(&id.job, received);
+                self.record_running(id, received);
+                self.record_cached_image(&id.job, received);
             }
-            AttemptPhase::WaitingForGang => self.note_cached_image(&id.job, received),
+            AttemptPhase::WaitingForGang => self.record_cached_image(&id.job, received),
             AttemptPhase::Exited(cause) => {
                 if let Some(machine) = self.machines.get_mut(received.machine) {
                     machine.invalidate_free_resources();
@@ -94,7 +94,7 @@
         }
     }
 
-    fn note_running(&mut self, id: &AttemptId, received: &ReceivedReport) {
+    fn record_running(&mut self, id: &AttemptId, received: &ReceivedReport) {
         let Some(job) = self.jobs.get(&id.job) else { return };
         let Some(attempt) = job.attempts.get(&id.task) else { return };
         self.events.record("task", "runs", task_name(&id.job, id.task), Some(received.machine));
@@ -103,8 +103,8 @@
         tracing::debug!(job = %id.job, task = id.task, machine = %received.machine, class = %job.spec.class, waited_ms, bound_ms, "task started");
     }
 
-    /// A task is past the fetch of its image: its machine has it.
-    fn note_cached_image(&mut self, job: &JobId, received: &ReceivedReport) {
+    /// Records that the machine has the image of a job, since a task of it has finished the fetch.
+    fn record_cached_image(&mut self, job: &JobId, received: &ReceivedReport) {
         let Some(job) = self.jobs.get(job) else { return };
         let Some(machine) = self.machines.get_mut(received.machine) else { return };
         let machine_type = received.types.iter().find(|t| t.name == machine.machine_type);
@@ -112,7 +112,7 @@
         machine.images.record_use(&job.spec.image, job.spec.image_gb, cache_gb);
     }
 
-    /// A message lacks a bound attempt: if that proves it gone, its task is released.
+    /// Handles a bound attempt that a message lacks: if that confirms it gone, its task is released.
     fn on_attempt_missing(
         &mut self,
         id: &AttemptId,
@@ -124,7 +124,7 @@
         let attempt = job.and_then(|job| job.attempts.get_mut(&id.task));
         let Some(attempt) = attempt.filter(|a| a.number == id.attempt) else { return };
         if matches!(attempt.phase(), AttemptPhase::Exited(_))
-            || !is_proved_gone(attempt, received, token, starts)
+            || !is_confirmed_gone(attempt, received, token, starts)
         {
             return;
         }
@@ -134,14 +134,14 @@
         self.release_lost_task(job, *task, received.now);
     }
 
-    /// The attempt of a task is proved gone: the task waits again, and a gang is stopped as a whole.
+    /// Releases a task whose attempt is confirmed gone: the task waits again, and a gang is stopped as a whole.
     pub(super) fn release_lost_task(&mut self, job: &JobId, task: u32, now: Time) {
         self.release(job, task, now);
         self.stop_gang_after_loss(job);
     }
 
-    /// Handles attempts that a machine shows and no binding names. One of a job whose task still waits is adopted; an
-    /// exited one is only to be forgotten; any other takes resources and is stopped until a report lacks it.
+    /// Handles attempts that a message lists and that have no binding. One whose task still waits is adopted, an exited one
+    /// is only to be forgotten by the worker, and any other occupies resources and is stopped until a report lacks it.
     pub(super) fn track_orphaned_tasks(&mut self, received: &ReceivedReport) {
         let Some(machine) = self.machines.get_mut(received.machine) else { return };
         if !machine.orphaned_tasks.is_empty() {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Takes an attempt without a binding for that of its task, if the task waits. It is never started anew. Returns
+    /// Adopts an attempt without a binding as that of its task, if the task waits. Its start is never offered again. Returns
     /// whether it was adopted.
     fn adopt_task(
         &mut self,
@@ -195,8 +195,8 @@
     }
 }
 
-/// Whether a message that lacks an attempt proves that it is gone, and will not start later.
-fn is_proved_gone(
+/// Whether a message that lacks an attempt proves that it is gone and will not start later.
+fn is_confirmed_gone(
     attempt: &mut Attempt,
     received: &ReceivedReport,
     token: u64,
@@ -213,13 +213,13 @@
         return received.report.fencing_token == token;
     }
     let Some(offered_in) = attempt.offered_in else { return attempt.start_withdrawn && committed };
-    // The response that carried the start may still be on its way when a direct command is answered: only a later report
-    // shows that it was not taken.
-    let not_taken = received.source == ReportSource::StatusReport
+    // The response that carried the start may still be in flight when a direct command is answered: only a later report
+    // proves that the start was not executed.
+    let not_executed = received.source == ReportSource::StatusReport
         && MessageOrder::of(received.report) > offered_in;
-    starts.any_ignored |= not_taken && received.report.session == offered_in.session;
-    if not_taken && !attempt.start_withdrawn {
+    starts.any_ignored |= not_executed && received.report.session == offered_in.session;
+    if not_executed && !attempt.start_withdrawn {
         attempt.offered_in = None;
     }
-    not_taken && attempt.start_withdrawn
+    not_executed && attempt.start_withdrawn
 }
--- a/crates/controller/src/cluster_state/run_queues.rs
+++ b/crates/controller/src/cluster_state/run_queues.rs
@@ -1,6 +1,6 @@
-//! Run queues: which waiting tasks are planned to follow a running one in its slot. They exist in the leader's memory
-//! alone; workers hold only what runs, so taking a task out of a queue costs nothing. Placement plans on a copy and returns
-//! it with its plan: the maps are persistent, so a copy is free until it differs.
+//! Run queues: which waiting tasks are planned to run after a running one, in its slot. They exist only in the leader's
+//! memory; workers know only running tasks, so removing a task from a queue costs nothing. Placement plans on a copy and
+//! returns it with its plan: the maps are persistent data structures, so an unchanged copy costs nothing.
 
 use crate::job::{Attempt, Job, JobId, MachineId};
 use imbl::OrdMap;
@@ -9,11 +9,11 @@
 /// A slot, named by its running task (machine, job, task): the resources of that task on its machine.
 pub type SlotId = (MachineId, JobId, u32);
 
-/// Jobs whose tasks are to follow in a slot, the next first. Tasks of a job are alike until they are bound, so a queue
-/// holds a job once for each task.
+/// Jobs whose tasks are to run next in a slot, the first to run first. Tasks of a job are interchangeable until they are
+/// bound, so a queue holds a job once for each task.
 pub type RunQueue = VecDeque<JobId>;
 
-/// All run queues. No queue is empty, and no job counts zero.
+/// All run queues. Empty queues and jobs without queued tasks are not stored.
 #[derive(Debug, Default, Clone)]
 pub struct RunQueues {
     by_slot: OrdMap<SlotId, RunQueue>,
@@ -22,7 +22,7 @@
 }
 
 impl RunQueues {
-    /// The queue of a slot.
+    /// The queue of a slot, the first to run first.
     pub fn queue(&self, slot: &SlotId) -> impl Iterator<Item = &JobId> {
         self.by_slot.get(slot).into_iter().flatten()
     }
@@ -37,7 +37,7 @@
         self.by_job.keys().cloned().collect()
     }
 
-    /// Whether another task may join a slot of at most `limit` tasks, the running one counted.
+    /// Whether another task may join the queue of a slot of at most `limit` tasks, including the running one.
     pub fn has_capacity(&self, slot: &SlotId, limit: usize) -> bool {
         self.by_slot.get(slot).map_or(0, VecDeque::len) + 1 < limit
     }
@@ -60,7 +60,7 @@
         dropped.len() as u32
     }
 
-    /// Drops all tasks of a job from all queues.
+    /// Removes all tasks of a job from all queues.
     pub fn remove_job(&mut self, id: &JobId) {
         if self.by_job.remove(id).is_none() {
             return;
@@ -90,7 +90,7 @@
         dropped
     }
 
-    /// Drops all queues of a machine that is gone or gets no more work.
+    /// Removes all queues of a machine that is gone or gets no more tasks.
     pub fn remove_machine(&mut self, machine: &MachineId) {
         let slots: Vec<SlotId> =
             self.by_slot.keys().filter(|(at, _, _)| at == machine).cloned().collect();
@@ -117,7 +117,7 @@
         self.by_slot.keys().filter(has_ended).cloned().collect()
     }
 
-    /// Appends tasks to a slot's queue in their order.
+    /// Appends tasks to a slot's queue in the given order.
     pub fn append_all(&mut self, slot: &SlotId, queue: impl IntoIterator<Item = JobId>) {
         for id in queue {
             self.push(slot.clone(), &id);
@@ -129,7 +129,7 @@
         self.by_slot.keys().cloned().collect()
     }
 
-    /// A task of a job is queued no more.
+    /// Decrements the number of queued tasks of a job.
     fn decrement(&mut self, id: &JobId) {
         if let Some(count) = self.by_job.get_mut(id) {
             *count -= 1;
--- a/crates/controller/src/cluster_state/status_reports.rs
+++ b/crates/controller/src/cluster_state/status_reports.rs
@@ -1,5 +1,5 @@
-//! Intake of worker messages: which are news, and which prove that a worker lives. What a message then changes is done by
-//! `reconciliation`, `reachability` and `task_exits`; what its response says, by `commands`.
+//! Receipt of worker messages: which are newer than the last one, and which prove that a worker is alive. Their effects are
+//! applied by `reconciliation`, `reachability` and `task_exits`; the commands of the response come from `commands`.
 
 use super::{ClusterState, parse_task_name};
 use crate::Time;
@@ -8,29 +8,29 @@
 use std::collections::HashMap;
 use swiftsail_protocol::workers::{HeartbeatResponse, StatusReport, TaskStatus};
 
-/// What a worker's message is.
+/// Kind of a worker's message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportSource {
-    /// A status report: its response may carry starts, and it proves absent what it lacks.
+    /// A status report: its response may carry starts, and attempts that it lacks are gone.
     StatusReport,
-    /// The answer to a direct command or a probe.
+    /// The response to a direct command or a probe.
     CommandResponse,
 }
 
-/// A message that is news, with what it is reconciled by.
+/// An accepted message, with the data for its reconciliation.
 pub(super) struct ReceivedReport<'a> {
     pub(super) machine: &'a MachineId,
     pub(super) report: &'a StatusReport,
     pub(super) source: ReportSource,
-    /// The attempts that it shows.
+    /// The attempts that it lists.
     pub(super) listed: HashMap<AttemptId, &'a TaskStatus>,
     pub(super) now: Time,
     pub(super) types: &'a [MachineType],
 }
 
 impl ClusterState {
-    /// Takes in a worker's message and returns the response with its commands. A message that is not newer than the last
-    /// one changes nothing and gets an empty response.
+    /// Processes a worker's message and returns the response with its commands. A message that is not newer than the last
+    /// one changes nothing and gets a response without commands.
     pub fn on_status_report(
         &mut self,
         report: &StatusReport,
@@ -51,7 +51,7 @@
         response
     }
 
-    /// Notes the arrival of a message. Returns whether it is news.
+    /// Accepts a message unless it is outdated. Returns whether it was accepted.
     fn accept_message(
         &mut self,
         id: &MachineId,
@@ -62,17 +62,17 @@
         let is_report = source == ReportSource::StatusReport;
         let acknowledged = report.fencing_token == self.token;
         if !self.machines.contains_key(id) {
-            // A network partition may hold a report back until its machine is long returned. A worker that lives shows
-            // this leader's token in its next report, since the response carries it.
+            // A network partition may delay a report until long after its machine was returned. A live worker shows this
+            // leader's token in its next report, since the response carries it.
             if self.provisioning.was_returned(id) || is_report && !acknowledged {
                 return false;
             }
-            tracing::debug!(machine = %id, "unknown machine reported");
+            tracing::debug!(machine = %id, "report from an unknown machine");
         }
         let lease_ms = self.lease_ms;
         let machine = self.machine_entry(id, now);
-        // A worker that has shown a token shows no lower one: a higher number under a lower token was sent before its
-        // worker restarted, and has been on its way since.
+        // A worker that has shown a token never shows a lower one: a message with a higher number and a lower token was sent
+        // before the worker restarted, and delayed.
         if MessageOrder::of(report) <= machine.last_message
             || report.fencing_token < machine.highest_token
         {
@@ -83,14 +83,14 @@
             let evidence = machine.on_answered_report(report.session, lease_ms, now);
             self.on_reachability_evidence(id, evidence.filter(|_| lease_ms > 0.0), now);
         }
-        self.note_message(id, report, source, now);
+        self.record_message(id, report, source, now);
         true
     }
 
-    /// A message is its machine's newest. A copy of a report, however late, proves no life: a worker that shows this
-    /// leader's token has been answered by it, and one that answers a probe of this controller lives; anything else may
-    /// have been sent at any time.
-    fn note_message(
+    /// Records an accepted message as its machine's newest. Not every one proves that the worker is alive, since a duplicate
+    /// report may arrive arbitrarily late. A worker that shows this leader's token has received a response from it, and one
+    /// that responds to a command or probe is alive; any other message may have been sent at any time.
+    fn record_message(
         &mut self,
         id: &MachineId,
         report: &StatusReport,
@@ -115,11 +115,11 @@
         let is_up = is_first && machine.last_contact_at.is_some();
         self.advance_registration(id, report, now);
         if is_up {
-            tracing::debug!(machine = %id, "machine up");
+            tracing::debug!(machine = %id, "first contact with machine");
         }
     }
 
-    /// A machine that reports becomes ready once it shows this leader's token.
+    /// Advances the state of a machine that reports: it becomes ready once it shows this leader's token.
     fn advance_registration(&mut self, id: &MachineId, report: &StatusReport, now: Time) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         if report.fencing_token != self.token {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The machine of a report, if that report has just been accepted as news and as proof of life.
+    /// The machine of a report, if that report has just been accepted as its newest message and as proof that it is alive.
     pub fn machine_if_report_accepted(
         &mut self,
         report: &StatusReport,
@@ -148,9 +148,9 @@
         (is_newest && machine.last_contact_at == Some(now)).then_some(machine)
     }
 
-    /// Takes in a report that shows the same as the machine's last full one, of which `digest` is the hash. Returns false
-    /// if the report must come in full: there is a command for the machine, or this leader does not know what the last
-    /// one showed. Else nothing is to be answered.
+    /// Processes a forwarded report whose content is that of the machine's last full one, of which `digest` is the hash.
+    /// Returns false if the report must be sent in full: there is a command for the machine, or this leader does not know
+    /// the content. Otherwise the response carries no commands.
     pub fn on_unchanged_report(
         &mut self,
         id: &str,
@@ -164,7 +164,7 @@
                 && self.has_no_commands(machine)
         });
         let Some(machine) = self.machines.get_mut(id) else { return false };
-        // A report that is not newer changes nothing.
+        // A report that is not newer than the last message changes nothing.
         if is_same && order > machine.last_message {
             let evidence = machine.on_answered_report(order.session, self.lease_ms, now);
             machine.last_message = order;
@@ -177,8 +177,8 @@
         is_same
     }
 
-    /// Whether a machine was heard now, has acknowledged this leader, and needs no command until something is bound,
-    /// stopped or ends there.
+    /// Whether a machine's message has just been accepted, and it needs no commands until a task is bound, stopped or ends
+    /// on it.
     pub fn is_settled(&self, id: &str, now: Time) -> bool {
         self.machines
             .get(id)
--- a/crates/controller/src/cluster_state/task_exits.rs
+++ b/crates/controller/src/cluster_state/task_exits.rs
@@ -1,4 +1,4 @@
-//! Exits of attempts: success, failure with its attribution to the job or the machine, and what an exit means for a gang.
+//! Exits of attempts: success, failure and its attribution to the job or the machine, and the effect of an exit on a gang.
 
 use super::{ClusterState, task_name};
 use crate::Time;
@@ -7,7 +7,7 @@
 use swiftsail_protocol::workers::ExitCause;
 
 impl ClusterState {
-    /// An attempt has exited, as its phase already shows.
+    /// Handles the exit of an attempt whose phase has already been updated.
     pub(super) fn on_exit(&mut self, id: &JobId, task: u32, cause: ExitCause, now: Time) {
         let attempt = self.jobs.get(id).and_then(|job| job.attempts.get(&task));
         let Some(machine_id) = attempt.map(|attempt| attempt.machine.clone()) else { return };
@@ -33,8 +33,8 @@
         if must_back_off && let Some(job) = self.jobs.get_mut(id) {
             job.back_off(task, now);
         }
-        // A gang of which only some machines have fetched the image is not stopped: a stop would give up the other
-        // fetches, and the gang would start over and be incomplete in time again, for ever.
+        // A gang of which only some machines have fetched the image is not stopped: a stop would abort the other fetches, and
+        // the gang would start over and time out again, indefinitely.
         let waits_for_fetch = |job: &Job| {
             job.spec.kind == JobKind::Gang
                 && cause == ExitCause::GangIncomplete
@@ -48,12 +48,12 @@
         }
     }
 
-    /// A task has ended with success.
+    /// Handles a task that has ended with success.
     fn on_task_completed(&mut self, id: &JobId, task: u32, machine_id: &MachineId, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(attempt) = job.attempts.get(&task) else { return };
-        // Of an attempt that an earlier leader started only the later part was seen: its run time is not known, and a
-        // guess from it would make every such job look short.
+        // Of an attempt started under an earlier leader only the last part was observed: its run time is not known, and
+        // recording that part would bias the estimates towards short run times.
         let running_since = attempt.running_since.filter(|_| !attempt.from_previous_term);
         let ran_ms = running_since.map(|since| now.saturating_sub(since));
         job.mark_chunk_dirty(task, now);
@@ -68,7 +68,7 @@
         self.maybe_finished.insert(id.clone());
     }
 
-    /// A task has failed by itself: the failure counts against its job or its machine.
+    /// Attributes the failure of a task to its job or its machine.
     fn attribute_failure(&mut self, id: &JobId, machine_id: &MachineId, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if !job.is_job_at_fault() {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// A job was found at fault: its failures count against no machine, and it avoids none.
+    /// Handles that a job is now held at fault: its failures count against no machine, and it avoids none.
     fn on_job_at_fault(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let blamed_machines = std::mem::take(&mut job.bad_machines);
@@ -97,8 +97,8 @@
         }
     }
 
-    /// A machine on which several jobs failed since the last success is suspected. It takes fewer jobs if one of them has
-    /// succeeded elsewhere.
+    /// Counts a failure against a machine. It becomes suspect once several jobs have failed on it since the last success,
+    /// and fewer jobs suffice if one of them has succeeded elsewhere.
     fn count_failure_on_machine(&mut self, id: &JobId, machine_id: &MachineId) {
         let Some(machine) = self.machines.get_mut(machine_id) else { return };
         machine.failed_jobs.insert(id.clone());
@@ -106,11 +106,11 @@
             let job = self.jobs.get(id);
             job.is_some_and(|job| job.failure_attribution() == FailureAttribution::Proven)
         };
-        let enough_jobs = match machine.failed_jobs.iter().any(is_proven) {
+        let threshold = match machine.failed_jobs.iter().any(is_proven) {
             true => SUSPECT_MACHINE_JOBS,
             false => SUSPECT_MACHINE_UNPROVEN_JOBS,
         };
-        if machine.failed_jobs.len() >= enough_jobs && !machine.is_suspect {
+        if machine.failed_jobs.len() >= threshold && !machine.is_suspect {
             machine.is_suspect = true;
             self.events.record("machine", "suspected", machine_id, None);
             tracing::warn!(machine = %machine_id, "machine cordoned: tasks of several jobs failed on it");
