--- a/tests/failure_detector.rs
+++ b/tests/failure_detector.rs
@@ -273,18 +273,18 @@
     let faults =
         FaultRates { message_loss: 0.02, message_delay: 0.01, crashes: 2, outages_and_hangs: 1 };
     for seed in 0..6 {
-        let mut simulation = Simulation::new(seed, faults, 90_000);
-        submit_mixed_load(&mut simulation, 6);
-        simulation.submit(300, None, job_body("wk-z", "service", "blue", 6, 1.0, 0.0));
-        simulation.run_until(40_000);
-        let crashed = simulation.kill_machines(2, 3);
+        let mut sim = Simulation::new(seed, faults, 90_000);
+        submit_mixed_load(&mut sim, 6);
+        sim.submit(300, None, job_body("wk-z", "service", "blue", 6, 1.0, 0.0));
+        sim.run_until(40_000);
+        let crashed = sim.kill_machines(2, 3);
         assert!(crashed > 3, "seed {seed}: {crashed} machines crashed");
         for node in 0..3 {
-            simulation.schedule_crash(40_100, node);
+            sim.schedule_crash(40_100, node);
         }
-        simulation.run_until(320_000);
-        assert!(simulation.violations.is_empty(), "seed {seed}: {:?}", simulation.violations);
-        for job in simulation.jobs.iter().filter(|j| j.cancel_at.is_none()) {
+        sim.run_until(320_000);
+        assert!(sim.violations.is_empty(), "seed {seed}: {:?}", sim.violations);
+        for job in sim.jobs.iter().filter(|j| j.cancel_at.is_none()) {
             let status = job.last_status.as_deref().unwrap_or("no answer");
             let is_expected =
                 status == if job.text_field("shape") == "service" { "running" } else { "done" };
@@ -292,7 +292,7 @@
                 is_expected,
                 "seed {seed}: {} ended as {status}: {}",
                 job.id,
-                simulation.describe_job(&job.id)
+                sim.describe_job(&job.id)
             );
         }
     }
