--- a/tests/out_of_order_reports.rs
+++ b/tests/out_of_order_reports.rs
@@ -1,6 +1,6 @@
-//! Old reports: copies that come as a new leader begins, after newer ones, from an earlier session or attempt, by way
-//! of a controller that passes them on. A walk at random over the tables of one leader after another, over workers
-//! that keep to the protocol, and over everything that was ever sent: what a table lets go is gone.
+//! Duplicate and delayed reports: they arrive at a new leader, after newer ones, from an earlier session or attempt, or
+//! forwarded by another controller. A random walk over the cluster state of one leader after another, over workers that
+//! follow the protocol, and over all messages ever sent checks that every task that is released has really ended.
 
 mod common;
 
@@ -26,13 +26,13 @@
 const JOB: &str = "wk-1";
 const TASKS: u32 = 4;
 
-/// A worker that keeps to the protocol.
+/// A worker that follows the protocol.
 struct ProtocolWorker {
     name: String,
     session: u64,
     sequence: u64,
     fencing_token: u64,
-    /// Number of the report that waits for its answer.
+    /// Index of the report that waits for its response.
     unanswered_report: Option<usize>,
     tasks: BTreeMap<(String, u64), (TaskPhase, Option<ExitCause>)>,
 }
@@ -40,11 +40,11 @@
 impl ProtocolWorker {
     fn build_report(&mut self) -> StatusReport {
         self.sequence += 1;
-        let shard =
-            |((shard, launch), (status, cause)): (&(String, u64), &(TaskPhase, _))| TaskStatus {
-                task: shard.clone(),
-                attempt: *launch,
-                phase: *status,
+        let task_status =
+            |((task, attempt), (phase, cause)): (&(String, u64), &(TaskPhase, _))| TaskStatus {
+                task: task.clone(),
+                attempt: *attempt,
+                phase: *phase,
                 exit_cause: *cause,
                 progress_saved: None,
             };
@@ -58,19 +58,20 @@
             fencing_token: self.fencing_token,
             spot: false,
             reclaim_in_s: None,
-            tasks: self.tasks.iter().map(shard).collect(),
+            tasks: self.tasks.iter().map(task_status).collect(),
         }
     }
 
-    fn execute_commands(&mut self, orders: &[Command]) {
-        for order in orders {
-            let key = (order.task.clone(), order.attempt);
-            match order.kind {
+    fn execute_commands(&mut self, commands: &[Command]) {
+        for command in commands {
+            let key = (command.task.clone(), command.attempt);
+            match command.kind {
                 CommandKind::Start if self.tasks.contains_key(&key) => {}
                 CommandKind::Start => {
-                    let twice = self.has_task(&order.task);
-                    let cause = twice.then_some(ExitCause::ConflictingAttempt);
-                    let phase = if twice { TaskPhase::Exited } else { TaskPhase::Fetching };
+                    let is_conflicting = self.has_task(&command.task);
+                    let cause = is_conflicting.then_some(ExitCause::ConflictingAttempt);
+                    let phase =
+                        if is_conflicting { TaskPhase::Exited } else { TaskPhase::Fetching };
                     self.tasks.insert(key, (phase, cause));
                 }
                 CommandKind::Stop => {
@@ -89,29 +90,29 @@
         }
     }
 
-    /// Whether a task is there in any attempt.
-    fn has_task(&self, shard: &str) -> bool {
-        self.tasks.iter().any(|((s, _), (phase, _))| s == shard && *phase != TaskPhase::Exited)
+    /// Whether any attempt of a task has not exited.
+    fn has_task(&self, task: &str) -> bool {
+        self.tasks.iter().any(|((t, _), (phase, _))| t == task && *phase != TaskPhase::Exited)
     }
 }
 
-/// How often each meeting came about.
+/// How often each kind of interleaving occurred.
 #[derive(Debug, Default, Clone, Copy)]
 struct InterleavingCounts {
-    /// A new leader's first report of a machine is a copy that lacks what it holds there.
+    /// The first report of a machine to a new leader is a duplicate that lacks an attempt bound there.
     absent_first: u32,
-    /// A copy is the first that shows this leader's token, and lacks what the leader holds there.
+    /// The first report with this leader's token is a duplicate that lacks an attempt bound there.
     absent_with_token: u32,
-    /// A copy was older than what the leader knew.
+    /// A duplicate was older than the newest message known to the leader.
     after_newer: u32,
-    /// ... and of an earlier session.
+    /// A duplicate was older, and from an earlier session.
     earlier_session: u32,
-    /// A copy was the newest that the leader knew.
+    /// A duplicate was the newest message known to the leader.
     as_newest: u32,
-    /// A copy came by way of another controller as "the same".
+    /// A duplicate was forwarded by another controller as unchanged.
     forwarded_unchanged: u32,
-    /// An answer to a direct question came after something newer.
-    overtaken_answers: u32,
+    /// A response to a probe arrived after a newer message.
+    late_probe_responses: u32,
     leaders: u32,
     started: u32,
     released: u32,
@@ -125,17 +126,17 @@
     workers: Vec<ProtocolWorker>,
     /// What the state service holds.
     chunk: BindingChunk,
-    /// Every report ever sent, of which worker; whether its worker still waits for an answer is the worker's to say.
+    /// Every report ever sent, with the index of its worker.
     reports_sent: Vec<(usize, StatusReport)>,
-    /// Answers on their way: to which report.
-    answers_in_flight: Vec<(usize, HeartbeatResponse)>,
-    /// Commands sent straight to workers, ever.
+    /// Responses in flight, with the index of the report.
+    responses_in_flight: Vec<(usize, HeartbeatResponse)>,
+    /// All commands ever sent directly to workers, with the index of the worker.
     commands_sent: Vec<(usize, DirectCommands)>,
-    /// Answers to them, ever.
-    command_answers: Vec<StatusReport>,
-    /// Answers to direct questions of this leader on their way.
-    probe_answers: Vec<(MachineId, StatusReport)>,
-    /// What another controller remembers of each machine: shown, session, token of who answered.
+    /// All responses ever sent to those.
+    command_responses: Vec<StatusReport>,
+    /// Responses in flight to probes of this leader.
+    probe_responses: Vec<(MachineId, StatusReport)>,
+    /// By machine, what another controller remembers of it: content hash, session, and token of the response.
     forwarder_cache: BTreeMap<String, (u64, u64, u64)>,
     interleavings: InterleavingCounts,
 }
@@ -151,7 +152,7 @@
         tier: None,
         spec: job_spec(JobKind::Array, TASKS, 1.0, "i"),
     };
-    serde_json::to_value(record).expect("our own record")
+    serde_json::to_value(record).expect("the record is encodable")
 }
 
 fn content_hash(report: &StatusReport) -> u64 {
@@ -179,10 +180,10 @@
             workers: (0..3).map(worker).collect(),
             chunk: BindingChunk::default(),
             reports_sent: Vec::new(),
-            answers_in_flight: Vec::new(),
+            responses_in_flight: Vec::new(),
             commands_sent: Vec::new(),
-            command_answers: Vec::new(),
-            probe_answers: Vec::new(),
+            command_responses: Vec::new(),
+            probe_responses: Vec::new(),
             forwarder_cache: BTreeMap::new(),
             interleavings: InterleavingCounts::default(),
         };
@@ -194,28 +195,28 @@
     fn take_leadership(&mut self) {
         self.fencing_token += self.rng.random_range(1..4);
         self.interleavings.leaders += 1;
-        let mut tables = ClusterState::new(self.fencing_token, self.fencing_token, self.now);
+        let mut state = ClusterState::new(self.fencing_token, self.fencing_token, self.now);
         let key = keys::job(JOB);
         let pair = KeyValue { key, value: job_record(), mod_revision: 1, lease: None };
         let page = KeyPage { entries: vec![pair], has_next: false, revision: 1 };
-        tables.load_jobs(&page, self.now, 2_000);
-        let job = tables.jobs.get_mut(JOB).expect("just loaded");
+        state.load_jobs(&page, self.now, 2_000);
+        let job = state.jobs.get_mut(JOB).expect("just loaded");
         job.restore_chunk(0, &self.chunk, 1, self.now);
-        tables.finish_loading(self.now, self.now);
-        self.cluster_state = tables;
-        // What an earlier leader has asked is its own: `Node` keeps the answers apart.
-        self.probe_answers.clear();
+        state.finish_loading(self.now, self.now);
+        self.cluster_state = state;
+        // Responses to probes of an earlier leader are not delivered: `Controller` discards them.
+        self.probe_responses.clear();
     }
 
-    /// What the tables hold is committed.
+    /// Commits the bindings of the cluster state.
     fn commit_bindings(&mut self) {
-        let last = self.cluster_state.last_attempt_number();
-        let job = self.cluster_state.jobs.get_mut(JOB).expect("the job stays");
+        let last_attempt = self.cluster_state.last_attempt_number();
+        let job = self.cluster_state.jobs.get_mut(JOB).expect("the job is never removed");
         self.chunk = job.chunk_record(
             0,
             ChunkWrite {
                 write_number: 1,
-                last_attempt: last,
+                last_attempt,
                 max_bytes: usize::MAX,
                 logged: LoggedBindings::TakeOver,
             },
@@ -237,47 +238,50 @@
         if self.cluster_state.jobs[JOB].waiting.is_empty() {
             return;
         }
-        let launch = self.cluster_state.next_attempt_number();
-        self.cluster_state.bind(&id, machine, launch, 8_192, self.now);
+        let attempt = self.cluster_state.next_attempt_number();
+        self.cluster_state.bind(&id, machine, attempt, 8_192, self.now);
     }
 
-    /// Whether the leader would learn of this machine by this report for the first time, and misses there what it
-    /// holds bound.
+    /// Counts which kinds of interleaving the arrival of a duplicate report is.
     fn classify_duplicate(&mut self, report: &StatusReport) {
         let Some(machine) = self.cluster_state.machines.get(report.machine.as_str()) else {
             return;
         };
-        let at = MessageOrder::of(report);
-        if at <= machine.last_message {
+        let order = MessageOrder::of(report);
+        if order <= machine.last_message {
             self.interleavings.after_newer += 1;
             self.interleavings.earlier_session +=
                 u32::from(report.session < machine.last_message.session);
             return;
         }
         self.interleavings.as_newest += 1;
-        let lacks = machine.tasks.iter().any(|((job, task), launch)| {
+        let lacks = machine.tasks.iter().any(|((job, task), attempt)| {
             let name = format!("{job}/{task}");
-            !report.tasks.iter().any(|s| s.task == name && s.attempt == *launch)
+            !report.tasks.iter().any(|s| s.task == name && s.attempt == *attempt)
         });
         self.interleavings.absent_first +=
             u32::from(machine.last_message == MessageOrder::default() && lacks);
-        let first = machine.highest_token < self.fencing_token
+        let is_first_with_token = machine.highest_token < self.fencing_token
             && report.fencing_token == self.fencing_token;
-        self.interleavings.absent_with_token += u32::from(first && lacks);
+        self.interleavings.absent_with_token += u32::from(is_first_with_token && lacks);
     }
 
-    /// A report arrives at the leader, straight or by way of another controller. The orders, if it is answered.
-    fn deliver_report(&mut self, report: &StatusReport, copy: bool) -> Option<HeartbeatResponse> {
+    /// Delivers a report to the leader, directly or forwarded by another controller. Returns the response, if there is one.
+    fn deliver_report(
+        &mut self,
+        report: &StatusReport,
+        is_duplicate: bool,
+    ) -> Option<HeartbeatResponse> {
         if report.fencing_token > self.fencing_token {
             // A leader that sees a newer token steps down.
             return None;
         }
-        if copy {
+        if is_duplicate {
             self.classify_duplicate(report);
         }
-        let passed = self.rng.random_bool(0.3);
-        if !passed {
-            let orders = self.cluster_state.on_status_report(
+        let is_forwarded = self.rng.random_bool(0.3);
+        if !is_forwarded {
+            let response = self.cluster_state.on_status_report(
                 report,
                 ReportSource::StatusReport,
                 self.now,
@@ -286,27 +290,29 @@
             if let Some(machine) = self.cluster_state.machine_if_report_accepted(report, self.now) {
                 (machine.forwarded_by, machine.report_digest) = (None, None);
             }
-            return Some(orders);
+            return Some(response);
         }
-        let number = content_hash(report);
-        let known = self.forwarder_cache.get(&report.machine)
-            == Some(&(number, report.session, report.fencing_token));
-        let at = MessageOrder::of(report);
-        if known && self.cluster_state.on_unchanged_report(&report.machine, at, number, self.now) {
-            self.interleavings.forwarded_unchanged += u32::from(copy);
+        let hash = content_hash(report);
+        let is_unchanged = self.forwarder_cache.get(&report.machine)
+            == Some(&(hash, report.session, report.fencing_token));
+        let order = MessageOrder::of(report);
+        if is_unchanged
+            && self.cluster_state.on_unchanged_report(&report.machine, order, hash, self.now)
+        {
+            self.interleavings.forwarded_unchanged += u32::from(is_duplicate);
             return Some(HeartbeatResponse {
                 fencing_token: self.fencing_token,
                 commands: Vec::new(),
             });
         }
-        let orders =
+        let response =
             self.cluster_state.on_status_report(report, ReportSource::StatusReport, self.now, &[]);
         if let Some(machine) = self.cluster_state.machine_if_report_accepted(report, self.now) {
-            (machine.report_digest, machine.forwarded_by) = (Some(number), Some("n1".into()));
+            (machine.report_digest, machine.forwarded_by) = (Some(hash), Some("n1".into()));
         }
         self.forwarder_cache
-            .insert(report.machine.clone(), (number, report.session, self.fencing_token));
-        Some(orders)
+            .insert(report.machine.clone(), (hash, report.session, self.fencing_token));
+        Some(response)
     }
 
     #[expect(clippy::too_many_lines, reason = "not split yet")]
@@ -314,20 +320,20 @@
         self.now += self.rng.random_range(1..400);
         let n = self.rng.random_range(0..self.workers.len());
         match self.rng.random_range(0..100) {
-            // A worker reports, and its report arrives or is only on its way.
+            // A worker sends a report, which is delivered now or delayed.
             0..30 => {
                 if self.workers[n].unanswered_report.is_none() {
                     let report = self.workers[n].build_report();
                     self.workers[n].unanswered_report = Some(self.reports_sent.len());
                     self.reports_sent.push((n, report.clone()));
                     if self.rng.random_bool(0.7)
-                        && let Some(orders) = self.deliver_report(&report, false)
+                        && let Some(response) = self.deliver_report(&report, false)
                     {
-                        self.answers_in_flight.push((self.reports_sent.len() - 1, orders));
+                        self.responses_in_flight.push((self.reports_sent.len() - 1, response));
                     }
                 }
             }
-            // One that was held back arrives, or any that was ever sent arrives again: the later ones more often.
+            // A delayed report, or a duplicate of any earlier one, is delivered: recent ones more often.
             30..45 => {
                 let last = self.reports_sent.len();
                 let from = if self.rng.random_bool(0.7) { last.saturating_sub(12) } else { 0 };
@@ -335,33 +341,34 @@
                     let at = self.rng.random_range(from..last);
                     let (of, report) = self.reports_sent[at].clone();
                     let waits = self.workers[of].unanswered_report == Some(at);
-                    if let Some(orders) = self.deliver_report(&report, true).filter(|_| waits) {
-                        self.answers_in_flight.push((at, orders));
+                    if let Some(response) = self.deliver_report(&report, true).filter(|_| waits) {
+                        self.responses_in_flight.push((at, response));
                     }
                 }
             }
-            // An answer comes, or comes too late.
+            // A response arrives, possibly too late.
             45..65 => {
-                if !self.answers_in_flight.is_empty() {
-                    let at = self.rng.random_range(0..self.answers_in_flight.len());
-                    let (to, orders) = self.answers_in_flight.swap_remove(at);
-                    let (of, report) = (self.reports_sent[to].0, self.reports_sent[to].1.session);
+                if !self.responses_in_flight.is_empty() {
+                    let at = self.rng.random_range(0..self.responses_in_flight.len());
+                    let (to, response) = self.responses_in_flight.swap_remove(at);
+                    let (of, session) = (self.reports_sent[to].0, self.reports_sent[to].1.session);
                     let worker = &mut self.workers[of];
                     if worker.unanswered_report == Some(to) {
                         worker.unanswered_report = None;
-                        if worker.session == report && orders.fencing_token >= worker.fencing_token
+                        if worker.session == session
+                            && response.fencing_token >= worker.fencing_token
                         {
-                            worker.fencing_token = orders.fencing_token;
+                            worker.fencing_token = response.fencing_token;
                             let starts =
-                                orders.commands.iter().filter(|o| o.kind == CommandKind::Start);
+                                response.commands.iter().filter(|o| o.kind == CommandKind::Start);
                             self.interleavings.started += starts.count() as u32;
-                            worker.execute_commands(&orders.commands);
+                            worker.execute_commands(&response.commands);
                         }
                     }
                 }
             }
             65..70 => self.workers[n].unanswered_report = None,
-            // Tasks go on.
+            // Tasks advance.
             70..78 => {
                 let end = [ExitCause::Failed, ExitCause::Stopped];
                 let end = end.choose(&mut self.rng).copied();
@@ -380,7 +387,7 @@
             }
             80..86 => self.bind_tasks(),
             86..91 => self.commit_bindings(),
-            // Commands straight to workers: told now, or any that was ever sent, again.
+            // Commands are sent directly to workers, or any earlier one is delivered, possibly again.
             91..93 => {
                 let sent = self.cluster_state.stop_commands(self.now);
                 let of = |addr: &str| self.workers.iter().position(|w| addr.starts_with(&w.name));
@@ -398,9 +405,9 @@
                         worker.execute_commands(&direct.commands);
                     }
                     let report = worker.build_report();
-                    self.command_answers.push(report);
+                    self.command_responses.push(report);
                 }
-                if let Some(report) = self.command_answers.choose(&mut self.rng).cloned()
+                if let Some(report) = self.command_responses.choose(&mut self.rng).cloned()
                     && report.fencing_token <= self.fencing_token
                 {
                     self.cluster_state.on_status_report(
@@ -416,18 +423,18 @@
                 if self.cluster_state.machines.contains_key(&id) {
                     self.cluster_state.begin_probe(&id);
                     let report = self.workers[n].build_report();
-                    self.probe_answers.push((id, report));
+                    self.probe_responses.push((id, report));
                 }
-                if !self.probe_answers.is_empty() && self.rng.random_bool(0.6) {
-                    let at = self.rng.random_range(0..self.probe_answers.len());
-                    let (id, report) = self.probe_answers.swap_remove(at);
+                if !self.probe_responses.is_empty() && self.rng.random_bool(0.6) {
+                    let at = self.rng.random_range(0..self.probe_responses.len());
+                    let (id, report) = self.probe_responses.swap_remove(at);
                     let known = self
                         .cluster_state
                         .machines
                         .get(&id)
                         .map_or(MessageOrder::default(), |m| m.last_message);
-                    let overtaken = MessageOrder::of(&report) < known;
-                    self.interleavings.overtaken_answers += u32::from(overtaken);
+                    let is_late = MessageOrder::of(&report) < known;
+                    self.interleavings.late_probe_responses += u32::from(is_late);
                     self.cluster_state.on_probed(
                         &id,
                         ProbeOutcome::Answered,
@@ -453,80 +460,80 @@
             }
             _ => self.take_leadership(),
         }
-        let job = self.cluster_state.jobs.get_mut(JOB).expect("the job stays");
-        // So that there is always something to bind.
-        let exited: Vec<u32> = job.backing_off.keys().copied().collect();
-        for task in exited {
+        let job = self.cluster_state.jobs.get_mut(JOB).expect("the job is never removed");
+        // Ends backoffs, so that there is always a task to bind.
+        let in_backoff: Vec<u32> = job.backing_off.keys().copied().collect();
+        for task in in_backoff {
             job.backing_off.remove(&task);
             job.waiting.insert(task);
         }
     }
 
-    /// What is wrong, if anything is.
+    /// The first violation of an invariant, if any.
     fn violation(&mut self) -> Option<String> {
         if let Some(machine) = self.cluster_state.machines.values().find(|m| m.is_restarted) {
-            return Some(format!("{} is taken for one that has begun anew", machine.id));
+            return Some(format!("{} is presumed to have restarted", machine.id));
         }
         for task in 0..TASKS {
             let name = format!("{JOB}/{task}");
-            let on = self.workers.iter().filter(|w| w.has_task(&name)).count();
-            if on > 1 {
+            let running = self.workers.iter().filter(|w| w.has_task(&name)).count();
+            if running > 1 {
                 return Some(format!("ran_twice: {name}"));
             }
             if !self.cluster_state.jobs[JOB].waiting.contains(&task) {
                 continue;
             }
             self.interleavings.released += 1;
-            if on > 0 {
-                return Some(format!("{name} waits, and is on a machine"));
+            if running > 0 {
+                return Some(format!("{name} waits although an attempt is on a machine"));
             }
-            // Nor may an answer on its way start it yet.
-            let starts = self.answers_in_flight.iter().any(|(to, orders)| {
+            // No response in flight may start it either.
+            let starts = self.responses_in_flight.iter().any(|(to, response)| {
                 let worker = &self.workers[self.reports_sent[*to].0];
                 worker.unanswered_report == Some(*to)
                     && worker.session == self.reports_sent[*to].1.session
-                    && orders.fencing_token >= worker.fencing_token
-                    && orders
+                    && response.fencing_token >= worker.fencing_token
+                    && response
                         .commands
                         .iter()
                         .any(|o| o.kind == CommandKind::Start && o.task == name)
             });
             if starts {
-                return Some(format!("{name} waits, and its start is on its way"));
+                return Some(format!("{name} waits although its start is in flight"));
             }
         }
         None
     }
 }
 
-/// Whatever comes again, in whatever order, to whichever leader: a task that the tables let go is on no machine and
-/// can no longer start there.
+/// Whichever reports are duplicated or delayed, in any order and to any leader: a released task is on no machine, and can no
+/// longer start there.
 #[test]
-fn no_old_report_proves_what_is_not_so() {
-    let mut met = InterleavingCounts::default();
+fn old_reports_never_release_running_tasks() {
+    let mut total = InterleavingCounts::default();
     for seed in seeds_from_environment("WALKS").unwrap_or(0..300) {
         let mut walk = ReportWalk::new(seed);
         for step in 0..1_500 {
             walk.random_step();
-            if let Some(what) = walk.violation() {
-                panic!("seed {seed}, step {step}: {what}");
+            if let Some(violation) = walk.violation() {
+                panic!("seed {seed}, step {step}: {violation}");
             }
         }
-        met.absent_first += walk.interleavings.absent_first;
-        met.absent_with_token += walk.interleavings.absent_with_token;
-        met.after_newer += walk.interleavings.after_newer;
-        met.earlier_session += walk.interleavings.earlier_session;
-        met.as_newest += walk.interleavings.as_newest;
-        met.forwarded_unchanged += walk.interleavings.forwarded_unchanged;
-        met.overtaken_answers += walk.interleavings.overtaken_answers;
-        met.leaders += walk.interleavings.leaders;
-        met.started += walk.interleavings.started;
-        met.released += walk.interleavings.released;
+        total.absent_first += walk.interleavings.absent_first;
+        total.absent_with_token += walk.interleavings.absent_with_token;
+        total.after_newer += walk.interleavings.after_newer;
+        total.earlier_session += walk.interleavings.earlier_session;
+        total.as_newest += walk.interleavings.as_newest;
+        total.forwarded_unchanged += walk.interleavings.forwarded_unchanged;
+        total.late_probe_responses += walk.interleavings.late_probe_responses;
+        total.leaders += walk.interleavings.leaders;
+        total.started += walk.interleavings.started;
+        total.released += walk.interleavings.released;
     }
-    println!("{met:?}");
-    assert!(met.absent_first > 500 && met.absent_with_token > 50, "{met:?}");
-    assert!(met.after_newer > 1_000 && met.earlier_session > 200, "{met:?}");
-    assert!(met.as_newest > 1_000 && met.forwarded_unchanged > 50, "{met:?}");
-    assert!(met.overtaken_answers > 50, "{met:?}");
-    assert!(met.leaders > 1_000 && met.started > 1_000 && met.released > 10_000, "{met:?}");
+    println!("{total:?}");
+    assert!(total.absent_first > 500 && total.absent_with_token > 50, "{total:?}");
+    assert!(total.after_newer > 1_000 && total.earlier_session > 200, "{total:?}");
+    assert!(total.as_newest > 1_000 && total.forwarded_unchanged > 50, "{total:?}");
+    assert!(total.late_probe_responses > 50, "{total:?}");
+    assert!(total.leaders > 1_000 && total.started > 1_000 && total.released > 10_000, "{total:?}");
 }
