--- a/crates/controller/src/cluster_state/binding_log.rs
+++ b/crates/controller/src/cluster_state/binding_log.rs
@@ -1,5 +1,5 @@
-//! The binding log in the leader's memory: which segment holds which new binding, until a chunk has taken it over or its
-//! task is done. `controller/binding_log.rs` writes the segments to the store and reads them.
+//! The binding log in the leader's memory: which segment holds which new binding, until a chunk has taken it over or
+//! its task is done. `controller/binding_log.rs` writes the segments to the store and reads them.
 
 use crate::Time;
 use crate::constants::{
@@ -70,7 +70,8 @@
 /// A transaction of the log that was sent and whose outcome is not known.
 #[derive(Debug, Clone)]
 pub struct InFlightLogWrite {
-    /// Number of the write, stored in each segment that it writes: a later read tells by it whether the write was applied.
+    /// Number of the write, stored in each segment that it writes: a later read tells by it whether the write was
+    /// applied.
     pub(crate) write_number: u64,
     /// The segments that it writes.
     pub(crate) segments: Vec<usize>,
@@ -107,9 +108,9 @@
 }
 
 impl BindingLog {
-    /// Adds a new binding, to be written soon: to a segment that must be written anyway, else to the smallest one. A segment
-    /// full of old bindings is left alone, since a segment is always written as a whole. `max_value_bytes` is the largest
-    /// value that the store accepts.
+    /// Adds a new binding, to be written soon: to a segment that must be written anyway, else to the smallest one. A
+    /// segment full of old bindings is left alone, since a segment is always written as a whole. `max_value_bytes` is
+    /// the largest value that the store accepts.
     pub fn add(&mut self, job: &JobId, binding: &Binding, max_value_bytes: usize) {
         let max_bytes =
             max_value_bytes.min(MAX_SEGMENT_BYTES).saturating_sub(SEGMENT_OVERHEAD_BYTES);
@@ -127,8 +128,8 @@
         self.segments[index].dirty = true;
     }
 
-    /// Returns a binding to the log that no longer fits into its chunk because the store has lowered its maximum value size.
-    /// It must be committed in a segment before the chunk is written without it ([`BindingLog::awaits_commit`]).
+    /// Returns a binding to the log that no longer fits into its chunk because the store has lowered its maximum value
+    /// size. It must be committed in a segment before the chunk is written without it ([`BindingLog::awaits_commit`]).
     pub fn return_to_log(&mut self, job: &JobId, binding: &Binding, max_value_bytes: usize) {
         self.add(job, binding, max_value_bytes);
         self.returned_to_log.insert(TaskId::new(job, binding.task));
@@ -180,10 +181,10 @@
         self.by_attempt.iter().take(excess).map(|(_, job, task)| (job, *task))
     }
 
-    /// Removes the binding of a task if `attempt` is none or the bound attempt: the task is done or released, a chunk that
-    /// holds the binding is committed, or a later binding replaces it. It is removed at once rather than when the segment
-    /// is next written: else bindings of finished tasks could fill the log forever, since with a full log nothing is bound,
-    /// and without new bindings no segment is written.
+    /// Removes the binding of a task if `attempt` is none or the bound attempt: the task is done or released, a chunk
+    /// that holds the binding is committed, or a later binding replaces it. It is removed at once rather than when the
+    /// segment is next written: else bindings of finished tasks could fill the log forever, since with a full log
+    /// nothing is bound, and without new bindings no segment is written.
     pub fn remove(&mut self, job: &JobId, task: u32, attempt: Option<u64>) {
         let id = TaskId::new(job, task);
         let Some(&location) = self.locations.get(&id) else { return };
--- a/crates/controller/src/cluster_state/commands.rs
+++ b/crates/controller/src/cluster_state/commands.rs
@@ -1,5 +1,5 @@
-//! Commands to workers: those in responses to their reports, and stop commands sent directly to them. Starts are sent only
-//! in responses, after their binding is committed.
+//! Commands to workers: those in responses to their reports, and stop commands sent directly to them. Starts are sent
+//! only in responses, after their binding is committed.
 
 use super::status_reports::{ReceivedReport, ReportSource};
 use super::{ClusterState, task_name};
@@ -21,7 +21,8 @@
 }
 
 impl ClusterState {
-    /// Appends the commands of a response: stop commands for orphaned tasks, forget commands, other stop commands, starts.
+    /// Appends the commands of a response: stop commands for orphaned tasks, forget commands, other stop commands,
+    /// starts.
     pub(super) fn add_commands(&mut self, received: &ReceivedReport, commands: &mut Vec<Command>) {
         self.add_orphan_commands(received, commands);
         self.add_stops(received.machine, commands);
@@ -71,8 +72,8 @@
             }
             let attempt = job.attempts.get_mut(task).filter(|attempt| attempt.number == *number);
             let Some(attempt) = attempt else { continue };
-            // The start of an attempt bound under an earlier term is not offered again: it may have run and been forgotten
-            // by its worker. The next report then confirms that it is gone.
+            // The start of an attempt bound under an earlier term is not offered again: it may have run and been
+            // forgotten by its worker. The next report then confirms that it is gone.
             if attempt.phase() == AttemptPhase::Bound
                 && !attempt.start_withdrawn
                 && attempt.may_be_unstarted()
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Advances the stopping of attempts. Returns the commands to send directly to workers, with the workers' addresses. To
-    /// be called on every tick.
+    /// Advances the stopping of attempts. Returns the commands to send directly to workers, with the workers'
+    /// addresses. To be called on every tick.
     pub fn stop_commands(&mut self, now: Time) -> Vec<(String, DirectCommands)> {
         let mut stops: BTreeMap<MachineId, Vec<Command>> = BTreeMap::new();
         let mut never_offered = Vec::new();
@@ -120,8 +121,8 @@
         self.address_commands(stops)
     }
 
-    /// The messages with these commands, by worker address. Machines without an address or a session are left out: they have
-    /// not reported yet.
+    /// The messages with these commands, by worker address. Machines without an address or a session are left out: they
+    /// have not reported yet.
     fn address_commands(
         &self,
         by_machine: BTreeMap<MachineId, Vec<Command>>,
@@ -151,8 +152,8 @@
     is_whole_again
 }
 
-/// Withdraws the start of an attempt that is to be stopped, and returns the next step. If that is to send a stop command,
-/// the attempt is marked accordingly.
+/// Withdraws the start of an attempt that is to be stopped, and returns the next step. If that is to send a stop
+/// command, the attempt is marked accordingly.
 fn next_stop_step(attempt: &mut Attempt, is_cancelled: bool, now: Time) -> StopStep {
     attempt.start_withdrawn = true;
     match attempt.phase() {
@@ -183,8 +184,8 @@
     Command { grace_s: Some(grace_s), ..command(CommandKind::Stop, job, task, attempt) }
 }
 
-/// Whether a job's starts may be offered. Those of a gang may be once all its bindings are committed: a gang larger than
-/// one transaction is committed in parts, and a part alone would only wait for the others until it times out.
+/// Whether a job's starts may be offered. Those of a gang may be once all its bindings are committed: a gang larger
+/// than one transaction is committed in parts, and a part alone would only wait for the others until it times out.
 fn is_all_bound(job: &Job) -> bool {
     job.spec.kind != JobKind::Gang
         || job.attempts.len() + job.done.len() == job.spec.tasks as usize
--- a/crates/controller/src/cluster_state/dependencies.rs
+++ b/crates/controller/src/cluster_state/dependencies.rs
@@ -1,6 +1,6 @@
 //! Dependencies between jobs known to the leader. Their outcome follows from committed records only: a job that is
-//! committed as done or cancelled stays so. A binding therefore needs no precondition on the jobs that its job depends on:
-//! it is planned only once all of them are known to be committed as done.
+//! committed as done or cancelled stays so. A binding therefore needs no precondition on the jobs that its job depends
+//! on: it is planned only once all of them are known to be committed as done.
 
 use super::ClusterState;
 use crate::Time;
@@ -25,8 +25,8 @@
 }
 
 impl ClusterState {
-    /// Applies the outcome of a finished or cancelled job to the jobs that depend on it. `now` is the monotonic time and
-    /// `wall` the wall clock, both in ms.
+    /// Applies the outcome of a finished or cancelled job to the jobs that depend on it. `now` is the monotonic time
+    /// and `wall` the wall clock, both in ms.
     pub fn on_dependency_finished(
         &mut self,
         id: &JobId,
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Cancels the dependents of the cancelled jobs that a job depends on, and thus the job itself. Called when the job has
-    /// become known, which may be after the cancellations.
+    /// Cancels the dependents of the cancelled jobs that a job depends on, and thus the job itself. Called when the job
+    /// has become known, which may be after the cancellations.
     pub(super) fn cancel_dependents(&mut self, id: &JobId, now: Time, wall: u64) {
         let is_cancelled =
             |dependency: &&JobId| self.jobs.get(*dependency).is_some_and(Job::is_cancelled);
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Applies the outcomes of finished and cancelled jobs to their dependents, once a new leader has read all jobs. A job
-    /// that has begun had all its dependencies done.
+    /// Applies the outcomes of finished and cancelled jobs to their dependents, once a new leader has read all jobs. A
+    /// job that has begun had all its dependencies done.
     pub(super) fn settle_dependencies(&mut self, now: Time, wall: u64) {
         if self.dependencies.is_empty() {
             return;
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Jobs that others depend on and that are not among the unfinished ones: they have finished, and their final records
-    /// must be read. Each is returned once, and again only after [`ClusterState::retry_unknown_dependencies`].
+    /// Jobs that others depend on and that are not among the unfinished ones: they have finished, and their final
+    /// records must be read. Each is returned once, and again only after [`ClusterState::retry_unknown_dependencies`].
     pub fn unknown_dependencies(&mut self, now: Time) -> Vec<JobId> {
         let must_be_read = |id: &&JobId| {
             let is_being_read = self.dependency_reads.get(*id).is_some_and(|until| now < *until);
@@ -178,8 +178,8 @@
         upcoming
     }
 
-    /// Time until all attempts of a job have ended with probability [`DOWNSTREAM_PROBABILITY`], ms. None while any of its
-    /// tasks waits.
+    /// Time until all attempts of a job have ended with probability [`DOWNSTREAM_PROBABILITY`], ms. None while any of
+    /// its tasks waits.
     fn remaining_ms(&self, job: &Job, now: Time) -> Option<f64> {
         if job.state() != JobState::Live || !job.waiting.is_empty() || !job.backing_off.is_empty() {
             return None;
@@ -200,8 +200,8 @@
         remaining.reduce(f64::max).or(Some(0.0))
     }
 
-    /// Computes, every [`DEPENDENCY_DEADLINE_INTERVAL_MS`], the deadline and the priority that each job needs because of the
-    /// jobs that depend on it.
+    /// Computes, every [`DEPENDENCY_DEADLINE_INTERVAL_MS`], the deadline and the priority that each job needs because
+    /// of the jobs that depend on it.
     pub fn propagate_deadlines(&mut self, types: &[MachineType], now: Time) {
         if self.dependencies.is_empty()
             || now < self.dependency_deadlines_at + DEPENDENCY_DEADLINE_INTERVAL_MS
@@ -211,8 +211,8 @@
         self.dependency_deadlines_at = now;
         let requirements_of = |id: &JobId| {
             let job = self.jobs.get(id).filter(|job| !job.is_cancelled())?;
-            // By class, not by job: an estimate cached for the job now would lack what is observed of its class before the job
-            // begins.
+            // By class, not by job: an estimate cached for the job now would lack what is observed of its class before
+            // the job begins.
             let run_time =
                 self.run_time_history.prior(&job.spec.class, job.spec.runtime_estimate_s);
             let allowed = types.iter().filter(|machine_type| machine_type.allows(&job.spec));
--- a/crates/controller/src/cluster_state/job_records.rs
+++ b/crates/controller/src/cluster_state/job_records.rs
@@ -8,7 +8,8 @@
 use swiftsail_protocol::state::{KeyPage, WatchResponse};
 
 impl ClusterState {
-    /// Applies a page of jobs that a new leader has read. `now` is the monotonic time and `wall` the wall clock, both in ms.
+    /// Applies a page of jobs that a new leader has read. `now` is the monotonic time and `wall` the wall clock, both
+    /// in ms.
     pub fn load_jobs(&mut self, page: &KeyPage, now: Time, wall: u64) {
         if self.watched_revision == 0 {
             self.watched_revision = page.revision;
@@ -18,8 +19,8 @@
         }
     }
 
-    /// Completes the loading of a new leader's state: adds the machines that bindings name, and applies known outcomes to
-    /// jobs with dependencies.
+    /// Completes the loading of a new leader's state: adds the machines that bindings name, and applies known outcomes
+    /// to jobs with dependencies.
     pub fn finish_loading(&mut self, now: Time, wall: u64) {
         self.is_loading = false;
         self.settle_dependencies(now, wall);
@@ -56,9 +57,9 @@
         }
     }
 
-    /// Applies a final record that is not archived yet. One that a new leader reads is from its predecessor and is to be
-    /// archived. The jobs that this leader has finished itself are removed already, but the watch may have added such a job
-    /// again with an earlier change: it is removed again.
+    /// Applies a final record that is not archived yet. One that a new leader reads is from its predecessor and is to
+    /// be archived. The jobs that this leader has finished itself are removed already, but the watch may have added
+    /// such a job again with an earlier change: it is removed again.
     fn apply_final_record(
         &mut self,
         id: JobId,
@@ -125,8 +126,8 @@
         self.watched_revision = self.watched_revision.max(changes.revision);
     }
 
-    /// Cancels a job whose committed cancellation, at `cancelled_wall` (wall clock, ms), another controller has reported: its
-    /// tasks are stopped at once. The changed record is still to be read from the state service.
+    /// Cancels a job whose committed cancellation, at `cancelled_wall` (wall clock, ms), another controller has
+    /// reported: its tasks are stopped at once. The changed record is still to be read from the state service.
     pub fn on_remote_cancellation(
         &mut self,
         id: &JobId,
--- a/crates/controller/src/cluster_state/liveness.rs
+++ b/crates/controller/src/cluster_state/liveness.rs
@@ -48,8 +48,8 @@
     }
 
     /// Records that a probe is sent to a machine. Its response will be newer than the newest message known now (the
-    /// baseline), or the worker has restarted. The baseline is kept while earlier probes are open: the response to one of
-    /// those may arrive first, and be older than messages received since.
+    /// baseline), or the worker has restarted. The baseline is kept while earlier probes are open: the response to one
+    /// of those may arrive first, and be older than messages received since.
     pub fn begin_probe(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         if machine.open_probes == 0 {
@@ -58,8 +58,8 @@
         machine.open_probes += 1;
     }
 
-    /// The observation of a machine for the failure detector. None: it is being returned, or need not be up, since it has
-    /// neither contacted this leader nor has tasks from an earlier one.
+    /// The observation of a machine for the failure detector. None: it is being returned, or need not be up, since it
+    /// has neither contacted this leader nor has tasks from an earlier one.
     pub fn observe_machine<'a>(&self, machine: &'a Machine) -> Option<MachineObservation<'a>> {
         let should_be_up = machine.last_contact_at.is_some() || !machine.tasks.is_empty();
         if !should_be_up || machine.state() == MachineState::Terminating {
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -1,6 +1,6 @@
 //! The leader's state under one term: jobs, machines, run queues, and requests to the cloud. Each kind of change is one
-//! function here or in a submodule. The cluster state depends on no module above it: `placement` and `fleet` read it and
-//! return plans, and only the controller applies these.
+//! function here or in a submodule. The cluster state depends on no module above it: `placement` and `fleet` read it
+//! and return plans, and only the controller applies these.
 
 mod binding_log;
 mod cluster_events;
@@ -102,8 +102,8 @@
     pub closing_jobs: usize,
     /// This leader is new and still reads the store.
     is_loading: bool,
-    /// The leader's allocation of each team's limit, if limits are divided among controllers in the state service. None:
-    /// only the limits in the settings apply.
+    /// The leader's allocation of each team's limit, if limits are divided among controllers in the state service.
+    /// None: only the limits in the settings apply.
     pub quota_limits: Option<Vec<ResourceQuantities>>,
     /// When tasks were last preempted for a lowered limit.
     pub limit_preempted_at: Time,
@@ -115,8 +115,8 @@
     maybe_finished: BTreeSet<JobId>,
     /// Revision of the store up to which changes of jobs are known.
     pub watched_revision: u64,
-    /// When the request was sent whose response covered that revision: jobs are known as of then. A later call of another
-    /// kind proves nothing about them, even if it succeeds.
+    /// When the request was sent whose response covered that revision: jobs are known as of then. A later call of
+    /// another kind proves nothing about them, even if it succeeds.
     pub jobs_current_as_of: Time,
     /// When changes were last requested in addition to the watch.
     pub changes_requested_at: Time,
@@ -244,9 +244,9 @@
         })
     }
 
-    /// Binds a job's first waiting task to a machine under an attempt number: in memory now, and in the store with the next
-    /// write of the binding log. Its start is offered only after that. Returns the task; none if the machine or the job is
-    /// not known, or no task waits.
+    /// Binds a job's first waiting task to a machine under an attempt number: in memory now, and in the store with the
+    /// next write of the binding log. Its start is offered only after that. Returns the task; none if the machine or
+    /// the job is not known, or no task waits.
     pub fn bind(
         &mut self,
         id: &JobId,
@@ -307,8 +307,8 @@
         Some(job)
     }
 
-    /// Task counts for display by the other controllers, as (job, done, running), of at most [`MAX_HEARTBEAT_TASK_COUNTS`]
-    /// jobs.
+    /// Task counts for display by the other controllers, as (job, done, running), of at most
+    /// [`MAX_HEARTBEAT_TASK_COUNTS`] jobs.
     pub fn task_counts(&self) -> Vec<(String, u32, u32)> {
         let counts = self.jobs.iter().map(|(id, job)| (id, job.task_counts()));
         let begun = counts.filter(|(_, (done, running))| done + running > 0);
@@ -316,8 +316,8 @@
         rows.take(MAX_HEARTBEAT_TASK_COUNTS).collect()
     }
 
-    /// Begins a scheduling cycle: ends backoffs, and counts jobs that are past their deadline as missed and removes their
-    /// tasks from the run queues (thesis, algorithm 2, steps 1-3).
+    /// Begins a scheduling cycle: ends backoffs, and counts jobs that are past their deadline as missed and removes
+    /// their tasks from the run queues (thesis, algorithm 2, steps 1-3).
     pub fn begin_cycle(&mut self, now: Time) {
         self.last_cycle_at = now;
         self.cycles += 1;
@@ -341,8 +341,8 @@
         }
     }
 
-    /// Records the jobs that a mapping round could not place although their team's limit allows it. A job that is placed now
-    /// and then stays starved: its time restarts only after it was not recorded for [`STARVATION_MS`].
+    /// Records the jobs that a mapping round could not place although their team's limit allows it. A job that is
+    /// placed now and then stays starved: its time restarts only after it was not recorded for [`STARVATION_MS`].
     pub fn record_starved(&mut self, jobs: Vec<JobId>, now: Time) {
         self.starved_jobs.retain(|_, starvation| now < starvation.last_seen + STARVATION_MS);
         for id in jobs {
@@ -352,7 +352,8 @@
         }
     }
 
-    /// Whether a job has been starved for at least [`STARVATION_MS`]: other jobs of its team then precede it.
+    /// Whether a job could not be placed for at least [`STARVATION_MS`]. If it cannot be placed now either, other jobs of
+    /// its team use the team's quota before it.
     pub fn is_starved(&self, id: &JobId, now: Time) -> bool {
         let starvation = self.starved_jobs.get(id);
         starvation.is_some_and(|starvation| now >= starvation.since + STARVATION_MS)
@@ -378,7 +379,8 @@
         found
     }
 
-    /// Removes a machine that is gone, as the cloud's response 200 to its return proves, and releases all attempts on it.
+    /// Removes a machine that is gone, as the cloud's response 200 to its return proves, and releases all attempts on
+    /// it.
     pub fn on_machine_gone(&mut self, id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get(id) else { return };
         let tasks: Vec<(JobId, u32)> = machine.tasks.keys().cloned().collect();
--- a/crates/controller/src/cluster_state/provisioning.rs
+++ b/crates/controller/src/cluster_state/provisioning.rs
@@ -1,5 +1,5 @@
-//! Provisioning requests and machine returns that the cloud has not answered, markets that had no capacity recently, and
-//! machines returned under this leader. `fleet` plans requests and returns, `controller` and `cloud` send them.
+//! Provisioning requests and machine returns that the cloud has not answered, markets that had no capacity recently,
+//! and machines returned under this leader. `fleet` plans requests and returns, `controller` and `cloud` send them.
 
 use super::ClusterState;
 use crate::Time;
@@ -55,7 +55,8 @@
     pub request: ProvisioningRequest,
     /// When it was made.
     pub requested_at: Time,
-    /// It was sent at least once: its idempotency key then stands for this number of machines, which must no longer change.
+    /// It was sent at least once: its idempotency key then stands for this number of machines, which must no longer
+    /// change.
     pub was_sent: bool,
 }
 
@@ -112,8 +113,8 @@
         self.open_requests.values().map(|open| (&open.request, open.requested_at))
     }
 
-    /// Requests for the same market that have not been sent yet, by idempotency key: their number of machines may still be
-    /// changed.
+    /// Requests for the same market that have not been sent yet, by idempotency key: their number of machines may still
+    /// be changed.
     pub fn unsent_requests(
         &mut self,
         request: &ProvisioningRequest,
@@ -124,8 +125,8 @@
             .filter(move |(_, open)| !open.was_sent && open.request.market() == market)
     }
 
-    /// Adds a request to be sent. Returns its idempotency key, made of the fencing token and a counter, so that no other
-    /// request of any controller has the same.
+    /// Adds a request to be sent. Returns its idempotency key, made of the fencing token and a counter, so that no
+    /// other request of any controller has the same.
     pub fn open_request(&mut self, token: u64, request: ProvisioningRequest, now: Time) -> String {
         self.requests_made += 1;
         let request_id = format!("s{token}-{}", self.requests_made);
@@ -134,14 +135,14 @@
         request_id
     }
 
-    /// Marks a request that had no response as sent: it is to be sent again under the same idempotency key. Returns false if
-    /// there is no such request.
+    /// Marks a request that had no response as sent: it is to be sent again under the same idempotency key. Returns
+    /// false if there is no such request.
     pub fn mark_unanswered(&mut self, request_id: &str) -> bool {
         self.open_requests.get_mut(request_id).map(|open| open.was_sent = true).is_some()
     }
 
-    /// Whether a machine was returned under this leader. Only hashes of names are kept: with 16,000 of them the probability
-    /// that a machine is mistaken for another is about 10^-12.
+    /// Whether a machine was returned under this leader. Only hashes of names are kept: with 16,000 of them the
+    /// probability that a machine is mistaken for another is about 10^-12.
     pub fn was_returned(&self, id: &MachineId) -> bool {
         self.returned_set.contains(&name_hash(id))
     }
@@ -192,8 +193,8 @@
         refusal.until = now + refusal.backoff_ms;
     }
 
-    /// Marks a return as urgent: it waits neither for other returns nor for a missing response, since a return may be sent
-    /// any number of times.
+    /// Marks a return as urgent: it waits neither for other returns nor for a missing response, since a return may be
+    /// sent any number of times.
     pub fn mark_urgent(&mut self, id: &MachineId) {
         if (self.return_queue.contains(id) || self.returning.contains(id))
             && !self.urgent_returns.contains_key(id)
@@ -217,8 +218,8 @@
         batch
     }
 
-    /// The next batch of returns, marked as sent. Only one batch is in flight at a time, and it takes as many as are queued:
-    /// when many machines are lost at once, provisioning must not wait behind many calls.
+    /// The next batch of returns, marked as sent. Only one batch is in flight at a time, and it takes as many as are
+    /// queued: when many machines are lost at once, provisioning must not wait behind many calls.
     pub fn next_returns(&mut self) -> Vec<MachineId> {
         if !self.returning.is_empty() {
             return Vec::new();
--- a/crates/controller/src/cluster_state/queue_order.rs
+++ b/crates/controller/src/cluster_state/queue_order.rs
@@ -1,5 +1,5 @@
-//! Queue order of the unfinished jobs: assigns each to a tier and converts it for `swiftsail_tiers`, which orders them. No
-//! state is kept here; the tier of a job is stored with it.
+//! Queue order of the unfinished jobs: assigns each to a tier and converts it for `swiftsail_tiers`, which orders them.
+//! No state is kept here; the tier of a job is stored with it.
 
 use super::ClusterState;
 use crate::job::{Job, JobKind, JobSpec, JobState, Priority};
@@ -60,8 +60,8 @@
         self.needs_scheduling = true;
     }
 
-    /// Queue positions of all jobs that are neither cancelled nor awaiting dependencies. They follow only from the jobs'
-    /// records, the tier table and the teams' guarantees, so every leader computes the same.
+    /// Queue positions of all jobs that are neither cancelled nor awaiting dependencies. They follow only from the
+    /// jobs' records, the tier table and the teams' guarantees, so every leader computes the same.
     pub fn queue_order(&self, teams: &[TeamSettings]) -> Vec<QueuePosition<'_>> {
         let guarantees: HashMap<&str, (f64, f64)> =
             teams.iter().map(|team| (team.name.as_str(), (team.cpus, team.gpus))).collect();
--- a/crates/controller/src/cluster_state/quota_usage.rs
+++ b/crates/controller/src/cluster_state/quota_usage.rs
@@ -33,8 +33,8 @@
         usage
     }
 
-    /// The limit of a team, which has the given index in the settings: the limit in the settings or, if limits are divided
-    /// among controllers in the state service, the leader's allocation if that is lower.
+    /// The limit of a team, which has the given index in the settings: the limit in the settings or, if limits are
+    /// divided among controllers in the state service, the leader's allocation if that is lower.
     pub fn quota_limit(&self, index: usize, team: &TeamSettings) -> QuotaLimit {
         let configured = QuotaLimit::from_settings(team.cpus_max, team.gpus_max);
         let allocation = self
@@ -206,8 +206,8 @@
         let zone = cluster_state.machines.get(id).map(|m| m.zone.as_str());
         zone.filter(|zone| !zone.is_empty())
     };
-    // A machine of unknown zone could be in any. It counts as inside this zone for spreading, and as outside it for staying
-    // in one zone.
+    // A machine of unknown zone could be in any. It counts as inside this zone for spreading, and as outside it for
+    // staying in one zone.
     let max_in_zone = job.max_attempts_in_zone(zone_of, &machine.zone);
     let mut occupying = job.attempts.values().filter(|attempt| attempt.occupies_resources());
     let any_may_be_outside =
--- a/crates/controller/src/cluster_state/reachability.rs
+++ b/crates/controller/src/cluster_state/reachability.rs
@@ -1,5 +1,5 @@
-//! Machines whose connection fails in one direction, or whose worker has restarted: which of their tasks are withdrawn or
-//! released. The evidence is evaluated by `swiftsail_failure_detector`.
+//! Machines whose connection fails in one direction, or whose worker has restarted: which of their tasks are withdrawn
+//! or released. The evidence is evaluated by `swiftsail_failure_detector`.
 
 use super::{ClusterState, parse_task_name};
 use crate::Time;
@@ -10,7 +10,8 @@
 
 impl ClusterState {
     /// Applies evidence of whether responses and commands reach a machine. Once that is in doubt, starts that no report
-    /// shows are not offered again: the next report proves that they were not executed, and the tasks are placed elsewhere.
+    /// shows are not offered again: the next report proves that they were not executed, and the tasks are placed
+    /// elsewhere.
     pub fn on_reachability_evidence(
         &mut self,
         id: &MachineId,
@@ -36,8 +37,9 @@
         self.run_queues.remove_machine(id);
     }
 
-    /// Handles that a machine's reports have ceased while it responds to probes, or arrive again. In the first case tasks
-    /// whose start was never offered would wait for a report: they are released, since their attempts exist nowhere.
+    /// Handles that a machine's reports have ceased while it responds to probes, or arrive again. In the first case
+    /// tasks whose start was never offered would wait for a report: they are released, since their attempts exist
+    /// nowhere.
     pub fn on_reports_missing_changed(&mut self, id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get(id) else { return };
         tracing::info!(machine = %id, mute = machine.reports_missing(), "machine's reports have ceased or resumed");
@@ -52,8 +54,8 @@
         self.run_queues.remove_machine(id);
     }
 
-    /// Withdraws the starts of a machine's attempts that no report shows. Returns the tasks whose start was never offered:
-    /// their attempts exist nowhere.
+    /// Withdraws the starts of a machine's attempts that no report shows. Returns the tasks whose start was never
+    /// offered: their attempts exist nowhere.
     fn withdraw_unreported_starts(&mut self, id: &MachineId) -> Vec<(JobId, u32)> {
         let Some(machine) = self.machines.get(id) else { return Vec::new() };
         let mut never_offered = Vec::new();
--- a/crates/controller/src/cluster_state/reconciliation.rs
+++ b/crates/controller/src/cluster_state/reconciliation.rs
@@ -1,5 +1,6 @@
 //! Reconciliation of a worker's message with the attempts bound to its machine. A task is placed again only after its
-//! attempt is confirmed gone: by a newer report that lacks it, a later session, or an exit. Elapsed time proves nothing.
+//! attempt is confirmed gone: by a newer report that lacks it, a later session, or an exit. Elapsed time proves
+//! nothing.
 
 use super::status_reports::{ReceivedReport, ReportSource};
 use super::{ClusterState, task_name};
@@ -140,8 +141,9 @@
         self.stop_gang_after_loss(job);
     }
 
-    /// Handles attempts that a message lists and that have no binding. One whose task still waits is adopted, an exited one
-    /// is only to be forgotten by the worker, and any other occupies resources and is stopped until a report lacks it.
+    /// Handles attempts that a message lists and that have no binding. One whose task still waits is adopted, an exited
+    /// one is only to be forgotten by the worker, and any other occupies resources and is stopped until a report lacks
+    /// it.
     pub(super) fn track_orphaned_tasks(&mut self, received: &ReceivedReport) {
         let Some(machine) = self.machines.get_mut(received.machine) else { return };
         if !machine.orphaned_tasks.is_empty() {
@@ -164,8 +166,8 @@
         }
     }
 
-    /// Adopts an attempt without a binding as that of its task, if the task waits. Its start is never offered again. Returns
-    /// whether it was adopted.
+    /// Adopts an attempt without a binding as that of its task, if the task waits. Its start is never offered again.
+    /// Returns whether it was adopted.
     fn adopt_task(
         &mut self,
         id: &AttemptId,
--- a/crates/controller/src/cluster_state/run_queues.rs
+++ b/crates/controller/src/cluster_state/run_queues.rs
@@ -1,6 +1,6 @@
 //! Run queues: which waiting tasks are planned to run after a running one, in its slot. They exist only in the leader's
-//! memory; workers know only running tasks, so removing a task from a queue costs nothing. Placement plans on a copy and
-//! returns it with its plan: the maps are persistent data structures, so an unchanged copy costs nothing.
+//! memory; workers know only running tasks, so removing a task from a queue costs nothing. Placement plans on a copy
+//! and returns it with its plan: the maps are persistent data structures, so an unchanged copy costs nothing.
 
 use crate::job::{Attempt, Job, JobId, MachineId};
 use imbl::OrdMap;
@@ -9,8 +9,8 @@
 /// A slot, named by its running task (machine, job, task): the resources of that task on its machine.
 pub type SlotId = (MachineId, JobId, u32);
 
-/// Jobs whose tasks are to run next in a slot, the first to run first. Tasks of a job are interchangeable until they are
-/// bound, so a queue holds a job once for each task.
+/// Jobs whose tasks are to run next in a slot, the first to run first. Tasks of a job are interchangeable until they
+/// are bound, so a queue holds a job once for each task.
 pub type RunQueue = VecDeque<JobId>;
 
 /// All run queues. Empty queues and jobs without queued tasks are not stored.
--- a/crates/controller/src/cluster_state/status_reports.rs
+++ b/crates/controller/src/cluster_state/status_reports.rs
@@ -1,5 +1,5 @@
-//! Receipt of worker messages: which are newer than the last one, and which prove that a worker is alive. Their effects are
-//! applied by `reconciliation`, `reachability` and `task_exits`; the commands of the response come from `commands`.
+//! Receipt of worker messages: which are newer than the last one, and which prove that a worker is alive. Their effects
+//! are applied by `reconciliation`, `reachability` and `task_exits`; the commands of the response come from `commands`.
 
 use super::{ClusterState, parse_task_name};
 use crate::Time;
@@ -29,8 +29,8 @@
 }
 
 impl ClusterState {
-    /// Processes a worker's message and returns the response with its commands. A message that is not newer than the last
-    /// one changes nothing and gets a response without commands.
+    /// Processes a worker's message and returns the response with its commands. A message that is not newer than the
+    /// last one changes nothing and gets a response without commands.
     pub fn on_status_report(
         &mut self,
         report: &StatusReport,
@@ -62,8 +62,8 @@
         let is_report = source == ReportSource::StatusReport;
         let acknowledged = report.fencing_token == self.token;
         if !self.machines.contains_key(id) {
-            // A network partition may delay a report until long after its machine was returned. A live worker shows this
-            // leader's token in its next report, since the response carries it.
+            // A network partition may delay a report until long after its machine was returned. A live worker shows
+            // this leader's token in its next report, since the response carries it.
             if self.provisioning.was_returned(id) || is_report && !acknowledged {
                 return false;
             }
@@ -71,8 +71,8 @@
         }
         let lease_ms = self.lease_ms;
         let machine = self.machine_entry(id, now);
-        // A worker that has shown a token never shows a lower one: a message with a higher number and a lower token was sent
-        // before the worker restarted, and delayed.
+        // A worker that has shown a token never shows a lower one: a message with a higher number and a lower token was
+        // sent before the worker restarted, and delayed.
         if MessageOrder::of(report) <= machine.last_message
             || report.fencing_token < machine.highest_token
         {
@@ -87,9 +87,9 @@
         true
     }
 
-    /// Records an accepted message as its machine's newest. Not every one proves that the worker is alive, since a duplicate
-    /// report may arrive arbitrarily late. A worker that shows this leader's token has received a response from it, and one
-    /// that responds to a command or probe is alive; any other message may have been sent at any time.
+    /// Records an accepted message as its machine's newest. Not every one proves that the worker is alive, since a
+    /// duplicate report may arrive arbitrarily late. A worker that shows this leader's token has received a response
+    /// from it, and one that responds to a command or probe is alive; any other message may have been sent at any time.
     fn record_message(
         &mut self,
         id: &MachineId,
@@ -137,7 +137,8 @@
         }
     }
 
-    /// The machine of a report, if that report has just been accepted as its newest message and as proof that it is alive.
+    /// The machine of a report, if that report has just been accepted as its newest message and as proof that it is
+    /// alive.
     pub fn machine_if_report_accepted(
         &mut self,
         report: &StatusReport,
@@ -148,9 +149,9 @@
         (is_newest && machine.last_contact_at == Some(now)).then_some(machine)
     }
 
-    /// Processes a forwarded report whose content is that of the machine's last full one, of which `digest` is the hash.
-    /// Returns false if the report must be sent in full: there is a command for the machine, or this leader does not know
-    /// the content. Otherwise the response carries no commands.
+    /// Processes a forwarded report whose content is that of the machine's last full one, of which `digest` is the
+    /// hash. Returns false if the report must be sent in full: there is a command for the machine, or this leader does
+    /// not know the content. Otherwise the response carries no commands.
     pub fn on_unchanged_report(
         &mut self,
         id: &str,
@@ -177,8 +178,8 @@
         is_same
     }
 
-    /// Whether a machine's message has just been accepted, and it needs no commands until a task is bound, stopped or ends
-    /// on it.
+    /// Whether a machine's message has just been accepted, and it needs no commands until a task is bound, stopped or
+    /// ends on it.
     pub fn is_settled(&self, id: &str, now: Time) -> bool {
         self.machines
             .get(id)
--- a/crates/controller/src/cluster_state/task_exits.rs
+++ b/crates/controller/src/cluster_state/task_exits.rs
@@ -1,4 +1,5 @@
-//! Exits of attempts: success, failure and its attribution to the job or the machine, and the effect of an exit on a gang.
+//! Exits of attempts: success, failure and its attribution to the job or the machine, and the effect of an exit on a
+//! gang.
 
 use super::{ClusterState, task_name};
 use crate::Time;
@@ -33,8 +34,8 @@
         if must_back_off && let Some(job) = self.jobs.get_mut(id) {
             job.back_off(task, now);
         }
-        // A gang of which only some machines have fetched the image is not stopped: a stop would abort the other fetches, and
-        // the gang would start over and time out again, indefinitely.
+        // A gang of which only some machines have fetched the image is not stopped: a stop would abort the other
+        // fetches, and the gang would start over and time out again, indefinitely.
         let waits_for_fetch = |job: &Job| {
             job.spec.kind == JobKind::Gang
                 && cause == ExitCause::GangIncomplete
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Counts a failure against a machine. It becomes suspect once several jobs have failed on it since the last success,
-    /// and fewer jobs suffice if one of them has succeeded elsewhere.
+    /// Counts a failure against a machine. It becomes suspect once several jobs have failed on it since the last
+    /// success, and fewer jobs suffice if one of them has succeeded elsewhere.
     fn count_failure_on_machine(&mut self, id: &JobId, machine_id: &MachineId) {
         let Some(machine) = self.machines.get_mut(machine_id) else { return };
         machine.failed_jobs.insert(id.clone());
--- a/crates/controller/src/job/attempt.rs
+++ b/crates/controller/src/job/attempt.rs
@@ -134,7 +134,8 @@
         }
     }
 
-    /// Whether it counts against its machine's resources and its team's quota: it does until it is known to have exited.
+    /// Whether it counts against its machine's resources and its team's quota: it does until it is known to have
+    /// exited.
     pub fn occupies_resources(&self) -> bool {
         !matches!(self.phase, AttemptPhase::Exited(_))
     }
--- a/crates/controller/src/job/chunks.rs
+++ b/crates/controller/src/job/chunks.rs
@@ -20,7 +20,8 @@
 /// A job's transaction that was sent and whose outcome is not known.
 #[derive(Debug, Clone)]
 pub struct InFlightTransaction {
-    /// Number of the write, stored in each chunk that it writes: a later read tells by it whether the write was applied.
+    /// Number of the write, stored in each chunk that it writes: a later read tells by it whether the write was
+    /// applied.
     pub write_number: u64,
     /// The chunks that it writes.
     pub chunks: Vec<u32>,
@@ -94,8 +95,8 @@
         attempts.filter(|(_, attempt)| attempt.is_completed()).map(|(task, _)| *task)
     }
 
-    /// Bindings that are not in the binding log and do not fit into a chunk record of `max_bytes`: they were stored when
-    /// the store allowed larger values. `is_logged` tells whether the log holds a task's binding.
+    /// Bindings that are not in the binding log and do not fit into a chunk record of `max_bytes`: they were stored
+    /// when the store allowed larger values. `is_logged` tells whether the log holds a task's binding.
     pub fn overflowing_bindings(
         &self,
         chunk: u32,
@@ -138,8 +139,8 @@
             .map(|(task, attempt)| attempt.binding(*task))
     }
 
-    /// The up-to-date record of a chunk, within `write.max_bytes`. `is_logged` tells whether the binding log holds a task's
-    /// binding. Bindings that are not in the log and do not fit must have been returned to the log before
+    /// The up-to-date record of a chunk, within `write.max_bytes`. `is_logged` tells whether the binding log holds a
+    /// task's binding. Bindings that are not in the log and do not fit must have been returned to the log before
     /// ([`Job::overflowing_bindings`]).
     pub fn chunk_record(
         &self,
@@ -155,8 +156,8 @@
             done: contents.done,
             bindings: contents.fitting,
         };
-        // A reader takes attempts later than `covers` from the log, so `covers` must precede every attempt that the record
-        // lacks.
+        // A reader takes attempts later than `covers` from the log, so `covers` must precede every attempt that the
+        // record lacks.
         let uncover = |covers: &mut u64, attempt: u64| {
             *covers = (*covers).min(attempt.saturating_sub(1));
         };
@@ -198,8 +199,8 @@
         }
     }
 
-    /// Restores a binding read from the binding log, unless its chunk covers it or a later attempt of its task is known.
-    /// Must be called after all chunks are restored. Returns whether it was restored.
+    /// Restores a binding read from the binding log, unless its chunk covers it or a later attempt of its task is
+    /// known. Must be called after all chunks are restored. Returns whether it was restored.
     pub fn restore_log_binding(&mut self, binding: &Binding, now: Time) -> bool {
         let chunk = self.chunk_of(binding.task);
         let covered = self.chunk_covers.get(&chunk).copied().unwrap_or(0);
--- a/crates/controller/src/job/deadlines.rs
+++ b/crates/controller/src/job/deadlines.rs
@@ -28,15 +28,15 @@
 }
 
 impl Job {
-    /// Sets or clears the deadline from the occurrence that the job belongs to. The job's own deadline still applies if it
-    /// is earlier.
+    /// Sets or clears the deadline from the occurrence that the job belongs to. The job's own deadline still applies if
+    /// it is earlier.
     pub fn set_occurrence_deadline(&mut self, due: Option<Time>) {
         self.deadlines.occurrence = due;
         self.deadline = self.deadlines.earliest();
     }
 
-    /// Sets the deadline, if any, and the priority that the jobs depending on this one require of it. The priority raises
-    /// the job's own but never lowers it.
+    /// Sets the deadline, if any, and the priority that the jobs depending on this one require of it. The priority
+    /// raises the job's own but never lowers it.
     pub fn set_dependent_requirements(&mut self, due: Option<Time>, priority: Priority) {
         self.deadlines.dependents = due;
         self.deadline = self.deadlines.earliest();
@@ -51,16 +51,17 @@
         self.deadlines.own
     }
 
-    /// All its dependencies are done, the last at `finished_wall` (wall clock, ms): from then on it counts as waiting, and
-    /// its tasks may be placed. `wall` is the wall clock now.
+    /// All its dependencies are done, the last at `finished_wall` (wall clock, ms): from then on it counts as waiting,
+    /// and its tasks may be placed. `wall` is the wall clock now.
     pub fn make_eligible(&mut self, finished_wall: u64, now: Time, wall: u64) {
         let finished_at = now.saturating_sub(wall.saturating_sub(finished_wall));
         self.eligible_at = self.eligible_at.max(finished_at);
         self.advance(JobState::Live, now);
     }
 
-    /// Whether it has waited for longer than the aging time with too little placed: no task of a gang or service, or less
-    /// than the required part of an array. The time that it counts from is durable, so a failover does not postpone this.
+    /// Whether it has waited for longer than the aging time with too little placed: no task of a gang or service, or
+    /// less than the required part of an array. The time that it counts from is durable, so a failover does not
+    /// postpone this.
     pub fn is_overdue_to_start(&self, now: Time) -> bool {
         let placed = (self.attempts.len() + self.done.len()) as u32;
         let required_tasks = match self.spec.kind {
--- a/crates/controller/src/job/failure_attribution.rs
+++ b/crates/controller/src/job/failure_attribution.rs
@@ -13,8 +13,8 @@
 pub enum FailureAttribution {
     /// No evidence either way.
     New,
-    /// It has failed on several machines and never succeeded. It is retried after a backoff, since the attribution may be
-    /// wrong.
+    /// It has failed on several machines and never succeeded. It is retried after a backoff, since the attribution may
+    /// be wrong.
     JobAtFault {
         /// When it is next retried.
         retry_at: Time,
@@ -36,7 +36,8 @@
         matches!(self.failure_attribution, FailureAttribution::JobAtFault { .. })
     }
 
-    /// The only function that changes the attribution. [`FailureAttribution::Proven`] is final. Returns whether it changed.
+    /// The only function that changes the attribution. [`FailureAttribution::Proven`] is final. Returns whether it
+    /// changed.
     pub fn set_failure_attribution(&mut self, to: FailureAttribution) -> bool {
         let allowed = !matches!(
             (self.failure_attribution, to),
@@ -57,8 +58,8 @@
         }
     }
 
-    /// One of its tasks has failed by itself, on a machine already recorded ([`Job::record_bad_machine`]). Returns whether
-    /// this failure is the one after which the job is held at fault.
+    /// One of its tasks has failed by itself, on a machine already recorded ([`Job::record_bad_machine`]). Returns
+    /// whether this failure is the one after which the job is held at fault.
     pub fn on_task_failed(&mut self, now: Time) -> bool {
         match self.failure_attribution {
             FailureAttribution::New if self.bad_machines.len() >= FAULTY_JOB_MACHINES => {
--- a/crates/controller/src/job/gang.rs
+++ b/crates/controller/src/job/gang.rs
@@ -13,7 +13,8 @@
     /// A task has exited because the gang was not complete in time, while others still fetch the image. Those continue,
     /// since a worker aborts a fetch that no task waits for. The gang is placed again once its machines have the image.
     Fetching,
-    /// A task was lost or is to be stopped: all tasks of the gang are stopped, and it is placed again when none is left.
+    /// A task was lost or is to be stopped: all tasks of the gang are stopped, and it is placed again when none is
+    /// left.
     Stopping,
 }
 
@@ -23,8 +24,8 @@
         self.gang_state
     }
 
-    /// The only function that changes the state of the gang. It becomes whole again only when no attempt is left. Returns
-    /// whether it changed.
+    /// The only function that changes the state of the gang. It becomes whole again only when no attempt is left.
+    /// Returns whether it changed.
     pub fn set_gang_state(&mut self, to: GangState) -> bool {
         let none_left = !self.attempts.values().any(Attempt::occupies_resources);
         let allowed = match (self.gang_state, to) {
@@ -47,8 +48,8 @@
             && !phases.any(|phase| matches!(phase, AttemptPhase::Running | AttemptPhase::Saving))
     }
 
-    /// Machines whose resources are reserved for this gang until it is placed again: while attempts of it are still being
-    /// stopped, and then for [`GANG_RESERVATION_MS`], since further machines that it needs may have to boot.
+    /// Machines whose resources are reserved for this gang until it is placed again: while attempts of it are still
+    /// being stopped, and then for [`GANG_RESERVATION_MS`], since further machines that it needs may have to boot.
     pub fn reserved_machines(&self, now: Time) -> impl Iterator<Item = &MachineId> {
         let is_stopping = self.gang_state != GangState::Whole;
         let is_reserved = move |(_, vacated_at): &(&MachineId, &Time)| {
--- a/crates/controller/src/job/mod.rs
+++ b/crates/controller/src/job/mod.rs
@@ -70,7 +70,8 @@
     pub accepted_tier: Option<String>,
     /// Its tier in the current table: `accepted_tier` if that still exists.
     pub tier: TierAssignment,
-    /// The earliest of its deadlines, in monotonic time: its own, that of its occurrence, those of jobs that depend on it.
+    /// The earliest of its deadlines, in monotonic time: its own, that of its occurrence, those of jobs that depend on
+    /// it.
     pub deadline: Option<Time>,
     deadlines: Deadlines,
     /// The priority in its own specification.
@@ -154,8 +155,8 @@
         self.state
     }
 
-    /// The only function that changes the state. A job returns to an earlier state only from [`JobState::Closing`], when
-    /// the final record of a cancelled job was not committed. Returns whether the change was allowed.
+    /// The only function that changes the state. A job returns to an earlier state only from [`JobState::Closing`],
+    /// when the final record of a cancelled job was not committed. Returns whether the change was allowed.
     pub fn advance(&mut self, to: JobState, now: Time) -> bool {
         let allowed = matches!(
             (self.state, to),
--- a/crates/controller/src/job/record.rs
+++ b/crates/controller/src/job/record.rs
@@ -59,8 +59,8 @@
     format!("{}{id}/{chunk:05}", keys::BINDINGS)
 }
 
-/// Number of tasks that a chunk covers: so many that the ranges of tasks done fit into a stored value in the worst case.
-/// Bindings that do not fit beside them stay in the binding log.
+/// Number of tasks that a chunk covers: so many that the ranges of tasks done fit into a stored value in the worst
+/// case. Bindings that do not fit beside them stay in the binding log.
 pub fn chunk_size(state: &StoreSettings) -> u32 {
     let max_bytes = (state.value_kb * 1024.0) as usize;
     let max_ranges = max_bytes.saturating_sub(CHUNK_OVERHEAD_BYTES) / MAX_TASK_RANGE_BYTES;
@@ -93,8 +93,9 @@
     pub spec: JobSpec,
 }
 
-/// Stored encoding of a [`JobRecord`]. The specification of a job with dependencies is stored in another field (`p`) than
-/// that of one without (`j`): earlier versions, which would start the job at once, cannot read it and ignore the record.
+/// Stored encoding of a [`JobRecord`]. The specification of a job with dependencies is stored in another field (`p`)
+/// than that of one without (`j`): earlier versions, which would start the job at once, cannot read it and ignore the
+/// record.
 #[derive(Serialize, Deserialize)]
 struct EncodedRecord {
     #[serde(rename = "x", default)]
@@ -189,8 +190,8 @@
 }
 
 impl FinalRecord {
-    /// The outcome for jobs that depend on this one. `now_wall` (wall clock, ms) is used as the time of the end where an
-    /// earlier version recorded none.
+    /// The outcome for jobs that depend on this one. `now_wall` (wall clock, ms) is used as the time of the end where
+    /// an earlier version recorded none.
     pub fn outcome(&self, now_wall: u64) -> JobOutcome {
         match self.state {
             FinalState::Done => JobOutcome::Done(self.ended_wall.unwrap_or(now_wall)),
@@ -260,8 +261,8 @@
     /// Number of the write.
     #[serde(rename = "w")]
     pub write_number: u64,
-    /// The chunk accounts for every attempt of its tasks up to this number. Bindings of later attempts are in the binding
-    /// log.
+    /// The chunk accounts for every attempt of its tasks up to this number. Bindings of later attempts are in the
+    /// binding log.
     #[serde(rename = "l", default)]
     pub covers: u64,
     /// Tasks done, as inclusive ranges.
--- a/crates/controller/src/job/retry.rs
+++ b/crates/controller/src/job/retry.rs
@@ -8,8 +8,8 @@
 const MAX_DOUBLINGS: u32 = 8;
 
 impl Job {
-    /// Removes and returns a task's attempt that is confirmed gone or was never started. The task waits again unless it is
-    /// done. None: the task has no attempt.
+    /// Removes and returns a task's attempt that is confirmed gone or was never started. The task waits again unless it
+    /// is done. None: the task has no attempt.
     pub fn release_attempt(&mut self, task: u32, now: Time) -> Option<Attempt> {
         let attempt = self.attempts.remove(&task)?;
         if !self.done.contains(&task) {
--- a/crates/controller/src/machine/image_cache.rs
+++ b/crates/controller/src/machine/image_cache.rs
@@ -1,5 +1,5 @@
-//! The leader's estimate of a machine's image cache. Workers do not report its contents: they are derived from the tasks
-//! that ran on the machine, assuming that the least recently used images are evicted.
+//! The leader's estimate of a machine's image cache. Workers do not report its contents: they are derived from the
+//! tasks that ran on the machine, assuming that the least recently used images are evicted.
 
 use std::collections::VecDeque;
 
@@ -27,8 +27,8 @@
         self.names().any(|cached| cached == name)
     }
 
-    /// Records the use of an image, and evicts the least recently used ones that no longer fit into `capacity_gb`. The image
-    /// just used stays even if it does not fit by itself.
+    /// Records the use of an image, and evicts the least recently used ones that no longer fit into `capacity_gb`. The
+    /// image just used stays even if it does not fit by itself.
     pub fn record_use(&mut self, name: &str, size_gb: f64, capacity_gb: f64) {
         self.images.retain(|image| image.name != name);
         self.images.push_back(CachedImage { name: name.to_string(), size_gb });
--- a/crates/controller/src/machine/machine_type.rs
+++ b/crates/controller/src/machine/machine_type.rs
@@ -5,8 +5,8 @@
 use crate::job::JobSpec;
 use swiftsail_protocol::cloud::ListedMachineType;
 
-/// Image fetch rate assumed where the cloud states none for a type, GB/s: sizes are divided by the rate, so it must not be
-/// zero.
+/// Image fetch rate assumed where the cloud states none for a type, GB/s: sizes are divided by the rate, so it must not
+/// be zero.
 const DEFAULT_FETCH_GB_PER_S: f64 = 0.1;
 
 /// A machine type.
@@ -53,7 +53,8 @@
 }
 
 impl MachineType {
-    /// Whether a job may run on this type: the job allows the type, its zone offers it, and a task fits on an empty machine.
+    /// Whether a job may run on this type: the job allows the type, its zone offers it, and a task fits on an empty
+    /// machine.
     pub fn allows(&self, spec: &JobSpec) -> bool {
         spec.machine_types.as_ref().is_none_or(|types| types.contains(&self.name))
             && spec.zone.as_ref().is_none_or(|zone| self.zones.contains(zone))
--- a/crates/controller/src/machine/mod.rs
+++ b/crates/controller/src/machine/mod.rs
@@ -1,6 +1,6 @@
-//! Machines in the leader's memory: identity, state, the newest messages received, the tasks bound to them and their free
-//! resources. [`Machine`] belongs to `cluster_state`, which changes it; it calls nothing outside this module but the
-//! failure detector's [`ReachabilityTracker`].
+//! Machines in the leader's memory: identity, state, the newest messages received, the tasks bound to them and their
+//! free resources. [`Machine`] belongs to `cluster_state`, which changes it; it calls nothing outside this module but
+//! the failure detector's [`ReachabilityTracker`].
 
 mod image_cache;
 mod machine_type;
@@ -21,8 +21,8 @@
 use swiftsail_protocol::cloud::ListedMachine;
 use swiftsail_protocol::workers::StatusReport;
 
-/// Order of a worker's messages: a later session follows an earlier one, and within a session a higher sequence number a
-/// lower one. The default, session 0, precedes every message.
+/// Order of a worker's messages: a later session follows an earlier one, and within a session a higher sequence number
+/// a lower one. The default, session 0, precedes every message.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MessageOrder {
     /// Number of the worker's lease.
@@ -106,8 +106,8 @@
     pub listed_at: Option<Time>,
     /// Numbers of the attempts bound to it that are not confirmed gone, by job and task.
     pub tasks: BTreeMap<(JobId, u32), u64>,
-    /// Reported attempts without a binding, and the resources of each, if known. They occupy resources until a report no
-    /// longer lists them.
+    /// Reported attempts without a binding, and the resources of each, if known. They occupy resources until a report
+    /// no longer lists them.
     pub orphaned_tasks: BTreeMap<AttemptId, Option<Resources>>,
     /// Images assumed to be in its cache.
     pub images: ImageCache,
@@ -117,8 +117,8 @@
     pub failed_jobs: BTreeSet<JobId>,
     /// Tasks of several jobs failed on it: it is cordoned, drained and returned to the cloud.
     pub is_suspect: bool,
-    /// Its worker has restarted under this leader. Delayed reports from before, with higher numbers, may still arrive and
-    /// would seem to prove that tasks given to it now are gone. So it gets no more tasks.
+    /// Its worker has restarted under this leader. Delayed reports from before, with higher numbers, may still arrive
+    /// and would seem to prove that tasks given to it now are gone. So it gets no more tasks.
     pub is_restarted: bool,
     /// The highest fencing token in its messages.
     pub highest_token: u64,
@@ -232,17 +232,17 @@
         allowed
     }
 
-    /// Whether a machine that has not reported yet can still be expected to: it may be booting, or may not have found the
-    /// leader, which has been leading since `leading_since`. One that is silent for longer may no longer exist: the cloud's
-    /// machine list lags, so a new leader still reads machines in it that its predecessor has returned.
+    /// Whether a machine that has not reported yet can still be expected to: it may be booting, or may not have found
+    /// the leader, which has been leading since `leading_since`. One that is silent for longer may no longer exist: the
+    /// cloud's machine list lags, so a new leader still reads machines in it that its predecessor has returned.
     pub fn is_expected_up(&self, boot_ms: f64, leading_since: Time, now: Time) -> bool {
         let max_boot_ms = boot_ms * MAX_USUAL_BOOT_FACTOR + REGISTRATION_GRACE_MS as f64;
         now < leading_since + REGISTRATION_GRACE_MS
             || (now as f64) < self.rented_at as f64 + max_boot_ms
     }
 
-    /// Applies its entry in the cloud's machine list. The machine's own reports take precedence: once there is one, only the
-    /// time of the listing is set.
+    /// Applies its entry in the cloud's machine list. The machine's own reports take precedence: once there is one,
+    /// only the time of the listing is set.
     pub fn apply_listing(&mut self, listed: &ListedMachine, now: Time) {
         self.listed_at = Some(now);
         if self.last_contact_at.is_none() {
@@ -271,7 +271,8 @@
         self.reclaimed_at = report.reclaim_in_s.map(|in_s| now + (in_s.max(0.0) * MS_PER_S) as u64);
     }
 
-    /// Whether it may be given tasks as far as its worker and its connection are concerned. Its state is not considered.
+    /// Whether it may be given tasks as far as its worker and its connection are concerned. Its state is not
+    /// considered.
     pub fn may_receive_work(&self) -> bool {
         !self.is_suspect
             && !self.is_restarted
--- a/crates/controller/src/machine/report_evidence.rs
+++ b/crates/controller/src/machine/report_evidence.rs
@@ -1,5 +1,6 @@
-//! Evidence of a machine's connectivity from the sequence of its reports: whether responses and commands reach it (else it
-//! is *unreachable inbound*), and whether its reports arrive while it responds to probes (else its *reports are missing*).
+//! Evidence of a machine's connectivity from the sequence of its reports: whether responses and commands reach it (else
+//! it is *unreachable inbound*), and whether its reports arrive while it responds to probes (else its *reports are
+//! missing*).
 
 use super::{Machine, MessageOrder};
 use crate::Time;
@@ -55,8 +56,8 @@
             .then_some(ReachabilityEvidence::SessionLostThoughAnswered)
     }
 
-    /// Updates whether its reports are missing while it responds to probes: it then loses its lease again and again, and no
-    /// start can be offered to it. Returns whether this has changed.
+    /// Updates whether its reports are missing while it responds to probes: it then loses its lease again and again,
+    /// and no start can be offered to it. Returns whether this has changed.
     pub fn update_reports_missing(&mut self, lease_ms: f64, now: Time) -> bool {
         let no_reports = self.since_last_report_ms(now) > lease_ms * SILENT_RETURN_LEASE_SHARE;
         let is_recent =
@@ -76,8 +77,8 @@
         now.saturating_sub(self.last_report_at.unwrap_or(0).max(self.known_at)) as f64
     }
 
-    /// Resets what is known of its worker after a restart: sessions and reports are numbered from the start again, and the
-    /// image cache is empty.
+    /// Resets what is known of its worker after a restart: sessions and reports are numbered from the start again, and
+    /// the image cache is empty.
     pub fn on_worker_restart(&mut self, now: Time) {
         self.last_message = MessageOrder::default();
         self.last_report = MessageOrder::default();
--- a/crates/controller/src/store/mod.rs
+++ b/crates/controller/src/store/mod.rs
@@ -110,8 +110,8 @@
 pub enum CallPriority {
     /// Calls that leadership depends on.
     Leadership,
-    /// Submissions, cancellations, bindings of tasks to be started (which leave half of the write rate to others), and the
-    /// reads that serve all polls.
+    /// Submissions, cancellations, bindings of tasks to be started (which leave half of the write rate to others), and
+    /// the reads that serve all polls.
     High,
     /// Polls, final records, and other calls that somebody waits for.
     Normal,
@@ -193,8 +193,8 @@
         self.refilled_at = now;
     }
 
-    /// Whether `wanted` tokens may be taken now, leaving `reserved` for calls of higher priority. More than the capacity
-    /// may be taken from a full bucket, which then has a negative balance.
+    /// Whether `wanted` tokens may be taken now, leaving `reserved` for calls of higher priority. More than the
+    /// capacity may be taken from a full bucket, which then has a negative balance.
     pub fn can_take(&mut self, wanted: f64, reserved: f64, now: Time) -> bool {
         self.refill(now);
         self.tokens + 1e-9 >= (wanted + reserved).min(self.capacity)
@@ -329,8 +329,8 @@
     /// before their time ([`RetryPolicy::OnceBefore`]).
     pub fn take_due_calls(&mut self, now: Time) -> (Vec<(u64, StoreCall)>, Vec<FinishedCall<P>>) {
         let (mut due, mut expired) = (Vec::new(), Vec::new());
-        // While a transaction waits for write tokens, no later write is sent: else transactions of a single mutation would
-        // keep taking the tokens that one of several waits for.
+        // While a transaction waits for write tokens, no later write is sent: else transactions of a single mutation
+        // would keep taking the tokens that one of several waits for.
         let mut write_is_waiting = false;
         for level in 0..self.queues.len() {
             let mut waiting = VecDeque::new();
@@ -394,7 +394,8 @@
             return Some(finished(pending, outcome));
         }
         // A watch that times out or ends proves nothing of the service, since it blocks by design. Nor does a missing
-        // response if a call sent later was answered: a single message was lost, and users must not be turned away for it.
+        // response if a call sent later was answered: a single message was lost, and users must not be turned away for
+        // it.
         let is_single_loss =
             outcome == StoreOutcome::Unknown && self.last_answered_sent_at > Some(pending.sent_at);
         if outcome != StoreOutcome::RateLimited && !is_watch && !is_single_loss {
--- a/crates/failure-detector/src/constants.rs
+++ b/crates/failure-detector/src/constants.rs
@@ -19,9 +19,9 @@
 /// the next a second later.
 pub const CONTROLLER_FAILOVER_MS: f64 = 5_000.0;
 
-/// Time from the beginning of a term until machines that have not reported are probed, ms: by then the machine list with
-/// their addresses has been read, and most live machines have reported. Probing about a thousand at once overloaded a
-/// leader that had just begun.
+/// Time from the beginning of a term until machines that have not reported are probed, ms: by then the machine list
+/// with their addresses has been read, and most live machines have reported. Probing about a thousand at once
+/// overloaded a leader that had just begun.
 pub const INITIAL_PROBE_DELAY_MS: f64 = 5_000.0;
 
 /// Share of a zone's machines, or of a controller's workers, that must be silent for the silent ones to be presumed
@@ -48,8 +48,8 @@
 /// Share of the lease after which any other machine presumed dead is returned.
 pub const DEAD_RETURN_LEASE_SHARE: f64 = 0.5;
 
-/// Share of the lease after which a hung machine that runs production work is returned: waiting until then costs as much
-/// as a short hang does.
+/// Share of the lease after which a hung machine that runs production work is returned: waiting until then costs as
+/// much as a short hang does.
 pub const HUNG_RETURN_LEASE_SHARE: f64 = 0.7;
 
 /// Share of the lease after which a machine that is silent for any other reason is returned: its lease is then about to
@@ -64,7 +64,8 @@
 /// suspected to be unreachable inbound: a single response is lost now and then.
 pub const IGNORED_COMMANDS_SUSPECT: u8 = 2;
 
-/// The same, from which on it is presumed unreachable inbound: with a report every 4 to 5 s, most of a lease has passed.
+/// The same, from which on it is presumed unreachable inbound: with a report every 4 to 5 s, most of a lease has
+/// passed.
 pub const IGNORED_COMMANDS_UNREACHABLE: u8 = 4;
 
 /// Time after a lease was lost although its reports were answered within which losing another is a relapse, ms: a few
--- a/crates/failure-detector/src/failure_detector.rs
+++ b/crates/failure-detector/src/failure_detector.rs
@@ -122,7 +122,8 @@
 /// The failure detector of one term.
 #[derive(Debug)]
 pub struct FailureDetector<K> {
-    /// When the term began. The silence of a machine without contact counts from then: it needs time to find the leader.
+    /// When the term began. The silence of a machine without contact counts from then: it needs time to find the
+    /// leader.
     since: Time,
     report_period_ms: f64,
     lease_ms: f64,
@@ -134,8 +135,8 @@
 }
 
 impl<K: Clone + Eq + Hash> FailureDetector<K> {
-    /// A detector for a term that began at `since`. `report_s` is the report period and `lease_s` the lease, both in s. At
-    /// most `max_probes_in_flight` probes are open at once.
+    /// A detector for a term that began at `since`. `report_s` is the report period and `lease_s` the lease, both in s.
+    /// At most `max_probes_in_flight` probes are open at once.
     pub fn new(
         since: Time,
         report_s: f64,
@@ -197,8 +198,8 @@
         }
     }
 
-    /// Checks all machines: returns which to probe now, and which have just been presumed other than alive or suspected.
-    /// Machines that are not among `machines` are forgotten. Takes time linear in the number of machines.
+    /// Checks all machines: returns which to probe now, and which have just been presumed other than alive or
+    /// suspected. Machines that are not among `machines` are forgotten. Takes time linear in the number of machines.
     #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub fn check_machines<'a>(
         &mut self,
@@ -256,8 +257,8 @@
             let Some(&machine) = self.machines.get(id) else { continue };
             let (silent_ms, tolerated_ms) =
                 self.silence_and_tolerance_ms(&machine, observation.last_contact_at, now);
-            // When a controller crashes or is partitioned from its workers, all of them fall silent. Live ones fail over
-            // to another within this time.
+            // When a controller crashes or is partitioned from its workers, all of them fall silent. Live ones fail
+            // over to another within this time.
             let may_be_failing_over = observation.last_contact_at.is_some()
                 && silent_ms <= tolerated_ms + 2.0 * CONTROLLER_FAILOVER_MS;
             let controller_partitioned = may_be_failing_over
--- a/crates/failure-detector/src/inbound_reachability.rs
+++ b/crates/failure-detector/src/inbound_reachability.rs
@@ -1,6 +1,6 @@
 //! Inbound reachability: whether responses and commands reach a machine whose reports arrive. A report proves that the
-//! machine is alive, not that it is reachable. A machine that is unreachable inbound loses its lease again and again, and
-//! looks like the best placement each time: empty, ready, with images in its cache.
+//! machine is alive, not that it is reachable. A machine that is unreachable inbound loses its lease again and again,
+//! and looks like the best placement each time: empty, ready, with images in its cache.
 
 use crate::Time;
 use crate::constants::{IGNORED_COMMANDS_SUSPECT, IGNORED_COMMANDS_UNREACHABLE, RELAPSE_WINDOW_MS};
--- a/crates/failure-detector/src/lib.rs
+++ b/crates/failure-detector/src/lib.rs
@@ -3,8 +3,8 @@
 //! that its tasks are gone.
 //!
 //! The intervals between a machine's reports are learned, after the accrual idea of Hayashibara and others ("The phi
-//! accrual failure detector", 2004). Probing a machine before it is presumed dead, and looking at which others are silent,
-//! follow SWIM (Das, Gupta, Motivala, 2002).
+//! accrual failure detector", 2004). Probing a machine before it is presumed dead, and looking at which others are
+//! silent, follow SWIM (Das, Gupta, Motivala, 2002).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/tests/failure_detector.rs
+++ b/tests/failure_detector.rs
@@ -1,5 +1,5 @@
-//! Failure detection of machines: each kind of evidence, wrong and late evidence, and the loss of many machines at once in
-//! a simulated cluster.
+//! Failure detection of machines: each kind of evidence, wrong and late evidence, and the loss of many machines at once
+//! in a simulated cluster.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -214,9 +214,9 @@
     assert!(cluster.probes <= 4 * 1_000, "{} probes", cluster.probes);
 }
 
-/// Guards against an incident: the leader could not reach its workers for 37 s. Another controller forwarded their reports
-/// once and redirected them to the leader again, so that they were silent for ten seconds, and nine live machines were
-/// returned.
+/// Guards against an incident: the leader could not reach its workers for 37 s. Another controller forwarded their
+/// reports once and redirected them to the leader again, so that they were silent for ten seconds, and nine live
+/// machines were returned.
 #[test]
 fn redirected_workers_are_kept() {
     let mut cluster = DetectorSimulation::new(90);
@@ -233,8 +233,8 @@
     }
 }
 
-/// Whatever the evidence, a machine that reports in time is never to be returned, nor is one that may still be failing over
-/// to another controller.
+/// Whatever the evidence, a machine that reports in time is never to be returned, nor is one that may still be failing
+/// over to another controller.
 #[test]
 fn machines_that_report_are_kept_whatever_their_probes_show() {
     let config = Config { cases: 64, failure_persistence: None, ..Config::default() };
@@ -266,8 +266,8 @@
         .unwrap();
 }
 
-/// Two thirds of the machines crash at once, and so does every controller: no invariant is violated, and every accepted job
-/// finishes or runs again.
+/// Two thirds of the machines crash at once, and so does every controller: no invariant is violated, and every accepted
+/// job finishes or runs again.
 #[test]
 fn mass_loss_of_machines_during_a_failover_violates_no_invariant() {
     let faults =
--- a/tests/machine_hangs.rs
+++ b/tests/machine_hangs.rs
@@ -28,8 +28,8 @@
 
 /// Jobs are cancelled at the moment at which the state service begins to refuse only the leader. Soon after, it is
 /// unavailable for longer than `cancel_s`: from before the leader's lease expires, as it expires, while the next leader
-/// loads its state, or after that. Some of the machines hang, for less than a lease or for almost as long as the outage, and
-/// then resume.
+/// loads its state, or after that. Some of the machines hang, for less than a lease or for almost as long as the
+/// outage, and then resume.
 #[test]
 fn jobs_cancelled_before_a_store_outage_end_on_hanging_machines() {
     let (mut confirmed, mut hung, mut without_leader) = (0, 0, 0);
@@ -94,8 +94,9 @@
     assert!(cloud_faults >= 60, "{cloud_faults} calls to the cloud were slow or refused");
 }
 
-/// The leader crashes, is paused, or is partitioned, and the state service becomes unavailable before another controller can
-/// load the state. Machines with cancelled tasks hang for longer than `cancel_s`: the remaining controllers return them.
+/// The leader crashes, is paused, or is partitioned, and the state service becomes unavailable before another
+/// controller can load the state. Machines with cancelled tasks hang for longer than `cancel_s`: the remaining
+/// controllers return them.
 #[test]
 fn hanging_machines_are_returned_while_there_is_no_leader() {
     let (mut confirmed, mut hung, mut without_leader) = (0, 0, 0);
@@ -110,8 +111,8 @@
             0 => sim.schedule_crash(now_ms + 1_800, leader),
             // It is paused, and cannot confirm its leadership again.
             1 => sim.schedule_pause(now_ms + 1_800, leader, [24_000, 12_000][seed as usize % 2]),
-            // It is partitioned from the others until its leadership has ended and the next leader has begun to load the
-            // state, which that one cannot complete.
+            // It is partitioned from the others until its leadership has ended and the next leader has begun to load
+            // the state, which that one cannot complete.
             _ => {
                 gap = 2_340 + seed * 20;
                 sim.partitions.push(NetworkPartition {
@@ -136,8 +137,8 @@
     assert!(hung >= 30, "{hung} machines hung");
 }
 
-/// An urgent return, needed for a cancellation, does not wait for the response to another return, and is requested again
-/// until the cloud confirms it.
+/// An urgent return, needed for a cancellation, does not wait for the response to another return, and is requested
+/// again until the cloud confirms it.
 #[test]
 fn urgent_return_waits_for_no_other() {
     let (mut state, now) = (ClusterState::new(9, 1, 1_000), 10_000);
@@ -169,8 +170,8 @@
 
 // ---- delayed commands --------------------------------------------------------------------------
 
-/// Commands or their responses are delayed for seconds. Other machines are unreachable inbound for a while, or hang and then
-/// execute the commands sent meanwhile, with outdated tokens and sessions: no attempt is confirmed gone too early.
+/// Commands or their responses are delayed for seconds. Other machines are unreachable inbound for a while, or hang and
+/// then execute the commands sent meanwhile, with outdated tokens and sessions: no attempt is confirmed gone too early.
 #[test]
 fn delayed_commands_and_responses_prove_nothing_too_early() {
     let (mut delayed, mut confirmed) = (0, 0);
@@ -283,7 +284,8 @@
     }
 }
 
-/// Runs a simulation with two rounds of two or three simultaneous faults, during each of which running jobs are cancelled.
+/// Runs a simulation with two rounds of two or three simultaneous faults, during each of which running jobs are
+/// cancelled.
 fn run_with_combined_faults(seed: u64) -> Simulation {
     let mut rng = StdRng::seed_from_u64(seed ^ 0x0dd);
     let rate = [0.0, 0.01, 0.03][seed as usize % 3];
@@ -316,8 +318,8 @@
         let hang_ms = [None, Some(4_000), Some(9_500), Some(60_000)][rng.random_range(0..4)];
         let kinds: Vec<usize> =
             (0..2 + usize::from(rng.random_bool(0.3))).map(|_| rng.random_range(0..19)).collect();
-        // If all controllers crash at once and the state service is unavailable before one has read it, no controller knows
-        // which machines hang. So machines then resume within a lease, whose expiry ends their tasks.
+        // If all controllers crash at once and the state service is unavailable before one has read it, no controller
+        // knows which machines hang. So machines then resume within a lease, whose expiry ends their tasks.
         let hang_ms = hang_ms.map(|ms| if kinds.contains(&6) { ms.min(9_500) } else { ms });
         sim.schedule_running_cancellations(
             at + rng.random_range(0..3_500),
@@ -340,7 +342,8 @@
     sim
 }
 
-/// Whatever faults are combined while jobs are cancelled: no invariant is violated, and in the end every job is finished.
+/// Whatever faults are combined while jobs are cancelled: no invariant is violated, and in the end every job is
+/// finished.
 #[test]
 fn cancellations_during_combined_faults_violate_no_invariant() {
     let range = seeds_from_environment("MEETINGS");
--- a/tests/out_of_order_reports.rs
+++ b/tests/out_of_order_reports.rs
@@ -266,7 +266,8 @@
         self.interleavings.absent_with_token += u32::from(is_first_with_token && lacks);
     }
 
-    /// Delivers a report to the leader, directly or forwarded by another controller. Returns the response, if there is one.
+    /// Delivers a report to the leader, directly or forwarded by another controller. Returns the response, if there is
+    /// one.
     fn deliver_report(
         &mut self,
         report: &StatusReport,
@@ -506,8 +507,8 @@
     }
 }
 
-/// Whichever reports are duplicated or delayed, in any order and to any leader: a released task is on no machine, and can no
-/// longer start there.
+/// Whichever reports are duplicated or delayed, in any order and to any leader: a released task is on no machine, and
+/// can no longer start there.
 #[test]
 fn old_reports_never_release_running_tasks() {
     let mut total = InterleavingCounts::default();
--- a/tests/state_machines.rs
+++ b/tests/state_machines.rs
@@ -209,8 +209,8 @@
     }
 }
 
-/// A new leader restores every binding whose attempt may run: those in chunks, and those that only the binding log holds,
-/// also where a log segment still lists bindings that a chunk has taken over.
+/// A new leader restores every binding whose attempt may run: those in chunks, and those that only the binding log
+/// holds, also where a log segment still lists bindings that a chunk has taken over.
 #[test]
 #[expect(clippy::too_many_lines, reason = "not split yet")]
 fn chunks_and_binding_log_together_hold_every_binding() {
--- a/tests/unreachable_inbound.rs
+++ b/tests/unreachable_inbound.rs
@@ -1,6 +1,6 @@
-//! Machines that are unreachable inbound, duplicate reports that arrive much later, workers that restart, controllers that
-//! can reach only their workers, polls that must be answered soon after faults, and large jobs that must not starve. The
-//! controllers' real state machines run against simulated platform services, in simulated time.
+//! Machines that are unreachable inbound, duplicate reports that arrive much later, workers that restart, controllers
+//! that can reach only their workers, polls that must be answered soon after faults, and large jobs that must not
+//! starve. The controllers' real state machines run against simulated platform services, in simulated time.
 
 mod common;
 
@@ -22,9 +22,9 @@
     InboundFailure { from_ms, for_ms, zone: None, machines: names, delivers_every: 0 }
 }
 
-/// For any sequence of evidence: a machine that executes commands is reachable, one that repeatedly loses its lease although
-/// its reports are answered is unreachable inbound even if it responds to probes, and a single lost response makes no
-/// machine unreachable.
+/// For any sequence of evidence: a machine that executes commands is reachable, one that repeatedly loses its lease
+/// although its reports are answered is unreachable inbound even if it responds to probes, and a single lost response
+/// makes no machine unreachable.
 #[test]
 fn inbound_reachability_follows_the_evidence() {
     let evidence = [
@@ -87,9 +87,9 @@
     assert_eq!(tracker.reachability(), InboundReachability::Unreachable, "after a relapse");
 }
 
-/// Three of the machines in use become unreachable inbound while their reports still arrive. Their work continues elsewhere
-/// after one lease, no more tasks are bound to them, and they are returned. If they were not detected, every task placed
-/// there would be delayed by a lease.
+/// Three of the machines in use become unreachable inbound while their reports still arrive. Their work continues
+/// elsewhere after one lease, no more tasks are bound to them, and they are returned. If they were not detected, every
+/// task placed there would be delayed by a lease.
 #[test]
 fn machines_unreachable_inbound_are_detected_and_returned() {
     for seed in 0..6 {
@@ -133,8 +133,8 @@
     }
 }
 
-/// A whole zone is unreachable inbound for a while: not all its machines are returned, cancelled jobs there end in time, and
-/// the machines are used again afterwards.
+/// A whole zone is unreachable inbound for a while: not all its machines are returned, cancelled jobs there end in
+/// time, and the machines are used again afterwards.
 #[test]
 fn zone_unreachable_inbound_does_not_empty_the_fleet() {
     for seed in 0..4 {
@@ -188,8 +188,8 @@
     }
 }
 
-/// Duplicate reports arrive at any controller, from a second to several leases late, during failovers and mass losses of
-/// machines: no terminated machine is known again or presumed alive because of one, and no task runs twice.
+/// Duplicate reports arrive at any controller, from a second to several leases late, during failovers and mass losses
+/// of machines: no terminated machine is known again or presumed alive because of one, and no task runs twice.
 #[test]
 fn late_duplicate_reports_prove_nothing() {
     let mut duplicates = 0;
@@ -250,8 +250,8 @@
     assert!(duplicates > 1_000, "{duplicates} duplicates arrived");
 }
 
-/// A new leader receives only duplicate reports of machines that crashed together with its predecessor: these do not prove
-/// them alive, and the machines are returned as early as without duplicates.
+/// A new leader receives only duplicate reports of machines that crashed together with its predecessor: these do not
+/// prove them alive, and the machines are returned as early as without duplicates.
 #[test]
 fn duplicate_reports_do_not_delay_the_return_of_dead_machines() {
     let returned_at = |duplicates: bool| {
@@ -290,8 +290,8 @@
     );
 }
 
-/// Runs the simulation until `at`, and fails the test unless the leader has recently been in contact with every machine that
-/// has been up for two seconds.
+/// Runs the simulation until `at`, and fails the test unless the leader has recently been in contact with every machine
+/// that has been up for two seconds.
 fn assert_running_machines_are_in_contact(sim: &mut Simulation, at: u64, seed: u64) {
     sim.run_until(at);
     let cluster_state =
@@ -311,8 +311,8 @@
     );
 }
 
-/// Workers restart within a fraction of a second, repeatedly and during elections. Their message numbers begin again, their
-/// messages are accepted all the same, and their tasks start elsewhere.
+/// Workers restart within a fraction of a second, repeatedly and during elections. Their message numbers begin again,
+/// their messages are accepted all the same, and their tasks start elsewhere.
 #[test]
 fn messages_of_restarted_workers_are_accepted() {
     for seed in 0..6 {
@@ -340,8 +340,8 @@
     }
 }
 
-/// A controller is partitioned from the state service and the other controllers, but not from its workers: no lease expires,
-/// and users are directed to the other controllers at once.
+/// A controller is partitioned from the state service and the other controllers, but not from its workers: no lease
+/// expires, and users are directed to the other controllers at once.
 #[test]
 fn controller_that_reaches_only_its_workers_turns_users_away() {
     for seed in 0..6 {
@@ -380,8 +380,8 @@
     }
 }
 
-/// A store outage, a partition, crashes of all controllers and a storm of polls at once: within 20 s after the faults every
-/// job's poll has been answered, and from then on none stays unanswered for 75 s.
+/// A store outage, a partition, crashes of all controllers and a storm of polls at once: within 20 s after the faults
+/// every job's poll has been answered, and from then on none stays unanswered for 75 s.
 #[test]
 fn polls_are_answered_soon_after_faults() {
     for seed in 0..3 {
@@ -417,8 +417,8 @@
     }
 }
 
-/// A poll that was rejected takes precedence when it is retried, for a bounded number of polls a second. One that has been
-/// answered since, or was rejected long ago, does not.
+/// A poll that was rejected takes precedence when it is retried, for a bounded number of polls a second. One that has
+/// been answered since, or was rejected long ago, does not.
 #[test]
 fn rejected_polls_take_precedence_when_retried() {
     let mut rejected = RejectedPolls::default();
@@ -445,8 +445,8 @@
     starts.map(|(_, at)| at - START_MS).min()
 }
 
-/// A team is at its limit and keeps submitting small jobs: its largest jobs start within four minutes all the same, however
-/// often the leader crashes. Ordering by least work alone would starve them.
+/// A team is at its limit and keeps submitting small jobs: its largest jobs start within four minutes all the same,
+/// however often the leader crashes. Ordering by least work alone would starve them.
 #[test]
 fn largest_jobs_start_at_their_teams_limit() {
     for seed in 0..3 {
--- a/tests/unreachable_machines.rs
+++ b/tests/unreachable_machines.rs
@@ -1,6 +1,6 @@
-//! Cancellations of jobs on machines that are unreachable: with teams at their limit, during failovers and forwarding, with
-//! machines whose reports reach no controller, and with transactions refused for their size. The controllers' real state
-//! machines run against simulated platform services, in simulated time.
+//! Cancellations of jobs on machines that are unreachable: with teams at their limit, during failovers and forwarding,
+//! with machines whose reports reach no controller, and with transactions refused for their size. The controllers' real
+//! state machines run against simulated platform services, in simulated time.
 
 mod common;
 
@@ -66,8 +66,8 @@
     sim
 }
 
-/// Every team is at its limit, jobs on unreachable or hanging machines are cancelled, and the leader changes. Attempts not
-/// confirmed gone count against the limit, and no team is blocked forever by a machine that never responds.
+/// Every team is at its limit, jobs on unreachable or hanging machines are cancelled, and the leader changes. Attempts
+/// not confirmed gone count against the limit, and no team is blocked forever by a machine that never responds.
 #[test]
 fn unconfirmed_attempts_count_against_team_limits() {
     let (mut observed, mut blocked_teams) = (0, BTreeSet::new());
@@ -130,8 +130,9 @@
 
 // ---- failovers and forwarding ------------------------------------------------------------------
 
-/// Jobs are cancelled while workers report through other controllers, which forward reports or answer them by delegation,
-/// and the leader crashes, is paused, or is partitioned from the other controllers, the store or the workers.
+/// Jobs are cancelled while workers report through other controllers, which forward reports or answer them by
+/// delegation, and the leader crashes, is paused, or is partitioned from the other controllers, the store or the
+/// workers.
 #[test]
 fn jobs_cancelled_during_failovers_and_forwarding_end() {
     let (mut confirmed, mut forwarded, mut delegated) = (0, 0, 0);
@@ -198,8 +199,9 @@
 
 // ---- machines whose reports reach no controller ------------------------------------------------
 
-/// Workers cannot open connections to any controller, while direct commands still reach them: their leases expire, cancelled
-/// tasks are stopped by direct commands, no tasks are bound to them meanwhile, and their work continues elsewhere.
+/// Workers cannot open connections to any controller, while direct commands still reach them: their leases expire,
+/// cancelled tasks are stopped by direct commands, no tasks are bound to them meanwhile, and their work continues
+/// elsewhere.
 #[test]
 fn machines_whose_reports_are_missing_get_no_tasks() {
     let (mut lost_reports, mut probed) = (0, 0);
@@ -259,9 +261,9 @@
     );
 }
 
-/// A task bound to a machine whose reports have ceased and whose start was never offered is released at once: it must not
-/// wait for the lease to expire, which another controller may renew forever. A task whose start was offered stays bound
-/// until its attempt is confirmed gone.
+/// A task bound to a machine whose reports have ceased and whose start was never offered is released at once: it must
+/// not wait for the lease to expire, which another controller may renew forever. A task whose start was offered stays
+/// bound until its attempt is confirmed gone.
 #[test]
 fn tasks_never_offered_are_released_when_reports_cease() {
     let (mut cluster_state, mut now) = (ClusterState::new(9, 1, 1_000), 2_000);
@@ -321,8 +323,8 @@
 
 // ---- transactions that are refused for their size ----------------------------------------------
 
-/// The state service suddenly accepts only smaller values and transactions, so that no more tasks can be bound. Tasks of
-/// cancelled jobs are stopped all the same, and their machines are returned if they do not respond.
+/// The state service suddenly accepts only smaller values and transactions, so that no more tasks can be bound. Tasks
+/// of cancelled jobs are stopped all the same, and their machines are returned if they do not respond.
 #[test]
 fn cancelled_jobs_end_while_transactions_are_refused_for_their_size() {
     let (mut confirmed, mut refused) = (0, 0);
