--- a/crates/controller/src/cluster_state/status_reports.rs
+++ b/crates/controller/src/cluster_state/status_reports.rs
@@ -11,7 +11,8 @@
 /// Kind of a worker's message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportSource {
-    /// A status report: its response may carry starts, and attempts that it lacks are gone.
+    /// A status report: its response may carry starts, and it proves that starts offered before it were not executed if
+    /// it lacks their attempts.
     StatusReport,
     /// The response to a direct command or a probe.
     CommandResponse,
