--- a/crates/controller/src/controller/binding_log.rs
+++ b/crates/controller/src/controller/binding_log.rs
@@ -1,9 +1,10 @@
-//! Writing and reading of the binding log, where new bindings of all jobs are committed, many with one transaction.
+//! Writing and reading of the binding log, in which new bindings of all jobs are committed, many in one transaction.
 //!
-//! The state service limits writes a second, and a job's chunk holds that job alone: with dozens of jobs binding at once,
-//! each would wait seconds for its turn. A log segment takes new bindings of every job in one write. Each job's chunk takes
-//! them over later (`controller/chunks.rs`), and only then do they leave the segment. A reader trusts a chunk for every
-//! attempt up to the one that it names, and the log for later ones.
+//! The state service limits the number of writes per second, and a binding chunk belongs to a single job. If each job's
+//! chunk were written for each new binding, dozens of jobs that are bound at once would wait seconds for their writes. A
+//! log segment holds new bindings of any number of jobs and is written with one write. Later the bindings are compacted
+//! into the chunks of their jobs (`controller/chunks.rs`), and only then removed from the segment. A chunk names the
+//! latest attempt that it covers: a reader uses the chunk for attempts up to that one, and the log for later ones.
 
 use super::{CallContext, LeaderContext};
 use crate::Time;
@@ -18,22 +19,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use swiftsail_protocol::state::{KeyPage, Precondition, Transaction};
 
-/// Preconditions that a transaction may have for each of its writes (protocol).
+/// Maximum number of preconditions of a transaction per write that it may contain (a limit of the protocol).
 const PRECONDITIONS_PER_WRITE: usize = 4;
 
-/// A transaction of the log while it is put together.
+/// A transaction of the binding log that is being built.
 struct LogWrite {
     commit: Transaction,
     in_flight: InFlightLogWrite,
-    /// Jobs of which it commits a new binding. Each costs a precondition: it must not have been cancelled.
+    /// Jobs of which the transaction commits a new binding. Each needs a precondition that its record is unchanged, since
+    /// the job may have been cancelled.
     jobs: BTreeSet<JobId>,
+    /// Maximum number of such jobs.
     max_jobs: usize,
-    /// Entries of attempts that have ended meanwhile.
+    /// Log entries whose attempts have ended in the meantime.
     obsolete: Vec<AttemptId>,
 }
 
 impl ClusterState {
-    /// A new leader has read a page of segments. To be called after all chunks are restored.
+    /// Restores bindings from a page of log segments read by a new leader. Must be called after all chunks have been
+    /// restored. Segments that cannot be decoded are logged and skipped.
     pub fn load_log_segments(&mut self, page: &KeyPage, now: Time) {
         for pair in &page.entries {
             let Some(number) = segment_number(&pair.key).filter(|n| *n < SEGMENTS_MAX) else {
@@ -61,7 +65,8 @@
         }
     }
 
-    /// Commits new bindings, one transaction at a time, each with all that has come up by then.
+    /// Queues a transaction that commits all new bindings that fit in it, unless one is in flight or the last one was sent
+    /// too recently.
     pub fn write_binding_log(&mut self, ctx: &mut LeaderContext) {
         if self.binding_log.in_flight.is_some() || ctx.now < self.binding_log.next_write_at {
             return;
@@ -81,23 +86,23 @@
         let mut write = LogWrite::new(
             self.token,
             self.write_number,
-            // One for the leadership record, and one for each segment.
+            // One precondition is for the leader's key, and one for each segment.
             max_preconditions.saturating_sub(1 + max_segments),
         );
         for number in dirty.into_iter().take(max_segments) {
             self.add_segment(number, &mut write);
         }
-        // The other part of this controller's writes is for users, final records and chunks.
+        // The pause leaves a share of this controller's writes to users, final records and chunks.
         let is_busy = ctx.store.queued()[CallPriority::Normal as usize] >= ENDS_QUEUED;
-        let part = if is_busy { BINDING_LOG_PART_BUSY } else { BINDING_LOG_PART };
-        let pause_ms =
-            write.in_flight.segments.len() as f64 * part * MS_PER_S / ctx.store.write_rate();
+        let pause_factor = if is_busy { BINDING_LOG_PART_BUSY } else { BINDING_LOG_PART };
+        let pause_ms = write.in_flight.segments.len() as f64 * pause_factor * MS_PER_S
+            / ctx.store.write_rate();
         self.binding_log.next_write_at = ctx.now + (pause_ms as u64).max(BINDING_LOG_MS);
         for AttemptId { job, task, attempt } in write.obsolete {
             self.binding_log.forget(&job, task, Some(attempt));
         }
         if write.in_flight.bindings.is_empty() && write.in_flight.returned_to_log.is_empty() {
-            // All new bindings were released meanwhile.
+            // All new bindings have been released in the meantime.
             return;
         }
         for id in write.jobs {
@@ -105,16 +110,17 @@
             write.commit.preconditions.push(Precondition { key: keys::job(&id), mod_revision });
         }
         self.binding_log.in_flight = Some(write.in_flight);
-        let purpose = CallContext::WriteBindingLog { generation: self.generation };
+        let call_context = CallContext::WriteBindingLog { generation: self.generation };
         ctx.store.push(
             StoreCall::Commit(write.commit),
-            purpose,
+            call_context,
             CallPriority::High,
             RetryPolicy::UntilDefinite,
         );
     }
 
-    /// Adds a segment to a transaction: all its bindings, new ones as far as the transaction's preconditions allow.
+    /// Adds a segment with all its live bindings to a transaction. New bindings for which the transaction has no
+    /// preconditions left stay out, and the segment stays dirty.
     fn add_segment(&mut self, number: usize, write: &mut LogWrite) {
         let write_number = write.in_flight.write_number;
         let mut record = LogSegmentRecord { write_number, bindings: BTreeMap::new() };
@@ -147,19 +153,19 @@
         write.in_flight.segments.push(number);
     }
 
-    /// The log's transaction has ended. Returns true if another controller leads.
+    /// Handles the outcome of the log's transaction. Returns true if another controller has become the leader.
     pub fn on_binding_log_written(
         &mut self,
-        end: &FinishedCall<CallContext>,
+        call: &FinishedCall<CallContext>,
         ctx: &mut LeaderContext,
     ) -> bool {
-        match &end.outcome {
+        match &call.outcome {
             StoreOutcome::Committed(revision) => self.settle_binding_log(Some(*revision), ctx),
             StoreOutcome::Conflict(failed) => {
                 if failed.iter().any(|key| key == keys::LEADER) {
                     return true;
                 }
-                // A job was cancelled, or an earlier try of our own was applied: the keys are read to know.
+                // Either a job was cancelled, or an earlier attempt of this write was applied: the keys show which.
                 if let Some(in_flight) = &mut self.binding_log.in_flight {
                     in_flight.unread.clone_from(failed);
                 }
@@ -173,18 +179,18 @@
         false
     }
 
-    /// Reads the next key whose precondition failed; after the last, the transaction's outcome is known.
+    /// Reads the next key whose precondition failed. After the last one the transaction's outcome is known.
     fn read_next_conflict(&mut self, ctx: &mut LeaderContext) {
         let Some(in_flight) = &mut self.binding_log.in_flight else { return };
         match in_flight.unread.pop() {
             Some(key) => {
-                let purpose = CallContext::ResolveBindingLog {
+                let call_context = CallContext::ResolveBindingLog {
                     generation: self.generation,
                     key: key.clone(),
                 };
                 ctx.store.push(
                     StoreCall::Get(key),
-                    purpose,
+                    call_context,
                     CallPriority::High,
                     RetryPolicy::UntilDefinite,
                 );
@@ -196,8 +202,8 @@
         }
     }
 
-    /// A key whose precondition had failed was read.
-    pub fn on_binding_log_conflict_read(
+    /// Handles the read of a key whose precondition had failed, and reads the next one.
+    pub fn on_conflicting_log_key_read(
         &mut self,
         key: &str,
         outcome: &StoreOutcome,
@@ -230,7 +236,7 @@
         }
     }
 
-    /// The outcome of the log's transaction is known: committed at a revision, or never to be.
+    /// Applies the definite outcome of the log's transaction: committed at this revision, or not applied (`None`).
     fn settle_binding_log(&mut self, committed: Option<u64>, ctx: &mut LeaderContext) {
         let Some(in_flight) = self.binding_log.in_flight.take() else { return };
         for number in in_flight.segments {
@@ -258,7 +264,7 @@
                 cancelled.push(TaskId { job: id, task });
             }
         }
-        // Never committed, so never offered: nothing of these attempts is anywhere.
+        // These attempts were never committed, so no worker was told to start them.
         for TaskId { job, task } in cancelled {
             self.release(&job, task, ctx.now);
             self.close_if_finished(&job, ctx);
@@ -269,7 +275,7 @@
 }
 
 impl LogWrite {
-    /// A transaction that succeeds only while this controller leads.
+    /// An empty transaction that can be applied only while this controller holds the leader's key.
     fn new(token: u64, write_number: u64, max_jobs: usize) -> LogWrite {
         let leadership = Precondition { key: keys::LEADER.into(), mod_revision: token };
         LogWrite {
@@ -288,8 +294,8 @@
         }
     }
 
-    /// Whether a binding may go into the transaction: a new one needs a precondition on its job, and must wait for the
-    /// next transaction if this one has no more.
+    /// Whether a binding may be included in the transaction. A new binding needs a precondition on its job, and must wait
+    /// for the next transaction if none is left in this one.
     fn admit(&mut self, id: &TaskId, attempt: &Attempt) -> bool {
         if attempt.phase() != AttemptPhase::Committing {
             return true;
@@ -307,7 +313,7 @@
     AttemptId { job: id.job.clone(), task: id.task, attempt }
 }
 
-/// Number of the segment that a key holds; none: another key.
+/// The number of the log segment stored under a key; `None` if the key is not that of a segment.
 fn segment_number(key: &str) -> Option<usize> {
     key.strip_prefix(keys::SHEETS).and_then(|number| number.parse().ok())
 }
--- a/crates/controller/src/controller/capacity.rs
+++ b/crates/controller/src/controller/capacity.rs
@@ -87,8 +87,8 @@
         }
         let (most, bound) = self.max_machines();
         let now = self.now.monotonic;
-        if now >= self.bound_logged_at + STATUS_MS {
-            self.bound_logged_at = now;
+        if now >= self.scale_out_limit_logged_at + STATUS_MS {
+            self.scale_out_limit_logged_at = now;
             tracing::warn!(wanted, left, most, ?bound, "scale out limited by controller capacity");
         }
         for request in requests.iter_mut() {
--- a/crates/controller/src/controller/chunks.rs
+++ b/crates/controller/src/controller/chunks.rs
@@ -1,6 +1,6 @@
-//! Writing and reading of a job's durable records: its binding chunks, written without haste, and its final record. New
-//! bindings are committed in the binding log first (`controller/binding_log.rs`); a chunk written later takes them over.
-//! Each job has one transaction in flight at most; after a conflict, the records are read to learn whether it was applied.
+//! Writing and reading of a job's durable records: its binding chunks and its final record. New bindings are first
+//! committed in the binding log (`controller/binding_log.rs`) and compacted into chunks later. Each job has at most one
+//! transaction in flight. After a conflict, the records are read to find out whether the transaction was applied.
 
 use super::{CallContext, LeaderContext};
 use crate::Time;
@@ -22,16 +22,17 @@
 /// Estimated size of a transaction without its records, bytes.
 const TRANSACTION_BASE_BYTES: usize = 512;
 
-/// Bindings of the log that one chunk is to take over.
-struct Takeover {
-    /// The task of the oldest of them.
+/// Bindings of the log that could be compacted into one chunk.
+struct CompactionCandidate {
+    /// The task with the oldest of these bindings.
     oldest_task: u32,
-    /// Their number.
+    /// Number of bindings.
     bindings: usize,
 }
 
 impl ClusterState {
-    /// A new leader has read a page of chunks. Those of jobs that are over are queued for removal.
+    /// Restores bindings from a page of chunks read by a new leader. Chunks of finished jobs are queued for deletion;
+    /// chunks that cannot be decoded are logged and skipped.
     pub fn load_bindings(&mut self, page: &KeyPage, now: Time) {
         for pair in &page.entries {
             let rest = pair.key.strip_prefix(keys::BINDINGS);
@@ -48,11 +49,12 @@
         }
     }
 
-    /// Writes what is due: final records at once, then the chunks that have waited longest, a few at a time, so that each
-    /// holds all that is known when it is sent.
+    /// Queues the writes that are due: final records of finished jobs in order of priority, then the chunks that have been
+    /// dirty for the longest time. Only a few chunk writes are queued at once, so that each contains the latest state when
+    /// it is sent.
     pub fn flush_all(&mut self, ctx: &mut LeaderContext) {
         let now = ctx.now;
-        self.relieve_binding_log(now);
+        self.mark_chunks_for_compaction(now);
         let is_closing = |job: &&Job| {
             job.in_flight.as_ref().is_some_and(|transaction| transaction.final_record.is_some())
         };
@@ -83,27 +85,28 @@
         }
     }
 
-    /// Marks chunks dirty that are to take over the oldest bindings of a binding log that holds many. In a smaller log a
-    /// binding stays until its task ends: a job of one short task then costs no chunk at all. Nor does a chunk take over
-    /// only a few: with hundreds of such jobs, each would cost a write that final records and bindings wait for.
-    fn relieve_binding_log(&mut self, now: Time) {
-        let mut by_chunk: HashMap<(&JobId, u32), Takeover> = HashMap::new();
+    /// If the binding log is large, marks the chunks dirty into which its oldest bindings are to be compacted. In a smaller
+    /// log a binding stays until its task ends, so that a job of one short task needs no chunk at all. Chunks that would
+    /// gain only a few bindings are left out: with hundreds of such jobs, each would cost a write and delay final records
+    /// and new bindings.
+    fn mark_chunks_for_compaction(&mut self, now: Time) {
+        let mut by_chunk: HashMap<(&JobId, u32), CompactionCandidate> = HashMap::new();
         for (id, task) in self.binding_log.beyond(BINDING_LOG_KEPT) {
             let Some(job) = self.jobs.get(id) else { continue };
-            let takeover = by_chunk
+            let candidate = by_chunk
                 .entry((id, job.chunk_of(task)))
-                .or_insert(Takeover { oldest_task: task, bindings: 0 });
-            takeover.bindings += 1;
+                .or_insert(CompactionCandidate { oldest_task: task, bindings: 0 });
+            candidate.bindings += 1;
         }
-        for ((id, _), takeover) in by_chunk {
-            let is_worthwhile = takeover.bindings >= COMPACTION_MIN;
+        for ((id, _), candidate) in by_chunk {
+            let is_worthwhile = candidate.bindings >= COMPACTION_MIN;
             if let Some(job) = self.jobs.get_mut(id).filter(|_| is_worthwhile) {
-                job.mark_chunk_dirty(takeover.oldest_task, now);
+                job.mark_chunk_dirty(candidate.oldest_task, now);
             }
         }
     }
 
-    /// Closes a job as soon as nothing of it is left to do, unless many others are being closed.
+    /// Closes a job by queueing its final record, if it is finished and not too many jobs are being closed already.
     pub fn close_if_finished(&mut self, id: &JobId, ctx: &mut LeaderContext) {
         let is_finished = |job: &Job| job.in_flight.is_none() && final_state(job).is_some();
         if self.closing_jobs < ENDS_QUEUED && self.jobs.get(id).is_some_and(is_finished) {
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Writes what must be written of one job: its final record, or else its dirty chunks. Does nothing while a
+    /// Queues a job's transaction: its final record if it is finished, otherwise its dirty chunks. Does nothing while a
     /// transaction of the job is in flight.
     fn flush(&mut self, id: &JobId, ctx: &mut LeaderContext) {
         self.write_number += 1;
@@ -134,15 +137,16 @@
             done: vec![],
             final_record: None,
         };
-        // Exits are repeated in every report of their machines until they are committed: very many must not wait.
-        let is_pressing =
+        // Workers repeat task exits in every report until they are committed. A job with many uncommitted exits is
+        // therefore written at a higher priority.
+        let has_many_exits =
             |job: &Job| job.attempts.len() - job.occupying_attempts() >= COMPACTION_PRESSING;
-        let ending = final_state(job);
-        let priority = match ending.is_some() || is_pressing(job) {
+        let final_state = final_state(job);
+        let priority = match final_state.is_some() || has_many_exits(job) {
             true => CallPriority::Normal,
             false => CallPriority::Low,
         };
-        match ending {
+        match final_state {
             Some(state) => self.add_final_record(id, state, ctx, &mut commit, &mut in_flight),
             None => self.add_chunks(id, ctx, &mut commit, &mut in_flight),
         }
@@ -151,12 +155,14 @@
         }
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.in_flight = Some(in_flight);
-        let purpose = CallContext::FlushJob { generation: self.generation, job: id.clone() };
-        ctx.store.push(StoreCall::Commit(commit), purpose, priority, RetryPolicy::UntilDefinite);
+        let call_context = CallContext::FlushJob { generation: self.generation, job: id.clone() };
+        let call = StoreCall::Commit(commit);
+        ctx.store.push(call, call_context, priority, RetryPolicy::UntilDefinite);
     }
 
-    /// Adds a job's final record to its transaction. One write suffices: the record takes the job's own key, and is moved
-    /// to its final one when the state service has nothing better to do; the chunks are removed then, too.
+    /// Adds a job's final record to its transaction. The record replaces the job's record under the same key, so that one
+    /// write is enough. It is moved to its key under `end/`, and the job's chunks are deleted, later at low priority
+    /// (`controller/archiving.rs`).
     fn add_final_record(
         &mut self,
         id: &JobId,
@@ -172,7 +178,8 @@
         job.advance(JobState::Closing, ctx.now);
     }
 
-    /// Adds a job's dirty chunks to its transaction, the longest dirty first, as many as fit.
+    /// Adds a job's dirty chunks to its transaction, those dirty for the longest time first, as many as fit. Bindings that
+    /// do not fit in their chunk are returned to the binding log, and the chunk is skipped.
     fn add_chunks(
         &mut self,
         id: &JobId,
@@ -198,7 +205,7 @@
             let is_logged = |task: u32| self.binding_log.holds(id, task);
             let overflowing = job.overflowing_bindings(chunk, max_bytes, is_logged);
             if !overflowing.is_empty() {
-                // Some room is left, since the log's estimate of sizes is not exact.
+                // The log only estimates the size of a segment, hence the margin.
                 let max_segment_bytes = max_bytes - max_bytes / 32;
                 for binding in &overflowing {
                     self.binding_log.return_to_log(id, binding, max_segment_bytes);
@@ -225,23 +232,24 @@
         }
     }
 
-    /// A job's transaction has ended. Returns true if another controller leads.
-    pub fn on_flushed(
+    /// Handles the outcome of a job's transaction. Returns true if another controller has become the leader.
+    pub fn on_job_flushed(
         &mut self,
         id: &JobId,
-        end: &FinishedCall<CallContext>,
+        call: &FinishedCall<CallContext>,
         ctx: &mut LeaderContext,
     ) -> bool {
-        match &end.outcome {
+        match &call.outcome {
             StoreOutcome::Committed(revision) => self.settle(id, Some(*revision), ctx),
             StoreOutcome::Conflict(failed) => {
                 if failed.iter().any(|key| key == keys::LEADER) {
                     return true;
                 }
-                // Another controller's change, or an earlier try of our own that was applied: the job is read to know.
-                let purpose =
+                // Either another controller changed a record, or an earlier attempt of this write was applied: the job's
+                // record shows which.
+                let call_context =
                     CallContext::ResolveJob { generation: self.generation, job: id.clone() };
-                read_key(keys::job(id), purpose, ctx);
+                read_key(keys::job(id), call_context, ctx);
             }
             other => {
                 tracing::error!(job = %id, outcome = ?other, "transaction rejected");
@@ -251,12 +259,18 @@
         false
     }
 
-    /// A job's record was read after a conflict.
-    pub fn on_resolve_job(&mut self, id: &JobId, outcome: &StoreOutcome, ctx: &mut LeaderContext) {
+    /// Handles the read of a job's record after a conflict, and reads the first chunk of the transaction unless the record
+    /// settles its outcome.
+    pub fn on_conflicting_job_read(
+        &mut self,
+        id: &JobId,
+        outcome: &StoreOutcome,
+        ctx: &mut LeaderContext,
+    ) {
         let (now, wall) = (ctx.now, ctx.wall_clock);
         match outcome {
             StoreOutcome::Found(pair) => match StoredJob::read(&pair.value) {
-                // Only the leader writes final records: our own try was applied.
+                // Only the leader writes final records, so this controller's write was applied.
                 Some(StoredJob::Finished(_)) => {
                     return self.settle(id, Some(pair.mod_revision), ctx);
                 }
@@ -264,7 +278,7 @@
                     self.apply_job_record(&keys::job(id), &pair.value, pair.mod_revision, now, wall)
                 }
             },
-            // Ended, and its final record was moved already: only the leader does either.
+            // The job has ended and its final record was already moved. Only the leader does either.
             StoreOutcome::Missing { .. } => return self.settle(id, Some(0), ctx),
             _ => {}
         }
@@ -275,15 +289,16 @@
         }
     }
 
-    /// Reads a chunk, the `index`th of the job's transaction in flight.
+    /// Reads a chunk, which is at `index` in the job's transaction in flight.
     fn read_chunk(&self, id: &JobId, chunk: u32, index: usize, ctx: &mut LeaderContext) {
-        let purpose =
+        let call_context =
             CallContext::ResolveChunk { generation: self.generation, job: id.clone(), index };
-        read_key(chunk_key(id, chunk), purpose, ctx);
+        read_key(chunk_key(id, chunk), call_context, ctx);
     }
 
-    /// A chunk's record was read after a conflict.
-    pub fn on_resolve_chunk(
+    /// Handles the read of a chunk after a conflict. If the chunk holds this transaction's write number, the transaction
+    /// was applied; otherwise the next chunk is read, and after the last one the transaction counts as not applied.
+    pub fn on_conflicting_chunk_read(
         &mut self,
         id: &JobId,
         index: usize,
@@ -313,8 +328,8 @@
         }
     }
 
-    /// The outcome of a job's transaction is known: committed at a revision, or never to be. In the latter case its
-    /// bindings stay in the binding log.
+    /// Applies the definite outcome of a job's transaction: committed at this revision, or not applied (`None`). If it was
+    /// not applied, its bindings stay in the binding log.
     fn settle(&mut self, id: &JobId, committed: Option<u64>, ctx: &mut LeaderContext) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(in_flight) = job.in_flight.take() else { return };
@@ -335,7 +350,7 @@
         }
     }
 
-    /// A job's final record is committed, at a revision; 0: it was moved already.
+    /// Removes a job whose final record was committed at this revision; 0 if the record was already moved to `end/`.
     fn on_closed(&mut self, id: &JobId, record: FinalRecord, revision: u64, ctx: &LeaderContext) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.advance(JobState::Closed, ctx.now);
@@ -347,12 +362,13 @@
             self.stale_binding_keys.extend(chunks);
             tracing::debug!(job = %id, cancelled = job.is_cancelled(), "job finished");
         }
-        // Not before the commit: jobs that depend on it may begin by this.
+        // Dependent jobs may start now, so this must not happen before the commit.
         let outcome = record.fate(ctx.wall_clock);
         self.on_dependency_finished(id, outcome, ctx.now, ctx.wall_clock);
     }
 
-    /// Chunks of a job are committed: the binding log can drop what they hold, and tasks recorded as done are.
+    /// Handles the commit of chunks: the binding log drops the bindings that the chunks now hold, and tasks that they record
+    /// as done give up their attempts and machines.
     fn on_chunks_committed(
         &mut self,
         id: &JobId,
@@ -385,8 +401,8 @@
     }
 }
 
-/// Dirty chunks that may be written, the longest dirty first. A binding that was returned to the log must be committed
-/// there before its chunk is written without it.
+/// Dirty chunks that may be written now, those dirty for the longest time first. A chunk has to wait while a binding that
+/// was returned to the log is not committed there, since the chunk would be written without it.
 fn writable_chunks(id: &JobId, job: &Job, binding_log: &BindingLog) -> Vec<u32> {
     let may_be_written =
         |chunk: &u32| !job.tasks_in_chunk(*chunk).any(|task| binding_log.awaits_commit(id, task));
@@ -397,18 +413,20 @@
     by_age.into_iter().map(|(_, chunk)| chunk).collect()
 }
 
-/// Reads a key to learn whether a write of our own was applied.
-fn read_key(key: String, purpose: CallContext, ctx: &mut LeaderContext) {
-    ctx.store.push(StoreCall::Get(key), purpose, CallPriority::Normal, RetryPolicy::UntilDefinite);
+/// Reads a key, to find out whether this controller's write was applied.
+fn read_key(key: String, call_context: CallContext, ctx: &mut LeaderContext) {
+    let call = StoreCall::Get(key);
+    ctx.store.push(call, call_context, CallPriority::Normal, RetryPolicy::UntilDefinite);
 }
 
-/// Number of a job's tasks that are done, recorded so or not.
+/// Number of a job's tasks that are done, whether or not that has been committed.
 fn done_count(job: &Job) -> u32 {
     let completed = job.attempts.values().filter(|attempt| attempt.is_completed()).count();
     job.done.len() as u32 + completed as u32
 }
 
-/// How a job ends, if nothing of it is left to do. A cancelled job ends when none of its attempts is left.
+/// The final state of a finished job; `None` if the job is not finished or already closed. A cancelled job is finished
+/// once none of its attempts can be running any more.
 fn final_state(job: &Job) -> Option<FinalState> {
     if job.state() == JobState::Closed {
         return None;
@@ -420,7 +438,8 @@
     (done_count(job) == job.spec.tasks).then_some(FinalState::Done)
 }
 
-/// A write of one of our own records, which always have a JSON form.
+/// A mutation that writes a record under a key. The record must serialize to JSON, as all records of this crate do;
+/// otherwise null is written.
 pub fn put_mutation<T: serde::Serialize>(key: String, record: &T) -> Mutation {
     let value = serde_json::to_value(record).unwrap_or_default();
     Mutation::Put { key, value, lease: None }
--- a/crates/controller/src/controller/fleet_management.rs
+++ b/crates/controller/src/controller/fleet_management.rs
@@ -157,7 +157,7 @@
                 state.on_probed(&id, ProbeOutcome::Refused, None, now);
                 continue;
             };
-            if self.open_probes.contains_key(&id) {
+            if self.previous_term_probes.contains_key(&id) {
                 machine.probe_baseline = None;
             }
             self.actions.push(Action::ProbeMachine(id, machine.address.clone()));
@@ -177,7 +177,7 @@
     }
 
     /// A probe of a machine ended, with or without an answer.
-    pub(super) fn on_probed(
+    pub(super) fn on_probe_finished(
         &mut self,
         id: &MachineId,
         probe: ProbeOutcome,
@@ -197,19 +197,19 @@
 
     /// Whether a probe of this machine that an earlier leadership sent is open; if so, one of them is closed.
     fn closes_previous_term_probe(&mut self, id: &MachineId) -> bool {
-        let Some(open) = self.open_probes.get_mut(id) else { return false };
+        let Some(open) = self.previous_term_probes.get_mut(id) else { return false };
         *open -= 1;
         if *open == 0 {
-            self.open_probes.remove(id);
+            self.previous_term_probes.remove(id);
         }
         true
     }
 
     /// A call to the cloud ended, with or without a response.
-    pub(super) fn on_cloud(&mut self, call: &CloudCall, outcome: &CloudOutcome) {
+    pub(super) fn on_cloud_response(&mut self, call: &CloudCall, outcome: &CloudOutcome) {
         self.cloud.on_outcome(outcome, self.now.monotonic);
         if let CloudOutcome::Types(types) = outcome {
-            self.learn_machine_types(types);
+            self.set_machine_types(types);
             self.store_machine_types(types);
         }
         if let (CloudCall::Return(names), CloudOutcome::Returned) = (call, outcome) {
--- a/crates/controller/src/controller/leadership.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -1,7 +1,7 @@
-//! Leader election: reading and watching the leader's key, the election, and stepping down.
+//! Leader election: reading and watching the leader's key, campaigning for it, and stepping down.
 //!
-//! The leader's key is attached to a lease. Whoever creates it by compare-and-swap leads; its modification revision is
-//! the fencing token. What a new leader then reads is in `state_loading`.
+//! The leader's key is attached to a lease. The controller that creates it by compare-and-swap becomes the leader, and
+//! the key's modification revision is its fencing token. `state_loading` then reads the state that it needs to lead.
 
 use super::{Action, CallContext, Controller, store_rates};
 use crate::Time;
@@ -14,23 +14,24 @@
     KeyPage, KeyValue, Mutation, Precondition, Transaction, WatchEvent,
 };
 
-/// The leader's key as read from the store.
+/// The leader's key as read from the state service.
 pub(super) struct LeaderKey {
     record: LeaderRecord,
-    /// Revision at which it was written: the fencing token of who wrote it.
+    /// Revision at which the key was written: the fencing token of the controller that wrote it.
     mod_revision: u64,
 }
 
 impl LeaderKey {
-    /// The leader's key on a page of `term/`; none if it is not there or cannot be read.
-    fn on_page(page: &KeyPage) -> Option<LeaderKey> {
+    /// Finds the leader's key on a page of `term/`. `None` if it is missing or cannot be decoded.
+    fn from_page(page: &KeyPage) -> Option<LeaderKey> {
         let entry = page.entries.iter().find(|entry| entry.key == keys::LEADER)?;
         let record = serde_json::from_value(entry.value.clone()).ok()?;
         Some(LeaderKey { record, mod_revision: entry.mod_revision })
     }
 
-    /// The leader's key as a watch event puts it; none if the event is about another key or cannot be read.
-    fn put_by(event: &WatchEvent) -> Option<LeaderKey> {
+    /// Reads the leader's key from the watch event that put it. `None` if the event is about another key or cannot be
+    /// decoded.
+    fn from_put_event(event: &WatchEvent) -> Option<LeaderKey> {
         if event.put_key.as_deref() != Some(keys::LEADER) {
             return None;
         }
@@ -40,14 +41,14 @@
 }
 
 impl Controller {
-    /// Reads the keys under `term/`.
+    /// Reads all keys under `term/`: the leader's key and the format record.
     pub(super) fn read_leader_key(&mut self) {
         self.leader_key_read_at = self.now.monotonic;
         let call = StoreCall::List { prefix: keys::TERM.into(), from: None };
         self.push_leadership_call(call, CallContext::ReadLeaderKey);
     }
 
-    /// Watches the keys under `term/` from this revision on, unless a watch is open.
+    /// Opens a watch of the keys under `term/` from a revision on, unless one is open.
     fn watch_leader_key(&mut self, from: u64) {
         if self.watching_leader_key {
             return;
@@ -57,19 +58,19 @@
         self.push_leadership_call(call, CallContext::WatchLeaderKey);
     }
 
-    /// Revokes a lease, so that nobody has to wait for its expiry.
+    /// Revokes a lease, so that other controllers need not wait for it to expire.
     pub(super) fn revoke_lease(&mut self, lease: u64) {
         self.push_leadership_call(StoreCall::RevokeLease(lease), CallContext::RevokeLease);
     }
 
-    /// Queues a call with the highest priority, to be made once and only if it can leave before its timeout.
+    /// Queues a call with the highest priority. It is sent once, and only if that is possible before its timeout.
     fn push_leadership_call(&mut self, call: StoreCall, context: CallContext) {
         let until = self.now.monotonic + STORE_TIMEOUT_MS;
         let retry_policy = RetryPolicy::OnceBefore(until);
         self.store.push(call, context, CallPriority::Leadership, retry_policy);
     }
 
-    /// A call about leadership ended.
+    /// Handles the outcome of a call made for an election, a lease or the leader's key.
     pub(super) fn on_leadership_response(&mut self, call: FinishedCall<CallContext>) {
         match (call.context, call.outcome) {
             (CallContext::ReadLeaderKey, StoreOutcome::Page(page)) => self.on_term_page(&page),
@@ -89,22 +90,22 @@
         }
     }
 
-    /// The keys under `term/` were read.
+    /// Handles a page with the keys under `term/`.
     fn on_term_page(&mut self, page: &KeyPage) {
-        let held = LeaderKey::on_page(page);
+        let leader_key = LeaderKey::from_page(page);
         let is_format = |entry: &&KeyValue| entry.key == keys::FORM;
         let format = page.entries.iter().find(is_format).map(|entry| &entry.value);
         self.format_upgrade.on_format_record(format);
         self.cancellations.on_store_read(page.revision);
-        // A page older than this controller's own key says nothing of it.
+        // A page older than this controller's own key cannot contain it, so its absence there proves nothing.
         let is_current = page.revision >= self.leadership.token;
-        if held.is_some() || !self.leadership.holds_key() || is_current {
-            self.on_leader_key(held);
+        if leader_key.is_some() || !self.leadership.holds_key() || is_current {
+            self.on_leader_key(leader_key);
         }
         self.watch_leader_key(page.revision);
     }
 
-    /// The watch of `term/` returned.
+    /// Handles the outcome of the watch of `term/`, and opens the next watch if it succeeded.
     fn on_term_watch(&mut self, outcome: StoreOutcome) {
         self.watching_leader_key = false;
         let StoreOutcome::Changes(changes) = outcome else { return };
@@ -112,10 +113,10 @@
             if event.put_key.as_deref() == Some(keys::FORM) {
                 self.format_upgrade.on_format_record(Some(&event.value));
             }
-            if let Some(key) = LeaderKey::put_by(event) {
+            if let Some(key) = LeaderKey::from_put_event(event) {
                 self.on_leader_key(Some(key));
             } else if event.deleted_key.as_deref() == Some(keys::LEADER) {
-                // The deletion of a key older than this controller's own says nothing of it.
+                // A deletion older than this controller's own key was that of an earlier key.
                 let is_newer = event.mod_revision > self.leadership.token;
                 if !self.leadership.holds_key() || is_newer {
                     self.on_leader_key(None);
@@ -125,7 +126,7 @@
         self.watch_leader_key(changes.revision);
     }
 
-    /// The leader's key was read; none: it does not exist.
+    /// Handles a read of the leader's key. `None`: the key does not exist.
     fn on_leader_key(&mut self, key: Option<LeaderKey>) {
         let is_first_read = !std::mem::replace(&mut self.leadership.leader_key_known, true);
         match key {
@@ -137,22 +138,23 @@
         }
     }
 
-    /// Whether the key was written by the predecessor of this process, which has ended.
+    /// Whether the key was written by an earlier process with the same host name. That process has ended.
     fn is_predecessors_key(&self, key: &LeaderKey) -> bool {
         key.record.node == self.settings.host_name
             && key.record.incarnation != self.incarnation
             && self.leadership.phase() == LeadershipPhase::Unknown
     }
 
-    /// A process that is back at once finds its predecessor's key, alive until the lease expires. It need not wait for
-    /// that: it replaces the key, under a lease and a token of its own, on condition that nobody else has.
+    /// Prepares an election that replaces the key of an earlier process with the same host name. A process that restarts
+    /// quickly finds that key still attached to a live lease. Instead of waiting for the lease to expire, it replaces the
+    /// key, under a lease and token of its own, on condition that the key is unchanged.
     fn replace_predecessor(&mut self, mod_revision: u64) {
         self.leadership.observe_token(mod_revision);
         self.leadership.replaced_revision = mod_revision;
         self.leadership.advance(LeadershipPhase::Vacant(self.now.monotonic));
     }
 
-    /// Nobody holds the leader's key: an election follows after a random delay.
+    /// Handles a missing leader's key: schedules an election after a random delay.
     fn on_vacant_key(&mut self) {
         self.leadership.replaced_revision = 0;
         if self.leadership.holds_key() {
@@ -160,25 +162,27 @@
         }
         let phase = self.leadership.phase();
         if matches!(phase, LeadershipPhase::Unknown | LeadershipPhase::Following) {
-            let delay = self.rng.random_range(0..=ELECTION_JITTER_MS);
+            let delay_ms = self.rng.random_range(0..=ELECTION_JITTER_MS);
             self.leadership.known_leader = None;
-            let campaign_at = (self.now.monotonic + delay).max(self.isolation.campaign_after);
+            let campaign_at = (self.now.monotonic + delay_ms).max(self.isolation.campaign_after);
             self.leadership.advance(LeadershipPhase::Vacant(campaign_at));
         }
     }
 
-    /// Somebody holds the leader's key, perhaps this process.
+    /// Handles an existing leader's key, which may be this process's own.
     fn on_held_key(&mut self, key: &LeaderKey) {
         let record = &key.record;
         let is_own =
             record.node == self.settings.host_name && record.incarnation == self.incarnation;
-        // Only a key written by this election makes this controller the leader. A key of an earlier one, written or read
-        // late, would be led under a token that workers have seen, or lost with a lease that nobody renews.
+        // Only a key written by the current election makes this controller the leader. With the key of an earlier election,
+        // applied or read late, it would lead under a token that workers have already seen, or lose leadership again at
+        // the expiry of a lease that it does not renew.
         if is_own && self.leadership.phase() == LeadershipPhase::Acquiring(record.lease) {
             self.on_leadership_acquired(key.mod_revision);
             return;
         }
-        // Nobody leads by such a key: others need not wait until its lease expires.
+        // No controller leads by a key of an earlier election of this process. Revoking its lease saves the others the wait
+        // for its expiry.
         let is_current = self.leadership.holds_key() && self.leadership.lease == record.lease;
         if is_own && !is_current {
             self.revoke_lease(record.lease);
@@ -190,7 +194,7 @@
             return;
         }
         self.leadership.observe_leader(&record.node, key.mod_revision);
-        // An election under way ends by itself: its write conflicts with this key.
+        // An election in progress fails by itself: its write conflicts with this key.
         if !self.is_campaigning() {
             self.leadership.advance(LeadershipPhase::Following);
         }
@@ -201,7 +205,7 @@
         matches!(phase, LeadershipPhase::GrantingLease | LeadershipPhase::Acquiring(_))
     }
 
-    /// The lease for an election was granted, or not: with it the leader's key is written.
+    /// Handles the outcome of the lease request of an election: if the lease was granted, writes the leader's key.
     fn on_lease_response(&mut self, requested_at: Time, outcome: StoreOutcome) {
         let StoreOutcome::LeaseGranted(lease) = outcome else {
             return self.on_election_failed();
@@ -228,12 +232,12 @@
         self.push_leadership_call(StoreCall::Commit(transaction), context);
     }
 
-    /// The write of the leader's key ended.
+    /// Handles the outcome of the write of the leader's key.
     fn on_election_response(&mut self, outcome: StoreOutcome) {
         match outcome {
             StoreOutcome::Committed(revision) => self.on_leadership_acquired(revision),
-            // It may have been applied: the key tells. If it is not there, the lease is left to expire, and the next
-            // election uses a new one.
+            // The write may have been applied, which reading the key shows. If the key is missing, the lease is left to
+            // expire, and the next election uses a new one.
             StoreOutcome::Unknown => {
                 self.read_leader_key();
                 self.on_election_failed();
@@ -242,17 +246,18 @@
         }
     }
 
-    /// Ends an election without success; the next one follows after a pause.
+    /// Ends an election without success, and schedules the next one after a pause.
     fn on_election_failed(&mut self) {
         self.leadership.replaced_revision = 0;
         if self.is_campaigning() {
-            let pause = ELECTION_RETRY_MS + self.rng.random_range(0..=ELECTION_JITTER_MS);
-            self.leadership.advance(LeadershipPhase::Vacant(self.now.monotonic + pause));
+            let pause_ms = ELECTION_RETRY_MS + self.rng.random_range(0..=ELECTION_JITTER_MS);
+            self.leadership.advance(LeadershipPhase::Vacant(self.now.monotonic + pause_ms));
             self.read_leader_key();
         }
     }
 
-    /// This controller's key was written at this revision: it leads once it has read the state.
+    /// Handles the success of an election: the leader's key was written at revision `token`. This controller leads once it
+    /// has loaded the state.
     fn on_leadership_acquired(&mut self, token: u64) {
         let now = self.now.monotonic;
         self.leadership.token = token;
@@ -266,32 +271,33 @@
         }
         self.leadership.observe_leader(&self.settings.host_name.clone(), token);
         self.leadership.renew_at = now;
-        // The key was written under a lease that may have expired while the response waited.
+        // The key's lease may have expired while the response was delayed.
         self.leadership.on_resume(now);
         self.set_store_rates(true);
         tracing::info!(fencing_token = token, "leader elected, loading cluster state");
         self.start_loading(token);
     }
 
-    /// Gives up leadership and all state that belongs to it. `why` goes into the log and to event receivers.
-    pub(super) fn step_down(&mut self, why: &str) {
-        tracing::warn!(fencing_token = self.leadership.token, why, "stepping down");
-        self.record_leadership_event("ended", why);
+    /// Gives up leadership and all state that belongs to it. `reason` is logged and sent to the event receivers of
+    /// plug-ins.
+    pub(super) fn step_down(&mut self, reason: &str) {
+        tracing::warn!(fencing_token = self.leadership.token, why = reason, "stepping down");
+        self.record_leadership_event("ended", reason);
         self.record_pending_terminations();
         self.leadership.advance(LeadershipPhase::Unknown);
         let state = self.cluster_state.take();
         let machines = state.into_iter().flat_map(|state| state.machines.into_values());
         for machine in machines.filter(|machine| machine.open_probes > 0) {
-            *self.open_probes.entry(machine.id).or_default() += machine.open_probes;
+            *self.previous_term_probes.entry(machine.id).or_default() += machine.open_probes;
         }
         self.loading_state = None;
         self.task_counts.clear();
         self.close_quota_accounts();
         self.replicated_records.close(self.now.monotonic);
         self.set_store_rates(false);
-        let ended = self.leadership.generation;
+        let current = self.leadership.generation;
         self.store
-            .forget(|context| context.generation().is_none_or(|generation| generation == ended));
+            .forget(|context| context.generation().is_none_or(|generation| generation == current));
         self.cloud.clear_queue();
         self.pending_commands.clear();
         for (id, _) in std::mem::take(&mut self.deferred_reports) {
--- a/crates/controller/src/controller/machine_types.rs
+++ b/crates/controller/src/controller/machine_types.rs
@@ -11,7 +11,7 @@
 
 impl Controller {
     /// Machine types were read; an empty list counts as none.
-    pub(super) fn learn_machine_types(&mut self, types: &MachineTypes) {
+    pub(super) fn set_machine_types(&mut self, types: &MachineTypes) {
         if !types.machine_types.is_empty() {
             let types = types.machine_types.iter().map(MachineType::from).collect();
             self.machine_types = Some(Arc::new(types));
@@ -44,7 +44,7 @@
             && self.machine_types.is_none()
             && let Ok(types) = serde_json::from_value::<MachineTypes>(entry.value)
         {
-            self.learn_machine_types(&types);
+            self.set_machine_types(&types);
         }
     }
 }
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -1,19 +1,23 @@
-//! One controller as a pure state machine: events and the time go in, actions come out.
+//! One controller as a deterministic state machine: events and the current time go in, actions come out.
 //!
-//! Nothing here does I/O, reads a clock or draws random numbers that its seed does not give. The runtime calls
-//! [`Controller::handle`] with an event and the time, and then executes what [`Controller::take_actions`] returns.
+//! Nothing here does I/O or reads a clock, and all random choices derive from a seed. The runtime calls
+//! [`Controller::handle`] with an event and the time, and then executes the actions that
+//! [`Controller::take_actions`] returns.
 //!
-//! This module routes an event to the part that it concerns. The parts:
+//! This module holds the controller's state, dispatches events and runs the periodic work. Submodules by concern:
 //!
-//! - leadership: `leadership` (election, loading of the state), `peers` (heartbeats), `isolation`, `pause_detection`,
-//!   `format_upgrade`, `pending_terminations`
+//! - leadership: `leadership` (election, stepping down), `state_loading` (a new leader's reads), `peers` (heartbeats),
+//!   `isolation`, `pause_detection`, `pending_terminations`
 //! - users: `requests`, `job_cache`, `dependency_lookup`, `final_records`
 //! - workers: `worker_reports`, `report_forwarding`
-//! - the leader's writes: `binding_log`, `chunks`; `store_calls` routes every response of the state service
-//! - the leader's decisions: `scheduling_cycle`, `policy_evaluation`, `gpu_lending`, `deadline_planning`,
-//!   `quota_accounts`
-//! - records and operators: `replicated_records`, `plugins`, `admin`, `status`
-//! - `cpu_accounting`: how much a cycle may do
+//! - the leader's writes to the state service: `binding_log`, `chunks`, `archiving`
+//! - the leader's decisions: `scheduling_cycle`, `plan_application`, `fleet_management`, `policy_evaluation`,
+//!   `gpu_lending`, `deadline_planning`, `quota_accounts`
+//! - replicated records and operators: `replicated_records`, `plugins`, `admin`, `status`
+//! - responses of the state service: `store_calls` routes each to its caller
+//! - limits: `capacity` and `cpu_accounting` bound scheduling cycles and the size of the fleet
+//! - `format_upgrade`: gates new record formats during a rolling upgrade; `machine_types`: the cloud's machine types
+//! - `messages`: events, actions and replies
 
 mod admin;
 mod archiving;
@@ -96,21 +100,22 @@
 use swiftsail_protocol::workers::{DirectCommands, StatusReport};
 use worker_reports::ForwardingHistory;
 
-/// One controller. See the module's documentation for its parts.
+/// One controller. The module documentation lists what each submodule does with it.
 pub struct Controller {
     settings: Arc<Settings>,
-    /// Random number of this process: tells its messages and keys from those of its predecessor.
+    /// Random identifier of this process. Distinguishes its messages and keys from those of an earlier process with the
+    /// same host name.
     incarnation: u64,
-    /// The clocks as of the event being handled.
+    /// Clock readings at the event being handled.
     now: Now,
     rng: StdRng,
     /// Client of the state service.
     store: StoreClient<CallContext>,
-    /// Client of the cloud.
+    /// Client of the cloud provider.
     cloud: CloudClient,
-    /// Actions to be executed after this event.
+    /// Actions produced by the current event and not yet taken by the runtime.
     actions: Vec<Action>,
-    /// Commands to be sent directly to workers, by address, while the lease is confirmed.
+    /// Commands to be sent directly to workers, by address. Sent only while the lease is confirmed.
     pending_commands: Vec<(String, DirectCommands)>,
 
     /// This controller's view of who leads.
@@ -119,89 +124,90 @@
     leader_key_read_at: Time,
     /// Whether a watch of the leader's key is open.
     watching_leader_key: bool,
-    /// The leader's state; none while this controller does not lead.
+    /// The leader's state; `None` while this controller does not lead.
     cluster_state: Option<ClusterState>,
-    /// The state that a new leader is reading from the store.
+    /// The state that a new leader is reading from the state service; `None` otherwise.
     loading_state: Option<ClusterState>,
-    /// Cancellations that users may have been told of, and which controllers hold them.
+    /// Cancellations that may have been confirmed to users, and which controllers hold them.
     cancellations: CancellationQuorum,
-    /// By what a leader answers its workers, as last logged.
+    /// On what grounds this leader answers workers, as last logged.
     answer_authority: AnswerAuthority,
-    /// Detects that this leader reaches nobody.
+    /// Detects a leader that reaches neither workers nor peers.
     isolation: Isolation,
-    /// Machines to terminate for cancelled tasks while nobody leads.
+    /// Machines with cancelled tasks, to be terminated while there is no leader.
     pending_terminations: PendingTerminations,
     /// Whether every controller reads the record format that this one writes.
     format_upgrade: FormatUpgrade,
-    /// When the process last resumed after a pause.
+    /// When the process last resumed after a pause; 0 if it was never paused.
     resumed_at: Time,
 
-    /// The other controllers, by name, as of their last heartbeats.
+    /// The other controllers by host name, as of their latest heartbeats.
     peers: BTreeMap<String, Peer>,
     heartbeat_sent_at: Time,
     /// When a heartbeat was last sent early because a user waits for a cancellation to be replicated.
     expedited_heartbeat_at: Time,
-    /// Attributes of the cluster as the leader last told them, for admission plug-ins.
+    /// Cluster attributes from the leader's latest heartbeat, for admission plug-ins.
     cluster_attributes: Vec<f64>,
-    /// Tasks done and running by job as the leader last told them, for display.
+    /// Numbers of done and running tasks by job from the leader's latest heartbeat, for display.
     task_counts: BTreeMap<String, (u32, u32)>,
 
-    /// Users' requests that wait for the store.
+    /// Users' requests that wait for the state service.
     requests: Requests,
-    /// Dependency look-ups under way for users' requests.
+    /// Dependency look-ups in progress for users' requests.
     dependency_lookups: DependencyLookups,
     job_cache: JobCache,
     final_records: FinalRecordCache,
 
-    /// Status reports that wait until this controller knows whether it may answer them.
+    /// Status reports held until this controller knows whether it may answer them.
     deferred_reports: Vec<(RequestId, Box<StatusReport>)>,
     report_forwarder: ReportForwarder,
-    /// What this follower has done with each worker's reports.
+    /// What this follower last did with each worker's reports, by machine name.
     forwarding_history: HashMap<String, ForwardingHistory>,
-    /// Probes by machine that this process sent under an earlier leadership and that are still open.
-    open_probes: HashMap<MachineId, u32>,
-    /// Workers by the controller that they report to, this one under its own name.
+    /// Number of unfinished probes by machine that this process sent in an earlier term as leader.
+    previous_term_probes: HashMap<MachineId, u32>,
+    /// Number of workers by the controller that they report to, this one included.
     workers_by_controller: BTreeMap<Arc<str>, usize>,
-    /// Whether workers are distributed among the controllers.
+    /// Whether the leader distributes workers among the controllers.
     distributes_workers: bool,
 
-    /// Machine types of the cloud; none: not known yet.
+    /// Machine types offered by the cloud; `None` until they are known.
     machine_types: Option<Arc<Vec<MachineType>>>,
     machine_types_requested_at: Time,
-    /// Results of the policy for the next scheduling cycle.
+    /// Results of the policies for the next scheduling cycle.
     job_policies: CyclePolicy,
-    /// The operators' compiled policy.
+    /// The operators' scheduling policy, compiled.
     policy: SchedulingPolicy,
     plugin_host: PluginHost,
     plugins: Plugins,
     quota_accounts: QuotaAccounts,
     replicated_records: ReplicatedRecords,
-    /// No scheduling cycle before this time: the last one was long.
+    /// Earliest start of the next scheduling cycle: a long cycle is followed by a pause.
     next_cycle_at: Time,
-    /// Scores computed so far.
+    /// Number of scores computed since the process started.
     scores_computed: u64,
 
-    /// What each part may hold in memory.
+    /// Limits that keep this controller within its memory.
     budget: MemoryBudget,
-    /// How far this controller is behind its timer.
+    /// Load level, derived from how late timer ticks are handled.
     load_level: LoadMonitor,
     /// Processor time used by this controller.
     cpu: CpuAccounting,
     last_tick_at: Time,
     status_logged_at: Time,
-    /// When a bound of the number of machines was last logged.
-    bound_logged_at: Time,
+    /// When a scale-out limited by controller capacity was last logged.
+    scale_out_limit_logged_at: Time,
 }
 
 impl Controller {
-    /// A controller that has just started, without an operators' file.
+    /// Creates a controller with default operator settings. `seed` determines all its random choices.
     pub fn new(settings: Arc<Settings>, seed: u64, now: Now) -> Controller {
-        Controller::with_operator_file(settings, &OperatorSettings::default(), seed, now)
+        Controller::with_operator_settings(settings, &OperatorSettings::default(), seed, now)
     }
 
-    /// A controller that has just started, with an operators' file. `seed` determines all its random choices.
+    /// Creates a controller with the given operator settings and requests its first reads from the state service.
+    /// `seed` determines all its random choices.
     #[expect(clippy::too_many_lines, reason = "one field a line")]
-    pub fn with_operator_file(
+    pub fn with_operator_settings(
         settings: Arc<Settings>,
         operator: &OperatorSettings,
         seed: u64,
@@ -232,7 +238,7 @@
             load_level: LoadMonitor::new(now.monotonic),
             cpu: CpuAccounting::new(limits.cores, now.monotonic),
             last_tick_at: 0,
-            bound_logged_at: 0,
+            scale_out_limit_logged_at: 0,
             next_cycle_at: 0,
             status_logged_at: 0,
             requests: Requests::default(),
@@ -246,7 +252,7 @@
             answer_authority: AnswerAuthority::default(),
             forwarding_history: HashMap::new(),
             deferred_reports: Vec::new(),
-            open_probes: HashMap::new(),
+            previous_term_probes: HashMap::new(),
             report_forwarder: ReportForwarder::default(),
             isolation: Isolation::default(),
             quota_accounts: QuotaAccounts::new(
@@ -282,15 +288,15 @@
         controller
     }
 
-    /// Takes the actions that have come up since the last call.
+    /// Takes the actions produced since the last call, and handles calls to the state service that expired unsent.
     pub fn take_actions(&mut self) -> Vec<Action> {
         let (calls, expired) = self.store.take_due_calls(self.now.monotonic);
         self.actions.extend(calls.into_iter().map(|(id, call)| Action::CallStore(id, call)));
         for call in expired {
             self.on_store_response(call);
         }
-        // While the lease is not confirmed another controller may lead: nothing is asked of the cloud, and no command is
-        // sent.
+        // While the lease is unconfirmed another controller may be the leader, so neither cloud calls nor commands to
+        // workers are sent.
         if self.is_lease_confirmed() {
             let calls = self.cloud.take_due_calls(self.now.monotonic);
             self.actions.extend(calls.into_iter().map(Action::CallCloud));
@@ -300,7 +306,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Handles an event. Time must not go back from one event to the next.
+    /// Handles an event. `now` must not be earlier than that of the previous event. The resulting actions are returned
+    /// by [`Controller::take_actions`].
     pub fn handle(&mut self, event: Event, now: Now) {
         let elapsed_ms = now.monotonic.saturating_sub(self.now.monotonic);
         self.now = now;
@@ -315,7 +322,7 @@
         self.deliver_cluster_events();
     }
 
-    /// Hands an event to the part that it concerns.
+    /// Dispatches an event to its handler.
     fn route(&mut self, event: Event) {
         let now = self.now.monotonic;
         match event {
@@ -328,7 +335,7 @@
                     self.on_store_response(call);
                 }
             }
-            Event::CloudResponse(call, outcome) => self.on_cloud(&call, &outcome),
+            Event::CloudResponse(call, outcome) => self.on_cloud_response(&call, &outcome),
             Event::ForwardedReports(id, reports) => self.on_forwarded_reports(id, &reports),
             Event::ForwardedAnswers(batch, answers) => self.on_forwarded_answers(batch, answers),
             Event::Heartbeat(heartbeat) => self.on_heartbeat(&heartbeat),
@@ -336,7 +343,9 @@
             Event::DeliveryEnded(plugin, accepted) => {
                 self.plugin_host.on_delivery_ended(&plugin, accepted, now);
             }
-            Event::ProbeFinished(id, outcome, report) => self.on_probed(&id, outcome, report),
+            Event::ProbeFinished(id, outcome, report) => {
+                self.on_probe_finished(&id, outcome, report);
+            }
             Event::CpuUsage(used_us, over_ms) => self.on_cpu_usage(used_us, over_ms),
         }
     }
@@ -346,20 +355,22 @@
         self.leadership.phase() == LeadershipPhase::Leading
     }
 
-    /// Scores computed so far: the cost of scheduling, whatever the processor's speed.
+    /// Number of scores computed since the process started: a measure of scheduling cost that does not depend on the
+    /// processor's speed.
     pub fn scores_computed(&self) -> u64 {
         self.scores_computed
     }
 
-    /// The leader's cluster state; none if this controller does not lead.
+    /// The leader's cluster state; `None` if this controller does not lead.
     pub fn cluster_state(&self) -> Option<&ClusterState> {
         self.cluster_state.as_ref()
     }
 
-    /// Runs a function on the leader's cluster state with its context; none if this controller does not lead.
+    /// Calls a function with the leader's cluster state and its context. Returns `None` without calling it if this
+    /// controller does not lead.
     fn with_cluster_state<R>(
         &mut self,
-        run: impl FnOnce(&mut ClusterState, &mut LeaderContext) -> R,
+        function: impl FnOnce(&mut ClusterState, &mut LeaderContext) -> R,
     ) -> Option<R> {
         let state = self.cluster_state.as_mut()?;
         let mut context = LeaderContext {
@@ -368,10 +379,10 @@
             settings: &self.settings,
             store: &mut self.store,
         };
-        Some(run(state, &mut context))
+        Some(function(state, &mut context))
     }
 
-    /// Periodic work of every controller.
+    /// Periodic work of every controller, called at each timer tick.
     fn tick(&mut self) {
         let now = self.now.monotonic;
         self.update_load_level(now);
@@ -391,7 +402,7 @@
         if self.is_lease_confirmed() {
             self.run_leader_tick();
         } else {
-            self.recheck_lease();
+            self.reject_deferred_reports_if_unconfirmed();
         }
         self.terminate_pending_machines();
         self.refresh_job_cache();
@@ -400,7 +411,7 @@
         self.log_status();
     }
 
-    /// Asks for a lease when nobody leads and this controller's election delay is over.
+    /// Starts an election by requesting a lease, if there is no leader and this controller's election delay has passed.
     fn start_election_if_due(&mut self) {
         let now = self.now.monotonic;
         let LeadershipPhase::Vacant(campaign_at) = self.leadership.phase() else { return };
@@ -417,8 +428,8 @@
         );
     }
 
-    /// Renews the lease of a leader. Another controller reads the leader's key now and then, beside its watch: this also
-    /// shows whether the store responds.
+    /// Renews the lease if this controller holds the leader's key. Otherwise reads the key periodically in addition to
+    /// watching it, which also shows whether the state service responds.
     fn maintain_leader_key(&mut self) {
         let now = self.now.monotonic;
         if self.leadership.holds_key() {
@@ -430,8 +441,8 @@
         }
     }
 
-    /// Periodic work of the leader. The order matters: what is decided earlier counts for what comes later, and the
-    /// bindings of all are written together.
+    /// Periodic work of the leader. The order matters: later steps use the results of earlier ones, and the bindings made
+    /// by all of them are written together.
     fn run_leader_tick(&mut self) {
         self.resign_if_isolated();
         self.poll_job_changes();
@@ -453,11 +464,12 @@
         self.archive_finished_jobs();
     }
 
+    /// Caches the final record of a job, to answer polls of it.
     fn cache_final_record(&mut self, id: &JobId, record: FinalRecord) {
         self.final_records.insert(id, record);
     }
 
-    /// Tasks of a job that are done and that run, for display. A follower knows them from the leader's heartbeats.
+    /// Numbers of done and running tasks of a job, for display. A follower has them from the leader's heartbeats.
     fn task_counts_of(&self, id: &str) -> (u32, u32) {
         match &self.cluster_state {
             Some(state) => state.jobs.get(id).map_or((0, 0), |job| job.task_counts()),
@@ -465,14 +477,14 @@
         }
     }
 
-    /// Tasks in one binding chunk of a job accepted now.
+    /// Number of tasks per binding chunk for a newly accepted job.
     fn tasks_per_chunk(&self) -> u32 {
         chunk_size(&self.settings.settings.state)
     }
 }
 
-/// Store requests and writes a second that a controller may make: together the controllers stay within the platform's
-/// limits.
+/// Requests and writes per second that this controller may send to the state service. The leader has a fixed share and
+/// the others divide the rest, so that all controllers together stay within the platform's limits.
 fn store_rates(settings: &Settings, is_leader: bool) -> (f64, f64) {
     let state = &settings.settings.state;
     let others = settings.others.len();
--- a/crates/controller/src/controller/pause_detection.rs
+++ b/crates/controller/src/controller/pause_detection.rs
@@ -50,7 +50,7 @@
 
     /// Answers deferred reports with 503 if the lease is not confirmed in time, so that their workers try another
     /// controller.
-    pub(super) fn recheck_lease(&mut self) {
+    pub(super) fn reject_deferred_reports_if_unconfirmed(&mut self) {
         if let LeaseValidity::Unconfirmed(since) = self.leadership.lease_validity()
             && self.now.monotonic >= since + STORE_TIMEOUT_MS
         {
--- a/crates/controller/src/controller/plan_application.rs
+++ b/crates/controller/src/controller/plan_application.rs
@@ -1,5 +1,5 @@
-//! Applies a placement plan to the cluster state. Every binding is checked once more against quotas, zones and machine
-//! types by the [`QuotaGuard`], whoever planned it; nothing else binds a task.
+//! Application of placement plans to the cluster state. This is the only code that binds tasks. The [`QuotaGuard`] checks
+//! every planned binding again against quotas, zones and machine types.
 
 use crate::cluster_state::{ClusterState, QuotaGuard, RunQueue, SlotId, usable};
 use crate::constants::YIELD_HOLD_MS;
@@ -10,14 +10,15 @@
 use std::sync::Arc;
 use swiftsail_tiers::TierAssignment;
 
-/// Part of the value size that is left unused, as a divisor: keys and the envelope of a record take it.
+/// The fraction of the largest value size that is reserved for keys and for the envelope of a record, as a divisor.
 const VALUE_MARGIN_DIVISOR: usize = 32;
 
-/// Jobs of ordered tiers that wait for a machine.
+/// Jobs of ordered tiers that have tasks waiting for a machine.
 type OrderedJobs = [(Arc<JobSpec>, TierAssignment)];
 
-/// Whether a job of an ordered tier waits that could run in these resources and comes before `next`. The run queue of
-/// the slot then does not take it: without this, queued work took whatever came free before a cycle looked at who waits.
+/// Whether a waiting job of an ordered tier comes before `next` and could run in the free resources of this machine.
+/// `next` is then not bound there from a run queue. Without this check, queued work took all capacity that became free
+/// before a cycle compared it with the waiting jobs.
 fn is_wanted_by_ordered_job(
     ordered: &OrderedJobs,
     machine: &Machine,
@@ -35,9 +36,10 @@
     })
 }
 
-/// Binds the next job of each run queue whose executing task has ended, unless a waiting job of an ordered tier could
-/// have the room. Jobs that do not fit wait again. Returns how many tasks were bound.
-pub(super) fn promote_queued_jobs(
+/// Binds the next job of each run queue whose executing task has ended, unless a waiting job of an ordered tier comes
+/// first and could use the capacity. Queued jobs that do not fit leave the queue and wait as before. Returns the number
+/// of tasks bound.
+pub(super) fn bind_from_run_queues(
     state: &mut ClusterState,
     guard: &mut QuotaGuard,
     context: PlanningContext,
@@ -46,11 +48,12 @@
     let ordered: Vec<(Arc<JobSpec>, TierAssignment)> =
         state.jobs.values().filter(is_waiting).map(|job| (job.spec.clone(), job.tier)).collect();
     let slots = state.run_queues.slots_without_head(&state.jobs);
-    slots.into_iter().filter(|slot| promote_in_slot(state, guard, context, &ordered, slot)).count()
+    slots.into_iter().filter(|slot| bind_from_queue(state, guard, context, &ordered, slot)).count()
 }
 
-/// Binds the next job of a slot's run queue. Returns whether one was bound.
-fn promote_in_slot(
+/// Binds the next job of a slot's run queue, and removes the queue. Jobs behind the bound one are queued behind its task.
+/// Returns whether a job was bound.
+fn bind_from_queue(
     state: &mut ClusterState,
     guard: &mut QuotaGuard,
     context: PlanningContext,
@@ -63,7 +66,7 @@
     if !state.machines.get(machine_id).is_some_and(|m| usable(m, context.now, lease_ms)) {
         return false;
     }
-    // An earlier slot may have bound a task to the same machine.
+    // A task from the queue of an earlier slot may have been bound to the same machine.
     state.count_free_resources(context.machine_types);
     let machine = state.machines.get(machine_id);
     let free = machine.and_then(Machine::free_resources).unwrap_or_default();
@@ -86,7 +89,7 @@
     false
 }
 
-/// Applies a plan. Returns how many tasks were bound.
+/// Applies a plan. Returns the number of tasks bound.
 pub(super) fn apply_plan(
     state: &mut ClusterState,
     guard: &mut QuotaGuard,
@@ -100,7 +103,7 @@
     bound
 }
 
-/// Applies one step of a plan. Returns how many tasks were bound.
+/// Applies one step of a plan. Returns the number of tasks bound.
 fn apply_step(
     state: &mut ClusterState,
     guard: &mut QuotaGuard,
@@ -128,7 +131,7 @@
             state.yielding_machines.extend(machines.into_iter().map(|id| (id, until)));
         }
         PlanStep::PreemptForQuota { by, victims } => {
-            tracing::info!(job = %by, tasks = victims.len(), "tasks preempted: the team's limit leaves no room for a service");
+            tracing::info!(job = %by, tasks = victims.len(), "tasks preempted: the team's limit has no quota left for a service");
             for (id, task) in victims {
                 state.request_stop(&id, task, context.now);
             }
@@ -137,8 +140,8 @@
     0
 }
 
-/// Binds a task of a gang to each of these machines under one attempt number. A part of a gang is never started: if a
-/// binding was rejected, the gang is stopped and planned anew.
+/// Binds one task of a gang to each of these machines, all with the same attempt number. A gang is never started in part:
+/// if a binding is rejected, the gang is stopped and planned again. Returns the number of tasks bound.
 fn bind_gang(
     state: &mut ClusterState,
     guard: &mut QuotaGuard,
@@ -158,8 +161,8 @@
     bound
 }
 
-/// Reserves machines for a gang. Their run queues are dissolved: the next job of a queue would else take what comes
-/// free before a cycle looks at it.
+/// Reserves machines for a gang, and removes the run queues of those machines: otherwise the next job of a queue would
+/// take the capacity that becomes free before a cycle can give it to the gang.
 fn reserve_for_gang(
     state: &mut ClusterState,
     context: PlanningContext,
@@ -172,8 +175,8 @@
     }
 }
 
-/// Binds a job's next waiting task to a machine, if the guard allows it. `attempt`: the number that a gang shares.
-/// Returns the task.
+/// Binds a job's next waiting task to a machine, if the guard allows it. `attempt`: the attempt number shared by a gang;
+/// `None` for a new number. Returns the task's number in the job, or `None` if nothing was bound.
 fn bind(
     state: &mut ClusterState,
     guard: &mut QuotaGuard,
@@ -182,8 +185,8 @@
     machine: &MachineId,
     attempt: Option<u64>,
 ) -> Option<u32> {
-    if let Err(why) = guard.check(state, id, machine, attempt.is_some()) {
-        tracing::debug!(job = %id, machine = %machine, ?why, "planned binding rejected");
+    if let Err(refusal) = guard.check(state, id, machine, attempt.is_some()) {
+        tracing::debug!(job = %id, machine = %machine, why = ?refusal, "planned binding rejected");
         return None;
     }
     let value_bytes = (context.settings.settings.state.value_kb * 1024.0) as usize;
--- a/crates/controller/src/controller/scheduling_cycle.rs
+++ b/crates/controller/src/controller/scheduling_cycle.rs
@@ -1,9 +1,10 @@
-//! Scheduling cycles: when one runs, and what it does to the cluster state.
+//! Scheduling cycles: when one runs, and how it changes the cluster state.
 //!
-//! A cycle asks `placement` for a plan and applies it (`plan_application`). Between mapping rounds it only places work
-//! that found free capacity; a mapping round evaluates everything and also plans scale-out.
+//! A cycle requests a plan from `placement` and applies it (`plan_application`). A *mapping round* is a full cycle, which
+//! evaluates all waiting work and also plans scale-out. Cycles between mapping rounds only place work that finds free
+//! capacity.
 
-use super::plan_application::{apply_plan, promote_queued_jobs};
+use super::plan_application::{apply_plan, bind_from_run_queues};
 use super::{Controller, fleet_management};
 use crate::cluster_state::{ClusterState, ProvisioningRequest, QuotaGuard};
 use crate::constants::{
@@ -12,27 +13,28 @@
 use crate::placement::{self, PlanningContext};
 use std::cmp::Reverse;
 
-/// What a scheduling cycle did and what it cost.
+/// Result and cost of a scheduling cycle.
 #[derive(Debug)]
 pub struct CycleResult {
-    /// Tasks bound.
+    /// Number of tasks bound.
     pub bound: usize,
-    /// Scores computed: a cost that does not depend on the processor's speed.
+    /// Number of scores computed: a cost that does not depend on the processor's speed.
     pub scores_computed: u64,
-    /// Targets evaluated, the other part of the cost.
+    /// Number of targets evaluated, the other part of the cost.
     pub targets_evaluated: u64,
-    /// Machines to provision; none if the cycle was no mapping round or was cut short.
+    /// Machines to provision; `None` if the cycle was not a mapping round, or was cut short.
     pub provisioning_requests: Option<Vec<ProvisioningRequest>>,
 }
 
 impl CycleResult {
-    /// Processor time that the cycle took by the measured costs, us of a whole core.
+    /// Estimated processor time of the cycle, us of a whole core.
     fn cost_us(&self) -> f64 {
         self.targets_evaluated as f64 * EVALUATION_US + self.scores_computed as f64 * SCORE_US
     }
 }
 
-/// Runs a cycle on the cluster state: a mapping round (`full`), or what finds free capacity between rounds.
+/// Runs a scheduling cycle on the cluster state. `full`: a mapping round; otherwise only work that finds free capacity
+/// is placed.
 pub fn run_scheduling_cycle(
     state: &mut ClusterState,
     context: PlanningContext,
@@ -41,8 +43,8 @@
     state.begin_cycle(context.now);
     state.count_free_resources(context.machine_types);
     let mut guard = QuotaGuard::new(state, &context.settings.settings.teams, context.machine_types);
-    let promoted = promote_queued_jobs(state, &mut guard, context);
-    if promoted > 0 {
+    let bound_from_queues = bind_from_run_queues(state, &mut guard, context);
+    if bound_from_queues > 0 {
         state.count_free_resources(context.machine_types);
     }
     let mut plan = placement::plan_cycle(state, context, full);
@@ -51,7 +53,7 @@
     if let Some(starved) = plan.unplaced_jobs.take() {
         state.note_starved(starved, context.now);
     }
-    let bound = promoted + apply_plan(state, &mut guard, context, plan);
+    let bound = bound_from_queues + apply_plan(state, &mut guard, context, plan);
     if provisioning_requests.is_some() {
         state.last_round_at = context.now;
         state.misses = 0;
@@ -60,7 +62,8 @@
 }
 
 impl Controller {
-    /// Runs a scheduling cycle if one is due. Called after every event.
+    /// Runs a scheduling cycle if one is due, and queues the provisioning requests that it planned. Called after every
+    /// event.
     pub(super) fn run_cycle_if_due(&mut self) {
         let Some(full) = self.due_cycle() else { return };
         self.update_job_policies(full);
@@ -79,7 +82,7 @@
         }
     }
 
-    /// Whether a cycle is due, and if so, whether it is a mapping round.
+    /// `None` if no cycle is due; otherwise whether the due cycle is a mapping round.
     fn due_cycle(&self) -> Option<bool> {
         let now = self.now.monotonic;
         let may_run = self.is_lease_confirmed() && now >= self.next_cycle_at;
@@ -89,6 +92,7 @@
         placement::due_cycle(state, cycle_ms, round_ms, now)
     }
 
+    /// Runs a cycle. `None` if this controller does not lead or does not know the machine types.
     fn run_cycle(&mut self, full: bool) -> Option<CycleResult> {
         let state = self.cluster_state.as_mut()?;
         let machine_types = self.machine_types.as_ref()?;
@@ -102,8 +106,8 @@
         Some(run_scheduling_cycle(state, context, full))
     }
 
-    /// Charges a cycle's cost. However large the cluster is, a long cycle is followed by a pause, so that status
-    /// reports and the renewal of the lease have their turn.
+    /// Accounts for a cycle's cost. A long cycle is followed by a pause in proportion to its cost, so that status reports
+    /// and lease renewals are handled in time even in a large cluster.
     fn account_for_cycle(&mut self, result: &CycleResult) {
         self.scores_computed += result.scores_computed;
         let cost_us = result.cost_us();
@@ -115,7 +119,7 @@
         self.plugin_host.end_cycle(result.scores_computed);
     }
 
-    /// Commits the final records of jobs of which nothing is left to do.
+    /// Closes the jobs that have finished since the last call, by committing their final records.
     pub(super) fn close_finished_jobs(&mut self) {
         if !self.is_lease_confirmed() {
             return;
--- a/crates/controller/src/controller/state_loading.rs
+++ b/crates/controller/src/controller/state_loading.rs
@@ -1,5 +1,5 @@
-//! What a new leader reads before it leads, in this order: jobs, binding chunks, binding log segments, replicated
-//! records. Afterwards it follows the jobs by a watch and, beside it, by polling.
+//! Loading of the cluster state by a new leader, in this order: jobs, binding chunks, binding log segments, replicated
+//! records. Once it leads, it follows changes of jobs by a watch, and polls when the watch returns nothing for a while.
 
 use super::{CallContext, Controller};
 use crate::Time;
@@ -11,7 +11,7 @@
 use swiftsail_protocol::state::{KeyPage, WatchResponse};
 
 impl Controller {
-    /// Begins to read the state of the cluster under a new fencing token.
+    /// Begins to load the cluster state under a new fencing token.
     pub(super) fn start_loading(&mut self, token: u64) {
         let now = self.now.monotonic;
         let generation = self.leadership.generation;
@@ -26,13 +26,13 @@
         self.list_state(keys::JOBS, None, CallContext::LoadJobs { generation });
     }
 
-    /// Reads a page of keys, until it is answered.
+    /// Reads the page of keys under `prefix` that begins after `from`, retrying until it has a definite outcome.
     fn list_state(&mut self, prefix: &str, from: Option<String>, context: CallContext) {
         let call = StoreCall::List { prefix: prefix.into(), from };
         self.store.push(call, context, CallPriority::Leadership, RetryPolicy::UntilDefinite);
     }
 
-    /// A page of what a new leader reads has arrived. `load`: what it is a page of.
+    /// Handles a page of the state that a new leader loads, and requests the next page. `load` says what was read.
     pub(super) fn on_state_page(
         &mut self,
         outcome: StoreOutcome,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Reads the next page under a prefix, or after the last one the first page of what comes next.
+    /// Requests the page after `page`, or if that was the last under its prefix, the first page under the next prefix.
     fn read_next(
         &mut self,
         page: &KeyPage,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// All has been read: this controller leads.
+    /// Begins to lead: all state has been loaded.
     fn on_state_loaded(&mut self, generation: u64) {
         let Some(mut state) = self.loading_state.take() else { return };
         if !self.leadership.advance(LeadershipPhase::Leading) {
@@ -116,15 +116,15 @@
         }
     }
 
-    /// Watches the jobs from this revision on.
+    /// Watches the jobs for changes after revision `from`.
     fn watch_jobs(&mut self, from: u64, generation: u64) {
         let call = StoreCall::Watch { prefix: keys::JOBS.into(), from };
         let context = CallContext::WatchJobs { generation, requested_at: self.now.monotonic };
         self.store.push(call, context, CallPriority::Leadership, RetryPolicy::UntilDefinite);
     }
 
-    /// Reads what has changed of the jobs if the watch has been silent for a while. A watch that blocks, or whose
-    /// response is slow, proves nothing of the time since it was opened.
+    /// Polls for changes of jobs if none have been read for a while. A watch that is still open, or whose response is slow,
+    /// does not show that the leader knows of all changes since the watch was opened.
     pub(super) fn poll_job_changes(&mut self) {
         let now = self.now.monotonic;
         let Some(state) = &mut self.cluster_state else { return };
@@ -140,7 +140,7 @@
         self.store.push(call, context, CallPriority::Leadership, retry_policy);
     }
 
-    /// Applies changes of jobs that were requested at this time.
+    /// Applies changes of jobs returned by a read that was sent at `requested_at`.
     pub(super) fn on_job_changes(&mut self, changes: &WatchResponse, requested_at: Time) {
         let (now, wall) = (self.now.monotonic, self.now.wall_clock);
         let Some(state) = &mut self.cluster_state else { return };
@@ -149,7 +149,8 @@
         self.cancellations.advance_required_revision(state.watched_revision);
     }
 
-    /// The watch of the jobs returned. If it is too far behind, the leader steps down: a new one reads everything anew.
+    /// Handles the outcome of the watch of jobs, and opens the next watch. If the watch's revision has been compacted, the
+    /// leader steps down, and the next one loads all state.
     pub(super) fn on_job_watch(
         &mut self,
         outcome: StoreOutcome,
@@ -166,7 +167,7 @@
     }
 }
 
-/// The key after which the next page begins; none: this was the last page.
+/// The key after which the next page begins; `None` if this was the last page.
 fn last_key(page: &KeyPage) -> Option<String> {
     page.entries.last().filter(|_| page.has_next).map(|entry| entry.key.clone())
 }
--- a/crates/controller/src/controller/store_calls.rs
+++ b/crates/controller/src/controller/store_calls.rs
@@ -1,4 +1,4 @@
-//! Why each call to the state service was made, and the routing of its response to the part that made it.
+//! The purpose of each call to the state service, and the routing of its outcome to the code that made the call.
 
 use super::{Controller, RequestId};
 use crate::Time;
@@ -6,20 +6,21 @@
 use crate::store::{FinishedCall, StoreOutcome};
 use swiftsail_protocol::users::JobStatus;
 
-/// Why a call to the state service was made. `generation` is that of the leadership under which it was made
-/// ([`crate::leadership::Leadership`]); responses under a later one are dropped.
+/// The purpose of a call to the state service, with what its response handler needs. `generation` is the leadership
+/// generation in which the call was made ([`crate::leadership::Leadership::generation`]); an outcome that arrives in a
+/// later generation is dropped. `requested_at` is when the call was queued.
 #[derive(Debug, Clone, PartialEq)]
 #[allow(missing_docs)]
 pub enum CallContext {
     /// Read the keys under `term/`.
     ReadLeaderKey,
-    /// Watch them.
+    /// Watch the keys under `term/`.
     WatchLeaderKey,
-    /// Get a lease for an election.
+    /// Request a lease for an election.
     GrantLease { generation: u64, requested_at: Time },
-    /// Write the leader's key.
+    /// Write the leader's key in an election.
     AcquireLeadership { generation: u64 },
-    /// End a lease early.
+    /// Revoke a lease.
     RevokeLease,
     /// Renew the leader's lease.
     RenewLease { generation: u64, requested_at: Time },
@@ -33,25 +34,25 @@
     LoadBindings { generation: u64 },
     /// Watch the jobs, as the leader.
     WatchJobs { generation: u64, requested_at: Time },
-    /// Read what has changed of the jobs, as a leader whose watch is silent.
+    /// Poll for changes of jobs, as a leader whose watch has returned nothing for a while.
     ReadJobChanges { generation: u64, requested_at: Time },
-    /// Write chunks of a job, or its final record.
+    /// Write binding chunks of a job, or its final record.
     FlushJob { generation: u64, job: JobId },
     /// Read all binding log segments, as a new leader.
     LoadBindingLog { generation: u64 },
-    /// Write new bindings to the log.
+    /// Write new bindings to the binding log.
     WriteBindingLog { generation: u64 },
-    /// Read a key after a conflict of a log write.
+    /// Read a key whose precondition failed in a write of the binding log.
     ResolveBindingLog { generation: u64, key: String },
-    /// Read a job after a conflict of its chunks.
+    /// Read a job's record after a conflict of the job's transaction.
     ResolveJob { generation: u64, job: JobId },
-    /// Read a chunk after a conflict.
+    /// Read the chunk at this index of the job's transaction in flight, after a conflict of that transaction.
     ResolveChunk { generation: u64, job: JobId, index: usize },
-    /// Delete bindings of finished jobs.
+    /// Delete binding chunks of finished jobs.
     RemoveStaleBindings { generation: u64 },
     /// Move the final records of this many jobs to `end/`.
     ArchiveJobs { generation: u64, jobs: usize },
-    /// Read what has changed of the jobs, for the job cache.
+    /// Poll for changes of jobs, for the job cache.
     ReadCacheChanges,
     /// List the jobs, for the job cache.
     ListJobCache,
@@ -59,42 +60,43 @@
     ReadPlugins,
     /// Watch the plug-ins.
     WatchPlugins,
-    /// Write a plug-in, for an operator or to suspend it.
+    /// Write a plug-in, for an operator's request, or to suspend it (`request` is `None`).
     WritePlugin { request: Option<RequestId>, name: String },
     /// Read a page of jobs for an operator.
     ListJobs { request: RequestId },
-    /// Read the quota accounts; under this fencing token, or 0 as a follower.
+    /// Read the quota accounts, as the leader with this fencing token, or as a follower (0).
     ReadQuotaAccounts { token: u64 },
-    /// Write a page of the quota accounts; as a leader, under its generation.
+    /// Write a page of the quota accounts, as the leader of this generation or as a follower (`None`).
     TransferQuota { generation: Option<u64>, page: usize, transaction_id: (u64, u64) },
-    /// Read the replicated records; numbered, since pages of an earlier reading may still arrive.
+    /// Read the replicated records. The number identifies pages of an earlier read, which may still arrive.
     ReadRecords { read_number: u64 },
     /// Watch the replicated records.
     WatchRecords,
-    /// Read the outcome of a job that serves an occurrence of the deadline plan.
+    /// Read the outcome of a job that serves an occurrence of the deadline plan; `in_archive`: from the final records
+    /// under `end/`, otherwise from `job/`.
     ReadOccurrenceJob { job: JobId, in_archive: bool },
-    /// Read the outcome of a job that others depend on, as the leader.
+    /// Read the outcome of a job that others depend on, as the leader; `in_archive` as above.
     ReadDependency { generation: u64, job: JobId, in_archive: bool },
-    /// Read a dependency for a user's request.
+    /// Read a dependency for a user's request; `in_archive` as above.
     LookUpDependency { lookup: u64, job: JobId, in_archive: bool },
-    /// Record that every controller reads the current record format.
+    /// Write the record that every controller reads the current record format.
     RaiseFormatVersion,
     /// Read the replicated records, as a new leader.
     LoadRecords { generation: u64 },
     /// Write replicated records.
     WriteRecords { generation: u64, nonce: u64 },
-    /// Create a job.
+    /// Create the record of a submitted job.
     CreateJob { request: RequestId, job: JobId, status: JobStatus },
-    /// Read a job for the requests that wait for it.
+    /// Read a job's record for the requests that wait for it.
     ReadJob(JobId),
     /// Read a job's final record for the requests that wait for it.
     ReadFinalRecord(JobId),
-    /// Mark a job as cancelled, at this wall-clock time, ms.
+    /// Record that a job was cancelled at this wall-clock time, ms.
     CancelJob(JobId, u64),
 }
 
 impl CallContext {
-    /// The generation of the leadership under which the call was made; none: it belongs to no leadership.
+    /// The leadership generation in which the call was made; `None` if the call is not tied to one.
     pub(super) fn generation(&self) -> Option<u64> {
         use CallContext::*;
         match self {
@@ -123,11 +125,12 @@
     }
 }
 
-/// Why a leader steps down when a transaction conditional on its key conflicts. Told to event receivers of plug-ins.
+/// Reason for stepping down when a transaction fails its precondition on the leader's key. Sent to event receivers of
+/// plug-ins.
 pub(super) const DEPOSED: &str = "the store knows of another term";
 
 impl Controller {
-    /// Routes the response to a call, or its failure, to whoever made it. Responses to calls of an earlier leadership
+    /// Routes the outcome of a call to the code that made it. Outcomes of calls made in an earlier leadership generation
     /// are dropped.
     #[expect(clippy::too_many_lines, reason = "a flat match")]
     pub(super) fn on_store_response(&mut self, call: FinishedCall<CallContext>) {
@@ -204,22 +207,22 @@
         }
     }
 
-    /// A call about bindings ended: a write of the binding log or of a job's chunks, or a read after a conflict. A write
-    /// that conflicts with the leader's key shows that another controller leads.
+    /// Handles the outcome of a write of the binding log or of a job's records, or of a read after a conflict. Steps down
+    /// if a write failed its precondition on the leader's key: another controller has been elected.
     fn on_binding_response(&mut self, call: &FinishedCall<CallContext>) {
         let is_deposed = self.with_cluster_state(|state, context| match &call.context {
-            CallContext::FlushJob { job, .. } => state.on_flushed(job, call, context),
+            CallContext::FlushJob { job, .. } => state.on_job_flushed(job, call, context),
             CallContext::WriteBindingLog { .. } => state.on_binding_log_written(call, context),
             CallContext::ResolveBindingLog { key, .. } => {
-                state.on_binding_log_conflict_read(key, &call.outcome, context);
+                state.on_conflicting_log_key_read(key, &call.outcome, context);
                 false
             }
             CallContext::ResolveJob { job, .. } => {
-                state.on_resolve_job(job, &call.outcome, context);
+                state.on_conflicting_job_read(job, &call.outcome, context);
                 false
             }
             CallContext::ResolveChunk { job, index, .. } => {
-                state.on_resolve_chunk(job, *index, &call.outcome, context);
+                state.on_conflicting_chunk_read(job, *index, &call.outcome, context);
                 false
             }
             _ => false,
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,13 +1,13 @@
-//! The controller of swiftsail without I/O: an event and the time give a new state and actions. Nothing here reads a clock
-//! or draws random numbers that its seed does not give.
+//! The swiftsail controller as a deterministic state machine without I/O: it takes an event and the current time, and
+//! returns actions for a runtime to execute. Nothing here reads a clock, and all random choices derive from a seed.
 //!
-//! Layers, each of which uses only those above it in this list:
+//! Layers, each of which depends only on those above it in this list:
 //!
 //! - [`constants`], [`settings`], [`job`], [`machine`], [`completion_time`], [`leadership`], [`store`], [`cloud`],
 //!   [`cycle_policy`], [`quota_records`]: values, and clients as state machines
-//! - [`cluster_state`]: what the leader knows, with one function for every transition
-//! - [`placement`], [`fleet`]: read the cluster state and return plans
-//! - [`controller`]: one controller; it alone applies plans
+//! - [`cluster_state`]: the leader's model of the cluster, with one function for every transition
+//! - [`placement`], [`fleet`]: planners, which read the cluster state and return plans
+//! - [`controller`]: the controller itself; only it applies plans
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -27,5 +27,5 @@
 pub mod settings;
 pub mod store;
 
-/// Monotonic time of this process, ms.
+/// Monotonic clock of this process, ms.
 pub type Time = u64;
--- a/crates/simulation/src/simulation/event_handlers.rs
+++ b/crates/simulation/src/simulation/event_handlers.rs
@@ -51,7 +51,7 @@
                 }
                 self.processors[n] = SimulatedCpu::default();
                 let settings = Arc::new(settings);
-                let node = Controller::with_operator_file(
+                let node = Controller::with_operator_settings(
                     settings,
                     &self.operator,
                     self.rng.random(),
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -87,7 +87,7 @@
     ) -> ControllerActor {
         let started_at = Instant::now();
         let now = Now { monotonic: MONOTONIC_ORIGIN_MS, wall_clock: wall_clock_ms() };
-        let controller = Controller::with_operator_file(settings.clone(), operator, seed, now);
+        let controller = Controller::with_operator_settings(settings.clone(), operator, seed, now);
         ControllerActor {
             controller,
             settings,
--- a/tests/record_upgrade.rs
+++ b/tests/record_upgrade.rs
@@ -134,7 +134,7 @@
                 }
                 CallContext::FlushJob { .. } => {
                     chunks += 1;
-                    assert!(!tables.on_flushed(&JobId::from(JOB), &end, &mut ctx));
+                    assert!(!tables.on_job_flushed(&JobId::from(JOB), &end, &mut ctx));
                 }
                 other => panic!("{other:?}"),
             }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -206,7 +206,7 @@
                         assert!(!self.cluster_state.on_binding_log_written(&end, ctx!(self)))
                     }
                     CallContext::FlushJob { job, .. } => {
-                        assert!(!self.cluster_state.on_flushed(&job, &end, ctx!(self)));
+                        assert!(!self.cluster_state.on_job_flushed(&job, &end, ctx!(self)));
                     }
                     _ => {}
                 }
--- a/tests/stale_store_responses.rs
+++ b/tests/stale_store_responses.rs
@@ -110,7 +110,7 @@
     fn with_seed(operator: &OperatorSettings, seed: u64) -> SingleController {
         let now = Now { monotonic: START_MS, wall_clock: START_MS };
         let controller =
-            Controller::with_operator_file(controller_settings(0), operator, seed, now);
+            Controller::with_operator_settings(controller_settings(0), operator, seed, now);
         let limits = controller_settings(0).settings.state.clone();
         let limits =
             swiftsail_controller::settings::StoreSettings { rps: 1e6, write_rps: 1e6, ..limits };
