--- a/crates/controller/src/controller/archiving.rs
+++ b/crates/controller/src/controller/archiving.rs
@@ -1,5 +1,5 @@
-//! Garbage collection of records in the state service, at low priority: final records move from `job/` to `end/`, and
-//! bindings of finished jobs are deleted. A new leader would else list them for ever.
+//! Garbage collection of records in the state service, at low priority: final records are moved from `job/` to
+//! `end/`, and binding chunks of finished jobs are deleted. Otherwise every new leader would have to read them.
 
 use super::store_calls::DEPOSED;
 use super::{CallContext, Controller, chunks};
@@ -9,8 +9,8 @@
 use swiftsail_protocol::state::{Mutation, Precondition, Transaction};
 
 impl Controller {
-    /// Moves some final records, if none are being moved: when the store has nothing else to do for this controller, or
-    /// sooner if many wait.
+    /// Queues a transaction that moves some final records to `end/`, unless one is in flight. It is sent when this
+    /// controller has no other calls to the state service, or sooner if many records are waiting.
     pub(super) fn archive_finished_jobs(&mut self) {
         let Some(state) = &mut self.cluster_state else { return };
         if state.is_archiving || state.unarchived_jobs.is_empty() {
@@ -20,7 +20,7 @@
             0..ARCHIVE_BACKLOG => CallPriority::Background,
             _ => CallPriority::Low,
         };
-        // Each job takes two writes of the transaction.
+        // Each job needs two writes of the transaction.
         let batch = (self.settings.settings.state.txn_ops / 2).clamp(1, ARCHIVE_BATCH);
         let is_leader = Precondition { key: keys::LEADER.into(), mod_revision: state.token };
         let mut transaction = Transaction { preconditions: vec![is_leader], mutations: Vec::new() };
@@ -38,8 +38,9 @@
         self.store.push(call, context, priority, RetryPolicy::UntilDefinite);
     }
 
-    /// Final records were moved, or an earlier attempt without a response had moved them: only leaders do, and a final
-    /// record never changes. A job whose key is not named in the conflict is still where it was.
+    /// Handles the outcome of moving the final records of `jobs` jobs. Only leaders move them, and a final record
+    /// never changes, so a job whose key is named in a conflict was moved by an earlier attempt without a response.
+    /// The others of that transaction were not moved, and are queued again.
     pub(super) fn on_jobs_archived(&mut self, jobs: usize, outcome: &StoreOutcome) {
         let Some(state) = &mut self.cluster_state else { return };
         state.is_archiving = false;
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Deletes some bindings of finished jobs, if no other background call waits.
+    /// Queues the deletion of some binding chunks of finished jobs, unless another background call is queued.
     pub(super) fn collect_stale_bindings(&mut self) {
         let is_busy = self.store.queued()[CallPriority::Background as usize] > 0;
         let Some(state) = &mut self.cluster_state else { return };
--- a/crates/controller/src/controller/binding_log.rs
+++ b/crates/controller/src/controller/binding_log.rs
@@ -1,10 +1,11 @@
 //! Writing and reading of the binding log, in which new bindings of all jobs are committed, many in one transaction.
 //!
-//! The state service limits the number of writes per second, and a binding chunk belongs to a single job. If each job's
-//! chunk were written for each new binding, dozens of jobs that are bound at once would wait seconds for their writes. A
-//! log segment holds new bindings of any number of jobs and is written with one write. Later the bindings are compacted
-//! into the chunks of their jobs (`controller/chunks.rs`), and only then removed from the segment. A chunk names the
-//! latest attempt that it covers: a reader uses the chunk for attempts up to that one, and the log for later ones.
+//! The state service limits the number of writes per second, and a binding chunk belongs to a single job. If each
+//! job's chunk were written for each new binding, dozens of jobs that are bound at once would wait seconds for their
+//! writes. A log segment holds new bindings of any number of jobs and is written with one write. Later the bindings
+//! are compacted into the chunks of their jobs (`controller/chunks.rs`), and only then removed from the segment. A
+//! chunk names the latest attempt that it covers: a reader uses the chunk for attempts up to that one, and the log
+//! for later ones.
 
 use super::{CallContext, LeaderContext};
 use crate::Time;
@@ -26,8 +27,8 @@
 struct LogWrite {
     commit: Transaction,
     in_flight: InFlightLogWrite,
-    /// Jobs of which the transaction commits a new binding. Each needs a precondition that its record is unchanged, since
-    /// the job may have been cancelled.
+    /// Jobs of which the transaction commits a new binding. Each needs a precondition that its record is unchanged,
+    /// since the job may have been cancelled.
     jobs: BTreeSet<JobId>,
     /// Maximum number of such jobs.
     max_jobs: usize,
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Queues a transaction that commits all new bindings that fit in it, unless one is in flight or the last one was sent
-    /// too recently.
+    /// Queues a transaction that commits all new bindings that fit in it, unless one is in flight or the last one was
+    /// sent too recently.
     pub fn write_binding_log(&mut self, ctx: &mut LeaderContext) {
         if self.binding_log.in_flight.is_some() || ctx.now < self.binding_log.next_write_at {
             return;
@@ -294,8 +295,8 @@
         }
     }
 
-    /// Whether a binding may be included in the transaction. A new binding needs a precondition on its job, and must wait
-    /// for the next transaction if none is left in this one.
+    /// Whether a binding may be included in the transaction. A new binding needs a precondition on its job, and must
+    /// wait for the next transaction if none is left in this one.
     fn admit(&mut self, id: &TaskId, attempt: &Attempt) -> bool {
         if attempt.phase() != AttemptPhase::Committing {
             return true;
--- a/crates/controller/src/controller/capacity.rs
+++ b/crates/controller/src/controller/capacity.rs
@@ -1,5 +1,5 @@
-//! What these controllers can afford: the bounds of a scheduling cycle and the number of machines that they can manage,
-//! given their processor, memory and connections.
+//! Capacity of the controllers: the bounds of a scheduling cycle, and the number of machines that the controllers can
+//! manage with their processors, memory and connections.
 
 use super::Controller;
 use crate::cluster_state::{ClusterState, ProvisioningRequest};
@@ -13,17 +13,18 @@
 use swiftsail_overload_control::constants::MAX_MACHINE_LOAD;
 use swiftsail_overload_control::fleet_limit::{FleetLimit, max_machines};
 
-/// Evaluations of a target for one job in a cycle: once, and again if it did not pass the threshold.
+/// Maximum number of evaluations of a target for one job in a cycle: a second one follows if the first did not pass
+/// the pruning threshold.
 const EVALUATIONS_PER_TARGET: f64 = 2.0;
 
 impl Controller {
-    /// Machines that the leader manages; 0 for a follower.
+    /// Number of machines that the leader manages; 0 for a follower.
     pub(super) fn machine_count(&self) -> usize {
         self.cluster_state.as_ref().map_or(0, |state| state.machines.len())
     }
 
-    /// Bounds of the next scheduling cycle. Hundreds of jobs of one task at thousands of run queues once took longer
-    /// than the leader's lease lasts.
+    /// Bounds of the next scheduling cycle. Without them, hundreds of single-task jobs with thousands of run queues
+    /// to choose from took longer than the leader's lease lasts.
     pub(super) fn cycle_bounds(&self) -> CycleBounds {
         let machines = self.machine_count();
         let queued_jobs =
@@ -42,15 +43,15 @@
             max_queue_joins: self.load_level.scaled_work(CYCLE_QUEUED_MAX),
             max_jobs_per_level: jobs.max(CYCLE_JOBS_MIN),
             max_queues: queues,
-            is_fleet_near_limit: self.machines_left() < RENT_BATCH_MAX as usize,
+            is_fleet_near_limit: self.machine_headroom() < RENT_BATCH_MAX as usize,
         }
     }
 
-    /// How many machines these controllers can manage, and what limits it.
+    /// The number of machines that the controllers together can manage, and the resource that limits it.
     pub(super) fn max_machines(&self) -> (usize, FleetLimit) {
         let now = self.now.monotonic;
-        let is_heard = |heard_at: crate::Time| now.saturating_sub(heard_at) <= HEARTBEAT_FRESH_MS;
-        let peers = self.peers.values().filter(|peer| is_heard(peer.health.heard_at));
+        let is_fresh = |heard_at: crate::Time| now.saturating_sub(heard_at) <= HEARTBEAT_FRESH_MS;
+        let peers = self.peers.values().filter(|peer| is_fresh(peer.health.heard_at));
         let peer_loads = peers.filter_map(|peer| peer.baseline_load);
         let loads: Vec<f64> = peer_loads.chain(self.cpu.baseline_load()).collect();
         let controllers = self.settings.controllers();
@@ -61,8 +62,8 @@
         max_machines(self.machine_count(), &loads, estimate, controllers, connections, by_memory)
     }
 
-    /// Machines that may still be provisioned.
-    fn machines_left(&self) -> usize {
+    /// Number of machines that may still be provisioned.
+    fn machine_headroom(&self) -> usize {
         let Some(state) = &self.cluster_state else { return 0 };
         let is_terminating =
             |machine: &&crate::machine::Machine| machine.state() == MachineState::Terminating;
@@ -73,27 +74,34 @@
         self.max_machines().0.saturating_sub(expected)
     }
 
-    /// Whether there are more machines than these controllers can manage: idle ones are then terminated at once.
-    pub(super) fn is_crowded(&self) -> bool {
+    /// Whether there are more machines than the controllers can manage. Idle machines are then terminated at once.
+    pub(super) fn fleet_exceeds_limit(&self) -> bool {
         self.cluster_state.is_some() && self.machine_count() > self.max_machines().0
     }
 
-    /// Cuts provisioning requests to what these controllers can manage. They come in order of preference.
+    /// Reduces provisioning requests to the number of machines that the controllers can still manage. Requests that
+    /// come first take precedence.
     pub(super) fn limit_to_headroom(&mut self, requests: &mut Vec<ProvisioningRequest>) {
-        let wanted: usize = requests.iter().map(|request| request.number as usize).sum();
-        let mut left = self.machines_left();
-        if wanted <= left {
+        let requested: usize = requests.iter().map(|request| request.number as usize).sum();
+        let mut headroom = self.machine_headroom();
+        if requested <= headroom {
             return;
         }
-        let (most, bound) = self.max_machines();
+        let (max_machines, limit) = self.max_machines();
         let now = self.now.monotonic;
         if now >= self.scale_out_limit_logged_at + STATUS_MS {
             self.scale_out_limit_logged_at = now;
-            tracing::warn!(wanted, left, most, ?bound, "scale out limited by controller capacity");
+            tracing::warn!(
+                wanted = requested,
+                left = headroom,
+                most = max_machines,
+                bound = ?limit,
+                "scale out limited by controller capacity"
+            );
         }
         for request in requests.iter_mut() {
-            request.number = request.number.min(left as u32);
-            left -= request.number as usize;
+            request.number = request.number.min(headroom as u32);
+            headroom -= request.number as usize;
         }
         requests.retain(|request| request.number > 0);
     }
--- a/crates/controller/src/controller/chunks.rs
+++ b/crates/controller/src/controller/chunks.rs
@@ -1,6 +1,6 @@
 //! Writing and reading of a job's durable records: its binding chunks and its final record. New bindings are first
-//! committed in the binding log (`controller/binding_log.rs`) and compacted into chunks later. Each job has at most one
-//! transaction in flight. After a conflict, the records are read to find out whether the transaction was applied.
+//! committed in the binding log (`controller/binding_log.rs`) and compacted into chunks later. Each job has at most
+//! one transaction in flight. After a conflict, the records are read to find out whether the transaction was applied.
 
 use super::{CallContext, LeaderContext};
 use crate::Time;
@@ -49,9 +49,9 @@
         }
     }
 
-    /// Queues the writes that are due: final records of finished jobs in order of priority, then the chunks that have been
-    /// dirty for the longest time. Only a few chunk writes are queued at once, so that each contains the latest state when
-    /// it is sent.
+    /// Queues the writes that are due: final records of finished jobs in order of priority, then the chunks that have
+    /// been dirty for the longest time. Only a few chunk writes are queued at once, so that each contains the latest
+    /// state when it is sent.
     pub fn flush_all(&mut self, ctx: &mut LeaderContext) {
         let now = ctx.now;
         self.mark_chunks_for_compaction(now);
@@ -85,10 +85,10 @@
         }
     }
 
-    /// If the binding log is large, marks the chunks dirty into which its oldest bindings are to be compacted. In a smaller
-    /// log a binding stays until its task ends, so that a job of one short task needs no chunk at all. Chunks that would
-    /// gain only a few bindings are left out: with hundreds of such jobs, each would cost a write and delay final records
-    /// and new bindings.
+    /// If the binding log is large, marks the chunks dirty into which its oldest bindings are to be compacted. In a
+    /// smaller log a binding stays until its task ends, so that a job of one short task needs no chunk at all. Chunks
+    /// that would gain only a few bindings are left out: with hundreds of such jobs, each would cost a write and
+    /// delay final records and new bindings.
     fn mark_chunks_for_compaction(&mut self, now: Time) {
         let mut by_chunk: HashMap<(&JobId, u32), CompactionCandidate> = HashMap::new();
         for (id, task) in self.binding_log.beyond(BINDING_LOG_KEPT) {
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Queues a job's transaction: its final record if it is finished, otherwise its dirty chunks. Does nothing while a
-    /// transaction of the job is in flight.
+    /// Queues a job's transaction: its final record if it is finished, otherwise its dirty chunks. Does nothing while
+    /// a transaction of the job is in flight.
     fn flush(&mut self, id: &JobId, ctx: &mut LeaderContext) {
         self.write_number += 1;
         let Some(job) = self.jobs.get(id) else { return };
@@ -160,9 +160,9 @@
         ctx.store.push(call, call_context, priority, RetryPolicy::UntilDefinite);
     }
 
-    /// Adds a job's final record to its transaction. The record replaces the job's record under the same key, so that one
-    /// write is enough. It is moved to its key under `end/`, and the job's chunks are deleted, later at low priority
-    /// (`controller/archiving.rs`).
+    /// Adds a job's final record to its transaction. The record replaces the job's record under the same key, so that
+    /// one write is enough. It is moved to its key under `end/`, and the job's chunks are deleted, later at low
+    /// priority (`controller/archiving.rs`).
     fn add_final_record(
         &mut self,
         id: &JobId,
@@ -178,8 +178,8 @@
         job.advance(JobState::Closing, ctx.now);
     }
 
-    /// Adds a job's dirty chunks to its transaction, those dirty for the longest time first, as many as fit. Bindings that
-    /// do not fit in their chunk are returned to the binding log, and the chunk is skipped.
+    /// Adds a job's dirty chunks to its transaction, those dirty for the longest time first, as many as fit. Bindings
+    /// that do not fit in their chunk are returned to the binding log, and the chunk is skipped.
     fn add_chunks(
         &mut self,
         id: &JobId,
@@ -245,8 +245,8 @@
                 if failed.iter().any(|key| key == keys::LEADER) {
                     return true;
                 }
-                // Either another controller changed a record, or an earlier attempt of this write was applied: the job's
-                // record shows which.
+                // Either another controller changed a record, or an earlier attempt of this write was applied: the
+                // job's record shows which.
                 let call_context =
                     CallContext::ResolveJob { generation: self.generation, job: id.clone() };
                 read_key(keys::job(id), call_context, ctx);
@@ -259,8 +259,8 @@
         false
     }
 
-    /// Handles the read of a job's record after a conflict, and reads the first chunk of the transaction unless the record
-    /// settles its outcome.
+    /// Handles the read of a job's record after a conflict, and reads the first chunk of the transaction unless the
+    /// record settles its outcome.
     pub fn on_conflicting_job_read(
         &mut self,
         id: &JobId,
@@ -296,8 +296,9 @@
         read_key(chunk_key(id, chunk), call_context, ctx);
     }
 
-    /// Handles the read of a chunk after a conflict. If the chunk holds this transaction's write number, the transaction
-    /// was applied; otherwise the next chunk is read, and after the last one the transaction counts as not applied.
+    /// Handles the read of a chunk after a conflict. If the chunk holds this transaction's write number, the
+    /// transaction was applied; otherwise the next chunk is read, and after the last one the transaction counts as
+    /// not applied.
     pub fn on_conflicting_chunk_read(
         &mut self,
         id: &JobId,
@@ -328,8 +329,8 @@
         }
     }
 
-    /// Applies the definite outcome of a job's transaction: committed at this revision, or not applied (`None`). If it was
-    /// not applied, its bindings stay in the binding log.
+    /// Applies the definite outcome of a job's transaction: committed at this revision, or not applied (`None`). If
+    /// it was not applied, its bindings stay in the binding log.
     fn settle(&mut self, id: &JobId, committed: Option<u64>, ctx: &mut LeaderContext) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(in_flight) = job.in_flight.take() else { return };
@@ -367,8 +368,8 @@
         self.on_dependency_finished(id, outcome, ctx.now, ctx.wall_clock);
     }
 
-    /// Handles the commit of chunks: the binding log drops the bindings that the chunks now hold, and tasks that they record
-    /// as done give up their attempts and machines.
+    /// Handles the commit of chunks: the binding log drops the bindings that the chunks now hold, and tasks that they
+    /// record as done give up their attempts and machines.
     fn on_chunks_committed(
         &mut self,
         id: &JobId,
@@ -401,8 +402,8 @@
     }
 }
 
-/// Dirty chunks that may be written now, those dirty for the longest time first. A chunk has to wait while a binding that
-/// was returned to the log is not committed there, since the chunk would be written without it.
+/// Dirty chunks that may be written now, those dirty for the longest time first. A chunk has to wait while a binding
+/// that was returned to the log is not committed there, since the chunk would be written without it.
 fn writable_chunks(id: &JobId, job: &Job, binding_log: &BindingLog) -> Vec<u32> {
     let may_be_written =
         |chunk: &u32| !job.tasks_in_chunk(*chunk).any(|task| binding_log.awaits_commit(id, task));
@@ -425,8 +426,8 @@
     job.done.len() as u32 + completed as u32
 }
 
-/// The final state of a finished job; `None` if the job is not finished or already closed. A cancelled job is finished
-/// once none of its attempts can be running any more.
+/// The final state of a finished job; `None` if the job is not finished or already closed. A cancelled job is
+/// finished once none of its attempts can be running any more.
 fn final_state(job: &Job) -> Option<FinalState> {
     if job.state() == JobState::Closed {
         return None;
--- a/crates/controller/src/controller/cpu_accounting.rs
+++ b/crates/controller/src/controller/cpu_accounting.rs
@@ -1,8 +1,8 @@
-//! Processor accounting: what the controller's work costs, and what it does less of when it falls behind.
+//! Processor accounting: the load that the controller's work causes, and its load level.
 //!
-//! A controller may have a small share of a core. Where the platform measures what the process uses, that counts; else
-//! the cost of each event is estimated from measured costs by kind. The result bounds scheduling cycles and the number of
-//! machines that the controllers can manage.
+//! A controller may have only a small share of a core. If the platform measures the processor time of the process,
+//! those measurements are used; otherwise the cost of each event is estimated by its kind. The results bound
+//! scheduling cycles and the number of machines that the controllers can manage.
 
 use super::{Controller, Event};
 use crate::Time;
@@ -16,7 +16,7 @@
 use swiftsail_overload_control::load_level::LoadLevel;
 use swiftsail_protocol::controllers::ForwardedReport;
 
-/// Costs of this process since it began, us of a whole core, at one time.
+/// Estimated costs from the start of the process to the time `at`, us of a whole core.
 #[derive(Debug, Clone, Copy)]
 struct CostSnapshot {
     at: Time,
@@ -27,24 +27,24 @@
 /// Processor time used by this controller.
 #[derive(Debug)]
 pub(super) struct CpuAccounting {
-    /// Share of a core that the platform gives.
+    /// Number of cores, usually a fraction of one, that the platform gives this controller.
     cores: f64,
-    /// Smoothed load, as a part of that share.
+    /// Smoothed load, as a fraction of `cores`.
     load: CpuLoad,
-    /// The part of the load that machines cost, whatever is placed on them.
+    /// Smoothed load without scheduling cycles, as a fraction of `cores`.
     baseline_load: CpuLoad,
-    /// When the platform last measured what the process uses.
+    /// When the platform last measured the processor time of the process.
     measured_at: Time,
     /// Estimated cost of events so far, us of a whole core.
     events_us: f64,
     /// Estimated cost of scheduling cycles so far, us of a whole core.
     cycles_us: f64,
-    /// The costs when the load was last sampled.
+    /// Costs at the time of the last load sample.
     sampled: CostSnapshot,
 }
 
 impl CpuAccounting {
-    /// Nothing used yet, on this share of a core.
+    /// Starts accounting at `now` for a controller with this number of cores.
     pub fn new(cores: f64, now: Time) -> CpuAccounting {
         CpuAccounting {
             cores,
@@ -57,38 +57,39 @@
         }
     }
 
-    /// Load as a part of the platform's share; none: not known yet.
+    /// Smoothed load, as a fraction of the processor time available; `None` until it is known.
     pub fn load(&self) -> Option<f64> {
         self.load.share()
     }
 
-    /// The part of the load that machines cost; none: not known yet.
+    /// Smoothed load without scheduling cycles, as a fraction of the processor time available; `None` until it is
+    /// known.
     pub fn baseline_load(&self) -> Option<f64> {
         self.baseline_load.share()
     }
 
-    /// Estimated cost so far, us of a whole core.
+    /// Estimated cost of all events and scheduling cycles so far, us of a whole core.
     pub fn total_us(&self) -> f64 {
         self.events_us + self.cycles_us
     }
 
-    /// Processor time that the platform gives within this time, us of a whole core.
+    /// Processor time available within `over_ms`, us of a whole core.
     pub fn available_us(&self, over_ms: u64) -> f64 {
         over_ms as f64 * MS_PER_S * self.cores
     }
 
-    /// Charges a scheduling cycle, us of a whole core.
+    /// Adds the estimated cost of a scheduling cycle, us of a whole core.
     pub fn charge_cycle(&mut self, cost_us: f64) {
         self.cycles_us += cost_us;
     }
 
-    /// Charges an event by the measured cost of its kind. `machines`: how many the leader manages.
+    /// Adds the estimated cost of an event. `machines`: the number of machines that the leader manages.
     pub fn charge_event(&mut self, event: &Event, machines: usize) {
         self.events_us += event_cost_us(event, machines);
     }
 
-    /// The platform measured this much use within this time. More than the share allows is not processor time: some
-    /// platforms answer that clock with the monotonic time.
+    /// Records a measurement of the platform: the process used `used_us` within `over_ms`. A value far above the
+    /// processor time available is ignored: some platforms return monotonic time for the process's CPU clock.
     fn on_measurement(&mut self, used_us: u64, over_ms: u64, now: Time) {
         if used_us as f64 <= self.available_us(over_ms) * SHARE_BELIEVED {
             self.measured_at = now;
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Where the platform does not measure, the load is sampled from estimated costs. Called with every tick.
+    /// Samples the load from estimated costs, if the platform has not measured it for a while. Called at every tick.
     fn sample_estimate(&mut self, now: Time) {
         let over_ms = now.saturating_sub(self.sampled.at);
         if over_ms >= DELAY_INTERVAL_MS && now >= self.measured_at + LOAD_SMOOTHING_MS as u64 {
@@ -106,7 +107,8 @@
         }
     }
 
-    /// Scheduling cycles make do with what is left, so they are not part of the baseline.
+    /// Records a load sample of `used_us` within `over_ms`. Scheduling cycles adapt to the processor time that is
+    /// left, so the baseline excludes them.
     fn sample(&mut self, used_us: f64, over_ms: u64, now: Time) {
         let cycles_us = self.cycles_us - self.sampled.cycles_us;
         self.sampled =
@@ -125,14 +127,14 @@
             REPORT_US + report.tasks.len() as f64 * TASK_STATUS_US
         }
         Event::ForwardedReports(_, batch) => {
-            let shards = batch.reports.iter().map(|p| match p {
+            let entries = batch.reports.iter().map(|report| match report {
                 ForwardedReport::Full { report, .. } => 1 + report.tasks.len(),
                 ForwardedReport::Unchanged { .. } => 1,
             });
-            let shards: usize = shards.sum();
-            let each =
-                batch.reports.len() as f64 * FORWARDED_REPORT_US + shards as f64 * TASK_STATUS_US;
-            CALL_US + each + batch.locally_answered.len() as f64 * UNCHANGED_MACHINE_US
+            let entries: usize = entries.sum();
+            let reports_us =
+                batch.reports.len() as f64 * FORWARDED_REPORT_US + entries as f64 * TASK_STATUS_US;
+            CALL_US + reports_us + batch.locally_answered.len() as f64 * UNCHANGED_MACHINE_US
         }
         Event::ForwardedAnswers(_, Some(answers)) => {
             CALL_US + answers.commands.len() as f64 * TASK_STATUS_US
@@ -146,28 +148,28 @@
 }
 
 impl Controller {
-    /// Samples the load at a tick. How late the tick is shows how long work waits for the processor.
+    /// Updates load and load level at a tick. The tick's delay shows how long work waits for the processor.
     pub(super) fn update_load_level(&mut self, now: Time) {
-        let due = self.last_tick_at + TICK_MS;
+        let due_at = self.last_tick_at + TICK_MS;
         self.cpu.sample_estimate(now);
         let is_first = std::mem::replace(&mut self.last_tick_at, now) == 0;
-        if !is_first && self.load_level.record_delay(now.saturating_sub(due), now) {
+        if !is_first && self.load_level.record_delay(now.saturating_sub(due_at), now) {
             let level = self.load_level.level();
             tracing::info!(?level, load = ?self.cpu.load(), "load level changed");
         }
     }
 
-    /// How far this controller is behind its work. Admission control sheds load by it.
+    /// The current load level. Admission control sheds requests according to it.
     pub fn load_level(&self) -> LoadLevel {
         self.load_level.level()
     }
 
-    /// The platform measured the processor time used: us of a whole core, within this time, ms.
+    /// Handles a measurement of the platform: the process used `used_us` (us of a whole core) within `over_ms`.
     pub(super) fn on_cpu_usage(&mut self, used_us: u64, over_ms: u64) {
         self.cpu.on_measurement(used_us, over_ms, self.now.monotonic);
     }
 
-    /// Estimated processor time used since the process began, us of a whole core.
+    /// Estimated processor time used since the process started, us of a whole core.
     pub fn cost_us(&self) -> f64 {
         self.cpu.total_us()
     }
--- a/crates/controller/src/controller/fleet_management.rs
+++ b/crates/controller/src/controller/fleet_management.rs
@@ -1,5 +1,5 @@
-//! The leader's machines: scale out and in, liveness probes, drains. Plans come from `placement` and `fleet`; this
-//! module applies them to the cluster state and is the only one that asks the cloud for machines.
+//! The leader's fleet of machines: scale-out, scale-in, draining and liveness probes. `placement` and `fleet` plan;
+//! this module applies their plans to the cluster state, and is the only one that requests machines from the cloud.
 
 use super::{Action, Controller};
 use crate::Time;
@@ -14,8 +14,9 @@
 use swiftsail_failure_detector::ProbeOutcome;
 use swiftsail_protocol::workers::StatusReport;
 
-/// Queues provisioning requests, in the given order. A request of the same offer that has not been sent yet is enlarged
-/// instead, since the cloud's calls a second are few.
+/// Queues provisioning requests for the cloud, in the given order. If a request for the same offer (type, zone, spot)
+/// has not been sent yet, its number of machines is increased instead, since the cloud accepts few calls per second.
+/// Requests above the batch size of the cloud's protocol are split.
 pub fn enqueue_provisioning(
     state: &mut ClusterState,
     cloud: &mut CloudClient,
@@ -25,25 +26,25 @@
     for request in requests {
         let mut remaining = request.number;
         for (request_id, open) in state.provisioning.unsent_requests(&request) {
-            let more = remaining.min(RENT_BATCH_MAX.saturating_sub(open.request.number));
-            if more > 0 && cloud.enlarge_queued_request(request_id, open.request.number + more) {
-                open.request.number += more;
-                remaining -= more;
+            let added = remaining.min(RENT_BATCH_MAX.saturating_sub(open.request.number));
+            if added > 0 && cloud.enlarge_queued_request(request_id, open.request.number + added) {
+                open.request.number += added;
+                remaining -= added;
             }
         }
         while remaining > 0 {
             let number = remaining.min(RENT_BATCH_MAX);
             remaining -= number;
             tracing::info!(kind = %request.kind, zone = %request.zone, spot = request.spot, number, "scale out");
-            let part = ProvisioningRequest { number, ..request.clone() };
-            let request_id = state.provisioning.open_request(state.token, part.clone(), now);
-            cloud.enqueue(CloudCall::Provision(part.to_wire(&request_id)));
+            let batch = ProvisioningRequest { number, ..request.clone() };
+            let request_id = state.provisioning.open_request(state.token, batch.clone(), now);
+            cloud.enqueue(CloudCall::Provision(batch.to_wire(&request_id)));
         }
     }
 }
 
-/// Plans and applies what the fleet needs. Called with every tick of the leader. `store_answers`: the store has
-/// responded within the time of a lease. Returns the machines to probe.
+/// Plans changes of the fleet and applies them. Called at every tick of the leader. `store_answers`: the state
+/// service has responded within the time to live of the leader's lease. Returns the machines to probe.
 pub fn update_fleet(
     state: &mut ClusterState,
     cloud: &mut CloudClient,
@@ -69,7 +70,7 @@
     to_probe
 }
 
-/// Asks the cloud for its machines and types where the plan wants them.
+/// Requests the cloud's lists of machines and machine types, as far as the plan asks for them.
 fn refresh_cloud_inventory(
     state: &mut ClusterState,
     cloud: &mut CloudClient,
@@ -87,7 +88,8 @@
     }
 }
 
-/// Marks machines and tasks as the plan says.
+/// Applies a plan to the cluster state: marks machines for termination, requests stops of tasks and changes the
+/// states of machines.
 fn apply_fleet_plan(state: &mut ClusterState, plan: FleetPlan, now: Time) {
     for (id, reason) in plan.returns {
         let is_unreachable =
@@ -113,8 +115,8 @@
     }
 }
 
-/// Queues termination requests for marked machines. Urgent ones are not queued a second time while a request waits to
-/// be sent.
+/// Queues termination requests for the machines that are marked for it. Urgent ones are added only if no termination
+/// request is waiting to be sent.
 fn terminate_machines(state: &mut ClusterState, cloud: &mut CloudClient, now: Time) {
     let urgent = if cloud.has_queued_return() {
         Vec::new()
@@ -130,13 +132,13 @@
 }
 
 impl Controller {
-    /// Manages the leader's machines. Called with every tick.
+    /// Manages the fleet and sends liveness probes. Called at every tick of the leader.
     pub(super) fn manage_fleet(&mut self) {
         let now = self.now.monotonic;
-        let is_crowded = self.is_crowded();
+        let exceeds_limit = self.fleet_exceeds_limit();
         let reachable_zones = self.reachable_zones();
         let Some(state) = &mut self.cluster_state else { return };
-        if is_crowded {
+        if exceeds_limit {
             self.job_policies.idle_timeout_ms = 0;
         }
         state.reachable_zones = reachable_zones;
@@ -153,7 +155,7 @@
         for id in update_fleet(state, &mut self.cloud, context, store_answers) {
             let machine = state.machines.get_mut(&id);
             let Some(machine) = machine.filter(|m| !m.address.is_empty()) else {
-                // Not in the machine list yet: there is no address to probe.
+                // Not in the machine list yet, so its address is unknown.
                 state.on_probed(&id, ProbeOutcome::Refused, None, now);
                 continue;
             };
@@ -164,39 +166,39 @@
         }
     }
 
-    /// Zones in which a controller is heard, this one's own among them.
+    /// Zones with a controller whose heartbeats arrive, this controller's own zone included.
     fn reachable_zones(&self) -> std::collections::BTreeSet<String> {
         let now = self.now.monotonic;
-        let is_heard = |name: &String| {
+        let is_reachable = |name: &String| {
             let peer = self.peers.get(name);
             peer.is_some_and(|p| now.saturating_sub(p.health.heard_at) <= HEARTBEAT_FRESH_MS)
         };
-        let others = self.settings.others.iter().filter(|other| is_heard(&other.host_name));
+        let others = self.settings.others.iter().filter(|other| is_reachable(&other.host_name));
         let own = std::iter::once(&self.settings.site);
         others.map(|other| &other.site).chain(own).cloned().collect()
     }
 
-    /// A probe of a machine ended, with or without an answer.
+    /// Handles the end of a probe of a machine, with or without an answer.
     pub(super) fn on_probe_finished(
         &mut self,
         id: &MachineId,
-        probe: ProbeOutcome,
+        outcome: ProbeOutcome,
         report: Option<Box<StatusReport>>,
     ) {
-        // Where a probe of an earlier leadership is open, it cannot be told which of the two this answers. Its report
-        // then counts as any report, and proves nothing about the worker's restart.
-        let is_ambiguous = self.closes_previous_term_probe(id);
+        // While a probe of an earlier term is open, it is unknown which of the probes this answers. The report then
+        // counts like any other report, and is no evidence of a restart of the worker.
+        let is_ambiguous = self.close_previous_term_probe(id);
         if !is_ambiguous && let Some(state) = &mut self.cluster_state {
-            state.on_probed(id, probe, report.as_deref(), self.now.monotonic);
+            state.on_probed(id, outcome, report.as_deref(), self.now.monotonic);
         }
-        tracing::debug!(machine = %id, ?probe, "machine probed");
+        tracing::debug!(machine = %id, probe = ?outcome, "machine probed");
         if let Some(report) = report {
             self.on_command_response(&report);
         }
     }
 
-    /// Whether a probe of this machine that an earlier leadership sent is open; if so, one of them is closed.
-    fn closes_previous_term_probe(&mut self, id: &MachineId) -> bool {
+    /// Counts one probe of this machine from an earlier term as finished, if one is open. Returns whether one was.
+    fn close_previous_term_probe(&mut self, id: &MachineId) -> bool {
         let Some(open) = self.previous_term_probes.get_mut(id) else { return false };
         *open -= 1;
         if *open == 0 {
@@ -205,7 +207,7 @@
         true
     }
 
-    /// A call to the cloud ended, with or without a response.
+    /// Handles the outcome of a call to the cloud.
     pub(super) fn on_cloud_response(&mut self, call: &CloudCall, outcome: &CloudOutcome) {
         self.cloud.on_outcome(outcome, self.now.monotonic);
         if let CloudOutcome::Types(types) = outcome {
@@ -216,14 +218,15 @@
             self.pending_terminations.on_terminated(names);
         }
         let Some(state) = &mut self.cluster_state else { return };
-        let retry = apply_cloud_outcome(state, call, outcome, self.now.monotonic);
-        if let Some(retry) = retry {
-            self.cloud.enqueue(retry);
+        let next_call = apply_cloud_outcome(state, call, outcome, self.now.monotonic);
+        if let Some(next_call) = next_call {
+            self.cloud.enqueue(next_call);
         }
     }
 }
 
-/// Applies the outcome of a call to the cluster state. Returns the call to make next, if any.
+/// Applies the outcome of a cloud call to the cluster state. Returns the follow-up call, if any: a retry, or the next
+/// page of a list.
 fn apply_cloud_outcome(
     state: &mut ClusterState,
     call: &CloudCall,
@@ -237,7 +240,7 @@
         (CloudCall::Provision(request), CloudOutcome::NoCapacity | CloudOutcome::Malformed(_)) => {
             state.on_provisioning_refused(&request.request_id, now);
         }
-        // Idempotent: if the request was served, the same id gets the same machines.
+        // A retry is safe: a request that was already served returns the same machines for the same request id.
         (CloudCall::Provision(request), _) => {
             return state.provisioning.mark_unanswered(&request.request_id).then(|| call.clone());
         }
--- a/crates/controller/src/controller/leadership.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -1,7 +1,8 @@
 //! Leader election: reading and watching the leader's key, campaigning for it, and stepping down.
 //!
-//! The leader's key is attached to a lease. The controller that creates it by compare-and-swap becomes the leader, and
-//! the key's modification revision is its fencing token. `state_loading` then reads the state that it needs to lead.
+//! The leader's key is attached to a lease. The controller that creates it by compare-and-swap becomes the leader,
+//! and the key's modification revision is its fencing token. `state_loading` then reads the state that it needs to
+//! lead.
 
 use super::{Action, CallContext, Controller, store_rates};
 use crate::Time;
@@ -145,9 +146,9 @@
             && self.leadership.phase() == LeadershipPhase::Unknown
     }
 
-    /// Prepares an election that replaces the key of an earlier process with the same host name. A process that restarts
-    /// quickly finds that key still attached to a live lease. Instead of waiting for the lease to expire, it replaces the
-    /// key, under a lease and token of its own, on condition that the key is unchanged.
+    /// Prepares an election that replaces the key of an earlier process with the same host name. A process that
+    /// restarts quickly finds that key still attached to a live lease. Instead of waiting for the lease to expire, it
+    /// replaces the key, under a lease and token of its own, on condition that the key is unchanged.
     fn replace_predecessor(&mut self, mod_revision: u64) {
         self.leadership.observe_token(mod_revision);
         self.leadership.replaced_revision = mod_revision;
@@ -174,15 +175,15 @@
         let record = &key.record;
         let is_own =
             record.node == self.settings.host_name && record.incarnation == self.incarnation;
-        // Only a key written by the current election makes this controller the leader. With the key of an earlier election,
-        // applied or read late, it would lead under a token that workers have already seen, or lose leadership again at
-        // the expiry of a lease that it does not renew.
+        // Only a key written by the current election makes this controller the leader. With the key of an earlier
+        // election, applied or read late, it would lead under a token that workers have already seen, or lose
+        // leadership again at the expiry of a lease that it does not renew.
         if is_own && self.leadership.phase() == LeadershipPhase::Acquiring(record.lease) {
             self.on_leadership_acquired(key.mod_revision);
             return;
         }
-        // No controller leads by a key of an earlier election of this process. Revoking its lease saves the others the wait
-        // for its expiry.
+        // No controller leads by a key of an earlier election of this process. Revoking its lease saves the others
+        // the wait for its expiry.
         let is_current = self.leadership.holds_key() && self.leadership.lease == record.lease;
         if is_own && !is_current {
             self.revoke_lease(record.lease);
@@ -236,8 +237,8 @@
     fn on_election_response(&mut self, outcome: StoreOutcome) {
         match outcome {
             StoreOutcome::Committed(revision) => self.on_leadership_acquired(revision),
-            // The write may have been applied, which reading the key shows. If the key is missing, the lease is left to
-            // expire, and the next election uses a new one.
+            // The write may have been applied, which reading the key shows. If the key is missing, the lease is left
+            // to expire, and the next election uses a new one.
             StoreOutcome::Unknown => {
                 self.read_leader_key();
                 self.on_election_failed();
@@ -256,8 +257,8 @@
         }
     }
 
-    /// Handles the success of an election: the leader's key was written at revision `token`. This controller leads once it
-    /// has loaded the state.
+    /// Handles the success of an election: the leader's key was written at revision `token`. This controller leads
+    /// once it has loaded the state.
     fn on_leadership_acquired(&mut self, token: u64) {
         let now = self.now.monotonic;
         self.leadership.token = token;
--- a/crates/controller/src/controller/machine_types.rs
+++ b/crates/controller/src/controller/machine_types.rs
@@ -1,4 +1,5 @@
-//! The cloud's machine types: learnt from the cloud, and stored for controllers that start while the cloud is down.
+//! The machine types that the cloud offers: read from the cloud, and stored in the state service for controllers that
+//! start while the cloud is unavailable.
 
 use super::{CallContext, Controller, chunks};
 use crate::constants::CLOUD_TYPES_MS;
@@ -10,7 +11,7 @@
 use swiftsail_protocol::state::{Precondition, Transaction};
 
 impl Controller {
-    /// Machine types were read; an empty list counts as none.
+    /// Replaces the known machine types. An empty list is ignored.
     pub(super) fn set_machine_types(&mut self, types: &MachineTypes) {
         if !types.machine_types.is_empty() {
             let types = types.machine_types.iter().map(MachineType::from).collect();
@@ -18,14 +19,14 @@
         }
     }
 
-    /// Asks the cloud for the machine types with the next tick, if they are not known.
+    /// Makes the next tick request the machine types from the cloud, if they are not known.
     pub(super) fn request_machine_types(&mut self) {
         if self.machine_types.is_none() {
             self.machine_types_requested_at = 0;
         }
     }
 
-    /// Stores the machine types, as the leader.
+    /// Stores the machine types in the state service. Does nothing unless this controller leads.
     pub(super) fn store_machine_types(&mut self, types: &MachineTypes) {
         let Some(state) = &self.cluster_state else { return };
         let is_leader = Precondition { key: keys::LEADER.into(), mod_revision: state.token };
@@ -38,7 +39,7 @@
         self.store.push(StoreCall::Commit(transaction), context, CallPriority::Low, retry_policy);
     }
 
-    /// The stored machine types were read. They count until the cloud has answered.
+    /// Handles the read of the stored machine types, which are used until the cloud has returned them.
     pub(super) fn on_stored_machine_types(&mut self, outcome: StoreOutcome) {
         if let StoreOutcome::Found(entry) = outcome
             && self.machine_types.is_none()
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -6,8 +6,8 @@
 //!
 //! This module holds the controller's state, dispatches events and runs the periodic work. Submodules by concern:
 //!
-//! - leadership: `leadership` (election, stepping down), `state_loading` (a new leader's reads), `peers` (heartbeats),
-//!   `isolation`, `pause_detection`, `pending_terminations`
+//! - leadership: `leadership` (election, stepping down), `state_loading` (a new leader's reads), `peers`
+//!   (heartbeats), `isolation`, `pause_detection`, `pending_terminations`
 //! - users: `requests`, `job_cache`, `dependency_lookup`, `final_records`
 //! - workers: `worker_reports`, `report_forwarding`
 //! - the leader's writes to the state service: `binding_log`, `chunks`, `archiving`
@@ -103,8 +103,8 @@
 /// One controller. The module documentation lists what each submodule does with it.
 pub struct Controller {
     settings: Arc<Settings>,
-    /// Random identifier of this process. Distinguishes its messages and keys from those of an earlier process with the
-    /// same host name.
+    /// Random identifier of this process. Distinguishes its messages and keys from those of an earlier process with
+    /// the same host name.
     incarnation: u64,
     /// Clock readings at the event being handled.
     now: Now,
@@ -186,7 +186,7 @@
     /// Number of scores computed since the process started.
     scores_computed: u64,
 
-    /// Limits that keep this controller within its memory.
+    /// What each consumer of memory in this controller may hold.
     budget: MemoryBudget,
     /// Load level, derived from how late timer ticks are handled.
     load_level: LoadMonitor,
@@ -306,8 +306,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Handles an event. `now` must not be earlier than that of the previous event. The resulting actions are returned
-    /// by [`Controller::take_actions`].
+    /// Handles an event. `now` must not be earlier than that of the previous event. The resulting actions are
+    /// returned by [`Controller::take_actions`].
     pub fn handle(&mut self, event: Event, now: Now) {
         let elapsed_ms = now.monotonic.saturating_sub(self.now.monotonic);
         self.now = now;
@@ -411,7 +411,8 @@
         self.log_status();
     }
 
-    /// Starts an election by requesting a lease, if there is no leader and this controller's election delay has passed.
+    /// Starts an election by requesting a lease, if there is no leader and this controller's election delay has
+    /// passed.
     fn start_election_if_due(&mut self) {
         let now = self.now.monotonic;
         let LeadershipPhase::Vacant(campaign_at) = self.leadership.phase() else { return };
@@ -428,8 +429,8 @@
         );
     }
 
-    /// Renews the lease if this controller holds the leader's key. Otherwise reads the key periodically in addition to
-    /// watching it, which also shows whether the state service responds.
+    /// Renews the lease if this controller holds the leader's key. Otherwise reads the key periodically in addition
+    /// to watching it, which also shows whether the state service responds.
     fn maintain_leader_key(&mut self) {
         let now = self.now.monotonic;
         if self.leadership.holds_key() {
@@ -441,8 +442,8 @@
         }
     }
 
-    /// Periodic work of the leader. The order matters: later steps use the results of earlier ones, and the bindings made
-    /// by all of them are written together.
+    /// Periodic work of the leader. The order matters: later steps use the results of earlier ones, and the bindings
+    /// made by all of them are written together.
     fn run_leader_tick(&mut self) {
         self.resign_if_isolated();
         self.poll_job_changes();
@@ -483,8 +484,8 @@
     }
 }
 
-/// Requests and writes per second that this controller may send to the state service. The leader has a fixed share and
-/// the others divide the rest, so that all controllers together stay within the platform's limits.
+/// Requests and writes per second that this controller may send to the state service. The leader has a fixed share
+/// and the others divide the rest, so that all controllers together stay within the platform's limits.
 fn store_rates(settings: &Settings, is_leader: bool) -> (f64, f64) {
     let state = &settings.settings.state;
     let others = settings.others.len();
--- a/crates/controller/src/controller/pending_terminations.rs
+++ b/crates/controller/src/controller/pending_terminations.rs
@@ -1,10 +1,12 @@
-//! Terminations of machines that a cancellation needs while nobody leads. A leader terminates the machines on which a
-//! cancelled task is not confirmed gone in time. Leadership can end, or its lease can be unconfirmed, while the store is
-//! down or slow and nobody can read where tasks run. So the leader names these machines in its heartbeats, and a
-//! controller that has lost leadership remembers where tasks ran. They terminate the machines while they hear no leader.
+//! Termination of machines with cancelled tasks while there is no leader.
 //!
-//! A termination is the only request that needs no leadership: a later leader finds the machine gone, as one that the
-//! cloud has reclaimed, and takes nothing but a 200 to a request of its own for proof.
+//! A leader terminates machines on which a cancelled task is not confirmed gone in time. But leadership can end, or
+//! the leader's lease can be unconfirmed, while the state service is down or slow, and then no controller can read
+//! where tasks run. The leader therefore names such machines in its heartbeats, and a controller that has lost
+//! leadership remembers where tasks ran. These controllers terminate the machines while no leader is known.
+//!
+//! Termination is the only request to the cloud that needs no leadership. A later leader finds the machine gone, like
+//! one that the cloud has reclaimed, and accepts only a 200 response to a request of its own as proof of termination.
 
 use super::{Action, Controller, Peer};
 use crate::Time;
@@ -16,32 +18,33 @@
 use std::collections::BTreeMap;
 use swiftsail_protocol::controllers::Heartbeat;
 
-/// Machines with cancelled tasks that are not confirmed gone, with the time of the first cancellation.
+/// Machines with cancelled tasks that are not confirmed gone, and the time of the first cancellation on each.
 #[derive(Debug, Default)]
 struct CancelledMachines(BTreeMap<MachineId, Time>);
 
 impl CancelledMachines {
-    /// Adds a machine; the earliest cancellation counts.
+    /// Adds a machine. If it is present already, the earlier cancellation counts.
     fn add(&mut self, id: MachineId, cancelled_at: Time) {
-        let first = self.0.entry(id).or_insert(cancelled_at);
-        *first = cancelled_at.min(*first);
+        let earliest = self.0.entry(id).or_insert(cancelled_at);
+        *earliest = cancelled_at.min(*earliest);
     }
 }
 
 impl FromIterator<(MachineId, Time)> for CancelledMachines {
-    fn from_iter<I: IntoIterator<Item = (MachineId, Time)>>(found: I) -> CancelledMachines {
+    fn from_iter<I: IntoIterator<Item = (MachineId, Time)>>(entries: I) -> CancelledMachines {
         let mut machines = CancelledMachines::default();
-        found.into_iter().for_each(|(id, cancelled_at)| machines.add(id, cancelled_at));
+        entries.into_iter().for_each(|(id, cancelled_at)| machines.add(id, cancelled_at));
         machines
     }
 }
 
-/// What a controller that does not lead knows of machines with cancelled tasks.
+/// The machines with cancelled tasks that a controller knows of while it does not lead.
 #[derive(Debug, Default)]
 pub(super) struct PendingTerminations {
     machines: CancelledMachines,
-    /// Where tasks ran when this controller's leadership ended.
+    /// Jobs and the machines of their tasks as of the end of this controller's last leadership.
     last_placements: Vec<(JobId, MachineId)>,
+    /// When terminations were last requested.
     requested_at: Time,
 }
 
@@ -51,21 +54,22 @@
         self.last_placements.clear();
     }
 
-    /// A job was cancelled at this time: its tasks may be where they were when this controller's leadership ended.
+    /// Adds the machines on which a cancelled job had tasks when this controller's leadership ended: the tasks may
+    /// still be there.
     fn on_job_cancelled(&mut self, job: &JobId, cancelled_at: Time) {
         for (_, machine) in self.last_placements.iter().filter(|(id, _)| id == job) {
             self.machines.add(machine.clone(), cancelled_at);
         }
     }
 
-    /// The cloud confirmed that these machines are gone.
+    /// Removes machines whose termination the cloud has confirmed.
     pub fn on_terminated(&mut self, names: &[String]) {
         self.machines.0.retain(|id, _| !names.iter().any(|name| **name == **id));
     }
 }
 
 impl ClusterState {
-    /// Every machine with a task that is not confirmed gone, by job.
+    /// The machine of every task that is not confirmed gone, with its job.
     fn occupied_placements(&self) -> Vec<(JobId, MachineId)> {
         let placements = |job: &Job| {
             let attempts = job.attempts.values().filter(|attempt| attempt.occupies_resources());
@@ -77,20 +81,21 @@
 }
 
 impl Controller {
-    /// Leadership ends: remembers which machines it would have had to terminate, and where tasks run.
+    /// Records, at the end of leadership, the machines with cancelled tasks and where all tasks run.
     pub(super) fn record_pending_terminations(&mut self) {
         let Some(state) = &self.cluster_state else { return };
         self.pending_terminations.machines = state.machines_with_cancelled_tasks().collect();
         self.pending_terminations.last_placements = state.occupied_placements();
     }
 
-    /// A job was cancelled at this wall-clock time, ms.
+    /// Records that a job was cancelled at this wall-clock time, ms, while this controller does not lead.
     pub(super) fn add_pending_termination(&mut self, job: &JobId, cancelled_wall: u64) {
         let cancelled_at = self.monotonic_of_wall(cancelled_wall);
         self.pending_terminations.on_job_cancelled(job, cancelled_at);
     }
 
-    /// What a leader's heartbeat names: machines with the wall-clock time of the cancellation, ms.
+    /// Machines with cancelled tasks for the leader's heartbeat, each with the wall-clock time of the cancellation,
+    /// ms.
     pub(super) fn pending_terminations_for_peers(&self) -> Vec<(String, u64)> {
         let Some(state) = &self.cluster_state else { return Vec::new() };
         let machines: CancelledMachines = state.machines_with_cancelled_tasks().collect();
@@ -100,7 +105,7 @@
         machines.map(|(id, cancelled_at)| (id.to_string(), wall_of(cancelled_at))).collect()
     }
 
-    /// A leader's heartbeat arrived: what it names replaces what was known.
+    /// Replaces the known machines by those that a leader's heartbeat names.
     pub(super) fn adopt_pending_terminations(&mut self, heartbeat: &Heartbeat) {
         self.pending_terminations.clear();
         for (name, cancelled_wall) in heartbeat.pending_terminations.iter().take(RETURN_BATCH_MAX) {
@@ -109,24 +114,25 @@
         }
     }
 
-    /// The monotonic time of this process at a wall-clock time in the past.
+    /// Converts a wall-clock time in the past to this process's monotonic time.
     fn monotonic_of_wall(&self, wall: u64) -> Time {
         self.now.monotonic.saturating_sub(self.now.wall_clock.saturating_sub(wall))
     }
 
-    /// Whether it is known that nobody leads. A peer that is not heard may lead, unless the store is unavailable too:
-    /// then nobody has been elected since.
-    fn hears_no_leader(&self) -> bool {
+    /// Whether it is known that there is no leader. A peer whose heartbeats do not arrive may be the leader, unless
+    /// the state service is unavailable too: then no controller can have been elected in the meantime.
+    fn is_known_leaderless(&self) -> bool {
         let now = self.now.monotonic;
         let from = self.endorsements_valid_from().max(now.saturating_sub(HEARTBEAT_FRESH_MS));
         let is_fresh = |peer: &&Peer| peer.health.heard_at >= from;
         let fresh: Vec<&Peer> = self.peers.values().filter(is_fresh).collect();
-        let hears_all = fresh.len() == self.settings.others.len();
-        let is_conclusive = !fresh.is_empty() && (hears_all || self.store.is_unavailable());
+        let are_all_fresh = fresh.len() == self.settings.others.len();
+        let is_conclusive = !fresh.is_empty() && (are_all_fresh || self.store.is_unavailable());
         is_conclusive && !fresh.iter().any(|peer| peer.is_leader)
     }
 
-    /// Terminates machines whose cancelled tasks are due, while nobody leads. Called with every tick.
+    /// Terminates machines whose cancelled tasks are due to be gone, if it is known that there is no leader. Called
+    /// at every tick.
     pub(super) fn terminate_pending_machines(&mut self) {
         let now = self.now.monotonic;
         if self.cluster_state.is_some() && self.is_lease_confirmed() {
@@ -134,7 +140,7 @@
             return;
         }
         let may_request = now >= self.pending_terminations.requested_at + RETURN_AGAIN_MS;
-        if !may_request || !self.hears_no_leader() {
+        if !may_request || !self.is_known_leaderless() {
             return;
         }
         let names = self.due_terminations();
@@ -143,14 +149,14 @@
         }
         tracing::warn!(
             machines = names.len(),
-            "no leader: terminating machines that hold cancelled tasks"
+            "no leader: terminating machines with cancelled tasks"
         );
         self.pending_terminations.requested_at = now;
         self.cloud.count_immediate_call();
         self.actions.push(Action::CallCloud(CloudCall::Return(names)));
     }
 
-    /// Names of the machines to terminate now, in order, at most one batch.
+    /// Names of the machines to terminate now: sorted, without duplicates, at most one batch.
     fn due_terminations(&self) -> Vec<String> {
         let now = self.now.monotonic;
         let limit_ms = cancellation_deadline_ms(self.settings.settings.workers.cancel_s);
--- a/crates/controller/src/controller/plan_application.rs
+++ b/crates/controller/src/controller/plan_application.rs
@@ -1,5 +1,5 @@
-//! Application of placement plans to the cluster state. This is the only code that binds tasks. The [`QuotaGuard`] checks
-//! every planned binding again against quotas, zones and machine types.
+//! Application of placement plans to the cluster state. This is the only code that binds tasks. The [`QuotaGuard`]
+//! checks every planned binding again against quotas, zones and machine types.
 
 use crate::cluster_state::{ClusterState, QuotaGuard, RunQueue, SlotId, usable};
 use crate::constants::YIELD_HOLD_MS;
@@ -17,8 +17,8 @@
 type OrderedJobs = [(Arc<JobSpec>, TierAssignment)];
 
 /// Whether a waiting job of an ordered tier comes before `next` and could run in the free resources of this machine.
-/// `next` is then not bound there from a run queue. Without this check, queued work took all capacity that became free
-/// before a cycle compared it with the waiting jobs.
+/// `next` is then not bound there from a run queue. Without this check, queued work took all capacity that became
+/// free before a cycle compared it with the waiting jobs.
 fn is_wanted_by_ordered_job(
     ordered: &OrderedJobs,
     machine: &Machine,
@@ -37,8 +37,8 @@
 }
 
 /// Binds the next job of each run queue whose executing task has ended, unless a waiting job of an ordered tier comes
-/// first and could use the capacity. Queued jobs that do not fit leave the queue and wait as before. Returns the number
-/// of tasks bound.
+/// first and could use the capacity. Queued jobs that do not fit leave the queue and wait as before. Returns the
+/// number of tasks bound.
 pub(super) fn bind_from_run_queues(
     state: &mut ClusterState,
     guard: &mut QuotaGuard,
@@ -51,8 +51,8 @@
     slots.into_iter().filter(|slot| bind_from_queue(state, guard, context, &ordered, slot)).count()
 }
 
-/// Binds the next job of a slot's run queue, and removes the queue. Jobs behind the bound one are queued behind its task.
-/// Returns whether a job was bound.
+/// Binds the next job of a slot's run queue, and removes the queue. Jobs behind the bound one are queued behind its
+/// task. Returns whether a job was bound.
 fn bind_from_queue(
     state: &mut ClusterState,
     guard: &mut QuotaGuard,
@@ -140,8 +140,8 @@
     0
 }
 
-/// Binds one task of a gang to each of these machines, all with the same attempt number. A gang is never started in part:
-/// if a binding is rejected, the gang is stopped and planned again. Returns the number of tasks bound.
+/// Binds one task of a gang to each of these machines, all with the same attempt number. A gang is never started in
+/// part: if a binding is rejected, the gang is stopped and planned again. Returns the number of tasks bound.
 fn bind_gang(
     state: &mut ClusterState,
     guard: &mut QuotaGuard,
@@ -161,8 +161,8 @@
     bound
 }
 
-/// Reserves machines for a gang, and removes the run queues of those machines: otherwise the next job of a queue would
-/// take the capacity that becomes free before a cycle can give it to the gang.
+/// Reserves machines for a gang, and removes the run queues of those machines: otherwise the next job of a queue
+/// would take the capacity that becomes free before a cycle can give it to the gang.
 fn reserve_for_gang(
     state: &mut ClusterState,
     context: PlanningContext,
@@ -175,8 +175,8 @@
     }
 }
 
-/// Binds a job's next waiting task to a machine, if the guard allows it. `attempt`: the attempt number shared by a gang;
-/// `None` for a new number. Returns the task's number in the job, or `None` if nothing was bound.
+/// Binds a job's next waiting task to a machine, if the guard allows it. `attempt`: the attempt number shared by a
+/// gang; `None` for a new number. Returns the task's number in the job, or `None` if nothing was bound.
 fn bind(
     state: &mut ClusterState,
     guard: &mut QuotaGuard,
--- a/crates/controller/src/controller/scheduling_cycle.rs
+++ b/crates/controller/src/controller/scheduling_cycle.rs
@@ -1,8 +1,8 @@
 //! Scheduling cycles: when one runs, and how it changes the cluster state.
 //!
-//! A cycle requests a plan from `placement` and applies it (`plan_application`). A *mapping round* is a full cycle, which
-//! evaluates all waiting work and also plans scale-out. Cycles between mapping rounds only place work that finds free
-//! capacity.
+//! A cycle requests a plan from `placement` and applies it (`plan_application`). A *mapping round* is a full cycle,
+//! which evaluates all waiting work and also plans scale-out. Cycles between mapping rounds only place work that
+//! finds free capacity.
 
 use super::plan_application::{apply_plan, bind_from_run_queues};
 use super::{Controller, fleet_management};
@@ -33,8 +33,8 @@
     }
 }
 
-/// Runs a scheduling cycle on the cluster state. `full`: a mapping round; otherwise only work that finds free capacity
-/// is placed.
+/// Runs a scheduling cycle on the cluster state. `full`: a mapping round; otherwise only work that finds free
+/// capacity is placed.
 pub fn run_scheduling_cycle(
     state: &mut ClusterState,
     context: PlanningContext,
@@ -62,8 +62,8 @@
 }
 
 impl Controller {
-    /// Runs a scheduling cycle if one is due, and queues the provisioning requests that it planned. Called after every
-    /// event.
+    /// Runs a scheduling cycle if one is due, and queues the provisioning requests that it planned. Called after
+    /// every event.
     pub(super) fn run_cycle_if_due(&mut self) {
         let Some(full) = self.due_cycle() else { return };
         self.update_job_policies(full);
@@ -106,8 +106,8 @@
         Some(run_scheduling_cycle(state, context, full))
     }
 
-    /// Accounts for a cycle's cost. A long cycle is followed by a pause in proportion to its cost, so that status reports
-    /// and lease renewals are handled in time even in a large cluster.
+    /// Accounts for a cycle's cost. A long cycle is followed by a pause in proportion to its cost, so that status
+    /// reports and lease renewals are handled in time even in a large cluster.
     fn account_for_cycle(&mut self, result: &CycleResult) {
         self.scores_computed += result.scores_computed;
         let cost_us = result.cost_us();
--- a/crates/controller/src/controller/state_loading.rs
+++ b/crates/controller/src/controller/state_loading.rs
@@ -1,5 +1,6 @@
-//! Loading of the cluster state by a new leader, in this order: jobs, binding chunks, binding log segments, replicated
-//! records. Once it leads, it follows changes of jobs by a watch, and polls when the watch returns nothing for a while.
+//! Loading of the cluster state by a new leader, in this order: jobs, binding chunks, binding log segments,
+//! replicated records. Once it leads, it follows changes of jobs by a watch, and polls when the watch returns nothing
+//! for a while.
 
 use super::{CallContext, Controller};
 use crate::Time;
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Requests the page after `page`, or if that was the last under its prefix, the first page under the next prefix.
+    /// Requests the page after `page`, or if that was the last under its prefix, the first page under the next
+    /// prefix.
     fn read_next(
         &mut self,
         page: &KeyPage,
@@ -123,8 +125,8 @@
         self.store.push(call, context, CallPriority::Leadership, RetryPolicy::UntilDefinite);
     }
 
-    /// Polls for changes of jobs if none have been read for a while. A watch that is still open, or whose response is slow,
-    /// does not show that the leader knows of all changes since the watch was opened.
+    /// Polls for changes of jobs if none have been read for a while. A watch that is still open, or whose response is
+    /// slow, does not show that the leader knows of all changes since the watch was opened.
     pub(super) fn poll_job_changes(&mut self) {
         let now = self.now.monotonic;
         let Some(state) = &mut self.cluster_state else { return };
@@ -149,8 +151,8 @@
         self.cancellations.advance_required_revision(state.watched_revision);
     }
 
-    /// Handles the outcome of the watch of jobs, and opens the next watch. If the watch's revision has been compacted, the
-    /// leader steps down, and the next one loads all state.
+    /// Handles the outcome of the watch of jobs, and opens the next watch. If the watch's revision has been
+    /// compacted, the leader steps down, and the next one loads all state.
     pub(super) fn on_job_watch(
         &mut self,
         outcome: StoreOutcome,
--- a/crates/controller/src/controller/status.rs
+++ b/crates/controller/src/controller/status.rs
@@ -1,4 +1,4 @@
-//! What the log says now and then of how much waits, runs and is free.
+//! Periodic log event of the leader with the numbers of waiting and running tasks, free capacity and load.
 
 use super::Controller;
 use crate::cluster_state::team_amounts;
@@ -8,25 +8,25 @@
 use std::collections::BTreeMap;
 
 impl Controller {
-    /// Tells the log now and then how much waits, runs and is free.
+    /// Logs a `status` event if this controller leads and the last event is long enough ago.
     #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub(super) fn log_status(&mut self) {
         let now = self.now.monotonic;
-        let Some(leader) =
+        let Some(state) =
             self.cluster_state.as_ref().filter(|_| now >= self.status_logged_at + STATUS_MS)
         else {
             return;
         };
         self.status_logged_at = now;
-        let (mut waiting, mut lined, mut held, mut binding, mut bound) = (0, 0, 0, 0, 0);
+        let (mut waiting, mut queued, mut backing_off, mut committing, mut bound) = (0, 0, 0, 0, 0);
         let (mut fetching, mut running, mut exited) = (0, 0, 0);
-        for job in leader.jobs.values() {
+        for job in state.jobs.values() {
             waiting += if job.has_queued_tasks() { job.waiting.len() } else { 0 };
-            lined += leader.run_queues.queued_tasks(&job.id);
-            held += job.backing_off.len();
+            queued += state.run_queues.queued_tasks(&job.id);
+            backing_off += job.backing_off.len();
             for attempt in job.attempts.values() {
                 match attempt.phase() {
-                    AttemptPhase::Committing => binding += 1,
+                    AttemptPhase::Committing => committing += 1,
                     AttemptPhase::Bound => bound += 1,
                     AttemptPhase::Fetching | AttemptPhase::WaitingForGang => fetching += 1,
                     AttemptPhase::Running | AttemptPhase::Saving => running += 1,
@@ -34,55 +34,56 @@
                 }
             }
         }
-        // By type: machines, and CPUs free on them.
-        let mut kinds: BTreeMap<(&str, bool), (u32, f64)> = BTreeMap::new();
-        for machine in leader.machines.values() {
-            let kind = kinds.entry((&machine.machine_type, machine.spot)).or_default();
-            kind.0 += 1;
-            kind.1 += machine.free_resources().map_or(0.0, |r| r.cpus);
+        // Number of machines and free CPUs by machine type and whether it is spot.
+        let mut machine_types: BTreeMap<(&str, bool), (u32, f64)> = BTreeMap::new();
+        for machine in state.machines.values() {
+            let totals = machine_types.entry((&machine.machine_type, machine.spot)).or_default();
+            totals.0 += 1;
+            totals.1 += machine.free_resources().map_or(0.0, |r| r.cpus);
         }
-        let kinds: Vec<String> = kinds
+        let machine_types: Vec<String> = machine_types
             .iter()
-            .map(|((kind, spot), (n, free))| {
-                format!("{n} {kind}{} {free:.0} free", if *spot { " spot" } else { "" })
+            .map(|((name, spot), (machines, free_cpus))| {
+                let spot = if *spot { " spot" } else { "" };
+                format!("{machines} {name}{spot} {free_cpus:.0} free")
             })
             .collect();
-        // Teams that their limit holds back: what they use, and how many of their tasks wait.
+        // Teams with tasks that wait because of the team's quota limit: CPUs used and number of waiting tasks.
         let teams = &self.settings.settings.teams;
-        let mut limits = Vec::new();
-        for (n, (team, used)) in teams.iter().zip(leader.usage(teams)).enumerate() {
-            let cap = leader.cap(n, team);
-            let own = leader.jobs.values().filter(|j| j.spec.team == team.name);
-            let back = own.filter(|j| !cap.allows(used, team_amounts(&j.spec)));
-            let back: usize = back.map(|j| j.waiting.len()).sum();
-            if back > 0 {
-                limits.push(format!("{} {:.0} CPUs, {back} wait", team.name, used.cpus.to_f64()));
+        let mut teams_at_limit = Vec::new();
+        for (n, (team, used)) in teams.iter().zip(state.usage(teams)).enumerate() {
+            let cap = state.cap(n, team);
+            let own_jobs = state.jobs.values().filter(|job| job.spec.team == team.name);
+            let limited_jobs = own_jobs.filter(|job| !cap.allows(used, team_amounts(&job.spec)));
+            let limited_tasks: usize = limited_jobs.map(|job| job.waiting.len()).sum();
+            if limited_tasks > 0 {
+                let cpus = used.cpus.to_f64();
+                teams_at_limit.push(format!("{} {cpus:.0} CPUs, {limited_tasks} wait", team.name));
             }
         }
-        let ready = leader.machines.values().filter(|m| m.state() == MachineState::Ready);
-        let free: f64 = ready.clone().filter_map(|m| m.free_resources()).map(|r| r.cpus).sum();
+        let ready = state.machines.values().filter(|m| m.state() == MachineState::Ready);
+        let free_cpus: f64 = ready.clone().filter_map(|m| m.free_resources()).map(|r| r.cpus).sum();
         let ready = ready.count();
-        let late = leader.jobs.values().filter(|j| j.missed_deadline).count();
-        let mistaken = leader.jobs.values().filter(|j| j.is_job_at_fault()).count();
-        let machines = leader.machines.len();
-        let queued = self.store.queued();
+        let late = state.jobs.values().filter(|job| job.missed_deadline).count();
+        let at_fault = state.jobs.values().filter(|job| job.is_job_at_fault()).count();
+        let machines = state.machines.len();
         tracing::info!(
-            jobs = leader.jobs.len(),
+            jobs = state.jobs.len(),
             late,
-            mistaken,
+            mistaken = at_fault,
             waiting,
-            lined,
-            held,
-            binding,
+            lined = queued,
+            held = backing_off,
+            binding = committing,
             bound,
             fetching,
             running,
             exited,
-            ledger = leader.binding_log.len(),
+            ledger = state.binding_log.len(),
             machines,
             ready,
-            free_cpus = free,
-            ?queued,
+            free_cpus,
+            queued = ?self.store.queued(),
             cloud_queued = self.cloud.queued_calls(),
             level = ?self.load_level.level(),
             load = format!("{:.2}", self.cpu.load().unwrap_or(0.0)),
@@ -90,8 +91,8 @@
             sure_ms = self.remaining_answer_ms(),
             cancelled_held = self.cancellations.pending().count(),
             machines_most = self.max_machines().0,
-            kinds = kinds.join(", "),
-            at_limit = limits.join(", "),
+            kinds = machine_types.join(", "),
+            at_limit = teams_at_limit.join(", "),
             "status"
         );
     }
--- a/crates/controller/src/controller/store_calls.rs
+++ b/crates/controller/src/controller/store_calls.rs
@@ -7,8 +7,8 @@
 use swiftsail_protocol::users::JobStatus;
 
 /// The purpose of a call to the state service, with what its response handler needs. `generation` is the leadership
-/// generation in which the call was made ([`crate::leadership::Leadership::generation`]); an outcome that arrives in a
-/// later generation is dropped. `requested_at` is when the call was queued.
+/// generation in which the call was made ([`crate::leadership::Leadership::generation`]); an outcome that arrives in
+/// a later generation is dropped. `requested_at` is when the call was queued.
 #[derive(Debug, Clone, PartialEq)]
 #[allow(missing_docs)]
 pub enum CallContext {
@@ -130,8 +130,8 @@
 pub(super) const DEPOSED: &str = "the store knows of another term";
 
 impl Controller {
-    /// Routes the outcome of a call to the code that made it. Outcomes of calls made in an earlier leadership generation
-    /// are dropped.
+    /// Routes the outcome of a call to the code that made it. Outcomes of calls made in an earlier leadership
+    /// generation are dropped.
     #[expect(clippy::too_many_lines, reason = "a flat match")]
     pub(super) fn on_store_response(&mut self, call: FinishedCall<CallContext>) {
         let generation = call.context.generation();
@@ -207,8 +207,8 @@
         }
     }
 
-    /// Handles the outcome of a write of the binding log or of a job's records, or of a read after a conflict. Steps down
-    /// if a write failed its precondition on the leader's key: another controller has been elected.
+    /// Handles the outcome of a write of the binding log or of a job's records, or of a read after a conflict. Steps
+    /// down if a write failed its precondition on the leader's key: another controller has been elected.
     fn on_binding_response(&mut self, call: &FinishedCall<CallContext>) {
         let is_deposed = self.with_cluster_state(|state, context| match &call.context {
             CallContext::FlushJob { job, .. } => state.on_job_flushed(job, call, context),
