--- a/tests/stale_store_responses.rs
+++ b/tests/stale_store_responses.rs
@@ -222,10 +222,10 @@
                 }
             }
         }
-        if let Some(tables) = self.controller.cluster_state()
-            && self.leaderships.last() != Some(&(tables.token, tables.generation))
+        if let Some(state) = self.controller.cluster_state()
+            && self.leaderships.last() != Some(&(state.token, state.generation))
         {
-            self.leaderships.push((tables.token, tables.generation));
+            self.leaderships.push((state.token, state.generation));
         }
     }
 
@@ -491,8 +491,8 @@
         tell(&mut alone, 60);
         quiet(&mut alone, 2);
         let renewed = |alone: &SingleController| {
-            let tables = alone.controller.cluster_state().expect("it leads");
-            tables.machines["m-1"].is_restarted
+            let state = alone.controller.cluster_state().expect("it leads");
+            state.machines["m-1"].is_restarted
         };
         let answer = |alone: &mut SingleController, tick| {
             let token = alone.leader_token().expect("it leads");
@@ -547,10 +547,10 @@
         ("e", false, false),
     ] {
         let (now, wall) = (100_000, 900_000);
-        let mut tables = ClusterState::new(9, 1, now);
+        let mut state = ClusterState::new(9, 1, now);
         let pairs =
             vec![job_record("wk-b", JobKind::Gang, 2), job_record("wk-l", JobKind::Gang, 1)];
-        tables.load_jobs(&KeyPage { entries: pairs, has_next: false, revision: 1 }, now, wall);
+        state.load_jobs(&KeyPage { entries: pairs, has_next: false, revision: 1 }, now, wall);
         for (id, on) in [("wk-l", lender_on), ("wk-b", borrower_on)] {
             let machine = MachineId::from("m-1");
             let bound = swiftsail_controller::job::Binding {
@@ -566,25 +566,25 @@
                 done: Vec::new(),
                 bindings: bound,
             };
-            tables.jobs.get_mut(id).expect("loaded").restore_chunk(0, &chunk, 1, now);
+            state.jobs.get_mut(id).expect("loaded").restore_chunk(0, &chunk, 1, now);
         }
-        tables.finish_loading(now, now);
+        state.finish_loading(now, now);
         let record = json!({"v": 1, "x": [], "l":
             [{"to": "wk-b", "on": "m-1", "n": 2.0, "stage": stage, "at": wall - 1_000}]});
         let lent = LenderRecord::from_record("loan/wk-l", &record).expect("a sound record");
         let before = lent.loans[0].phase();
-        tables.gpu_loans.restore("wk-l", lent);
+        state.gpu_loans.restore("wk-l", lent);
         for step in 0..40 {
-            tables.step_loans(now + step * 100, wall + step * 100);
+            state.step_loans(now + step * 100, wall + step * 100);
         }
-        let now_at = |tables: &ClusterState| {
-            tables.gpu_loans.lender_record("wk-l").and_then(|l| l.loans.first()).map(|l| l.phase())
+        let now_at = |state: &ClusterState| {
+            state.gpu_loans.lender_record("wk-l").and_then(|l| l.loans.first()).map(|l| l.phase())
         };
-        assert_eq!(now_at(&tables), Some(before), "a loan in stage {stage}");
+        assert_eq!(now_at(&state), Some(before), "a loan in stage {stage}");
         if !lender_on && !borrower_on {
             // A machine that does not come is gone in the end.
-            tables.step_loans(now + 15_000, wall + 15_000);
-            assert!(now_at(&tables).is_none_or(LoanPhase::is_final), "a loan in stage {stage}");
+            state.step_loans(now + 15_000, wall + 15_000);
+            assert!(now_at(&state).is_none_or(LoanPhase::is_final), "a loan in stage {stage}");
         }
     }
 }
