--- a/crates/controller/src/controller/isolation.rs
+++ b/crates/controller/src/controller/isolation.rs
@@ -5,7 +5,10 @@
 
 use super::Controller;
 use crate::Time;
-use crate::constants::{MS_PER_S, QUIET_SHARE, RESIGN_MACHINES, RESIGN_MAX_MS, RESIGN_MS};
+use crate::constants::{
+    MAX_RESIGNATION_BACKOFF_MS, MIN_ISOLATION_MACHINES, MS_PER_S, RESIGNATION_BACKOFF_MS,
+    SILENT_LEASE_SHARE,
+};
 
 /// When workers last reached this leader, and how long it stays out of elections after resigning.
 #[derive(Debug, Default)]
@@ -27,7 +30,8 @@
     /// Begins a pause before the next campaign. It doubles with each resignation in a row, so that leadership does
     /// not circulate quickly among controllers that are all isolated.
     fn start_pause(&mut self, now: Time) {
-        self.pause_ms = (self.pause_ms * 2).clamp(RESIGN_MS, RESIGN_MAX_MS);
+        self.pause_ms =
+            (self.pause_ms * 2).clamp(RESIGNATION_BACKOFF_MS, MAX_RESIGNATION_BACKOFF_MS);
         self.campaign_after = now + self.pause_ms;
     }
 }
@@ -39,7 +43,8 @@
         let now = self.now.monotonic;
         let Some(state) = &self.cluster_state else { return };
         let workers = &self.settings.settings.workers;
-        let limit_ms = (workers.lease_s * QUIET_SHARE).max(2.0 * workers.report_s) * MS_PER_S;
+        let limit_ms =
+            (workers.lease_s * SILENT_LEASE_SHARE).max(2.0 * workers.report_s) * MS_PER_S;
         let contact_at = self.isolation.last_contact_at.max(state.leading_since);
         let has_no_contact = now.saturating_sub(contact_at) as f64 > limit_ms;
         if !has_no_contact || self.settings.controllers() < 2 {
@@ -50,8 +55,8 @@
         };
         let machines = state.machines.values().filter(should_report).count();
         let mut peer_ages =
-            self.peers.values().map(|peer| now.saturating_sub(peer.health.heard_at));
-        if machines < RESIGN_MACHINES || peer_ages.any(|age| (age as f64) < limit_ms) {
+            self.peers.values().map(|peer| now.saturating_sub(peer.health.heartbeat_at));
+        if machines < MIN_ISOLATION_MACHINES || peer_ages.any(|age| (age as f64) < limit_ms) {
             return;
         }
         self.isolation.start_pause(now);
--- a/crates/controller/src/controller/machine_types.rs
+++ b/crates/controller/src/controller/machine_types.rs
@@ -2,7 +2,7 @@
 //! start while the cloud is unavailable.
 
 use super::{CallContext, Controller, chunks};
-use crate::constants::CLOUD_TYPES_MS;
+use crate::constants::MACHINE_TYPES_INTERVAL_MS;
 use crate::job::keys;
 use crate::machine::MachineType;
 use crate::store::{CallPriority, RetryPolicy, StoreCall, StoreOutcome};
@@ -35,7 +35,7 @@
             mutations: vec![chunks::put_mutation(keys::TYPES.into(), types)],
         };
         let context = CallContext::WriteMachineTypes { generation: state.generation };
-        let retry_policy = RetryPolicy::OnceBefore(self.now.monotonic + CLOUD_TYPES_MS);
+        let retry_policy = RetryPolicy::OnceBefore(self.now.monotonic + MACHINE_TYPES_INTERVAL_MS);
         self.store.push(StoreCall::Commit(transaction), context, CallPriority::Low, retry_policy);
     }
 
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -58,7 +58,7 @@
     Action, Event, ForwardBatchId, LeaderContext, Now, Reply, RequestId, StoreCallId, UserRequest,
 };
 pub use policy_evaluation::{PolicyContext, evaluate_job_policies};
-pub use replicated_records::{compile_plan as compile_deadline_plan, tier_table_record};
+pub use replicated_records::{compile_deadline_plan, tier_table_from_settings};
 pub use scheduling_cycle::{CycleResult, run_scheduling_cycle};
 pub use store_calls::CallContext;
 
@@ -66,8 +66,8 @@
 use crate::cloud::{self, CloudClient};
 use crate::cluster_state::ClusterState;
 use crate::constants::{
-    CLOUD_BACKOFF_MS, HEARTBEAT_INTERVAL_MS, LEASE_TTL_MS, PROCESS_PAUSE_MS, STORE_SHARE_ALL,
-    STORE_SHARE_LEADER, STORE_TIMEOUT_MS,
+    CLOUD_BACKOFF_MS, HEARTBEAT_INTERVAL_MS, LEADER_STORE_RATE_SHARE, LEASE_TTL_MS,
+    PROCESS_PAUSE_THRESHOLD_MS, STORE_RATE_SHARE, STORE_TIMEOUT_MS,
 };
 use crate::cycle_policy::CyclePolicy;
 use crate::job::{FinalRecord, JobId, MachineId, chunk_size, keys};
@@ -245,7 +245,7 @@
             dependency_lookups: DependencyLookups::default(),
             format_upgrade: FormatUpgrade::default(),
             job_cache: JobCache::new(budget.cached_jobs),
-            final_records: FinalRecordCache::new(budget.cached_final_answers),
+            final_records: FinalRecordCache::new(budget.cached_final_records),
             task_counts: BTreeMap::new(),
             peers: BTreeMap::new(),
             cancellations: CancellationQuorum::default(),
@@ -311,12 +311,12 @@
     pub fn handle(&mut self, event: Event, now: Now) {
         let elapsed_ms = now.monotonic.saturating_sub(self.now.monotonic);
         self.now = now;
-        if elapsed_ms >= PROCESS_PAUSE_MS {
+        if elapsed_ms >= PROCESS_PAUSE_THRESHOLD_MS {
             self.on_resume(elapsed_ms);
         }
         self.cpu.charge_event(&event, self.machine_count());
         self.route(event);
-        self.answer_confirmed_cancellations();
+        self.answer_replicated_cancellations();
         self.run_cycle_if_due();
         self.forward_queued_reports();
         self.deliver_cluster_events();
@@ -490,11 +490,11 @@
     let state = &settings.settings.state;
     let others = settings.others.len();
     let share = if others == 0 {
-        STORE_SHARE_ALL
+        STORE_RATE_SHARE
     } else if is_leader {
-        STORE_SHARE_ALL * STORE_SHARE_LEADER
+        STORE_RATE_SHARE * LEADER_STORE_RATE_SHARE
     } else {
-        STORE_SHARE_ALL * (1.0 - STORE_SHARE_LEADER) / others as f64
+        STORE_RATE_SHARE * (1.0 - LEADER_STORE_RATE_SHARE) / others as f64
     };
     (state.rps * share, state.write_rps * share)
 }
--- a/crates/controller/src/controller/pending_terminations.rs
+++ b/crates/controller/src/controller/pending_terminations.rs
@@ -12,7 +12,7 @@
 use crate::Time;
 use crate::cloud::CloudCall;
 use crate::cluster_state::ClusterState;
-use crate::constants::{HEARTBEAT_FRESH_MS, RETURN_AGAIN_MS, RETURN_BATCH_MAX};
+use crate::constants::{HEARTBEAT_VALIDITY_MS, MAX_TERMINATION_BATCH, TERMINATION_RETRY_MS};
 use crate::fleet::cancellation_deadline_ms;
 use crate::job::{Job, JobId, MachineId};
 use std::collections::BTreeMap;
@@ -101,14 +101,16 @@
         let machines: CancelledMachines = state.machines_with_cancelled_tasks().collect();
         let (now, wall) = (self.now.monotonic, self.now.wall_clock);
         let wall_of = |cancelled_at: Time| wall.saturating_sub(now.saturating_sub(cancelled_at));
-        let machines = machines.0.into_iter().take(RETURN_BATCH_MAX);
+        let machines = machines.0.into_iter().take(MAX_TERMINATION_BATCH);
         machines.map(|(id, cancelled_at)| (id.to_string(), wall_of(cancelled_at))).collect()
     }
 
     /// Replaces the known machines by those that a leader's heartbeat names.
     pub(super) fn adopt_pending_terminations(&mut self, heartbeat: &Heartbeat) {
         self.pending_terminations.clear();
-        for (name, cancelled_wall) in heartbeat.pending_terminations.iter().take(RETURN_BATCH_MAX) {
+        for (name, cancelled_wall) in
+            heartbeat.pending_terminations.iter().take(MAX_TERMINATION_BATCH)
+        {
             let cancelled_at = self.monotonic_of_wall(*cancelled_wall);
             self.pending_terminations.machines.add(name.as_str().into(), cancelled_at);
         }
@@ -123,8 +125,8 @@
     /// the state service is unavailable too: then no controller can have been elected in the meantime.
     fn is_known_leaderless(&self) -> bool {
         let now = self.now.monotonic;
-        let from = self.endorsements_valid_from().max(now.saturating_sub(HEARTBEAT_FRESH_MS));
-        let is_fresh = |peer: &&Peer| peer.health.heard_at >= from;
+        let from = self.endorsements_valid_from().max(now.saturating_sub(HEARTBEAT_VALIDITY_MS));
+        let is_fresh = |peer: &&Peer| peer.health.heartbeat_at >= from;
         let fresh: Vec<&Peer> = self.peers.values().filter(is_fresh).collect();
         let are_all_fresh = fresh.len() == self.settings.others.len();
         let is_conclusive = !fresh.is_empty() && (are_all_fresh || self.store.is_unavailable());
@@ -139,7 +141,7 @@
             self.pending_terminations.clear();
             return;
         }
-        let may_request = now >= self.pending_terminations.requested_at + RETURN_AGAIN_MS;
+        let may_request = now >= self.pending_terminations.requested_at + TERMINATION_RETRY_MS;
         if !may_request || !self.is_known_leaderless() {
             return;
         }
@@ -169,7 +171,7 @@
         let mut names: Vec<String> = due.map(|(id, _)| id.to_string()).collect();
         names.sort();
         names.dedup();
-        names.truncate(RETURN_BATCH_MAX);
+        names.truncate(MAX_TERMINATION_BATCH);
         names
     }
 }
--- a/crates/controller/src/controller/store_calls.rs
+++ b/crates/controller/src/controller/store_calls.rs
@@ -74,11 +74,11 @@
     WatchRecords,
     /// Read the outcome of a job that serves an occurrence of the deadline plan; `in_archive`: from the final records
     /// under `end/`, otherwise from `job/`.
-    ReadOccurrenceJob { job: JobId, in_archive: bool },
+    ReadOccurrenceJob { job: JobId, final_key: bool },
     /// Read the outcome of a job that others depend on, as the leader; `in_archive` as above.
-    ReadDependency { generation: u64, job: JobId, in_archive: bool },
+    ReadDependency { generation: u64, job: JobId, final_key: bool },
     /// Read a dependency for a user's request; `in_archive` as above.
-    LookUpDependency { lookup: u64, job: JobId, in_archive: bool },
+    LookUpDependency { lookup: u64, job: JobId, final_key: bool },
     /// Write the record that every controller reads the current record format.
     RaiseFormatVersion,
     /// Read the replicated records, as a new leader.
@@ -178,14 +178,14 @@
             CallContext::ReadRecords { .. } | CallContext::WatchRecords => {
                 self.on_records_response(&call.context, call.outcome);
             }
-            CallContext::ReadOccurrenceJob { job, in_archive } => {
-                self.on_occurrence_job_read(&job, in_archive, &call.outcome);
+            CallContext::ReadOccurrenceJob { job, final_key } => {
+                self.on_occurrence_job_read(&job, final_key, &call.outcome);
             }
-            CallContext::ReadDependency { job, in_archive, .. } => {
-                self.on_awaited_job_read(&job, in_archive, &call.outcome);
+            CallContext::ReadDependency { job, final_key, .. } => {
+                self.on_leader_dependency_read(&job, final_key, &call.outcome);
             }
-            CallContext::LookUpDependency { lookup, job, in_archive } => {
-                self.on_dependency_read(lookup, &job, in_archive, &call.outcome);
+            CallContext::LookUpDependency { lookup, job, final_key } => {
+                self.on_dependency_read(lookup, &job, final_key, &call.outcome);
             }
             CallContext::RaiseFormatVersion => self.on_format_raised(&call.outcome),
             CallContext::WriteRecords { nonce, .. } => {
--- a/crates/controller/src/controller/worker_reports.rs
+++ b/crates/controller/src/controller/worker_reports.rs
@@ -4,8 +4,8 @@
 use crate::Time;
 use crate::cluster_state::ReportSource;
 use crate::constants::{
-    ANSWER_MARGIN_MS, ANSWER_VALIDITY_MIN_MS, CAME_BACK_MS, FORWARD_MS, FORWARDING_HISTORY_MAX,
-    HEARTBEAT_FRESH_MS, MS_PER_S,
+    ANSWER_MARGIN_MS, FORWARDING_DURATION_MS, HEARTBEAT_VALIDITY_MS, MAX_FORWARDING_HISTORY,
+    MIN_ANSWER_VALIDITY_MS, MS_PER_S, REDIRECT_FAILURE_WINDOW_MS,
 };
 use crate::leadership::AnswerAuthority;
 use swiftsail_protocol::workers::{Redirect, StatusReport};
@@ -78,10 +78,10 @@
         let now = self.now.monotonic;
         let reachable_leader = self.leadership.known_leader.as_ref().and_then(|leader| {
             let peer = self.peers.get(leader)?;
-            let is_fresh = now.saturating_sub(peer.health.heard_at) <= HEARTBEAT_FRESH_MS;
+            let is_fresh = now.saturating_sub(peer.health.heartbeat_at) <= HEARTBEAT_VALIDITY_MS;
             (is_fresh && peer.is_leader).then(|| (leader.clone(), peer.distributes_workers))
         });
-        if self.forwarding_history.len() >= FORWARDING_HISTORY_MAX {
+        if self.forwarding_history.len() >= MAX_FORWARDING_HISTORY {
             self.forwarding_history.clear();
         }
         let history = self.forwarding_history.entry(report.machine.clone()).or_default();
@@ -90,7 +90,7 @@
         // so it is forwarded and changes nothing here.
         let is_stale = order <= history.latest;
         history.latest = history.latest.max(order);
-        let is_recent = |at: Time| at > 0 && now.saturating_sub(at) <= CAME_BACK_MS;
+        let is_recent = |at: Time| at > 0 && now.saturating_sub(at) <= REDIRECT_FAILURE_WINDOW_MS;
         let Some((leader, distributes_workers)) = reachable_leader else {
             // If this controller receives no heartbeats from the leader, a worker in the same zone probably cannot
             // reach the leader either. Naming the leader each time would keep such a worker from trying a third
@@ -120,7 +120,7 @@
             return self.report_forwarder.push(id, report, &leader, false, now);
         }
         if now >= history.forward_until && is_recent(history.redirected_at) {
-            history.forward_until = now + FORWARD_MS;
+            history.forward_until = now + FORWARDING_DURATION_MS;
         } else if now >= history.forward_until && is_recent(history.forwarded_at) {
             *history = ForwardingHistory {
                 redirected_at: now,
@@ -160,7 +160,7 @@
     fn answer_validity_ms(&self) -> u64 {
         let workers = &self.settings.settings.workers;
         let slack_ms = ((workers.cancel_s - workers.lease_s) * MS_PER_S) as u64;
-        slack_ms.saturating_sub(ANSWER_MARGIN_MS).max(ANSWER_VALIDITY_MIN_MS.min(slack_ms / 2))
+        slack_ms.saturating_sub(ANSWER_MARGIN_MS).max(MIN_ANSWER_VALIDITY_MS.min(slack_ms / 2))
     }
 
     /// Two times for a leader: when it sent its latest successful read of the jobs, and as of when it knows every
--- a/tests/dispatch_deadlines.rs
+++ b/tests/dispatch_deadlines.rs
@@ -335,8 +335,11 @@
         let at_ms = 1_700_000_000_000 + world.now + 240_000;
         let body = json!({"name": "north", "chain": "lists", "at_ms": at_ms}).to_string();
         let node = leads(&world);
-        let asked =
-            world.schedule_admin_request(8_000, node, AdminRequest::AddArrival(body.into_bytes()));
+        let asked = world.schedule_admin_request(
+            8_000,
+            node,
+            AdminRequest::AddOccurrence(body.into_bytes()),
+        );
         for (n, class) in ["count", "list"].iter().enumerate() {
             let mut body = job_body(&format!("wk-{class}"), "array", "blue", 4, 1.0, 20.0);
             body["jobclass"] = (*class).into();
@@ -350,7 +353,7 @@
             let shown = world.schedule_admin_request(
                 at,
                 node,
-                AdminRequest::Dispatch(Some("north".into())),
+                AdminRequest::Occurrences(Some("north".into())),
             );
             world.run_until(at + 200);
             let reply = world.admin_answers.remove(&shown).expect("an answer");
