--- a/crates/controller/src/controller/binding_log.rs
+++ b/crates/controller/src/controller/binding_log.rs
@@ -97,7 +97,8 @@
         }
         // The pause leaves a share of this controller's writes to users, final records and chunks.
         let is_busy = ctx.store.queued()[CallPriority::Normal as usize] >= MAX_QUEUED_FINAL_RECORDS;
-        let pause_factor = if is_busy { BINDING_LOG_BUSY_PAUSE_FACTOR } else { BINDING_LOG_PAUSE_FACTOR };
+        let pause_factor =
+            if is_busy { BINDING_LOG_BUSY_PAUSE_FACTOR } else { BINDING_LOG_PAUSE_FACTOR };
         let pause_ms = write.in_flight.segments.len() as f64 * pause_factor * MS_PER_S
             / ctx.store.write_rate();
         self.binding_log.next_write_at =
--- a/crates/controller/src/controller/cpu_accounting.rs
+++ b/crates/controller/src/controller/cpu_accounting.rs
@@ -135,7 +135,9 @@
             let entries: usize = entries.sum();
             let reports_us = batch.reports.len() as f64 * FORWARDED_REPORT_COST_US
                 + entries as f64 * TASK_STATUS_COST_US;
-            CALL_COST_US + reports_us + batch.locally_answered.len() as f64 * UNCHANGED_MACHINE_COST_US
+            CALL_COST_US
+                + reports_us
+                + batch.locally_answered.len() as f64 * UNCHANGED_MACHINE_COST_US
         }
         Event::ForwardedAnswers(_, Some(answers)) => {
             CALL_COST_US + answers.commands.len() as f64 * TASK_STATUS_COST_US
--- a/crates/controller/src/controller/store_calls.rs
+++ b/crates/controller/src/controller/store_calls.rs
@@ -72,12 +72,12 @@
     ReadRecords { read_number: u64 },
     /// Watch the replicated records.
     WatchRecords,
-    /// Read the outcome of a job that serves an occurrence of the deadline plan; `in_archive`: from the final records
+    /// Read the outcome of a job that serves an occurrence of the deadline plan; `final_key`: from its key
     /// under `end/`, otherwise from `job/`.
     ReadOccurrenceJob { job: JobId, final_key: bool },
-    /// Read the outcome of a job that others depend on, as the leader; `in_archive` as above.
+    /// Read the outcome of a job that others depend on, as the leader; `final_key` as above.
     ReadDependency { generation: u64, job: JobId, final_key: bool },
-    /// Read a dependency for a user's request; `in_archive` as above.
+    /// Read a dependency for a user's request; `final_key` as above.
     LookUpDependency { lookup: u64, job: JobId, final_key: bool },
     /// Write the record that every controller reads the current record format.
     RaiseFormatVersion,
--- a/tests/pauses_and_partitions.rs
+++ b/tests/pauses_and_partitions.rs
@@ -21,19 +21,15 @@
 fn who_stands_still_proves_its_lead_anew() {
     for seed in 0..10 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut simulation = Simulation::new(seed, FaultRates::NONE, 150_000);
-        submit_mixed_load(&mut simulation, 6);
+        let mut sim = Simulation::new(seed, FaultRates::NONE, 150_000);
+        submit_mixed_load(&mut sim, 6);
         for _ in 0..6 {
             let for_ms = [1_000, 2_400, 2_600, 7_000, 25_000, 90_000][rng.random_range(0..6)];
-            simulation.schedule_pause(
-                rng.random_range(3_000..90_000),
-                rng.random_range(0..3),
-                for_ms,
-            );
+            sim.schedule_pause(rng.random_range(3_000..90_000), rng.random_range(0..3), for_ms);
         }
-        simulation.run_until(330_000);
-        assert_all_jobs_over(&simulation, &format!("seed {seed}"));
-        assert_eq!(simulation.stale_answers, 0, "seed {seed}: a lease under a lost token");
+        sim.run_until(330_000);
+        assert_all_jobs_over(&sim, &format!("seed {seed}"));
+        assert_eq!(sim.stale_answers, 0, "seed {seed}: a lease under a lost token");
     }
 }
 
@@ -42,19 +38,19 @@
 #[test]
 fn others_take_over_as_soon_as_after_a_crash() {
     let taken = |for_ms: u64, crash: bool| {
-        let mut simulation = Simulation::new(5, FaultRates::NONE, 60_000);
-        simulation.run_until(10_000);
-        let before = leader_index(&simulation).expect("somebody leads");
+        let mut sim = Simulation::new(5, FaultRates::NONE, 60_000);
+        sim.run_until(10_000);
+        let before = leader_index(&sim).expect("somebody leads");
         match crash {
-            true => simulation.schedule_crash(10_000, before),
-            false => simulation.schedule_pause(10_000, before, for_ms),
+            true => sim.schedule_crash(10_000, before),
+            false => sim.schedule_pause(10_000, before, for_ms),
         }
         for at in 100..200 {
-            simulation.run_until(at * 100);
+            sim.run_until(at * 100);
             let others = (0..3).filter(|n| *n != before);
             if others
                 .into_iter()
-                .any(|n| simulation.controllers[n].as_ref().is_some_and(Controller::is_leader))
+                .any(|n| sim.controllers[n].as_ref().is_some_and(Controller::is_leader))
             {
                 return Some(at * 100);
             }
@@ -71,17 +67,17 @@
 #[test]
 fn back_at_once_it_need_not_wait_for_its_predecessor() {
     for restart_ms in [50, 200, 1_000] {
-        let mut simulation = Simulation::new(restart_ms, FaultRates::NONE, 60_000);
-        simulation.restart_delay_ms = Some(restart_ms);
-        simulation.run_until(10_000);
-        let before = leader_index(&simulation).expect("somebody leads");
-        let token = |simulation: &Simulation, n: usize| {
-            simulation.controllers[n].as_ref()?.cluster_state().map(|t| t.token)
+        let mut sim = Simulation::new(restart_ms, FaultRates::NONE, 60_000);
+        sim.restart_delay_ms = Some(restart_ms);
+        sim.run_until(10_000);
+        let before = leader_index(&sim).expect("somebody leads");
+        let token = |sim: &Simulation, n: usize| {
+            sim.controllers[n].as_ref()?.cluster_state().map(|t| t.token)
         };
-        let old = token(&simulation, before).expect("it leads");
-        simulation.schedule_crash(10_000, before);
-        simulation.run_until(10_000 + restart_ms + 500);
-        let new = token(&simulation, before).expect("it leads again");
+        let old = token(&sim, before).expect("it leads");
+        sim.schedule_crash(10_000, before);
+        sim.run_until(10_000 + restart_ms + 500);
+        let new = token(&sim, before).expect("it leads again");
         assert!(new > old, "{restart_ms} ms: token {new} after {old}");
     }
 }
@@ -96,24 +92,24 @@
         for (seed, late) in [(1, 0.05)].into_iter().chain((0..16).map(|seed| (seed, 0.0))) {
             let fault_rates =
                 FaultRates { message_loss: late / 2.0, message_delay: late, ..FaultRates::NONE };
-            let mut simulation = Simulation::new(seed, fault_rates, 90_000);
-            simulation.restart_delay_ms = Some(restart_ms);
-            submit_mixed_load(&mut simulation, 6);
+            let mut sim = Simulation::new(seed, fault_rates, 90_000);
+            sim.restart_delay_ms = Some(restart_ms);
+            submit_mixed_load(&mut sim, 6);
             for at in [8_000, 8_010] {
-                simulation.schedule_crash(at, 1);
+                sim.schedule_crash(at, 1);
             }
-            (0..3).for_each(|node| simulation.schedule_crash(20_000, node));
-            (0..3).for_each(|node| simulation.schedule_crash(30_000 + 1_500 * node as u64, node));
-            (0..12).for_each(|k| simulation.schedule_crash(45_000 + k * (restart_ms + 30), 0));
+            (0..3).for_each(|node| sim.schedule_crash(20_000, node));
+            (0..3).for_each(|node| sim.schedule_crash(30_000 + 1_500 * node as u64, node));
+            (0..12).for_each(|k| sim.schedule_crash(45_000 + k * (restart_ms + 30), 0));
             for at in [55_000, 60_000, 65_000] {
-                simulation.run_until(at);
-                if let Some(node) = leader_index(&simulation) {
-                    simulation.schedule_crash(at + 1, node);
+                sim.run_until(at);
+                if let Some(node) = leader_index(&sim) {
+                    sim.schedule_crash(at + 1, node);
                 }
             }
-            simulation.run_until(300_000);
-            assert_all_jobs_over(&simulation, &format!("{restart_ms} ms, late {late}"));
-            let killed = tasks_killed(&simulation);
+            sim.run_until(300_000);
+            assert_all_jobs_over(&sim, &format!("{restart_ms} ms, late {late}"));
+            let killed = tasks_killed(&sim);
             if late == 0.0 && killed > 0 {
                 lost.push((restart_ms, seed, killed));
             }
@@ -184,32 +180,24 @@
 /// Idle-hours work fills every machine with small tasks; work that others want done finds its room at once.
 #[test]
 fn guests_give_their_room_up_at_once() {
-    let mut simulation = Simulation::with_capacity(3, FaultRates::NONE, 400_000, 1);
+    let mut sim = Simulation::with_capacity(3, FaultRates::NONE, 400_000, 1);
     let mut guest = job_body("wk-g1", "array", "blue", 400, 0.25, 300.0);
     guest["rank"] = "low".into();
     guest["due_s"] = serde_json::Value::Null;
-    simulation.submit(500, None, guest);
-    simulation.run_until(60_000);
-    let runs = |simulation: &Simulation, id: &str| {
+    sim.submit(500, None, guest);
+    sim.run_until(60_000);
+    let runs = |sim: &Simulation, id: &str| {
         let tasks =
-            simulation.cluster.workers.values().filter(|w| !w.is_terminated).flat_map(|w| &w.tasks);
+            sim.cluster.workers.values().filter(|w| !w.is_terminated).flat_map(|w| &w.tasks);
         tasks.filter(|t| t.is_on_machine() && t.name.starts_with(id)).count()
     };
-    let before = runs(&simulation, "wk-g1");
+    let before = runs(&sim, "wk-g1");
     assert!(before >= 250, "the guest has {before}");
-    simulation.submit(60_000, None, job_body("wk-a1", "array", "blue", 6, 3.0, 20.0));
-    simulation.run_until(75_000);
-    assert_eq!(
-        runs(&simulation, "wk-a1"),
-        6,
-        "beside {} of the guest's",
-        runs(&simulation, "wk-g1")
-    );
-    assert!(
-        runs(&simulation, "wk-g1") + 6 * 12 + 24 >= before,
-        "no more is stopped than is needed"
-    );
-    assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
+    sim.submit(60_000, None, job_body("wk-a1", "array", "blue", 6, 3.0, 20.0));
+    sim.run_until(75_000);
+    assert_eq!(runs(&sim, "wk-a1"), 6, "beside {} of the guest's", runs(&sim, "wk-g1"));
+    assert!(runs(&sim, "wk-g1") + 6 * 12 + 24 >= before, "no more is stopped than is needed");
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
 }
 
 /// Jobs submitted with a mistake beside machines that fail everything: the jobs are tried within a budget,
@@ -217,57 +205,44 @@
 #[test]
 fn jobs_with_a_mistake_are_told_from_faulty_machines() {
     for seed in 0..6 {
-        let mut simulation = Simulation::new(seed, FaultRates::NONE, 400_000);
+        let mut sim = Simulation::new(seed, FaultRates::NONE, 400_000);
         for n in 0..4 {
             let id = format!("wk-m{n}");
-            simulation.cluster.faulty_jobs.insert(id.clone());
-            simulation.submit(
-                1_000 + n * 3_000,
-                None,
-                job_body(&id, "array", "blue", 40, 1.0, 20.0),
-            );
+            sim.cluster.faulty_jobs.insert(id.clone());
+            sim.submit(1_000 + n * 3_000, None, job_body(&id, "array", "blue", 40, 1.0, 20.0));
             let id = format!("wk-a{n}");
-            simulation.submit(
-                2_000 + n * 9_000,
-                None,
-                job_body(&id, "array", "blue", 12, 1.0, 8.0),
-            );
+            sim.submit(2_000 + n * 9_000, None, job_body(&id, "array", "blue", 12, 1.0, 8.0));
             let id = format!("wk-g{n}");
-            simulation.cluster.faulty_jobs.insert(id.clone());
-            simulation.submit(
+            sim.cluster.faulty_jobs.insert(id.clone());
+            sim.submit(
                 4_000 + n * 5_000,
                 Some(200_000),
                 job_body(&id, "gang", "blue", 2, 2.0, 9.0),
             );
         }
-        simulation.run_until(40_000);
+        sim.run_until(40_000);
         let bad: Vec<String> = match seed % 2 {
             0 => Vec::new(),
             _ => {
-                simulation
-                    .cluster
+                sim.cluster
                     .make_machines_faulty(2, 40_000 + swiftsail_simulation::simulation::START_MS);
-                let workers = simulation.cluster.workers.iter();
+                let workers = sim.cluster.workers.iter();
                 workers.filter(|(_, w)| w.is_faulty).map(|(name, _)| name.clone()).collect()
             }
         };
         let last = job_body("wk-z", "array", "blue", 40, 1.0, 8.0);
-        simulation.submit(42_000, None, last);
-        simulation.run_until(190_000);
-        assert!(simulation.violations.is_empty(), "seed {seed}: {:?}", simulation.violations);
-        for (id, tries) in &simulation.cluster.failures_by_job {
+        sim.submit(42_000, None, last);
+        sim.run_until(190_000);
+        assert!(sim.violations.is_empty(), "seed {seed}: {:?}", sim.violations);
+        for (id, tries) in &sim.cluster.failures_by_job {
             // Three machines, then two tasks at a time with pauses of 5 to 60 s; a wave that had begun.
-            let most = if simulation.cluster.faulty_jobs.contains(id) { 60 } else { 20 };
+            let most = if sim.cluster.faulty_jobs.contains(id) { 60 } else { 20 };
             assert!(*tries <= most, "seed {seed}: {id} failed {tries} times");
         }
-        let done = |id: &str| simulation.jobs.iter().any(|j| j.id == id && j.is_over());
+        let done = |id: &str| sim.jobs.iter().any(|j| j.id == id && j.is_over());
         assert!((0..4).all(|n| done(&format!("wk-a{n}"))) && done("wk-z"), "seed {seed}");
-        let state = simulation
-            .controllers
-            .iter()
-            .flatten()
-            .find_map(Controller::cluster_state)
-            .expect("a leader");
+        let state =
+            sim.controllers.iter().flatten().find_map(Controller::cluster_state).expect("a leader");
         let wrong =
             state.machines.values().filter(|m| m.is_suspect && !bad.contains(&m.id.to_string()));
         assert_eq!(wrong.count(), 0, "seed {seed}: a healthy machine is shunned");
@@ -288,22 +263,22 @@
 #[test]
 fn a_leader_that_reaches_nobody_gives_the_lead_away() {
     for seed in 0..4 {
-        let mut simulation = Simulation::new(seed, FaultRates::NONE, 120_000);
-        submit_mixed_load(&mut simulation, 4);
-        simulation.run_until(20_000);
-        let before = leader_index(&simulation).expect("somebody leads");
-        simulation.partitions.push(partition(before, 20_000, 60_000, [true, true, false]));
+        let mut sim = Simulation::new(seed, FaultRates::NONE, 120_000);
+        submit_mixed_load(&mut sim, 4);
+        sim.run_until(20_000);
+        let before = leader_index(&sim).expect("somebody leads");
+        sim.partitions.push(partition(before, 20_000, 60_000, [true, true, false]));
         let mut leaders = Vec::new();
         for at in 21..80 {
-            simulation.run_until(at * 1_000);
-            leaders.extend(leader_index(&simulation));
+            sim.run_until(at * 1_000);
+            leaders.extend(leader_index(&sim));
         }
         leaders.dedup();
         assert!(leaders.len() <= 2 && leaders.last() != Some(&before), "seed {seed}: {leaders:?}");
-        let killed = tasks_killed(&simulation);
+        let killed = tasks_killed(&sim);
         assert_eq!(killed, 0, "seed {seed}: tasks lost to their lease");
-        simulation.run_until(300_000);
-        assert_all_jobs_over(&simulation, &format!("seed {seed}"));
+        sim.run_until(300_000);
+        assert_all_jobs_over(&sim, &format!("seed {seed}"));
     }
 }
 
@@ -319,32 +294,23 @@
             crashes: 3,
             outages_and_hangs: 1,
         };
-        let mut simulation = Simulation::new(seed, fault_rates, 120_000);
-        simulation.restart_delay_ms = (seed % 2 == 0).then_some(200);
-        submit_mixed_load(&mut simulation, 6);
-        simulation.cluster.faulty_jobs.insert("wk-a5".into());
+        let mut sim = Simulation::new(seed, fault_rates, 120_000);
+        sim.restart_delay_ms = (seed % 2 == 0).then_some(200);
+        submit_mixed_load(&mut sim, 6);
+        sim.cluster.faulty_jobs.insert("wk-a5".into());
         for _ in 0..8 {
             let parts = [rng.random_bool(0.5), rng.random_bool(0.5), rng.random_bool(0.5)];
             let for_ms = rng.random_range(2_000..45_000);
             let node = rng.random_range(0..3);
-            simulation.partitions.push(partition(
-                node,
-                rng.random_range(3_000..90_000),
-                for_ms,
-                parts,
-            ));
+            sim.partitions.push(partition(node, rng.random_range(3_000..90_000), for_ms, parts));
         }
         for _ in 0..3 {
             let for_ms = rng.random_range(1_000..30_000);
-            simulation.schedule_pause(
-                rng.random_range(3_000..90_000),
-                rng.random_range(0..3),
-                for_ms,
-            );
+            sim.schedule_pause(rng.random_range(3_000..90_000), rng.random_range(0..3), for_ms);
         }
-        simulation.run_until(400_000);
-        let own: Vec<_> = simulation.jobs.iter().filter(|j| j.id != "wk-a5").collect();
-        assert!(simulation.violations.is_empty(), "seed {seed}: {:?}", simulation.violations);
+        sim.run_until(400_000);
+        let own: Vec<_> = sim.jobs.iter().filter(|j| j.id != "wk-a5").collect();
+        assert!(sim.violations.is_empty(), "seed {seed}: {:?}", sim.violations);
         let unfinished = own.iter().filter(|j| j.text_field("shape") != "service" && !j.is_over());
         let names: Vec<&str> = unfinished.map(|j| j.id.as_str()).collect();
         assert!(names.is_empty(), "seed {seed}: {names:?}");
@@ -356,27 +322,21 @@
 #[test]
 fn machines_that_come_late_at_once_or_never() {
     for (never, slower) in [(0.5, 1.0), (0.0, 0.02), (0.1, 6.0), (0.4, 0.3)] {
-        let mut simulation = Simulation::with_capacity(8, FaultRates::NONE, 600_000, 8);
-        (
-            simulation.cluster.cloud.never_boots_probability,
-            simulation.cluster.cloud.slow_boot_probability,
-        ) = (never, slower);
+        let mut sim = Simulation::with_capacity(8, FaultRates::NONE, 600_000, 8);
+        (sim.cluster.cloud.never_boots_probability, sim.cluster.cloud.slow_boot_probability) =
+            (never, slower);
         for n in 0..6 {
             let id = format!("wk-a{n}");
-            simulation.submit(
-                1_000 + n * 4_000,
-                None,
-                job_body(&id, "array", "blue", 16, 1.0, 15.0),
-            );
+            sim.submit(1_000 + n * 4_000, None, job_body(&id, "array", "blue", 16, 1.0, 15.0));
             let id = format!("wk-s{n}");
-            simulation.submit(500 + n * 3_000, None, job_body(&id, "service", "blue", 2, 1.0, 0.0));
+            sim.submit(500 + n * 3_000, None, job_body(&id, "service", "blue", 2, 1.0, 0.0));
         }
         let mut most = 0;
         for at in 1..60 {
-            simulation.run_until(at * 5_000);
-            let now = simulation.now;
-            let held = simulation.cluster.workers.iter().filter(|(_, w)| !w.is_terminated);
-            let machines = held.filter_map(|(name, _)| simulation.cluster.cloud.machine(name));
+            sim.run_until(at * 5_000);
+            let now = sim.now;
+            let held = sim.cluster.workers.iter().filter(|(_, w)| !w.is_terminated);
+            let machines = held.filter_map(|(name, _)| sim.cluster.cloud.machine(name));
             let machines: Vec<_> = machines.collect();
             most = most.max(machines.len());
             // A boot of 5 s is given up after 25 s; a new leader, a list and a return may add to it.
@@ -386,7 +346,7 @@
         }
         // 96 tasks of one CPU and 12 replicas fill 27 machines of 4 CPUs at most.
         assert!(most <= 27 + 20, "{never}, {slower}: {most} machines");
-        simulation.run_until(500_000);
-        assert_all_jobs_over(&simulation, &format!("{never}, {slower}"));
+        sim.run_until(500_000);
+        assert_all_jobs_over(&sim, &format!("{never}, {slower}"));
     }
 }
--- a/tests/random_failovers.rs
+++ b/tests/random_failovers.rs
@@ -18,8 +18,8 @@
 const FAULT_KIND_COUNT: usize = 20;
 
 /// A trouble that begins then.
-fn inject_fault(simulation: &mut Simulation, kind: usize, at: u64, rng: &mut StdRng) {
-    let leads = leader_index(simulation);
+fn inject_fault(sim: &mut Simulation, kind: usize, at: u64, rng: &mut StdRng) {
+    let leads = leader_index(sim);
     let node = leads.filter(|_| rng.random_bool(0.7)).unwrap_or(rng.random_range(0..3));
     let for_ms = rng.random_range(3_000..40_000);
     let share = rng.random_range(0.1..0.6);
@@ -28,52 +28,42 @@
         holds_messages: rng.random_bool(0.4),
         ..NetworkPartition::of(node, at, for_ms)
     };
-    let third: Vec<String> =
-        simulation.running_machines().into_iter().skip(kind % 2).step_by(3).collect();
+    let third: Vec<String> = sim.running_machines().into_iter().skip(kind % 2).step_by(3).collect();
     match kind {
         0 => {
             // Kept from before on, so that there is something for whoever begins next.
-            simulation.add_fault_window(at, 60_000, Fault::DuplicatesForNextLeader(share));
-            simulation.schedule_crash(at + rng.random_range(2_000..20_000), node);
+            sim.add_fault_window(at, 60_000, Fault::DuplicatesForNextLeader(share));
+            sim.schedule_crash(at + rng.random_range(2_000..20_000), node);
         }
-        1 => simulation.add_fault_window(at, for_ms, Fault::TransactionsLate(share)),
-        2 => simulation.add_fault_window(at, for_ms, Fault::AnswersLost(share)),
-        3 => {
-            simulation.add_fault_window(at, for_ms, Fault::ZonePartition { zone, controller: node })
-        }
-        4 => (0..4)
-            .for_each(|n| simulation.schedule_crash(at + n * rng.random_range(300..2_500), node)),
-        5 => (0..3).for_each(|n| simulation.schedule_crash(at + rng.random_range(0..1_500), n)),
+        1 => sim.add_fault_window(at, for_ms, Fault::TransactionsLate(share)),
+        2 => sim.add_fault_window(at, for_ms, Fault::AnswersLost(share)),
+        3 => sim.add_fault_window(at, for_ms, Fault::ZonePartition { zone, controller: node }),
+        4 => (0..4).for_each(|n| sim.schedule_crash(at + n * rng.random_range(300..2_500), node)),
+        5 => (0..3).for_each(|n| sim.schedule_crash(at + rng.random_range(0..1_500), n)),
         6 => {
-            simulation.schedule_store_outage(at, for_ms + 10_000);
-            simulation.schedule_crash(at + rng.random_range(500..for_ms), node);
+            sim.schedule_store_outage(at, for_ms + 10_000);
+            sim.schedule_crash(at + rng.random_range(500..for_ms), node);
         }
-        7 => simulation.add_fault_window(at, for_ms, Fault::OutboundUnreachable(third)),
-        8 => simulation.schedule_pause(at, node, for_ms.min(25_000)),
-        9 => simulation.schedule_store_slowdown(at, for_ms),
+        7 => sim.add_fault_window(at, for_ms, Fault::OutboundUnreachable(third)),
+        8 => sim.schedule_pause(at, node, for_ms.min(25_000)),
+        9 => sim.schedule_store_slowdown(at, for_ms),
         10 => {
-            simulation.cluster.cloud.fixed_boot_ms = Some(2_000);
+            sim.cluster.cloud.fixed_boot_ms = Some(2_000);
             for n in 0..3 {
                 let id = format!("wk-burst{at}x{n}");
                 let shape = ["array", "gang"][n % 2];
-                simulation.submit(
-                    at + n as u64 * 200,
-                    None,
-                    job_body(&id, shape, "blue", 4, 4.0, 20.0),
-                );
+                sim.submit(at + n as u64 * 200, None, job_body(&id, shape, "blue", 4, 4.0, 20.0));
             }
-            simulation.schedule_crash(at + rng.random_range(1_500..6_000), node);
-        }
-        11 => {
-            simulation.schedule_running_cancellations(at, 4, rng.random_bool(0.5).then_some(for_ms))
+            sim.schedule_crash(at + rng.random_range(1_500..6_000), node);
         }
-        12 => simulation.partitions.push(NetworkPartition { store: true, peers: true, ..cut }),
-        13 => simulation.partitions.push(NetworkPartition { workers: true, ..cut }),
-        14 => (0..3).for_each(|n| simulation.schedule_pause(at, n, 12_000 + for_ms / 4)),
+        11 => sim.schedule_running_cancellations(at, 4, rng.random_bool(0.5).then_some(for_ms)),
+        12 => sim.partitions.push(NetworkPartition { store: true, peers: true, ..cut }),
+        13 => sim.partitions.push(NetworkPartition { workers: true, ..cut }),
+        14 => (0..3).for_each(|n| sim.schedule_pause(at, n, 12_000 + for_ms / 4)),
         15 => {
             let (zone, names) = (Some(zone), Vec::new());
             let hears_each = rng.random_range(0..3);
-            simulation.inbound_failures.push(InboundFailure {
+            sim.inbound_failures.push(InboundFailure {
                 from_ms: at,
                 for_ms,
                 zone,
@@ -82,15 +72,11 @@
             });
         }
         16 => {
-            simulation.cluster.hang_machines(
-                rng.random_range(1..8),
-                for_ms.min(25_000),
-                simulation.now,
-            );
+            sim.cluster.hang_machines(rng.random_range(1..8), for_ms.min(25_000), sim.now);
         }
-        17 => simulation.duplicate_reports = Some((0.2, 40_000)),
-        18 => simulation.add_fault_window(at, for_ms, Fault::ConsistencyProbes),
-        _ => simulation.partitions.push(NetworkPartition { store: true, ..cut }),
+        17 => sim.duplicate_reports = Some((0.2, 40_000)),
+        18 => sim.add_fault_window(at, for_ms, Fault::ConsistencyProbes),
+        _ => sim.partitions.push(NetworkPartition { store: true, ..cut }),
     }
 }
 
@@ -101,27 +87,23 @@
     let fault_rates =
         FaultRates { message_loss: late, message_delay: late, crashes: 0, outages_and_hangs: 0 };
     let records = seed.is_multiple_of(4);
-    let mut simulation = match records {
+    let mut sim = match records {
         true => Simulation::with_offers(seed, fault_rates, 160_000, gpu_machine_offers(1)),
         false => Simulation::with_capacity(seed, fault_rates, 160_000, 4),
     };
-    simulation.restart_delay_ms = [None, Some(100), Some(200), Some(1_000)][rng.random_range(0..4)];
+    sim.restart_delay_ms = [None, Some(100), Some(200), Some(1_000)][rng.random_range(0..4)];
     if rng.random_bool(0.3) {
-        simulation.memory_mb = 0.2;
+        sim.memory_mb = 0.2;
     }
     if records {
         let text = "[loans]\ndurable = true\n[amounts]\ndurable = true\n";
-        simulation.operator = OperatorSettings::parse("records", text).expect("it is sound");
+        sim.operator = OperatorSettings::parse("records", text).expect("it is sound");
         for n in 0..3 {
             let id = format!("wk-t{n}");
-            simulation.submit(
-                500 + n * 900,
-                None,
-                gpu_job_body(&id, "gang", "tuning", 2, 1.0, 120.0),
-            );
+            sim.submit(500 + n * 900, None, gpu_job_body(&id, "gang", "tuning", 2, 1.0, 120.0));
             let mut body = gpu_job_body(&format!("wk-s{n}"), "service", "serving", 2, 1.0, 0.0);
             body["scatter"] = false.into();
-            simulation.submit(55_000 + n * 2_000, Some(130_000 + n * 4_000), body);
+            sim.submit(55_000 + n * 2_000, Some(130_000 + n * 4_000), body);
         }
     }
     for n in 0..14u64 {
@@ -131,31 +113,31 @@
         let (crew, tasks) = [("red", 6), ("blue", 3), ("blue", 2)][rng.random_range(0..3)];
         let cancel = cancel.or((shape == "service").then_some(150_000));
         let body = job_body(&format!("wk-{n}"), shape, crew, tasks, 2.0, eta);
-        simulation.submit(500 + n * 5_000, cancel, body);
+        sim.submit(500 + n * 5_000, cancel, body);
     }
     let mut led: BTreeMap<u64, (usize, u64)> = BTreeMap::new();
     for at in (0..200_000).step_by(500) {
-        simulation.run_until(at);
+        sim.run_until(at);
         if at == 40_000 || at == 95_000 {
             for _ in 0..2 + usize::from(rng.random_bool(0.4)) {
                 let (kind, after) =
                     (rng.random_range(0..FAULT_KIND_COUNT), rng.random_range(0..3_000));
-                inject_fault(&mut simulation, kind, at + after, &mut rng);
+                inject_fault(&mut sim, kind, at + after, &mut rng);
             }
         }
         let mut twice = None;
-        for (n, node) in simulation.controllers.iter().enumerate() {
+        for (n, node) in sim.controllers.iter().enumerate() {
             let Some(state) = node.as_ref().and_then(Controller::cluster_state) else { continue };
             let own = (n, state.generation);
             if *led.entry(state.token).or_insert(own) != own {
                 twice = Some(state.token);
             }
         }
-        simulation.violations.extend(twice.map(|token| format!("token {token} led twice")));
+        sim.violations.extend(twice.map(|token| format!("token {token} led twice")));
     }
-    simulation.faults_end_ms = Some(200_000);
-    simulation.run_until(520_000);
-    simulation
+    sim.faults_end_ms = Some(200_000);
+    sim.run_until(520_000);
+    sim
 }
 
 /// Whatever troubles meet: no rule is broken, nobody leads twice under a token, and in the end every job is over.
@@ -164,11 +146,11 @@
     let mut met: BTreeMap<&'static str, u64> = BTreeMap::new();
     let mut wrong = Vec::new();
     for seed in seeds_from_environment("TAKEOVERS").unwrap_or(0..60) {
-        let simulation = run_day(seed);
-        wrong.extend(simulation.violations.iter().map(|b| format!("seed {seed}: {b}")));
-        let open = simulation.jobs.iter().filter(|j| !j.is_over());
+        let sim = run_day(seed);
+        wrong.extend(sim.violations.iter().map(|b| format!("seed {seed}: {b}")));
+        let open = sim.jobs.iter().filter(|j| !j.is_over());
         wrong.extend(open.map(|j| format!("seed {seed}: {} ended as {:?}", j.id, j.last_status)));
-        for (what, n) in &simulation.fault_counts {
+        for (what, n) in &sim.fault_counts {
             *met.entry(what).or_default() += n;
         }
     }
