--- a/tests/pauses_and_partitions.rs
+++ b/tests/pauses_and_partitions.rs
@@ -1,5 +1,5 @@
-//! Bad nights: controllers that stand still, that are back at once, that lose a part of the network; users
-//! that ask without end, jobs with a mistake, guests. On the pure cores against the stand-in.
+//! Pauses, quick restarts and network partitions of controllers; low-priority jobs, faulty jobs and machines that
+//! boot late. Real controllers run against the simulated state service, cloud and workers.
 
 mod common;
 
@@ -15,10 +15,10 @@
     job_body, submit_mixed_load,
 };
 
-/// Whoever stands still for 1 to 90 s, at whatever point: it answers no report under a token that it has
-/// lost, and nothing that it did not know is told to anybody.
+/// Controllers are paused for 1 to 90 s at random times. A resumed controller must not answer reports under a fencing
+/// token that it has lost, nor reply with stale knowledge.
 #[test]
-fn who_stands_still_proves_its_lead_anew() {
+fn paused_controllers_confirm_their_lease() {
     for seed in 0..10 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut sim = Simulation::new(seed, FaultRates::NONE, 150_000);
@@ -29,18 +29,18 @@
         }
         sim.run_until(330_000);
         assert_all_jobs_over(&sim, &format!("seed {seed}"));
-        assert_eq!(sim.stale_answers, 0, "seed {seed}: a lease under a lost token");
+        assert_eq!(sim.stale_answers, 0, "seed {seed}: reports were answered under a lost token");
     }
 }
 
-/// A leader that sleeps for longer than its grant is followed no later than one that crashes; a shorter
-/// sleep costs no term.
+/// A leader that is paused for longer than its lease is replaced no later than one that crashes. A pause shorter than
+/// the lease causes no failover.
 #[test]
-fn others_take_over_as_soon_as_after_a_crash() {
-    let taken = |for_ms: u64, crash: bool| {
+fn paused_leader_is_replaced_as_soon_as_a_crashed_one() {
+    let replaced_at = |for_ms: u64, crash: bool| {
         let mut sim = Simulation::new(5, FaultRates::NONE, 60_000);
         sim.run_until(10_000);
-        let before = leader_index(&sim).expect("somebody leads");
+        let before = leader_index(&sim).expect("there is a leader");
         match crash {
             true => sim.schedule_crash(10_000, before),
             false => sim.schedule_pause(10_000, before, for_ms),
@@ -57,38 +57,43 @@
         }
         None
     };
-    let (crashed, slept) = (taken(0, true), taken(25_000, false));
-    assert!(slept.is_some() && slept <= crashed.map(|at| at + 300), "{slept:?} after {crashed:?}");
-    assert_eq!(taken(1_500, false), None, "shorter than the grant");
+    let (crashed, paused) = (replaced_at(0, true), replaced_at(25_000, false));
+    assert!(
+        paused.is_some() && paused <= crashed.map(|at| at + 300),
+        "replaced at {paused:?} after a pause, at {crashed:?} after a crash"
+    );
+    assert_eq!(replaced_at(1_500, false), None, "the pause is shorter than the lease");
 }
 
-/// A leader that is back at once takes the place of its predecessor's key, under a token of its own, and
-/// does not wait for that one's grant to end.
+/// A leader whose process restarts quickly replaces the leader's key of its previous process, under a new token, and
+/// does not wait for the old lease to expire.
 #[test]
-fn back_at_once_it_need_not_wait_for_its_predecessor() {
+fn restarted_leader_replaces_the_key_of_its_previous_process() {
     for restart_ms in [50, 200, 1_000] {
         let mut sim = Simulation::new(restart_ms, FaultRates::NONE, 60_000);
         sim.restart_delay_ms = Some(restart_ms);
         sim.run_until(10_000);
-        let before = leader_index(&sim).expect("somebody leads");
+        let before = leader_index(&sim).expect("there is a leader");
         let token = |sim: &Simulation, n: usize| {
-            sim.controllers[n].as_ref()?.cluster_state().map(|t| t.token)
+            sim.controllers[n].as_ref()?.cluster_state().map(|state| state.token)
         };
-        let old = token(&sim, before).expect("it leads");
+        let old = token(&sim, before).expect("the controller leads");
         sim.schedule_crash(10_000, before);
         sim.run_until(10_000 + restart_ms + 500);
-        let new = token(&sim, before).expect("it leads again");
+        let new = token(&sim, before).expect("the controller leads again");
         assert!(new > old, "{restart_ms} ms: token {new} after {old}");
     }
 }
 
-/// Back after a fraction of a second: one, the leader, all, in turn, again and again, in the midst of its
-/// start. The predecessor's key and grant are alive then, and its late writes come after the first reading.
+/// Controllers restart within a second: a follower twice in a row, all at once, one after another, one of them again
+/// and again while it starts, and the leader. The key and lease of the previous process are still alive then, and its
+/// late writes are applied after the new process has read the key.
 #[test]
-fn back_within_a_fraction_of_a_second() {
+fn quick_restarts_of_controllers() {
     let mut lost = Vec::new();
     for restart_ms in [50, 200, 1_000] {
-        // One day in rough fault_rates, sixteen in fair: with one alone luck decides whether a lease ends.
+        // One run with message faults, sixteen without: in a single run it is down to chance whether a worker's lease
+        // ends.
         for (seed, late) in [(1, 0.05)].into_iter().chain((0..16).map(|seed| (seed, 0.0))) {
             let fault_rates =
                 FaultRates { message_loss: late / 2.0, message_delay: late, ..FaultRates::NONE };
@@ -117,16 +122,17 @@
     }
     assert!(
         lost.len() <= 2,
-        "on more than two of 48 days tasks were lost to their lease: {lost:?}"
+        "in more than two of 48 runs tasks were killed when their worker's lease ended: {lost:?}"
     );
 }
 
-/// A report passed on to a leader that ends is given back to its worker: at once when another lead is known, and at
-/// the latest when its time is over, whether or not anybody says that the message was in vain. Leaders that ended
-/// within seconds of each other cost workers two answers in a row, five seconds each, and so their leases.
+/// A report that was forwarded to a leader which then ends is answered with a redirect: at once when another leader
+/// is known, and otherwise at the forwarding timeout, even if no error of the connection is reported. Without this,
+/// leaders that ended within seconds of each other cost workers two answers in a row, five seconds each, and so their
+/// leases.
 #[test]
-fn a_report_passed_on_to_a_leader_that_ends_is_given_back() {
-    let beat = |token| Heartbeat {
+fn report_forwarded_to_a_leader_that_ends_is_redirected() {
+    let heartbeat = |token| Heartbeat {
         controller: "n1".into(),
         fencing_token: token,
         is_leader: true,
@@ -145,65 +151,67 @@
         reclaim_in_s: None,
         tasks: Vec::new(),
     };
-    let passed_on = || {
+    let follower_after_forwarding = || {
         let now = Now { monotonic: START_MS, wall_clock: START_MS };
         let mut node = Controller::new(controller_settings(0), 3, now);
-        node.handle(Event::Heartbeat(beat(40)), now);
+        node.handle(Event::Heartbeat(heartbeat(40)), now);
         node.handle(Event::StatusReport(9, Box::new(report.clone())), now);
-        let relayed = node
+        let is_forwarded = node
             .take_actions()
             .iter()
             .any(|a| matches!(a, Action::ForwardReports(_, to, _) if to == "n1"));
-        assert!(relayed, "it is passed on to the leader");
+        assert!(is_forwarded, "the report is forwarded to the leader");
         node
     };
-    let given_back = |node: &mut Controller| {
+    let is_redirected = |node: &mut Controller| {
         node.take_actions()
             .iter()
             .any(|a| matches!(a, Action::Reply(9, reply) if reply.status == 421))
     };
     let at = |ms: u64| Now { monotonic: START_MS + ms, wall_clock: START_MS + ms };
-    let mut node = passed_on();
-    node.handle(Event::Heartbeat(beat(40)), at(500));
-    assert!(!given_back(&mut node), "the leader may yet answer");
-    node.handle(Event::Heartbeat(beat(41)), at(600));
-    assert!(given_back(&mut node), "another lead is known");
-    let mut node = passed_on();
+    let mut node = follower_after_forwarding();
+    node.handle(Event::Heartbeat(heartbeat(40)), at(500));
+    assert!(!is_redirected(&mut node), "the leader may still answer");
+    node.handle(Event::Heartbeat(heartbeat(41)), at(600));
+    assert!(is_redirected(&mut node), "another leader is known");
+    let mut node = follower_after_forwarding();
     for ms in (100..FORWARD_TIMEOUT_MS).step_by(100) {
         node.handle(Event::Tick, at(ms));
-        assert!(!given_back(&mut node), "after {ms} ms");
+        assert!(!is_redirected(&mut node), "after {ms} ms");
     }
     node.handle(Event::Tick, at(FORWARD_TIMEOUT_MS));
-    assert!(given_back(&mut node), "its time is over");
+    assert!(is_redirected(&mut node), "the forwarding timeout has passed");
 }
 
-/// Idle-hours work fills every machine with small tasks; work that others want done finds its room at once.
+/// A low-priority job fills every machine with small tasks. Work of normal priority gets capacity at once, and no
+/// more tasks are stopped for it than needed.
 #[test]
-fn guests_give_their_room_up_at_once() {
+fn low_priority_tasks_are_preempted_at_once() {
     let mut sim = Simulation::with_capacity(3, FaultRates::NONE, 400_000, 1);
-    let mut guest = job_body("wk-g1", "array", "blue", 400, 0.25, 300.0);
-    guest["rank"] = "low".into();
-    guest["due_s"] = serde_json::Value::Null;
-    sim.submit(500, None, guest);
+    let mut low_priority = job_body("wk-g1", "array", "blue", 400, 0.25, 300.0);
+    low_priority["rank"] = "low".into();
+    low_priority["due_s"] = serde_json::Value::Null;
+    sim.submit(500, None, low_priority);
     sim.run_until(60_000);
-    let runs = |sim: &Simulation, id: &str| {
+    let running = |sim: &Simulation, id: &str| {
         let tasks =
             sim.cluster.workers.values().filter(|w| !w.is_terminated).flat_map(|w| &w.tasks);
         tasks.filter(|t| t.is_on_machine() && t.name.starts_with(id)).count()
     };
-    let before = runs(&sim, "wk-g1");
-    assert!(before >= 250, "the guest has {before}");
+    let before = running(&sim, "wk-g1");
+    assert!(before >= 250, "the low-priority job has {before} tasks");
     sim.submit(60_000, None, job_body("wk-a1", "array", "blue", 6, 3.0, 20.0));
     sim.run_until(75_000);
-    assert_eq!(runs(&sim, "wk-a1"), 6, "beside {} of the guest's", runs(&sim, "wk-g1"));
-    assert!(runs(&sim, "wk-g1") + 6 * 12 + 24 >= before, "no more is stopped than is needed");
+    let after = running(&sim, "wk-g1");
+    assert_eq!(running(&sim, "wk-a1"), 6, "beside {after} low-priority tasks");
+    assert!(after + 6 * 12 + 24 >= before, "no more tasks are stopped than needed");
     assert!(sim.violations.is_empty(), "{:?}", sim.violations);
 }
 
-/// Jobs submitted with a mistake beside machines that fail everything: the jobs are tried within a budget,
-/// their team's other jobs run, no healthy machine is given up, and the faulty ones are.
+/// Jobs whose tasks always fail run beside machines on which every task fails. The failing jobs are retried within a
+/// budget, their team's other jobs run, no healthy machine is marked suspect, and the faulty ones are.
 #[test]
-fn jobs_with_a_mistake_are_told_from_faulty_machines() {
+fn faulty_jobs_are_distinguished_from_faulty_machines() {
     for seed in 0..6 {
         let mut sim = Simulation::new(seed, FaultRates::NONE, 400_000);
         for n in 0..4 {
@@ -221,7 +229,7 @@
             );
         }
         sim.run_until(40_000);
-        let bad: Vec<String> = match seed % 2 {
+        let faulty: Vec<String> = match seed % 2 {
             0 => Vec::new(),
             _ => {
                 sim.cluster
@@ -235,21 +243,22 @@
         sim.run_until(190_000);
         assert!(sim.violations.is_empty(), "seed {seed}: {:?}", sim.violations);
         for (id, tries) in &sim.cluster.failures_by_job {
-            // Three machines, then two tasks at a time with pauses of 5 to 60 s; a wave that had begun.
-            let most = if sim.cluster.faulty_jobs.contains(id) { 60 } else { 20 };
-            assert!(*tries <= most, "seed {seed}: {id} failed {tries} times");
+            // Attempts on three machines, then of two tasks at a time with backoffs of 5 to 60 s, and the attempts
+            // that had already started.
+            let max_tries = if sim.cluster.faulty_jobs.contains(id) { 60 } else { 20 };
+            assert!(*tries <= max_tries, "seed {seed}: {id} failed {tries} times");
         }
         let done = |id: &str| sim.jobs.iter().any(|j| j.id == id && j.is_over());
         assert!((0..4).all(|n| done(&format!("wk-a{n}"))) && done("wk-z"), "seed {seed}");
         let state =
             sim.controllers.iter().flatten().find_map(Controller::cluster_state).expect("a leader");
-        let wrong =
-            state.machines.values().filter(|m| m.is_suspect && !bad.contains(&m.id.to_string()));
-        assert_eq!(wrong.count(), 0, "seed {seed}: a healthy machine is shunned");
-        let kept = bad.iter().filter(|name| {
+        let healthy_suspects =
+            state.machines.values().filter(|m| m.is_suspect && !faulty.contains(&m.id.to_string()));
+        assert_eq!(healthy_suspects.count(), 0, "seed {seed}: a healthy machine is suspect");
+        let undetected = faulty.iter().filter(|name| {
             state.machines.get(name.as_str()).is_some_and(|m| !m.is_suspect && !m.tasks.is_empty())
         });
-        assert_eq!(kept.count(), 0, "seed {seed}: a faulty machine is trusted");
+        assert_eq!(undetected.count(), 0, "seed {seed}: a faulty machine is not suspect");
     }
 }
 
@@ -258,15 +267,15 @@
     NetworkPartition { workers, peers, store, ..NetworkPartition::of(node, from_ms, for_ms) }
 }
 
-/// A leader that the state service still hears but nobody else gives the lead to one that reaches the
-/// workers, before their leases end, and does not take it back meanwhile.
+/// A leader that reaches the state service but neither workers nor peers resigns before the workers' leases end. A
+/// controller that reaches the workers takes over, and the isolated one does not become the leader again meanwhile.
 #[test]
-fn a_leader_that_reaches_nobody_gives_the_lead_away() {
+fn isolated_leader_resigns() {
     for seed in 0..4 {
         let mut sim = Simulation::new(seed, FaultRates::NONE, 120_000);
         submit_mixed_load(&mut sim, 4);
         sim.run_until(20_000);
-        let before = leader_index(&sim).expect("somebody leads");
+        let before = leader_index(&sim).expect("there is a leader");
         sim.partitions.push(partition(before, 20_000, 60_000, [true, true, false]));
         let mut leaders = Vec::new();
         for at in 21..80 {
@@ -276,16 +285,16 @@
         leaders.dedup();
         assert!(leaders.len() <= 2 && leaders.last() != Some(&before), "seed {seed}: {leaders:?}");
         let killed = tasks_killed(&sim);
-        assert_eq!(killed, 0, "seed {seed}: tasks lost to their lease");
+        assert_eq!(killed, 0, "seed {seed}: tasks killed when their worker's lease ended");
         sim.run_until(300_000);
         assert_all_jobs_over(&sim, &format!("seed {seed}"));
     }
 }
 
-/// Every part of the network gone for a controller, alone and together with standstills and ends that are
-/// over at once: no rule is broken, and everything ends.
+/// Controllers lose their connections to workers, peers or the state service in any combination, together with pauses
+/// and quick restarts. No invariant is violated, and every job ends.
 #[test]
-fn parts_of_the_network_gone_and_all_else() {
+fn partitions_combined_with_pauses_and_restarts() {
     for seed in 0..10 {
         let mut rng = StdRng::seed_from_u64(seed + 100);
         let fault_rates = FaultRates {
@@ -317,36 +326,37 @@
     }
 }
 
-/// Machines that come up at once, late, or never, beside lists that are older than the last one: what never
-/// comes is returned after a bounded wait and replaced, what is late is not rented twice over.
+/// Machines boot at once, late or never, while the cloud's machine lists lag. A machine that never boots is
+/// terminated within a bounded time and replaced, and machines that boot late are not provisioned twice.
 #[test]
-fn machines_that_come_late_at_once_or_never() {
-    for (never, slower) in [(0.5, 1.0), (0.0, 0.02), (0.1, 6.0), (0.4, 0.3)] {
+fn machines_that_boot_late_at_once_or_never() {
+    for (never, slow) in [(0.5, 1.0), (0.0, 0.02), (0.1, 6.0), (0.4, 0.3)] {
         let mut sim = Simulation::with_capacity(8, FaultRates::NONE, 600_000, 8);
         (sim.cluster.cloud.never_boots_probability, sim.cluster.cloud.slow_boot_probability) =
-            (never, slower);
+            (never, slow);
         for n in 0..6 {
             let id = format!("wk-a{n}");
             sim.submit(1_000 + n * 4_000, None, job_body(&id, "array", "blue", 16, 1.0, 15.0));
             let id = format!("wk-s{n}");
             sim.submit(500 + n * 3_000, None, job_body(&id, "service", "blue", 2, 1.0, 0.0));
         }
-        let mut most = 0;
+        let mut max_machines = 0;
         for at in 1..60 {
             sim.run_until(at * 5_000);
             let now = sim.now;
             let held = sim.cluster.workers.iter().filter(|(_, w)| !w.is_terminated);
             let machines = held.filter_map(|(name, _)| sim.cluster.cloud.machine(name));
             let machines: Vec<_> = machines.collect();
-            most = most.max(machines.len());
-            // A boot of 5 s is given up after 25 s; a new leader, a list and a return may add to it.
-            let dead =
+            max_machines = max_machines.max(machines.len());
+            // A boot that should take 5 s is given up after 25 s. A failover, a machine list and the termination add
+            // to it.
+            let overdue =
                 machines.iter().filter(|m| m.up_at.is_none() && now > m.provisioned_at + 60_000);
-            assert_eq!(dead.count(), 0, "{never}, {slower}: never up, and still paid for");
+            assert_eq!(overdue.count(), 0, "{never}, {slow}: a machine never booted and is kept");
         }
         // 96 tasks of one CPU and 12 replicas fill 27 machines of 4 CPUs at most.
-        assert!(most <= 27 + 20, "{never}, {slower}: {most} machines");
+        assert!(max_machines <= 27 + 20, "{never}, {slow}: {max_machines} machines");
         sim.run_until(500_000);
-        assert_all_jobs_over(&sim, &format!("{never}, {slower}"));
+        assert_all_jobs_over(&sim, &format!("{never}, {slow}"));
     }
 }
--- a/tests/random_failovers.rs
+++ b/tests/random_failovers.rs
@@ -1,5 +1,5 @@
-//! Days on which troubles of takeovers meet two at a time, at random: `TAKEOVERS=0..1000 cargo test --test
-//! takeover_days` plays other days.
+//! Failovers under random combinations of faults, two or three at a time. `TAKEOVERS=0..1000 cargo test --test
+//! random_failovers` runs other seeds.
 
 mod common;
 
@@ -17,21 +17,22 @@
 
 const FAULT_KIND_COUNT: usize = 20;
 
-/// A trouble that begins then.
+/// Injects a fault of this kind that begins at time `at`, ms.
 fn inject_fault(sim: &mut Simulation, kind: usize, at: u64, rng: &mut StdRng) {
-    let leads = leader_index(sim);
-    let node = leads.filter(|_| rng.random_bool(0.7)).unwrap_or(rng.random_range(0..3));
+    let leader = leader_index(sim);
+    let node = leader.filter(|_| rng.random_bool(0.7)).unwrap_or(rng.random_range(0..3));
     let for_ms = rng.random_range(3_000..40_000);
     let share = rng.random_range(0.1..0.6);
     let zone = ["a", "b", "c"][rng.random_range(0..3)].to_string();
-    let cut = NetworkPartition {
+    let partition = NetworkPartition {
         holds_messages: rng.random_bool(0.4),
         ..NetworkPartition::of(node, at, for_ms)
     };
-    let third: Vec<String> = sim.running_machines().into_iter().skip(kind % 2).step_by(3).collect();
+    let third_of_machines: Vec<String> =
+        sim.running_machines().into_iter().skip(kind % 2).step_by(3).collect();
     match kind {
         0 => {
-            // Kept from before on, so that there is something for whoever begins next.
+            // Duplicates are collected before the crash, so that some are delivered to the next leader.
             sim.add_fault_window(at, 60_000, Fault::DuplicatesForNextLeader(share));
             sim.schedule_crash(at + rng.random_range(2_000..20_000), node);
         }
@@ -44,7 +45,7 @@
             sim.schedule_store_outage(at, for_ms + 10_000);
             sim.schedule_crash(at + rng.random_range(500..for_ms), node);
         }
-        7 => sim.add_fault_window(at, for_ms, Fault::OutboundUnreachable(third)),
+        7 => sim.add_fault_window(at, for_ms, Fault::OutboundUnreachable(third_of_machines)),
         8 => sim.schedule_pause(at, node, for_ms.min(25_000)),
         9 => sim.schedule_store_slowdown(at, for_ms),
         10 => {
@@ -57,8 +58,8 @@
             sim.schedule_crash(at + rng.random_range(1_500..6_000), node);
         }
         11 => sim.schedule_running_cancellations(at, 4, rng.random_bool(0.5).then_some(for_ms)),
-        12 => sim.partitions.push(NetworkPartition { store: true, peers: true, ..cut }),
-        13 => sim.partitions.push(NetworkPartition { workers: true, ..cut }),
+        12 => sim.partitions.push(NetworkPartition { store: true, peers: true, ..partition }),
+        13 => sim.partitions.push(NetworkPartition { workers: true, ..partition }),
         14 => (0..3).for_each(|n| sim.schedule_pause(at, n, 12_000 + for_ms / 4)),
         15 => {
             let (zone, names) = (Some(zone), Vec::new());
@@ -76,18 +77,18 @@
         }
         17 => sim.duplicate_reports = Some((0.2, 40_000)),
         18 => sim.add_fault_window(at, for_ms, Fault::ConsistencyProbes),
-        _ => sim.partitions.push(NetworkPartition { store: true, ..cut }),
+        _ => sim.partitions.push(NetworkPartition { store: true, ..partition }),
     }
 }
 
-/// A day on which two or three of these meet, twice.
-fn run_day(seed: u64) -> Simulation {
+/// Runs a simulation with a random load, into which two or three faults are injected at once, twice.
+fn run_scenario(seed: u64) -> Simulation {
     let mut rng = StdRng::seed_from_u64(seed);
-    let late = [0.0, 0.0, 0.02][seed as usize % 3];
+    let rate = [0.0, 0.0, 0.02][seed as usize % 3];
     let fault_rates =
-        FaultRates { message_loss: late, message_delay: late, crashes: 0, outages_and_hangs: 0 };
-    let records = seed.is_multiple_of(4);
-    let mut sim = match records {
+        FaultRates { message_loss: rate, message_delay: rate, crashes: 0, outages_and_hangs: 0 };
+    let uses_records = seed.is_multiple_of(4);
+    let mut sim = match uses_records {
         true => Simulation::with_offers(seed, fault_rates, 160_000, gpu_machine_offers(1)),
         false => Simulation::with_capacity(seed, fault_rates, 160_000, 4),
     };
@@ -95,9 +96,9 @@
     if rng.random_bool(0.3) {
         sim.memory_mb = 0.2;
     }
-    if records {
+    if uses_records {
         let text = "[loans]\ndurable = true\n[amounts]\ndurable = true\n";
-        sim.operator = OperatorSettings::parse("records", text).expect("it is sound");
+        sim.operator = OperatorSettings::parse("records", text).expect("valid operator settings");
         for n in 0..3 {
             let id = format!("wk-t{n}");
             sim.submit(500 + n * 900, None, gpu_job_body(&id, "gang", "tuning", 2, 1.0, 120.0));
@@ -107,15 +108,16 @@
         }
     }
     for n in 0..14u64 {
-        let cancel = rng.random_bool(0.4).then(|| rng.random_range(30_000..120_000));
-        let eta = [8.0, 40.0, 120.0][rng.random_range(0..3)];
+        let cancel_at = rng.random_bool(0.4).then(|| rng.random_range(30_000..120_000));
+        let estimate_s = [8.0, 40.0, 120.0][rng.random_range(0..3)];
         let shape = ["array", "gang", "array", "service"][n as usize % 4];
-        let (crew, tasks) = [("red", 6), ("blue", 3), ("blue", 2)][rng.random_range(0..3)];
-        let cancel = cancel.or((shape == "service").then_some(150_000));
-        let body = job_body(&format!("wk-{n}"), shape, crew, tasks, 2.0, eta);
-        sim.submit(500 + n * 5_000, cancel, body);
+        let (team, tasks) = [("red", 6), ("blue", 3), ("blue", 2)][rng.random_range(0..3)];
+        let cancel_at = cancel_at.or((shape == "service").then_some(150_000));
+        let body = job_body(&format!("wk-{n}"), shape, team, tasks, 2.0, estimate_s);
+        sim.submit(500 + n * 5_000, cancel_at, body);
     }
-    let mut led: BTreeMap<u64, (usize, u64)> = BTreeMap::new();
+    // The controller and leadership generation that led under each fencing token.
+    let mut leaderships: BTreeMap<u64, (usize, u64)> = BTreeMap::new();
     for at in (0..200_000).step_by(500) {
         sim.run_until(at);
         if at == 40_000 || at == 95_000 {
@@ -125,38 +127,40 @@
                 inject_fault(&mut sim, kind, at + after, &mut rng);
             }
         }
-        let mut twice = None;
+        let mut reused_token = None;
         for (n, node) in sim.controllers.iter().enumerate() {
             let Some(state) = node.as_ref().and_then(Controller::cluster_state) else { continue };
-            let own = (n, state.generation);
-            if *led.entry(state.token).or_insert(own) != own {
-                twice = Some(state.token);
+            let leadership = (n, state.generation);
+            if *leaderships.entry(state.token).or_insert(leadership) != leadership {
+                reused_token = Some(state.token);
             }
         }
-        sim.violations.extend(twice.map(|token| format!("token {token} led twice")));
+        let violation = reused_token.map(|token| format!("two leaderships under token {token}"));
+        sim.violations.extend(violation);
     }
     sim.faults_end_ms = Some(200_000);
     sim.run_until(520_000);
     sim
 }
 
-/// Whatever troubles meet: no rule is broken, nobody leads twice under a token, and in the end every job is over.
+/// No combination of faults violates an invariant or lets two leaderships share a fencing token, and every job ends.
 #[test]
-fn takeovers_among_other_troubles_break_no_rule() {
-    let mut met: BTreeMap<&'static str, u64> = BTreeMap::new();
-    let mut wrong = Vec::new();
+fn failovers_with_random_faults_violate_no_invariant() {
+    let mut fault_counts: BTreeMap<&'static str, u64> = BTreeMap::new();
+    let mut failures = Vec::new();
     for seed in seeds_from_environment("TAKEOVERS").unwrap_or(0..60) {
-        let sim = run_day(seed);
-        wrong.extend(sim.violations.iter().map(|b| format!("seed {seed}: {b}")));
+        let sim = run_scenario(seed);
+        failures.extend(sim.violations.iter().map(|v| format!("seed {seed}: {v}")));
         let open = sim.jobs.iter().filter(|j| !j.is_over());
-        wrong.extend(open.map(|j| format!("seed {seed}: {} ended as {:?}", j.id, j.last_status)));
-        for (what, n) in &sim.fault_counts {
-            *met.entry(what).or_default() += n;
+        failures
+            .extend(open.map(|j| format!("seed {seed}: {} ended as {:?}", j.id, j.last_status)));
+        for (kind, n) in &sim.fault_counts {
+            *fault_counts.entry(kind).or_default() += n;
         }
     }
-    println!("{met:?}");
-    assert!(wrong.is_empty(), "{wrong:#?}");
-    for what in ["leader", "copy for next", "write late", "answer lost", "zone cut", "mute"] {
-        assert!(met.get(what).is_some_and(|n| *n > 20), "{what}: {met:?}");
+    println!("{fault_counts:?}");
+    assert!(failures.is_empty(), "{failures:#?}");
+    for kind in ["leader", "copy for next", "write late", "answer lost", "zone partition", "mute"] {
+        assert!(fault_counts.get(kind).is_some_and(|n| *n > 20), "{kind}: {fault_counts:?}");
     }
 }
--- a/tests/stale_store_responses.rs
+++ b/tests/stale_store_responses.rs
@@ -1,5 +1,5 @@
-//! When one controller takes over from another: answers of the state service that come after what they tell of has
-//! changed, the same key met again, loans in each stage. One controller, whose answers the tests hold back one by one.
+//! Stale responses of the state service around a failover, leader's keys of earlier elections, and GPU loans that
+//! outlive their leader. Most tests run a single controller and delay individual responses of its state service.
 
 use serde_json::json;
 use std::collections::VecDeque;
@@ -14,11 +14,11 @@
 use swiftsail_protocol::state::{KeyPage, KeyValue};
 use swiftsail_protocol::workers::StatusReport;
 use swiftsail_replicated_records::Versioned;
-use swiftsail_replicated_records::{RecordStore, StoreLimits, WriteOutcome as Written};
+use swiftsail_replicated_records::{RecordStore, StoreLimits, WriteOutcome};
 use swiftsail_simulation::simulation::{START_MS, controller_settings, job_spec};
 use swiftsail_simulation::store::{FakeStore, TransactionResult};
 
-// ---- answers that are overtaken ----------------------------------------------------------------
+// ---- stale responses ---------------------------------------------------------------------------
 
 fn record_store() -> RecordStore {
     RecordStore::new(
@@ -32,72 +32,75 @@
     )
 }
 
-/// A watch's answer that a reading has overtaken tells of a record that was removed meanwhile, and the watch goes
-/// on behind the removal: it must not bring the record back for good.
+/// A slow watch response puts a record that a later read has shown to be removed, and the next watch begins after the
+/// removal. The record must not be restored.
 #[test]
-fn a_watch_that_is_overtaken_brings_nothing_back() {
-    let mut book = record_store();
-    book.on_page(vec![("a".into(), json!(1), 90)], 100, false);
-    // Written at 102, told at once by a slow watch, removed at 104; then all is read at 105.
-    book.start_reload();
-    book.on_page(vec![("a".into(), json!(1), 90)], 105, false);
-    book.on_watch_changes(vec![("loan".into(), Some(json!(2)), 102)], 102);
-    assert!(book.get_committed("loan").is_none(), "it was removed at 104");
-    book.on_watch_changes(vec![("b".into(), Some(json!(3)), 106)], 106);
-    assert_eq!(book.get_committed("b"), Some(&json!(3)));
+fn stale_watch_response_does_not_restore_a_removed_record() {
+    let mut records = record_store();
+    records.on_page(vec![("a".into(), json!(1), 90)], 100, false);
+    // The record is written at 102 and removed at 104. All records are read at 105, before the slow watch returns
+    // 102.
+    records.start_reload();
+    records.on_page(vec![("a".into(), json!(1), 90)], 105, false);
+    records.on_watch_changes(vec![("loan".into(), Some(json!(2)), 102)], 102);
+    assert!(records.get_committed("loan").is_none(), "the record was removed at 104");
+    records.on_watch_changes(vec![("b".into(), Some(json!(3)), 106)], 106);
+    assert_eq!(records.get_committed("b"), Some(&json!(3)));
 }
 
-/// The same of what this leader has removed itself: the watch tells of its own earlier writing afterwards.
+/// The same for a record that this leader has written and removed itself: its watch returns the earlier write
+/// afterwards.
 #[test]
-fn what_a_leader_has_removed_does_not_come_back_by_its_own_watch() {
-    let mut book = record_store();
-    book.on_page(Vec::new(), 100, false);
-    let wanted = |book: &mut RecordStore, stamp| {
-        let txn = book.next_transaction(START_MS + stamp).expect("something is wanted");
-        assert!(!book.on_outcome(txn.id, Written::Committed(stamp)));
+fn watch_does_not_restore_a_record_that_the_leader_removed() {
+    let mut records = record_store();
+    records.on_page(Vec::new(), 100, false);
+    let commit_next = |records: &mut RecordStore, revision| {
+        let txn = records.next_transaction(START_MS + revision).expect("a pending write");
+        assert!(!records.on_outcome(txn.id, WriteOutcome::Committed(revision)));
     };
-    book.put("loan", json!(1));
-    wanted(&mut book, 101);
-    book.remove("loan");
-    wanted(&mut book, 103);
-    book.on_watch_changes(vec![("loan".into(), Some(json!(1)), 101)], 101);
-    assert!(book.get_committed("loan").is_none(), "its removal is known");
-    book.on_watch_changes(vec![("loan".into(), None, 103)], 103);
-    assert!(book.get_committed("loan").is_none());
-    // Written again by a later leader, it is news.
-    book.on_watch_changes(vec![("loan".into(), Some(json!(4)), 105)], 105);
-    assert_eq!(book.get_committed("loan"), Some(&json!(4)));
+    records.put("loan", json!(1));
+    commit_next(&mut records, 101);
+    records.remove("loan");
+    commit_next(&mut records, 103);
+    records.on_watch_changes(vec![("loan".into(), Some(json!(1)), 101)], 101);
+    assert!(records.get_committed("loan").is_none(), "the leader knows of the removal");
+    records.on_watch_changes(vec![("loan".into(), None, 103)], 103);
+    assert!(records.get_committed("loan").is_none());
+    // A later leader writes the record again.
+    records.on_watch_changes(vec![("loan".into(), Some(json!(4)), 105)], 105);
+    assert_eq!(records.get_committed("loan"), Some(&json!(4)));
 }
 
-/// What becomes of a call.
+/// How the state service treats a call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum CallFate {
-    /// Done and answered at once.
+    /// The call is executed and answered at once.
     Immediate,
-    /// Done at once; its answer waits.
+    /// The call is executed at once; its response is delayed.
     AnswerDelayed,
-    /// No answer; done when told to.
+    /// The call's outcome is unknown to the controller; the test executes it later.
     AppliedLater,
-    /// Neither done nor answered yet.
+    /// The call is neither executed nor answered until the test does so.
     Held,
 }
 
-/// One controller and the state service, whose answers the test holds back.
+/// One controller with a state service whose responses the test can delay.
 struct SingleController {
     controller: Controller,
     now: Now,
     store: FakeStore,
     call_fate: Box<dyn FnMut(&StoreCall) -> CallFate>,
+    /// Open watches: call id, prefix and the revision after which they begin.
     watches: Vec<(u64, String, u64)>,
-    /// Answers that wait.
+    /// Delayed responses.
     delayed_answers: VecDeque<(u64, StoreCall, StoreOutcome)>,
-    /// Calls that are yet to be done, and that nobody waits for.
+    /// Calls not executed yet that the controller has given up.
     deferred_calls: VecDeque<StoreCall>,
-    /// Calls that are yet to be done and answered.
+    /// Calls not executed yet that the controller waits for.
     held_calls: VecDeque<(u64, StoreCall)>,
-    /// Tokens and eras under which it has led.
+    /// Fencing tokens and generations under which the controller has led.
     leaderships: Vec<(u64, u64)>,
-    /// Machines that it has asked directly.
+    /// Machines that the controller has probed.
     machines_probed: Vec<MachineId>,
 }
 
@@ -106,7 +109,7 @@
         SingleController::with_seed(operator, 1)
     }
 
-    /// Another process of the same controller, if the seed is another.
+    /// A controller whose incarnation depends on the seed: with another seed it is another process on the same host.
     fn with_seed(operator: &OperatorSettings, seed: u64) -> SingleController {
         let now = Now { monotonic: START_MS, wall_clock: START_MS };
         let controller =
@@ -144,10 +147,10 @@
                 StoreOutcome::Page(self.store.list(prefix, from.as_deref(), 9))
             }
             StoreCall::Commit(commit) => match self.store.apply_transaction(commit) {
-                TransactionResult::Committed(epoch) => StoreOutcome::Committed(epoch),
+                TransactionResult::Committed(revision) => StoreOutcome::Committed(revision),
                 TransactionResult::PreconditionFailed(keys) => StoreOutcome::Conflict(keys),
                 TransactionResult::LeaseNotFound => StoreOutcome::NoSuchLease,
-                TransactionResult::Malformed(why) => StoreOutcome::Malformed(why),
+                TransactionResult::Malformed(reason) => StoreOutcome::Malformed(reason),
             },
             StoreCall::GrantLease { ttl_ms } => {
                 StoreOutcome::LeaseGranted(self.store.create_lease(*ttl_ms, now).unwrap_or(0))
@@ -162,8 +165,8 @@
             }
             StoreCall::ReadChanges { prefix, from } | StoreCall::Watch { prefix, from } => {
                 match self.store.changes_since(prefix, *from) {
-                    Ok(news) => StoreOutcome::Changes(
-                        news.unwrap_or_else(|| self.store.empty_watch_response()),
+                    Ok(changes) => StoreOutcome::Changes(
+                        changes.unwrap_or_else(|| self.store.empty_watch_response()),
                     ),
                     Err(_) => StoreOutcome::Compacted,
                 }
@@ -176,12 +179,12 @@
         self.execute_actions();
     }
 
-    /// The first answer that waits to such a call comes now.
-    fn release_call(&mut self, which: impl Fn(&StoreCall) -> bool) -> bool {
-        let Some(at) = self.delayed_answers.iter().position(|(_, call, _)| which(call)) else {
+    /// Delivers the first delayed response to a matching call. False if there is none.
+    fn release_response(&mut self, matches: impl Fn(&StoreCall) -> bool) -> bool {
+        let Some(index) = self.delayed_answers.iter().position(|(_, call, _)| matches(call)) else {
             return false;
         };
-        let Some((id, _, outcome)) = self.delayed_answers.remove(at) else { return false };
+        let Some((id, _, outcome)) = self.delayed_answers.remove(index) else { return false };
         self.deliver_response(id, outcome);
         true
     }
@@ -234,12 +237,12 @@
             (self.now.monotonic, self.now.wall_clock) =
                 (self.now.monotonic + 10, self.now.wall_clock + 10);
             self.store.expire_leases(self.now.monotonic, false);
-            let follows = std::mem::take(&mut self.watches);
-            for (id, prefix, from) in follows {
+            let watches = std::mem::take(&mut self.watches);
+            for (id, prefix, from) in watches {
                 match self.store.changes_since(&prefix, from) {
-                    Ok(Some(news)) => self
+                    Ok(Some(changes)) => self
                         .controller
-                        .handle(Event::StoreResponse(id, StoreOutcome::Changes(news)), self.now),
+                        .handle(Event::StoreResponse(id, StoreOutcome::Changes(changes)), self.now),
                     _ => self.watches.push((id, prefix, from)),
                 }
             }
@@ -251,7 +254,7 @@
     }
 
     fn leader_token(&self) -> Option<u64> {
-        self.controller.cluster_state().map(|t| t.token)
+        self.controller.cluster_state().map(|state| state.token)
     }
 }
 
@@ -266,15 +269,16 @@
             swiftsail_protocol::state::Mutation::Put { key, .. } if key == keys::LEADER)
 }
 
-/// A controller that has begun to lead, while readings of the term made before that still wait for their answers.
+/// A controller that has become the leader while the responses to earlier reads of the leader's key are still
+/// delayed.
 fn leader_with_stale_reads() -> SingleController {
     let mut alone = SingleController::new(&OperatorSettings::default());
-    let mut readings = 0;
+    let mut reads = 0;
     alone.call_fate = Box::new(move |call| match call {
         StoreCall::GrantLease { .. } => CallFate::AnswerDelayed,
         call if is_leader_key_read(call) => {
-            readings += 1;
-            if readings > 1 { CallFate::AnswerDelayed } else { CallFate::Immediate }
+            reads += 1;
+            if reads > 1 { CallFate::AnswerDelayed } else { CallFate::Immediate }
         }
         _ => CallFate::Immediate,
     });
@@ -285,29 +289,30 @@
         alone.delayed_answers
     );
     alone.call_fate = Box::new(|_| CallFate::Immediate);
-    assert!(alone.release_call(|call| matches!(call, StoreCall::GrantLease { .. })));
+    assert!(alone.release_response(|call| matches!(call, StoreCall::GrantLease { .. })));
     alone.run_for(200);
     assert!(alone.controller.is_leader());
     alone
 }
 
-/// A reading of the term made before the key was written says nothing of it, however late it comes.
+/// A read of the leader's key that was executed before the key was written must not end the leadership when its
+/// response arrives later.
 #[test]
-fn a_reading_made_before_its_lead_does_not_end_it() {
+fn read_from_before_the_election_does_not_end_leadership() {
     let mut alone = leader_with_stale_reads();
-    assert!(alone.release_call(is_leader_key_read));
+    assert!(alone.release_response(is_leader_key_read));
     alone.run_for(1_000);
-    assert_eq!(alone.leaderships.len(), 1, "it led as {:?}", alone.leaderships);
+    assert_eq!(alone.leaderships.len(), 1, "leaderships: {:?}", alone.leaderships);
     assert!(alone.controller.is_leader());
 }
 
-/// A controller that has stepped down while its key lives finds that key in a later campaign: it must not lead under
-/// the same token again, since launch numbers would come again and workers have shown that token before.
+/// A controller that has stepped down while its key still exists finds that key during a later election. It must not
+/// lead under the same token again: attempt numbers would be reused, and workers have already reported that token.
 #[test]
-fn nobody_leads_twice_under_one_token() {
+fn no_two_leaderships_share_a_fencing_token() {
     let mut alone = leader_with_stale_reads();
-    let first = alone.leader_token().expect("it leads");
-    // Its watch of jobs is lost; what it reads of the term then is slow, and an old reading shows no key.
+    let first = alone.leader_token().expect("the controller leads");
+    // Its watch of jobs is compacted. Reads of the leader's key are slow then, and an old one shows no key.
     alone.call_fate = Box::new(|call| match call {
         call if is_leader_key_read(call) || is_leader_key_write(call) => CallFate::AnswerDelayed,
         _ => CallFate::Immediate,
@@ -316,35 +321,36 @@
     alone.watches.retain(|f| f.0 != id);
     alone.deliver_response(id, StoreOutcome::Compacted);
     assert!(!alone.controller.is_leader() && alone.store.get(keys::LEADER).is_some());
-    assert!(alone.release_call(is_leader_key_read), "the old one");
+    assert!(alone.release_response(is_leader_key_read), "the old read");
     alone.run_for(300);
     assert!(alone.delayed_answers.iter().any(|s| is_leader_key_write(&s.1)), "it campaigns");
-    // All that waits comes now: its own key is among it.
-    while alone.release_call(is_leader_key_read) {}
+    // All delayed responses are delivered now, among them one with its own earlier key.
+    while alone.release_response(is_leader_key_read) {}
     alone.call_fate = Box::new(|_| CallFate::Immediate);
     alone.run_for(300);
-    while alone.release_call(|_| true) {}
+    while alone.release_response(|_| true) {}
     alone.run_for(5_000);
     let tokens: Vec<u64> = alone.leaderships.iter().map(|l| l.0).collect();
-    assert!(tokens.windows(2).all(|t| t[0] < t[1]), "it led under {tokens:?}");
+    assert!(tokens.windows(2).all(|t| t[0] < t[1]), "fencing tokens: {tokens:?}");
     assert!(alone.controller.is_leader() && alone.leader_token() > Some(first));
 }
 
-/// The key is written late, under the grant of a campaign that was given up, while the next one tries: a lead whose
-/// grant nobody extends would be lost again within seconds.
+/// The leader's key is written late, under the lease of a campaign that was given up, during the next campaign. It
+/// must not make the controller the leader: nobody renews that lease, so leadership would be lost again within
+/// seconds.
 #[test]
-fn a_key_written_late_by_an_earlier_campaign_is_no_lead() {
+fn key_of_an_earlier_campaign_does_not_make_a_leader() {
     let mut alone = SingleController::new(&OperatorSettings::default());
-    let mut tries = 0;
+    let mut attempts = 0;
     alone.call_fate = Box::new(move |call| match call {
         call if is_leader_key_write(call) => {
-            tries += 1;
-            [CallFate::AppliedLater, CallFate::Held][(tries - 1).min(1)]
+            attempts += 1;
+            [CallFate::AppliedLater, CallFate::Held][(attempts - 1).min(1)]
         }
         _ => CallFate::Immediate,
     });
     alone.run_for(300);
-    let late = alone.deferred_calls.pop_front().expect("a campaign without an answer");
+    let late = alone.deferred_calls.pop_front().expect("a campaign without a response");
     for _ in 0..200 {
         if !alone.held_calls.is_empty() {
             break;
@@ -353,7 +359,7 @@
     }
     assert!(
         matches!(alone.execute_store_call(&late), StoreOutcome::Committed(_)),
-        "its grant still lives"
+        "its lease is still alive"
     );
     alone.call_fate = Box::new(|_| CallFate::Immediate);
     alone.run_for(50);
@@ -362,19 +368,19 @@
     alone.deliver_response(id, outcome);
     alone.run_for(8_000);
     assert!(alone.controller.is_leader());
-    assert_eq!(alone.leaderships.len(), 1, "a lead was lost again: {:?}", alone.leaderships);
+    assert_eq!(alone.leaderships.len(), 1, "leadership was lost: {:?}", alone.leaderships);
 }
 
 fn parse_operator(text: &str) -> OperatorSettings {
-    OperatorSettings::parse("test", text).expect("it is sound")
+    OperatorSettings::parse("test", text).expect("valid operator settings")
 }
 
-/// A reading of the records that a controller began before its lead is overtaken by the one that its lead begins
-/// with: what it tells afterwards is older.
+/// A read of the replicated records that a controller began before it became the leader returns after the read that
+/// its leadership began with. The older result must be ignored.
 #[test]
-fn a_new_leader_does_not_go_by_an_earlier_reading_of_the_records() {
+fn new_leader_ignores_an_earlier_read_of_the_records() {
     let mut alone = SingleController::new(&parse_operator("[loans]\ndurable = true\n"));
-    let lent = json!({"v": 1, "x": [], "l": []});
+    let loan = json!({"v": 1, "x": [], "l": []});
     let write = |alone: &mut SingleController, key: &str, value: Option<serde_json::Value>| {
         let change = match value {
             Some(value) => {
@@ -391,41 +397,47 @@
             StoreOutcome::Committed(_)
         ));
     };
-    write(&mut alone, "order/loan/wk-old", Some(lent.clone()));
-    let order =
+    write(&mut alone, "order/loan/wk-old", Some(loan.clone()));
+    let is_record_read =
         |call: &StoreCall| matches!(call, StoreCall::List { prefix, .. } if prefix == keys::ORDER);
     let mut first = true;
     alone.call_fate = Box::new(move |call| match call {
-        call if order(call) && std::mem::take(&mut first) => CallFate::AnswerDelayed,
+        call if is_record_read(call) && std::mem::take(&mut first) => CallFate::AnswerDelayed,
         StoreCall::GrantLease { .. } => CallFate::AnswerDelayed,
         _ => CallFate::Immediate,
     });
     alone.run_for(400);
-    // Its predecessor's last word comes after that reading was made.
+    // The previous leader's last write is applied after that read.
     write(&mut alone, "order/loan/wk-old", None);
     alone.call_fate = Box::new(|_| CallFate::Immediate);
-    assert!(alone.release_call(|call| matches!(call, StoreCall::GrantLease { .. })));
+    assert!(alone.release_response(|call| matches!(call, StoreCall::GrantLease { .. })));
     alone.run_for(300);
-    assert!(alone.controller.is_leader() && alone.release_call(order), "the reading made before");
+    assert!(
+        alone.controller.is_leader() && alone.release_response(is_record_read),
+        "the read from before the election"
+    );
     alone.run_for(300);
     let known = alone.controller.record_keys();
     assert!(known.is_empty(), "{known:?}");
 }
 
-/// A lead that ends while it still reads the records leaves a controller that reads them again.
+/// A controller whose leadership ends while it is loading the replicated records reads them again as a follower.
 #[test]
-fn a_lead_that_ends_while_it_reads_leaves_no_controller_blind() {
+fn records_are_read_again_after_leadership_ends_while_loading() {
     let mut alone = SingleController::new(&parse_operator("[loans]\ndurable = true\n"));
-    let order =
+    let is_record_read =
         |call: &StoreCall| matches!(call, StoreCall::List { prefix, .. } if prefix == keys::ORDER);
-    let mut readings = 0;
+    let mut reads = 0;
     alone.call_fate = Box::new(move |call| {
-        readings += u32::from(order(call));
-        if order(call) && readings == 2 { CallFate::AnswerDelayed } else { CallFate::Immediate }
+        reads += u32::from(is_record_read(call));
+        match is_record_read(call) && reads == 2 {
+            true => CallFate::AnswerDelayed,
+            false => CallFate::Immediate,
+        }
     });
     alone.run_for(400);
-    assert!(!alone.controller.is_leader(), "it still reads");
-    // Another takes the lead, as a worker tells.
+    assert!(!alone.controller.is_leader(), "it is still loading");
+    // A worker reports the token of a newer leader.
     let report = status_report("m-1", 1, 1, 99);
     alone.controller.handle(Event::StatusReport(1, Box::new(report)), alone.now);
     alone.execute_actions();
@@ -443,83 +455,84 @@
     assert_eq!(alone.controller.record_keys(), ["loan/wk-new"]);
 }
 
-fn status_report(name: &str, watch: u64, tick: u64, helm: u64) -> StatusReport {
+fn status_report(name: &str, session: u64, sequence: u64, fencing_token: u64) -> StatusReport {
     StatusReport {
         machine: name.into(),
         address: format!("{name}:9000"),
         machine_type: "s4".into(),
         zone: "a".into(),
-        session: watch,
-        sequence: tick,
-        fencing_token: helm,
+        session,
+        sequence,
+        fencing_token,
         spot: false,
         reclaim_in_s: None,
         tasks: Vec::new(),
     }
 }
 
-/// Two direct questions to a machine are open, and between them it has reported: the answer to the first comes after
-/// that report, with a lower number. It tells of no worker that has begun anew, under one lead or under the next.
+/// Two probes of a machine are open, and the worker has reported between them. The answer to the first probe arrives
+/// after that report, with a lower sequence number. It must not be taken for that of a restarted worker, neither in
+/// the same term nor after the leader was elected again (`reelected`).
 #[test]
-fn the_answer_to_an_earlier_question_is_no_new_life() {
-    for again in [false, true] {
+fn late_probe_answer_is_not_taken_for_a_restart() {
+    for reelected in [false, true] {
         let mut alone = SingleController::new(&OperatorSettings::default());
         alone.run_for(500);
-        let tell = |alone: &mut SingleController, tick| {
-            let token = alone.leader_token().expect("it leads");
-            let report = status_report("m-1", 1, tick, token);
-            alone.controller.handle(Event::StatusReport(tick, Box::new(report)), alone.now);
+        let send_report = |alone: &mut SingleController, sequence| {
+            let token = alone.leader_token().expect("the controller leads");
+            let report = status_report("m-1", 1, sequence, token);
+            alone.controller.handle(Event::StatusReport(sequence, Box::new(report)), alone.now);
             alone.execute_actions();
         };
-        let quiet = |alone: &mut SingleController, until: usize| {
+        let await_probes = |alone: &mut SingleController, probes: usize| {
             for _ in 0..100 {
-                if alone.machines_probed.len() >= until {
+                if alone.machines_probed.len() >= probes {
                     return;
                 }
                 alone.run_for(100);
             }
-            panic!("it was asked {} times", alone.machines_probed.len());
+            panic!("the machine was probed {} times", alone.machines_probed.len());
         };
-        tell(&mut alone, 50);
-        quiet(&mut alone, 1);
-        if again {
+        send_report(&mut alone, 50);
+        await_probes(&mut alone, 1);
+        if reelected {
             let watch = alone.watches.iter().find(|f| f.1 == keys::JOBS).cloned();
             alone.deliver_response(watch.expect("a watch").0, StoreOutcome::Compacted);
             alone.run_for(1_000);
             assert_eq!(alone.leaderships.len(), 2);
         }
-        tell(&mut alone, 60);
-        quiet(&mut alone, 2);
-        let renewed = |alone: &SingleController| {
-            let state = alone.controller.cluster_state().expect("it leads");
+        send_report(&mut alone, 60);
+        await_probes(&mut alone, 2);
+        let is_restarted = |alone: &SingleController| {
+            let state = alone.controller.cluster_state().expect("the controller leads");
             state.machines["m-1"].is_restarted
         };
-        let answer = |alone: &mut SingleController, tick| {
-            let token = alone.leader_token().expect("it leads");
-            let report = Box::new(status_report("m-1", 1, tick, token));
+        let answer_probe = |alone: &mut SingleController, sequence| {
+            let token = alone.leader_token().expect("the controller leads");
+            let report = Box::new(status_report("m-1", 1, sequence, token));
             let id = MachineId::from("m-1");
             alone
                 .controller
                 .handle(Event::ProbeFinished(id, ProbeOutcome::Answered, Some(report)), alone.now);
             alone.execute_actions();
         };
-        answer(&mut alone, 51);
-        assert!(!renewed(&alone), "again {again}: it was taken for a worker that has begun anew");
-        // The answer to the second comes after a later report and a third question.
-        tell(&mut alone, 70);
-        quiet(&mut alone, 3);
-        answer(&mut alone, 61);
-        assert!(!renewed(&alone), "again {again}: the second answer was");
-        answer(&mut alone, 71);
-        assert!(!renewed(&alone));
-        // One that has begun anew is still found out.
-        quiet(&mut alone, 4);
-        answer(&mut alone, 3);
-        assert!(renewed(&alone), "again {again}");
+        answer_probe(&mut alone, 51);
+        assert!(!is_restarted(&alone), "reelected {reelected}: first answer taken for a restart");
+        // The answer to the second probe arrives after a later report and a third probe.
+        send_report(&mut alone, 70);
+        await_probes(&mut alone, 3);
+        answer_probe(&mut alone, 61);
+        assert!(!is_restarted(&alone), "reelected {reelected}: second answer taken for a restart");
+        answer_probe(&mut alone, 71);
+        assert!(!is_restarted(&alone));
+        // A restarted worker is still detected.
+        await_probes(&mut alone, 4);
+        answer_probe(&mut alone, 3);
+        assert!(is_restarted(&alone), "reelected {reelected}");
     }
 }
 
-/// A job's record as the state service holds it.
+/// A job's record as stored in the state service.
 fn job_record(id: &str, kind: JobKind, tasks: u32) -> KeyValue {
     let record = swiftsail_controller::job::JobRecord {
         depends_on: Vec::new(),
@@ -531,14 +544,14 @@
         tier: None,
         spec: job_spec(kind, tasks, 1.0, "i"),
     };
-    let value = serde_json::to_value(record).expect("our own record");
+    let value = serde_json::to_value(record).expect("a job record serializes");
     KeyValue { key: keys::job(id), value, mod_revision: 1, lease: None }
 }
 
-/// A new leader has heard no machine yet. That is no sign that a machine which was lent is gone: the loan stands where
-/// it stood, in each of its stages, until there was time to report.
+/// No machine has reported to a new leader yet. This must not be taken as a sign that a lent machine is gone: the
+/// loan stays in its stage, whichever it is, until the machines have had time to report.
 #[test]
-fn loans_in_each_stage_outlive_their_leader() {
+fn gpu_loans_in_each_stage_survive_a_failover() {
     for (stage, lender_on, borrower_on) in [
         ("a", true, false),
         ("s", true, false),
@@ -548,32 +561,32 @@
     ] {
         let (now, wall) = (100_000, 900_000);
         let mut state = ClusterState::new(9, 1, now);
-        let pairs =
+        let entries =
             vec![job_record("wk-b", JobKind::Gang, 2), job_record("wk-l", JobKind::Gang, 1)];
-        state.load_jobs(&KeyPage { entries: pairs, has_next: false, revision: 1 }, now, wall);
+        state.load_jobs(&KeyPage { entries, has_next: false, revision: 1 }, now, wall);
         for (id, on) in [("wk-l", lender_on), ("wk-b", borrower_on)] {
             let machine = MachineId::from("m-1");
-            let bound = swiftsail_controller::job::Binding {
+            let binding = swiftsail_controller::job::Binding {
                 task: 0,
                 attempt: 7,
                 machine,
                 worker_session: 1,
             };
-            let bound = if on { vec![bound] } else { Vec::new() };
+            let bindings = if on { vec![binding] } else { Vec::new() };
             let chunk = swiftsail_controller::job::BindingChunk {
                 write_number: 1,
                 covers: 9,
                 done: Vec::new(),
-                bindings: bound,
+                bindings,
             };
             state.jobs.get_mut(id).expect("loaded").restore_chunk(0, &chunk, 1, now);
         }
         state.finish_loading(now, now);
         let record = json!({"v": 1, "x": [], "l":
             [{"to": "wk-b", "on": "m-1", "n": 2.0, "stage": stage, "at": wall - 1_000}]});
-        let lent = LenderRecord::from_record("loan/wk-l", &record).expect("a sound record");
-        let before = lent.loans[0].phase();
-        state.gpu_loans.restore("wk-l", lent);
+        let lender = LenderRecord::from_record("loan/wk-l", &record).expect("a valid record");
+        let before = lender.loans[0].phase();
+        state.gpu_loans.restore("wk-l", lender);
         for step in 0..40 {
             state.advance_gpu_loans(now + step * 100, wall + step * 100);
         }
@@ -582,39 +595,40 @@
         };
         assert_eq!(now_at(&state), Some(before), "a loan in stage {stage}");
         if !lender_on && !borrower_on {
-            // A machine that does not come is gone in the end.
+            // A machine that does not report within that time counts as gone.
             state.advance_gpu_loans(now + 15_000, wall + 15_000);
             assert!(now_at(&state).is_none_or(LoanPhase::is_final), "a loan in stage {stage}");
         }
     }
 }
 
-/// A reading of limits that was made before its lead tells what its predecessor held then: it has given some of it
-/// away since.
+/// A read of the quota accounts from before the election shows what the previous leader held then, some of which it
+/// has given up since. The new leader must not use that quota.
 #[test]
-fn a_new_leader_does_not_use_what_its_predecessor_gave_away() {
+fn new_leader_does_not_use_quota_that_its_predecessor_gave_up() {
     let operator = parse_operator("[amounts]\ndurable = true\n");
     let mut first = SingleController::new(&operator);
     first.run_for(8_000);
-    let caps = |alone: &SingleController| {
+    let limits = |alone: &SingleController| {
         alone.controller.cluster_state().and_then(|t| t.quota_limits.clone()).expect("limits")
     };
-    let before = caps(&first)[0];
+    let before = limits(&first)[0];
     assert!(before.cpus > swiftsail_quota::Quantity::ZERO);
     let mut next = SingleController::with_seed(&operator, 2);
     std::mem::swap(&mut next.store, &mut first.store);
-    let amounts = |call: &StoreCall| matches!(call, StoreCall::List { prefix, .. } if prefix == quota_records::KEY_PREFIX);
+    let is_quota_read = |call: &StoreCall| matches!(call, StoreCall::List { prefix, .. } if prefix == quota_records::KEY_PREFIX);
     next.call_fate = Box::new(move |call| match call {
-        call if amounts(call) => CallFate::AnswerDelayed,
+        call if is_quota_read(call) => CallFate::AnswerDelayed,
         StoreCall::GrantLease { .. } => CallFate::AnswerDelayed,
         _ => CallFate::Immediate,
     });
     next.now = first.now;
-    // The predecessor's key lives for a while; its last transaction is done after the successor's reading.
+    // The previous leader's key still exists for a while. Its last transaction is applied after the new leader's
+    // read.
     next.run_for(1_000);
-    assert!(next.delayed_answers.iter().any(|s| amounts(&s.1)));
+    assert!(next.delayed_answers.iter().any(|s| is_quota_read(&s.1)));
     let key = format!("{}0/of/all", quota_records::KEY_PREFIX);
-    let mut record = next.store.get(&key).expect("what it holds").value.clone();
+    let mut record = next.store.get(&key).expect("the leader's quota account").value.clone();
     record["has"] = json!({});
     let change = swiftsail_protocol::state::Mutation::Put { key, value: record, lease: None };
     let commit = swiftsail_protocol::state::Transaction {
@@ -625,16 +639,16 @@
         next.execute_store_call(&StoreCall::Commit(commit)),
         StoreOutcome::Committed(_)
     ));
-    assert!(next.release_call(|call| matches!(call, StoreCall::GrantLease { .. })));
+    assert!(next.release_response(|call| matches!(call, StoreCall::GrantLease { .. })));
     next.run_for(300);
     assert!(next.controller.is_leader());
-    let readings = next.delayed_answers.iter().filter(|s| amounts(&s.1)).count();
-    assert!(readings >= 2, "{readings} readings, one of them its own");
-    assert!(next.release_call(amounts), "the reading made before");
+    let reads = next.delayed_answers.iter().filter(|s| is_quota_read(&s.1)).count();
+    assert!(reads >= 2, "{reads} reads, one of them made as the leader");
+    assert!(next.release_response(is_quota_read), "the read from before the election");
     next.run_for(200);
-    let now = caps(&next)[0];
+    let after = limits(&next)[0];
     assert!(
-        now.cpus == swiftsail_quota::Quantity::ZERO,
-        "{now:?} may be used, as {before:?} before"
+        after.cpus == swiftsail_quota::Quantity::ZERO,
+        "limit of the new leader {after:?}, of the previous one {before:?}"
     );
 }
