--- a/crates/controller/src/controller/capacity.rs
+++ b/crates/controller/src/controller/capacity.rs
@@ -70,7 +70,7 @@
             |machine: &&crate::machine::Machine| machine.state() == MachineState::Terminating;
         let terminating = state.machines.values().filter(is_terminating).count();
         let requested: usize =
-            state.provisioning.open_requests().map(|(request, _)| request.number as usize).sum();
+            state.provisioning.open_requests().map(|(request, _)| request.count as usize).sum();
         let expected = (state.machines.len() - terminating) + requested;
         self.max_machines().0.saturating_sub(expected)
     }
@@ -83,7 +83,7 @@
     /// Reduces provisioning requests to the number of machines that the controllers can still manage. Requests that
     /// come first take precedence.
     pub(super) fn limit_to_headroom(&mut self, requests: &mut Vec<ProvisioningRequest>) {
-        let requested: usize = requests.iter().map(|request| request.number as usize).sum();
+        let requested: usize = requests.iter().map(|request| request.count as usize).sum();
         let mut headroom = self.machine_headroom();
         if requested <= headroom {
             return;
@@ -101,9 +101,9 @@
             );
         }
         for request in requests.iter_mut() {
-            request.number = request.number.min(headroom as u32);
-            headroom -= request.number as usize;
+            request.count = request.count.min(headroom as u32);
+            headroom -= request.count as usize;
         }
-        requests.retain(|request| request.number > 0);
+        requests.retain(|request| request.count > 0);
     }
 }
--- a/crates/controller/src/controller/plan_application.rs
+++ b/crates/controller/src/controller/plan_application.rs
@@ -1,7 +1,7 @@
-//! Application of placement plans to the cluster state. This is the only code that binds tasks. The [`QuotaGuard`]
+//! Application of placement plans to the cluster state. This is the only code that binds tasks. The [`BindingGuard`]
 //! checks every planned binding again against quotas, zones and machine types.
 
-use crate::cluster_state::{ClusterState, QuotaGuard, RunQueue, SlotId, usable};
+use crate::cluster_state::{BindingGuard, ClusterState, RunQueue, SlotId, is_schedulable};
 use crate::constants::LOW_PRIORITY_HOLD_MS;
 use crate::job::{GangState, Job, JobId, JobSpec, MachineId};
 use crate::machine::{Machine, Resources};
@@ -41,7 +41,7 @@
 /// number of tasks bound.
 pub(super) fn bind_from_run_queues(
     state: &mut ClusterState,
-    guard: &mut QuotaGuard,
+    guard: &mut BindingGuard,
     context: PlanningContext,
 ) -> usize {
     let is_waiting = |job: &&Job| job.tier.ordered && job.has_queued_tasks() && !job.is_cancelled();
@@ -55,7 +55,7 @@
 /// task. Returns whether a job was bound.
 fn bind_from_queue(
     state: &mut ClusterState,
-    guard: &mut QuotaGuard,
+    guard: &mut BindingGuard,
     context: PlanningContext,
     ordered: &OrderedJobs,
     slot: &SlotId,
@@ -63,7 +63,7 @@
     let mut queue: RunQueue = state.run_queues.take(slot);
     let machine_id = &slot.0;
     let lease_ms = context.lease_ms();
-    if !state.machines.get(machine_id).is_some_and(|m| usable(m, context.now, lease_ms)) {
+    if !state.machines.get(machine_id).is_some_and(|m| is_schedulable(m, context.now, lease_ms)) {
         return false;
     }
     // A task from the queue of an earlier slot may have been bound to the same machine.
@@ -92,7 +92,7 @@
 /// Applies a plan. Returns the number of tasks bound.
 pub(super) fn apply_plan(
     state: &mut ClusterState,
-    guard: &mut QuotaGuard,
+    guard: &mut BindingGuard,
     context: PlanningContext,
     plan: CyclePlan,
 ) -> usize {
@@ -106,7 +106,7 @@
 /// Applies one step of a plan. Returns the number of tasks bound.
 fn apply_step(
     state: &mut ClusterState,
-    guard: &mut QuotaGuard,
+    guard: &mut BindingGuard,
     context: PlanningContext,
     step: PlanStep,
 ) -> usize {
@@ -144,7 +144,7 @@
 /// part: if a binding is rejected, the gang is stopped and planned again. Returns the number of tasks bound.
 fn bind_gang(
     state: &mut ClusterState,
-    guard: &mut QuotaGuard,
+    guard: &mut BindingGuard,
     context: PlanningContext,
     id: &JobId,
     machines: &[MachineId],
@@ -179,7 +179,7 @@
 /// gang; `None` for a new number. Returns the task's number in the job, or `None` if nothing was bound.
 fn bind(
     state: &mut ClusterState,
-    guard: &mut QuotaGuard,
+    guard: &mut BindingGuard,
     context: PlanningContext,
     id: &JobId,
     machine: &MachineId,
--- a/crates/controller/src/controller/status.rs
+++ b/crates/controller/src/controller/status.rs
@@ -1,7 +1,7 @@
 //! Periodic log event of the leader with the numbers of waiting and running tasks, free capacity and load.
 
 use super::Controller;
-use crate::cluster_state::team_amounts;
+use crate::cluster_state::quota_per_task;
 use crate::constants::STATUS_LOG_INTERVAL_MS;
 use crate::job::AttemptPhase;
 use crate::machine::MachineState;
@@ -53,10 +53,11 @@
         // Teams with tasks that wait because of the team's quota limit: CPUs used and number of waiting tasks.
         let teams = &self.settings.settings.teams;
         let mut teams_at_limit = Vec::new();
-        for (n, (team, used)) in teams.iter().zip(state.usage(teams)).enumerate() {
-            let cap = state.cap(n, team);
+        for (n, (team, used)) in teams.iter().zip(state.quota_usage(teams)).enumerate() {
+            let limit = state.quota_limit(n, team);
             let own_jobs = state.jobs.values().filter(|job| job.spec.team == team.name);
-            let limited_jobs = own_jobs.filter(|job| !cap.allows(used, team_amounts(&job.spec)));
+            let limited_jobs =
+                own_jobs.filter(|job| !limit.allows(used, quota_per_task(&job.spec)));
             let limited_tasks: usize = limited_jobs.map(|job| job.waiting.len()).sum();
             if limited_tasks > 0 {
                 let cpus = used.cpus.to_f64();
@@ -85,7 +86,7 @@
             machines,
             ready,
             free_cpus,
-            queued = ?self.store.queued(),
+            queued = ?self.store.queue_lengths(),
             cloud_queued = self.cloud.queued_calls(),
             level = ?self.load_level.level(),
             load = format!("{:.2}", self.cpu.load().unwrap_or(0.0)),
--- a/crates/controller/src/controller/worker_reports.rs
+++ b/crates/controller/src/controller/worker_reports.rs
@@ -58,7 +58,7 @@
                 self.now.monotonic,
                 types,
             );
-            if let Some(machine) = state.machine_if_just_heard(&report, self.now.monotonic) {
+            if let Some(machine) = state.machine_if_report_accepted(&report, self.now.monotonic) {
                 (machine.forwarded_by, machine.report_digest) = (None, None);
             }
             Reply::new(200, &response)
@@ -171,7 +171,7 @@
             .cluster_state
             .as_ref()
             .filter(|_| self.is_lease_confirmed())
-            .map(|state| state.read_at);
+            .map(|state| state.jobs_current_as_of);
         let (from, now) = (self.endorsements_valid_from(), self.now.monotonic);
         let controllers = self.settings.controllers();
         (read_at, self.cancellations.known_as_of(read_at, from, controllers, now))
--- a/crates/controller/src/placement/target_collection.rs
+++ b/crates/controller/src/placement/target_collection.rs
@@ -4,7 +4,7 @@
 use super::mapping_round::MappingRound;
 use super::target::{PlacementTarget, TargetKind};
 use crate::Time;
-use crate::cluster_state::{ClusterState, SlotId, usable};
+use crate::cluster_state::{ClusterState, SlotId, is_schedulable};
 use crate::completion_time::Pmf;
 use crate::constants::{
     COMPLETION_TIME_STEP_MS, HEADROOM_TASKS_PER_IMAGE, LATE_BOOT_ESTIMATE_MS, MAX_HEADROOM_IMAGES,
@@ -102,7 +102,7 @@
                 completion_id: 0,
                 images: Vec::new(),
             };
-            if !usable(machine, now, lease) {
+            if !is_schedulable(machine, now, lease) {
                 let waits =
                     matches!(machine.state(), MachineState::Expected | MachineState::Registering);
                 let comes =
@@ -148,11 +148,11 @@
             let Some(head) = self.cluster_state.jobs.get(&slot.1) else { continue };
             let mut size = Resources::for_task(&head.spec);
             size.add(&free);
-            if !self.plan.run_queues.has_room(&slot, cap) {
+            if !self.plan.run_queues.has_capacity(&slot, cap) {
                 continue;
             }
             let Some((kind, mut end)) = self.executing_completion(&slot) else { continue };
-            let line: Vec<JobId> = self.plan.run_queues.behind(&slot).cloned().collect();
+            let line: Vec<JobId> = self.plan.run_queues.queue(&slot).cloned().collect();
             for next in line {
                 end = self.completion_after(end, &next, kind);
             }
@@ -173,7 +173,9 @@
         }
         self.targets.extend(lines.into_iter().map(|l| l.1));
         for (wish, asked) in tables.provisioning.open_requests() {
-            let Some(kind) = types.iter().position(|t| t.name == wish.kind) else { continue };
+            let Some(kind) = types.iter().position(|t| t.name == wish.machine_type) else {
+                continue;
+            };
             let up = (asked as f64 + types[kind].boot_ms).max(now as f64);
             let place = PlacementTarget {
                 target_kind: TargetKind::BootingMachine,
@@ -188,7 +190,7 @@
                 completion_id: self.free_time_id(kind, up),
                 images: Vec::new(),
             };
-            self.targets.extend(std::iter::repeat_n(place, wish.number as usize));
+            self.targets.extend(std::iter::repeat_n(place, wish.count as usize));
         }
     }
 
--- a/tests/failovers.rs
+++ b/tests/failovers.rs
@@ -256,9 +256,12 @@
 /// Asserts that every controller knows exactly the stored records, that no loans are left, and that all quota of each
 /// team's limit is either free or held. To be called after all faults have ended.
 fn assert_records_consistent(sim: &Simulation, context: &str) {
-    let page = sim.store.list(keys::ORDER, None, 1_000);
-    let stored: BTreeSet<String> =
-        page.entries.iter().filter_map(|p| Some(p.key.strip_prefix(keys::ORDER)?.into())).collect();
+    let page = sim.store.list(keys::REPLICATED_RECORDS, None, 1_000);
+    let stored: BTreeSet<String> = page
+        .entries
+        .iter()
+        .filter_map(|p| Some(p.key.strip_prefix(keys::REPLICATED_RECORDS)?.into()))
+        .collect();
     for (n, node) in sim.controllers.iter().enumerate() {
         let Some(node) = node else { continue };
         let known: BTreeSet<String> = node.record_keys().into_iter().collect();
@@ -418,9 +421,9 @@
         Some(_) if has_prefix(keys::BINDINGS) => "chunk",
         None if has_prefix(keys::JOBS) => "move",
         None if has_prefix(keys::BINDINGS) => "sweep",
-        Some(_) if key == keys::TYPES => "types",
+        Some(_) if key == keys::MACHINE_TYPES => "types",
         _ if has_prefix("order/loan") => "loan",
-        _ if has_prefix(keys::ORDER) => "tiers and arrivals",
+        _ if has_prefix(keys::REPLICATED_RECORDS) => "tiers and arrivals",
         _ if has_prefix("amount/") => "amounts",
         _ => "other",
     }
--- a/tests/stale_store_responses.rs
+++ b/tests/stale_store_responses.rs
@@ -398,8 +398,7 @@
         ));
     };
     write(&mut alone, "order/loan/wk-old", Some(loan.clone()));
-    let is_record_read =
-        |call: &StoreCall| matches!(call, StoreCall::List { prefix, .. } if prefix == keys::ORDER);
+    let is_record_read = |call: &StoreCall| matches!(call, StoreCall::List { prefix, .. } if prefix == keys::REPLICATED_RECORDS);
     let mut first = true;
     alone.call_fate = Box::new(move |call| match call {
         call if is_record_read(call) && std::mem::take(&mut first) => CallFate::AnswerDelayed,
@@ -425,8 +424,7 @@
 #[test]
 fn records_are_read_again_after_leadership_ends_while_loading() {
     let mut alone = SingleController::new(&parse_operator("[loans]\ndurable = true\n"));
-    let is_record_read =
-        |call: &StoreCall| matches!(call, StoreCall::List { prefix, .. } if prefix == keys::ORDER);
+    let is_record_read = |call: &StoreCall| matches!(call, StoreCall::List { prefix, .. } if prefix == keys::REPLICATED_RECORDS);
     let mut reads = 0;
     alone.call_fate = Box::new(move |call| {
         reads += u32::from(is_record_read(call));
