--- a/crates/controller/src/controller/pending_terminations.rs
+++ b/crates/controller/src/controller/pending_terminations.rs
@@ -3,7 +3,8 @@
 //! A leader terminates machines on which a cancelled task is not confirmed gone in time. But leadership can end, or
 //! the leader's lease can be unconfirmed, while the state service is down or slow, and then no controller can read
 //! where tasks run. The leader therefore names such machines in its heartbeats, and a controller that has lost
-//! leadership remembers where tasks ran. These controllers terminate the machines while no leader is known.
+//! leadership remembers where tasks ran. These controllers terminate the machines once they know that there is
+//! no leader.
 //!
 //! Termination is the only request to the cloud that needs no leadership. A later leader finds the machine gone, like
 //! one that the cloud has reclaimed, and accepts only a 200 response to a request of its own as proof of termination.
