--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -91,12 +91,12 @@
 fn graph_and_traversal_match_the_naive_rules() {
     let mut state_counts = [0; 3];
     for seed in 0..400 {
-        let dependencies = random_dependencies(seed);
+        let jobs = random_dependencies(seed);
         let mut rng = StdRng::seed_from_u64(seed ^ 0x51);
         let mut graph = DependencyGraph::default();
         let mut events: Vec<(bool, usize)> =
-            (0..dependencies.depends_on.len()).map(|n| (true, n)).collect();
-        events.extend(dependencies.outcomes.keys().map(|n| (false, *n)));
+            (0..jobs.depends_on.len()).map(|n| (true, n)).collect();
+        events.extend(jobs.outcomes.keys().map(|n| (false, *n)));
         for n in (1..events.len()).rev() {
             events.swap(n, rng.random_range(0..=n));
         }
@@ -105,48 +105,45 @@
         for (is_addition, n) in events {
             let mut changed = Vec::new();
             if is_addition {
-                graph.add_job(&job_id(n), &dependencies.depends_on[n]);
+                graph.add_job(&job_id(n), &jobs.depends_on[n]);
                 // Like a leader, repeats the outcomes of dependencies that have already ended.
-                for a in &dependencies.depends_on[n] {
+                for a in &jobs.depends_on[n] {
                     let number: usize = a[3..].parse().expect("a number");
-                    let is_cancelled =
+                    let cancelled =
                         graph.state_of(a) == Some(DependencyState::CancelledByDependency);
                     if ended.contains(&number) {
-                        changed.extend(graph.on_job_ended(a, dependencies.outcomes[&number]));
-                    } else if is_cancelled {
+                        changed.extend(graph.on_job_ended(a, jobs.outcomes[&number]));
+                    } else if cancelled {
                         changed.extend(graph.on_job_ended(a, JobOutcome::Cancelled));
                     }
                 }
             } else {
                 ended.insert(n);
-                changed.extend(graph.on_job_ended(&job_id(n), dependencies.outcomes[&n]));
+                changed.extend(graph.on_job_ended(&job_id(n), jobs.outcomes[&n]));
             }
             for (job, state) in changed {
                 assert_eq!(reported.insert(job.clone(), state), None, "seed {seed}: {job} twice");
             }
         }
-        for n in
-            (0..dependencies.depends_on.len()).filter(|n| !dependencies.depends_on[*n].is_empty())
-        {
-            let expected = dependencies.expected_state(n);
+        for n in (0..jobs.depends_on.len()).filter(|n| !jobs.depends_on[*n].is_empty()) {
+            let expected = jobs.expected_state(n);
             assert_eq!(graph.state_of(&job_id(n)), Some(expected), "seed {seed}: wk-{n}");
             state_counts[match expected {
                 DependencyState::Waiting => 0,
                 DependencyState::Ready(_) => 1,
                 DependencyState::CancelledByDependency => 2,
             }] += 1;
-            let mut traversal = DependencyTraversal::new(&dependencies.depends_on[n]);
+            let mut traversal = DependencyTraversal::new(&jobs.depends_on[n]);
             while let Some(next) = traversal.next_job().cloned() {
                 let number: usize = next[3..].parse().expect("a number");
-                traversal.on_job_state(&match dependencies.outcomes.get(&number) {
+                traversal.on_job_state(&match jobs.outcomes.get(&number) {
                     Some(outcome) => VisitedJob::Ended(*outcome),
-                    None => VisitedJob::Live(dependencies.depends_on[number].clone()),
+                    None => VisitedJob::Live(jobs.depends_on[number].clone()),
                 });
             }
-            let is_cancelled =
-                traversal.verdict() == Some(DependencyVerdict::CancelledByDependency);
+            let cancelled = traversal.verdict() == Some(DependencyVerdict::CancelledByDependency);
             assert_eq!(
-                is_cancelled,
+                cancelled,
                 expected == DependencyState::CancelledByDependency,
                 "seed {seed}: wk-{n} by traversal"
             );
@@ -410,12 +407,7 @@
 
 /// Submits a pipeline of four stages, of which the second has three jobs and the last has a deadline and a higher
 /// priority.
-fn submit_pipeline(
-    simulation: &mut Simulation,
-    name: &str,
-    at_ms: u64,
-    cancel: Option<(usize, u64)>,
-) {
+fn submit_pipeline(sim: &mut Simulation, name: &str, at_ms: u64, cancel: Option<(usize, u64)>) {
     let ids: Vec<String> = (0..6).map(|n| format!("wk-{name}{n}")).collect();
     let stages: [(&[usize], u32, f64); 6] = [
         (&[], 3, 4.0),
@@ -433,12 +425,12 @@
             body["due_s"] = json!(90.0);
         }
         let cancel = cancel.filter(|(of, _)| *of == n).map(|(_, at)| at);
-        simulation.submit(at_ms + n as u64 * 400, cancel, body);
+        sim.submit(at_ms + n as u64 * 400, cancel, body);
     }
 }
 
-fn last_status(simulation: &Simulation, id: &str) -> String {
-    let job = simulation.jobs.iter().find(|j| j.id == id).expect("it was submitted");
+fn last_status(sim: &Simulation, id: &str) -> String {
+    let job = sim.jobs.iter().find(|j| j.id == id).expect("it was submitted");
     job.last_status.clone().unwrap_or_default()
 }
 
@@ -447,43 +439,38 @@
 #[test]
 fn pipelines_are_deferred_during_rolling_upgrade() {
     for seed in 0..6 {
-        let mut simulation = Simulation::new(seed, FaultRates::NONE, 1_000);
-        simulation.old_version_until_ms[seed as usize % 3] = 70_000;
-        simulation.schedule_crash(40_000, (seed as usize + 1) % 3);
-        submit_pipeline(&mut simulation, "a", 20_000, None);
-        simulation.submit(20_000, None, job_body("wk-p", "array", "blue", 3, 1.0, 5.0));
-        simulation.run_until(70_000);
-        let accepted = |simulation: &Simulation, id: &str| {
-            simulation.jobs.iter().any(|j| j.id == id && j.accepted)
-        };
+        let mut sim = Simulation::new(seed, FaultRates::NONE, 1_000);
+        sim.old_version_until_ms[seed as usize % 3] = 70_000;
+        sim.schedule_crash(40_000, (seed as usize + 1) % 3);
+        submit_pipeline(&mut sim, "a", 20_000, None);
+        sim.submit(20_000, None, job_body("wk-p", "array", "blue", 3, 1.0, 5.0));
+        sim.run_until(70_000);
+        let accepted =
+            |sim: &Simulation, id: &str| sim.jobs.iter().any(|j| j.id == id && j.accepted);
         assert!(
-            accepted(&simulation, "wk-a0") && last_status(&simulation, "wk-p") == "done",
+            accepted(&sim, "wk-a0") && last_status(&sim, "wk-p") == "done",
             "seed {seed}: jobs without dependencies are served"
         );
         for n in 1..6 {
-            assert!(
-                !accepted(&simulation, &format!("wk-a{n}")),
-                "seed {seed}: wk-a{n} was accepted"
-            );
+            assert!(!accepted(&sim, &format!("wk-a{n}")), "seed {seed}: wk-a{n} was accepted");
         }
-        simulation.run_until(200_000);
-        assert_all_jobs_over(&simulation, &format!("seed {seed}"));
+        sim.run_until(200_000);
+        assert_all_jobs_over(&sim, &format!("seed {seed}"));
     }
 }
 
 /// Stages run one after another, and each starts soon after the previous one.
 #[test]
 fn pipeline_stages_run_in_order_without_delay() {
-    let mut simulation = Simulation::new(1, FaultRates::NONE, 1_000);
-    simulation.submit(500, None, job_body("wk-s", "array", "blue", 30, 1.0, 60.0));
-    submit_pipeline(&mut simulation, "a", 30_000, None);
-    simulation.run_until(120_000);
-    assert_all_jobs_over(&simulation, "no faults");
-    let accepted_at = simulation.jobs.iter().find(|j| j.id == "wk-a5").and_then(|j| j.accepted_at);
+    let mut sim = Simulation::new(1, FaultRates::NONE, 1_000);
+    sim.submit(500, None, job_body("wk-s", "array", "blue", 30, 1.0, 60.0));
+    submit_pipeline(&mut sim, "a", 30_000, None);
+    sim.run_until(120_000);
+    assert_all_jobs_over(&sim, "no faults");
+    let accepted_at = sim.jobs.iter().find(|j| j.id == "wk-a5").and_then(|j| j.accepted_at);
     assert!(accepted_at.is_some());
     // 4, 5, 4 and 3 s of run time, image fetches and the delays between stages.
-    let last_answer_at =
-        simulation.jobs.iter().map(|j| j.last_answered_at).max().expect("answered");
+    let last_answer_at = sim.jobs.iter().map(|j| j.last_answered_at).max().expect("answered");
     assert!(last_answer_at < START_MS + 120_000, "{}", last_answer_at - START_MS);
 }
 
@@ -494,26 +481,22 @@
 fn cancellation_reaches_exactly_the_dependents() {
     let (mut cancelled_count, mut done_count) = (0, 0);
     for seed in 0..24 {
-        let mut simulation = Simulation::new(seed, FaultRates::NONE, 1_000);
+        let mut sim = Simulation::new(seed, FaultRates::NONE, 1_000);
         let cancelled = seed as usize % 5;
-        submit_pipeline(&mut simulation, "a", 15_000, Some((cancelled, 15_500 + seed * 1_500)));
-        submit_pipeline(&mut simulation, "b", 16_000, None);
+        submit_pipeline(&mut sim, "a", 15_000, Some((cancelled, 15_500 + seed * 1_500)));
+        submit_pipeline(&mut sim, "b", 16_000, None);
         let cancelled_id = format!("wk-a{cancelled}");
-        simulation.submit(
+        sim.submit(
             80_000,
             None,
             job_with_dependencies("wk-late", &[&cancelled_id, "wk-b0"], 2, 3.0),
         );
-        simulation.submit(80_500, None, job_with_dependencies("wk-later", &["wk-late"], 2, 3.0));
-        simulation.submit(
-            80_500,
-            None,
-            job_with_dependencies("wk-fine", &["wk-b5", "wk-b1"], 2, 3.0),
-        );
-        simulation.run_until(200_000);
-        assert_all_jobs_over(&simulation, &format!("seed {seed}"));
-        assert_eq!(last_status(&simulation, "wk-fine"), "done");
-        let status = last_status(&simulation, &cancelled_id);
+        sim.submit(80_500, None, job_with_dependencies("wk-later", &["wk-late"], 2, 3.0));
+        sim.submit(80_500, None, job_with_dependencies("wk-fine", &["wk-b5", "wk-b1"], 2, 3.0));
+        sim.run_until(200_000);
+        assert_all_jobs_over(&sim, &format!("seed {seed}"));
+        assert_eq!(last_status(&sim, "wk-fine"), "done");
+        let status = last_status(&sim, &cancelled_id);
         match status.as_str() {
             "done" => done_count += 1,
             _ => cancelled_count += 1,
@@ -523,15 +506,11 @@
         for n in 0..6 {
             let expected =
                 if dependents.contains(&n) || n == cancelled { status.as_str() } else { "done" };
-            assert_eq!(
-                last_status(&simulation, &format!("wk-a{n}")),
-                expected,
-                "seed {seed}: wk-a{n}"
-            );
+            assert_eq!(last_status(&sim, &format!("wk-a{n}")), expected, "seed {seed}: wk-a{n}");
         }
         let late_status = if status == "done" { "done" } else { "withdrawn" };
         assert_eq!(
-            (last_status(&simulation, "wk-late"), last_status(&simulation, "wk-later")),
+            (last_status(&sim, "wk-late"), last_status(&sim, "wk-later")),
             (late_status.into(), late_status.into())
         );
     }
@@ -546,23 +525,23 @@
 #[test]
 fn cancellation_with_many_dependents_survives_leader_crash() {
     for seed in 0..3 {
-        let mut simulation = Simulation::new(seed, FaultRates::NONE, 1_000);
-        simulation.submit(500, Some(60_000), job_body("wk-1", "array", "blue", 2, 1.0, 300.0));
+        let mut sim = Simulation::new(seed, FaultRates::NONE, 1_000);
+        sim.submit(500, Some(60_000), job_body("wk-1", "array", "blue", 2, 1.0, 300.0));
         for n in 0..100 {
             let dependency = if n % 4 == 3 { format!("wk-x{}", n - 1) } else { "wk-1".to_string() };
-            simulation.submit(
+            sim.submit(
                 10_000 + n * 150,
                 None,
                 job_with_dependencies(&format!("wk-x{n}"), &[&dependency], 3, 4.0),
             );
         }
-        simulation.run_until(60_000);
-        if let Some(node) = leader_index(&simulation) {
-            simulation.schedule_crash(60_020, node);
+        sim.run_until(60_000);
+        if let Some(node) = leader_index(&sim) {
+            sim.schedule_crash(60_020, node);
         }
-        simulation.run_until(160_000);
-        assert_all_jobs_over(&simulation, &format!("seed {seed}"));
-        let cluster_state = simulation
+        sim.run_until(160_000);
+        assert_all_jobs_over(&sim, &format!("seed {seed}"));
+        let cluster_state = sim
             .controllers
             .iter()
             .flatten()
@@ -576,8 +555,8 @@
 /// job is answered from its record, whatever dependencies it names.
 #[test]
 fn dependencies_must_be_accepted_jobs() {
-    let mut simulation = Simulation::new(4, FaultRates::NONE, 1_000);
-    simulation.submit(500, None, job_body("wk-1", "array", "blue", 1, 1.0, 5.0));
+    let mut sim = Simulation::new(4, FaultRates::NONE, 1_000);
+    sim.submit(500, None, job_body("wk-1", "array", "blue", 1, 1.0, 5.0));
     for n in 0..6 {
         let name = format!("wk-n{n}");
         let itself = [name.as_str()];
@@ -587,23 +566,19 @@
             2 => &itself,
             _ => &["not an id"],
         };
-        simulation.submit(
-            20_000 + n as u64 * 700,
-            None,
-            job_with_dependencies(&name, depends_on, 1, 2.0),
-        );
+        sim.submit(20_000 + n as u64 * 700, None, job_with_dependencies(&name, depends_on, 1, 2.0));
     }
-    simulation.submit(60_000, None, job_with_dependencies("wk-2", &["wk-1"], 1, 2.0));
-    simulation.submit(90_000, None, job_with_dependencies("wk-2", &["wk-none"], 1, 2.0));
-    simulation.run_until(130_000);
-    assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
-    assert_eq!(last_status(&simulation, "wk-2"), "done");
+    sim.submit(60_000, None, job_with_dependencies("wk-2", &["wk-1"], 1, 2.0));
+    sim.submit(90_000, None, job_with_dependencies("wk-2", &["wk-none"], 1, 2.0));
+    sim.run_until(130_000);
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
+    assert_eq!(last_status(&sim, "wk-2"), "done");
     for n in 0..6 {
-        let job = simulation.jobs.iter().find(|j| j.id == format!("wk-n{n}")).expect("submitted");
+        let job = sim.jobs.iter().find(|j| j.id == format!("wk-n{n}")).expect("submitted");
         assert!(!job.accepted, "{} was accepted", job.id);
     }
     assert!(
-        simulation.jobs.last().expect("submitted").accepted,
+        sim.jobs.last().expect("submitted").accepted,
         "a repeated submission of an accepted job"
     );
 }
@@ -611,26 +586,26 @@
 /// A job that waits for its dependencies uses nothing of its team's limit, however large it is.
 #[test]
 fn waiting_job_uses_no_quota() {
-    let mut simulation = Simulation::new(6, FaultRates::NONE, 1_000);
+    let mut sim = Simulation::new(6, FaultRates::NONE, 1_000);
     let mut long = job_body("wk-1", "array", "red", 1, 1.0, 100.0);
     long["due_s"] = Value::Null;
-    simulation.submit(500, None, long);
+    sim.submit(500, None, long);
     let mut big = job_with_dependencies("wk-2", &["wk-1"], 9, 4.0);
     (big["crew"], big["cpus"]) = ("red".into(), json!(4.0));
-    simulation.submit(2_000, None, big);
+    sim.submit(2_000, None, big);
     let mut other = job_body("wk-3", "array", "red", 9, 4.0, 5.0);
     other["due_s"] = Value::Null;
-    simulation.submit(3_000, None, other);
-    simulation.run_until(60_000);
+    sim.submit(3_000, None, other);
+    sim.run_until(60_000);
     assert_eq!(
-        last_status(&simulation, "wk-3"),
+        last_status(&sim, "wk-3"),
         "done",
         "{:?}",
-        simulation.jobs.iter().map(|j| &j.last_status).collect::<Vec<_>>()
+        sim.jobs.iter().map(|j| &j.last_status).collect::<Vec<_>>()
     );
-    assert_eq!(last_status(&simulation, "wk-2"), "pending");
-    simulation.run_until(200_000);
-    assert_all_jobs_over(&simulation, "at the end");
+    assert_eq!(last_status(&sim, "wk-2"), "pending");
+    sim.run_until(200_000);
+    assert_all_jobs_over(&sim, "at the end");
 }
 
 /// Pipelines under crashes of single and all controllers, outages, lost and late messages, and cancellations of any
@@ -648,27 +623,23 @@
             crashes: rng.random_range(0..5),
             outages_and_hangs: rng.random_range(0..3),
         };
-        let mut simulation = Simulation::new(seed, faults, 150_000);
-        simulation.restart_delay_ms = [None, Some(100), Some(1_000)][rng.random_range(0..3)];
+        let mut sim = Simulation::new(seed, faults, 150_000);
+        sim.restart_delay_ms = [None, Some(100), Some(1_000)][rng.random_range(0..3)];
         if rng.random_bool(0.5) {
-            simulation.add_fault_window(20_000, 120_000, Fault::ConsistencyProbes);
+            sim.add_fault_window(20_000, 120_000, Fault::ConsistencyProbes);
         }
         for n in 0..5 {
             let at = rng.random_range(5_000..110_000);
             let cancel = rng
                 .random_bool(0.6)
                 .then(|| (rng.random_range(0..6), at + rng.random_range(2_500..40_000)));
-            submit_pipeline(&mut simulation, ["a", "b", "c", "d", "e"][n], at, cancel);
+            submit_pipeline(&mut sim, ["a", "b", "c", "d", "e"][n], at, cancel);
         }
-        (0..3).for_each(|n| simulation.schedule_crash(rng.random_range(60_000..140_000), n));
-        simulation.submit(
-            170_000,
-            None,
-            job_with_dependencies("wk-z", &["wk-a5", "wk-b0"], 2, 3.0),
-        );
-        simulation.run_until(420_000);
-        assert_all_jobs_over(&simulation, &format!("seed {seed}"));
-        cancelled_by_dependency += simulation
+        (0..3).for_each(|n| sim.schedule_crash(rng.random_range(60_000..140_000), n));
+        sim.submit(170_000, None, job_with_dependencies("wk-z", &["wk-a5", "wk-b0"], 2, 3.0));
+        sim.run_until(420_000);
+        assert_all_jobs_over(&sim, &format!("seed {seed}"));
+        cancelled_by_dependency += sim
             .jobs
             .iter()
             .filter(|j| j.cancel_at.is_none() && j.last_status.as_deref() == Some("withdrawn"))
@@ -680,31 +651,30 @@
 /// Machines for a dependent job are rented before its dependency ends, but not long before.
 #[test]
 fn machines_are_rented_ahead_of_the_next_stage() {
-    let mut simulation = Simulation::with_capacity(8, FaultRates::NONE, 1_000, 40);
+    let mut sim = Simulation::with_capacity(8, FaultRates::NONE, 1_000, 40);
     // These jobs let the controllers learn how accurate the estimates of the class are.
     for n in 0..4 {
-        simulation.submit(300, None, job_body(&format!("wk-t{n}"), "array", "blue", 10, 0.5, 4.0));
+        sim.submit(300, None, job_body(&format!("wk-t{n}"), "array", "blue", 10, 0.5, 4.0));
     }
-    simulation.submit(60_000, None, job_body("wk-1", "array", "blue", 2, 1.0, 100.0));
+    sim.submit(60_000, None, job_body("wk-1", "array", "blue", 2, 1.0, 100.0));
     let mut next = job_with_dependencies("wk-2", &["wk-1"], 40, 6.0);
     next["cpus"] = json!(4.0);
-    simulation.submit(62_000, None, next);
-    let machine_count = |simulation: &Simulation| {
-        simulation.cluster.workers.values().filter(|w| !w.is_terminated).count()
-    };
-    simulation.run_until(110_000);
-    let (before, mut rented, mut done) = (machine_count(&simulation), None, None);
+    sim.submit(62_000, None, next);
+    let machine_count =
+        |sim: &Simulation| sim.cluster.workers.values().filter(|w| !w.is_terminated).count();
+    sim.run_until(110_000);
+    let (before, mut rented, mut done) = (machine_count(&sim), None, None);
     assert!(before <= 6, "{before} machines for two tasks");
     for at in (110_000..300_000).step_by(200) {
-        simulation.run_until(at);
-        if machine_count(&simulation) >= 20 {
+        sim.run_until(at);
+        if machine_count(&sim) >= 20 {
             rented.get_or_insert(at);
         }
-        if (0..2).all(|t| simulation.cluster.finished_tasks.contains(&format!("wk-1/{t}"))) {
+        if (0..2).all(|t| sim.cluster.finished_tasks.contains(&format!("wk-1/{t}"))) {
             done.get_or_insert(at);
         }
     }
-    assert_all_jobs_over(&simulation, "at the end");
+    assert_all_jobs_over(&sim, "at the end");
     let (rented, done) = (rented.expect("machines were rented"), done.expect("it was done"));
     assert!(
         rented < done && done - rented < 60_000,
--- a/tests/plugins.rs
+++ b/tests/plugins.rs
@@ -43,58 +43,58 @@
     )
 }
 
-fn admin_answer_body(simulation: &Simulation, answer: u64) -> serde_json::Value {
-    let reply = simulation.admin_answers.get(&answer).expect("there is an answer");
+fn admin_answer_body(sim: &Simulation, answer: u64) -> serde_json::Value {
+    let reply = sim.admin_answers.get(&answer).expect("there is an answer");
     serde_json::from_slice(&reply.body).expect("answers are JSON")
 }
 
 /// Submits single-replica services and array jobs, and a gang that never fits.
-fn submit_services_and_arrays(simulation: &mut Simulation) {
+fn submit_services_and_arrays(sim: &mut Simulation) {
     for n in 0..8u64 {
         let id = format!("wk-s{n}");
-        simulation.submit(1_000 + n * 6_000, None, job_body(&id, "service", "blue", 1, 2.0, 0.0));
+        sim.submit(1_000 + n * 6_000, None, job_body(&id, "service", "blue", 1, 2.0, 0.0));
         let id = format!("wk-a{n}");
         let mut array = job_body(&id, "array", "blue", 6, 1.0, 20.0);
         // Services do not preempt production work, so only a plug-in could cause it to be stopped.
         array["rank"] = "production".into();
-        simulation.submit(500 + n * 5_000, None, array);
+        sim.submit(500 + n * 5_000, None, array);
     }
     // It can never be placed, so plug-ins are called for it in every mapping round.
-    simulation.submit(3_000, None, job_body("wk-g0", "gang", "blue", 300, 1.0, 20.0));
+    sim.submit(3_000, None, job_body("wk-g0", "gang", "blue", 300, 1.0, 20.0));
 }
 
 /// Plug-ins that loop, fail or return invalid values are suspended, and delay or stop no work meanwhile.
 #[test]
 fn faulty_plugins_are_suspended_without_delaying_services() {
     let run = |plugins: bool| {
-        let mut simulation = Simulation::new(8, FaultRates::NONE, 1_000);
-        simulation.operator = parse_operator("");
-        submit_services_and_arrays(&mut simulation);
+        let mut sim = Simulation::new(8, FaultRates::NONE, 1_000);
+        sim.operator = parse_operator("");
+        submit_services_and_arrays(&mut sim);
         let mut answers = Vec::new();
         if plugins {
             for (n, source) in [ENDLESS_LOOP, FAILING_HOOK, INVALID_RESULT].into_iter().enumerate()
             {
                 let name = ["loops", "fails", "nonsense"][n];
-                answers.push(simulation.schedule_admin_request(
+                answers.push(sim.schedule_admin_request(
                     5_000 + n as u64 * 200,
                     n,
                     offer_plugin(name, source, 10),
                 ));
             }
         }
-        simulation.run_until(60_000);
+        sim.run_until(60_000);
         for answer in answers {
             assert_eq!(
-                simulation.admin_answers[&answer].status,
+                sim.admin_answers[&answer].status,
                 200,
                 "{:?}",
-                admin_answer_body(&simulation, answer)
+                admin_answer_body(&sim, answer)
             );
         }
-        let list = simulation.schedule_admin_request(60_500, 2, AdminRequest::Plugins);
-        simulation.run_until(61_000);
-        assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
-        (simulation, list)
+        let list = sim.schedule_admin_request(60_500, 2, AdminRequest::Plugins);
+        sim.run_until(61_000);
+        assert!(sim.violations.is_empty(), "{:?}", sim.violations);
+        (sim, list)
     };
     let ((without, _), (with, list)) = (run(false), run(true));
     // The plug-ins cause no task to be stopped and no service to start more than 1 s later.
@@ -125,110 +125,83 @@
 /// Plug-ins survive a change of leader. After removal only the record is left in the state service.
 #[test]
 fn plugins_survive_leader_change_and_are_removed_completely() {
-    let mut simulation = Simulation::new(21, FaultRates::NONE, 1_000);
-    simulation.operator = parse_operator("");
-    submit_services_and_arrays(&mut simulation);
+    let mut sim = Simulation::new(21, FaultRates::NONE, 1_000);
+    sim.operator = parse_operator("");
+    submit_services_and_arrays(&mut sim);
     // Longer than the maximum value size of the state service.
     let long = format!("fn priority(job, cluster) {{ 5 }}\n// {}", "x".repeat(15_000));
-    let added = simulation.schedule_admin_request(4_000, 1, offer_plugin("long", &long, 10));
-    simulation.run_until(8_000);
-    assert_eq!(
-        simulation.admin_answers[&added].status,
-        200,
-        "{}",
-        admin_answer_body(&simulation, added)
-    );
-    let leader = simulation
-        .controllers
-        .iter()
-        .flatten()
-        .position(|n| n.is_leader())
-        .expect("there is a leader");
-    simulation.schedule_crash(9_000, leader);
-    simulation.run_until(20_000);
+    let added = sim.schedule_admin_request(4_000, 1, offer_plugin("long", &long, 10));
+    sim.run_until(8_000);
+    assert_eq!(sim.admin_answers[&added].status, 200, "{}", admin_answer_body(&sim, added));
+    let leader =
+        sim.controllers.iter().flatten().position(|n| n.is_leader()).expect("there is a leader");
+    sim.schedule_crash(9_000, leader);
+    sim.run_until(20_000);
     let other = (leader + 1) % 3;
     let requests: Vec<u64> = (0..3)
-        .map(|n| {
-            simulation.schedule_admin_request(20_100, n, AdminRequest::ExplainJob("wk-s1".into()))
-        })
+        .map(|n| sim.schedule_admin_request(20_100, n, AdminRequest::ExplainJob("wk-s1".into())))
         .collect();
-    simulation.run_until(21_000);
+    sim.run_until(21_000);
     // The new leader has the plug-in; the other controllers refer to the leader.
-    let replies = requests.iter().map(|a| simulation.admin_answers[a].status);
+    let replies = requests.iter().map(|a| sim.admin_answers[a].status);
     assert_eq!(replies.filter(|s| *s == 200).count(), 1);
-    let answered = requests
-        .iter()
-        .find(|a| simulation.admin_answers[*a].status == 200)
-        .expect("the leader answers");
-    let explanation = admin_answer_body(&simulation, *answered);
+    let answered =
+        requests.iter().find(|a| sim.admin_answers[*a].status == 200).expect("the leader answers");
+    let explanation = admin_answer_body(&sim, *answered);
     assert_eq!(explanation["taken"]["priority"], 5.0, "{explanation}");
     assert_eq!(explanation["hooks"]["priority"]["said"][0]["plugin"], "long");
-    let disabled = simulation.schedule_admin_request(
+    let disabled = sim.schedule_admin_request(
         21_100,
         other,
         AdminRequest::ChangePlugin("long".into(), PluginTransition::Disable),
     );
-    let removed = simulation.schedule_admin_request(
+    let removed = sim.schedule_admin_request(
         24_000,
         leader,
         AdminRequest::ChangePlugin("long".into(), PluginTransition::Remove),
     );
-    let reenabled = simulation.schedule_admin_request(
+    let reenabled = sim.schedule_admin_request(
         26_000,
         other,
         AdminRequest::ChangePlugin("long".into(), PluginTransition::Enable),
     );
-    simulation.run_until(28_000);
-    assert_eq!(
-        simulation.admin_answers[&disabled].status,
-        200,
-        "{}",
-        admin_answer_body(&simulation, disabled)
-    );
-    assert_eq!(
-        simulation.admin_answers[&removed].status,
-        200,
-        "{}",
-        admin_answer_body(&simulation, removed)
-    );
-    assert_eq!(simulation.admin_answers[&reenabled].status, 404);
-    assert_eq!(simulation.store.count_keys("plug/"), 1, "only its record remains");
-    assert!(simulation.store.largest_value <= 8 * 1024);
-    assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
+    sim.run_until(28_000);
+    assert_eq!(sim.admin_answers[&disabled].status, 200, "{}", admin_answer_body(&sim, disabled));
+    assert_eq!(sim.admin_answers[&removed].status, 200, "{}", admin_answer_body(&sim, removed));
+    assert_eq!(sim.admin_answers[&reenabled].status, 404);
+    assert_eq!(sim.store.count_keys("plug/"), 1, "only its record remains");
+    assert!(sim.store.largest_value <= 8 * 1024);
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
 }
 
 /// Plug-ins must not restrict the placement or admission of production work: avoiding most machine types would make a
 /// service wait for a machine to boot.
 #[test]
 fn plugins_do_not_restrict_production_work() {
-    let mut simulation = Simulation::new(31, FaultRates::NONE, 1_000);
-    simulation.operator = parse_operator("");
-    submit_services_and_arrays(&mut simulation);
+    let mut sim = Simulation::new(31, FaultRates::NONE, 1_000);
+    sim.operator = parse_operator("");
+    submit_services_and_arrays(&mut sim);
     let mut array = job_body("wk-n1", "array", "blue", 4, 1.0, 60.0);
     array["due_s"] = serde_json::Value::Null;
-    simulation.submit(9_000, None, array);
+    sim.submit(9_000, None, array);
     let source = "fn avoid_types(job, types) { types }\nfn spot_share(job, cluster) { 0 }\n\
                   fn admit(job, cluster) { 30 }";
-    simulation.schedule_admin_request(4_000, 0, offer_plugin("narrow", source, 1));
-    simulation.run_until(20_000);
+    sim.schedule_admin_request(4_000, 0, offer_plugin("narrow", source, 1));
+    sim.run_until(20_000);
     let requests: Vec<u64> = (0..3)
-        .map(|n| {
-            simulation.schedule_admin_request(20_100, n, AdminRequest::ExplainJob("wk-s1".into()))
-        })
+        .map(|n| sim.schedule_admin_request(20_100, n, AdminRequest::ExplainJob("wk-s1".into())))
         .collect();
-    simulation.run_until(21_000);
-    let answered = requests
-        .iter()
-        .find(|a| simulation.admin_answers[*a].status == 200)
-        .expect("the leader answers");
-    let explanation = admin_answer_body(&simulation, *answered);
+    sim.run_until(21_000);
+    let answered =
+        requests.iter().find(|a| sim.admin_answers[*a].status == 200).expect("the leader answers");
+    let explanation = admin_answer_body(&sim, *answered);
     assert_eq!(
         explanation["taken"]["avoid_types"].as_array().map(Vec::len),
         Some(0),
         "{explanation}"
     );
     assert_eq!(explanation["taken"]["spot_share"], 1.0);
-    let accepted = |id: &str| simulation.jobs.iter().any(|j| j.id == id && j.accepted);
+    let accepted = |id: &str| sim.jobs.iter().any(|j| j.id == id && j.accepted);
     assert!(accepted("wk-s2"), "a service is never asked to retry later");
     assert!(!accepted("wk-n1"), "other work may be asked to retry later");
 }
@@ -276,21 +249,21 @@
     let all = (0..1_000u64, policy_source(), prop::collection::vec(one, 1..5));
     type Plugin = (String, u64, u64, usize, u32);
     let run = |(seed, policy, plugins): (u64, String, Vec<Plugin>)| {
-        let mut simulation = Simulation::new(seed, FaultRates::MANY, 90_000);
-        simulation.operator = parse_operator(&policy);
-        submit_mixed_load(&mut simulation, 5);
+        let mut sim = Simulation::new(seed, FaultRates::MANY, 90_000);
+        sim.operator = parse_operator(&policy);
+        submit_mixed_load(&mut sim, 5);
         for (n, (source, add, remove, node, precedence)) in plugins.into_iter().enumerate() {
-            simulation.schedule_admin_request(
+            sim.schedule_admin_request(
                 add,
                 node,
                 offer_plugin(&format!("p{n}"), &source, precedence),
             );
             let removal = AdminRequest::ChangePlugin(format!("p{n}"), PluginTransition::Remove);
-            simulation.schedule_admin_request(add + remove, (node + 1) % 3, removal);
+            sim.schedule_admin_request(add + remove, (node + 1) % 3, removal);
         }
-        simulation.run_until(330_000);
-        prop_assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
-        for job in &simulation.jobs {
+        sim.run_until(330_000);
+        prop_assert!(sim.violations.is_empty(), "{:?}", sim.violations);
+        for job in &sim.jobs {
             let last = job.last_status.as_deref().unwrap_or("no answer");
             // Simulated users retry without limit here, so that advice to retry later only delays a job.
             let is_as_expected = if job.cancel_at.is_some() {
@@ -304,7 +277,7 @@
                 is_as_expected,
                 "{} ended as {last}: {}",
                 job.id,
-                simulation.describe_job(&job.id)
+                sim.describe_job(&job.id)
             );
         }
         Ok(())
--- a/tests/team_limits.rs
+++ b/tests/team_limits.rs
@@ -216,10 +216,10 @@
 }
 
 fn team_red_usage(
-    simulation: &Simulation,
+    sim: &Simulation,
     filter: impl Fn(&swiftsail_controller::job::Job) -> bool,
 ) -> f64 {
-    let cluster_state = simulation
+    let cluster_state = sim
         .controllers
         .iter()
         .flatten()
@@ -237,27 +237,27 @@
 /// Now just enough array tasks are stopped.
 #[test]
 fn service_preempts_arrays_of_its_team_at_the_limit() {
-    let mut simulation = Simulation::with_capacity(4, FaultRates::NONE, 1_000, 20);
+    let mut sim = Simulation::with_capacity(4, FaultRates::NONE, 1_000, 20);
     let mut long = job_body("wk-a1", "array", "red", 60, 2.0, 400.0);
     (long["due_s"], long["driftwood"]) = (serde_json::Value::Null, false.into());
-    simulation.submit(500, None, long);
-    simulation.run_until(40_000);
-    assert_eq!(team_red_usage(&simulation, |_| true), 40.0, "the team is at its limit");
+    sim.submit(500, None, long);
+    sim.run_until(40_000);
+    assert_eq!(team_red_usage(&sim, |_| true), 40.0, "the team is at its limit");
     let mut service = job_body("wk-s1", "service", "red", 4, 2.0, 0.0);
     service["scatter"] = false.into();
-    simulation.submit(40_500, None, service);
-    simulation.run_until(60_000);
+    sim.submit(40_500, None, service);
+    sim.run_until(60_000);
     assert_eq!(
-        team_red_usage(&simulation, |j| j.id.as_ref() == "wk-s1"),
+        team_red_usage(&sim, |j| j.id.as_ref() == "wk-s1"),
         8.0,
         "{}",
-        simulation.describe_job("wk-s1")
+        sim.describe_job("wk-s1")
     );
-    assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
-    let stopped = simulation.cluster.stopped_tasks.len();
-    simulation.run_until(90_000);
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
+    let stopped = sim.cluster.stopped_tasks.len();
+    sim.run_until(90_000);
     assert_eq!(
-        (stopped, simulation.cluster.stopped_tasks.len()),
+        (stopped, sim.cluster.stopped_tasks.len()),
         (4, 4),
         "no more tasks are stopped than necessary"
     );
@@ -266,52 +266,48 @@
 /// Machines that only work above its team's limit could use were kept, and paid for, as long as that work waited.
 #[test]
 fn idle_machines_are_not_kept_for_work_above_a_limit() {
-    let mut simulation = Simulation::with_capacity(5, FaultRates::NONE, 1_000, 20);
+    let mut sim = Simulation::with_capacity(5, FaultRates::NONE, 1_000, 20);
     // The work of team blue leaves many idle machines, while team red waits at its limit.
     let mut blue = job_body("wk-b1", "array", "blue", 120, 2.0, 10.0);
     blue["driftwood"] = false.into();
     let mut red = job_body("wk-a1", "array", "red", 200, 2.0, 400.0);
     (red["driftwood"], red["due_s"]) = (false.into(), serde_json::Value::Null);
-    simulation.submit(500, None, blue);
-    simulation.submit(600, None, red);
-    let machines = |simulation: &Simulation| {
-        simulation.cluster.workers.values().filter(|w| !w.is_terminated).count()
-    };
-    simulation.run_until(25_000);
-    let machines_before = machines(&simulation);
-    simulation.run_until(80_000);
+    sim.submit(500, None, blue);
+    sim.submit(600, None, red);
+    let machines =
+        |sim: &Simulation| sim.cluster.workers.values().filter(|w| !w.is_terminated).count();
+    sim.run_until(25_000);
+    let machines_before = machines(&sim);
+    sim.run_until(80_000);
     assert_eq!(
-        team_red_usage(&simulation, |_| true),
+        team_red_usage(&sim, |_| true),
         40.0,
         "team red is at its limit and has waiting work"
     );
     let cpus = |w: &swiftsail_simulation::worker::FakeWorker| w.hardware.resources[0];
-    let paid_cpus: f64 =
-        simulation.cluster.workers.values().filter(|w| !w.is_terminated).map(cpus).sum();
+    let paid_cpus: f64 = sim.cluster.workers.values().filter(|w| !w.is_terminated).map(cpus).sum();
     assert!(
         machines_before > 30 && paid_cpus <= 48.0,
         "{paid_cpus} CPUs are paid for, {machines_before} machines before"
     );
-    assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
 }
 
 /// The explanation of a waiting job names the team's limit, its usage, and the number of further tasks that the limit
 /// allows.
 #[test]
 fn explanation_names_the_limit_of_a_waiting_job() {
-    let mut simulation = Simulation::with_capacity(6, FaultRates::NONE, 1_000, 20);
+    let mut sim = Simulation::with_capacity(6, FaultRates::NONE, 1_000, 20);
     let mut long = job_body("wk-a1", "array", "red", 60, 2.0, 400.0);
     long["due_s"] = serde_json::Value::Null;
-    simulation.submit(500, None, long);
-    simulation.run_until(40_000);
+    sim.submit(500, None, long);
+    sim.run_until(40_000);
     let requests: Vec<u64> = (0..3)
-        .map(|n| {
-            simulation.schedule_admin_request(40_100, n, AdminRequest::ExplainJob("wk-a1".into()))
-        })
+        .map(|n| sim.schedule_admin_request(40_100, n, AdminRequest::ExplainJob("wk-a1".into())))
         .collect();
-    simulation.run_until(41_000);
+    sim.run_until(41_000);
     let reply =
-        requests.iter().filter_map(|id| simulation.admin_answers.get(id)).find(|r| r.status == 200);
+        requests.iter().filter_map(|id| sim.admin_answers.get(id)).find(|r| r.status == 200);
     let explanation: serde_json::Value =
         serde_json::from_slice(&reply.expect("the leader answers").body).expect("JSON");
     assert_eq!(explanation["waits"]["for"], "its team's limit", "{explanation}");
@@ -346,10 +342,10 @@
     faults: FaultRates,
     fault_free_from_ms: u64,
 ) -> Simulation {
-    let mut simulation = Simulation::with_capacity(seed, faults, fault_free_from_ms, 20);
-    simulation.operator = OperatorSettings::parse("test", "[amounts]\ndurable = true\n")
+    let mut sim = Simulation::with_capacity(seed, faults, fault_free_from_ms, 20);
+    sim.operator = OperatorSettings::parse("test", "[amounts]\ndurable = true\n")
         .expect("the settings are valid");
-    simulation
+    sim
 }
 
 /// With limits recorded in the state service, message faults, crashes and outages violate no invariant, and all jobs
@@ -363,14 +359,14 @@
             crashes: 4,
             outages_and_hangs: 2,
         };
-        let mut simulation = simulation_with_durable_records(seed, faults, 90_000);
-        submit_mixed_load(&mut simulation, 6);
-        simulation.run_until(300_000);
-        assert!(simulation.violations.is_empty(), "seed {seed}: {:?}", simulation.violations);
-        for job in simulation.jobs.iter().filter(|j| j.text_field("shape") != "service") {
-            assert!(job.is_over(), "seed {seed}: {}", simulation.describe_job(&job.id));
+        let mut sim = simulation_with_durable_records(seed, faults, 90_000);
+        submit_mixed_load(&mut sim, 6);
+        sim.run_until(300_000);
+        assert!(sim.violations.is_empty(), "seed {seed}: {:?}", sim.violations);
+        for job in sim.jobs.iter().filter(|j| j.text_field("shape") != "service") {
+            assert!(job.is_over(), "seed {seed}: {}", sim.describe_job(&job.id));
         }
-        let listed = simulation.store.list(quota_records::KEY_PREFIX, None, 1_000);
+        let listed = sim.store.list(quota_records::KEY_PREFIX, None, 1_000);
         let page = quota_records::parse_page(0, &listed);
         assert!(page.is_conserved() && page.holdings.len() == 4, "{page:?}");
     }
@@ -380,34 +376,34 @@
 /// leads, and work above it is stopped. It rises again when the last controller has the higher limit.
 #[test]
 fn lowest_limit_of_all_controllers_applies() {
-    let mut simulation = simulation_with_durable_records(7, FaultRates::NONE, 1_000);
+    let mut sim = simulation_with_durable_records(7, FaultRates::NONE, 1_000);
     let mut long = job_body("wk-a1", "array", "red", 90, 2.0, 900.0);
     long["due_s"] = serde_json::Value::Null;
-    simulation.submit(500, None, long);
-    simulation.run_until(40_000);
-    assert_eq!(team_red_usage(&simulation, |_| true), 40.0);
-    let follower = |simulation: &Simulation| {
+    sim.submit(500, None, long);
+    sim.run_until(40_000);
+    assert_eq!(team_red_usage(&sim, |_| true), 40.0);
+    let follower = |sim: &Simulation| {
         (0..3)
-            .find(|n| simulation.controllers[*n].as_ref().is_some_and(|n| !n.is_leader()))
+            .find(|n| sim.controllers[*n].as_ref().is_some_and(|n| !n.is_leader()))
             .expect("there is a follower")
     };
-    let (n, now) = (follower(&simulation), 40_000);
-    simulation.team_red_limits[n] = 24.0;
-    simulation.schedule_crash(now, n);
-    simulation.run_until(now + 20_000);
+    let (n, now) = (follower(&sim), 40_000);
+    sim.team_red_limits[n] = 24.0;
+    sim.schedule_crash(now, n);
+    sim.run_until(now + 20_000);
     assert_eq!(
-        team_red_usage(&simulation, |_| true),
+        team_red_usage(&sim, |_| true),
         24.0,
         "although the leader's own settings still have 40"
     );
     // The leader crashes, and another controller with a limit of 40 takes over.
-    let leader = leader_index(&simulation).expect("there is a leader");
-    simulation.schedule_crash(60_000, leader);
-    simulation.run_until(90_000);
-    assert_eq!(team_red_usage(&simulation, |_| true), 24.0);
-    simulation.team_red_limits[n] = 40.0;
-    simulation.schedule_crash(90_000, n);
-    simulation.run_until(120_000);
-    assert_eq!(team_red_usage(&simulation, |_| true), 40.0);
-    assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
+    let leader = leader_index(&sim).expect("there is a leader");
+    sim.schedule_crash(60_000, leader);
+    sim.run_until(90_000);
+    assert_eq!(team_red_usage(&sim, |_| true), 24.0);
+    sim.team_red_limits[n] = 40.0;
+    sim.schedule_crash(90_000, n);
+    sim.run_until(120_000);
+    assert_eq!(team_red_usage(&sim, |_| true), 40.0);
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
 }
