--- a/tests/common/busy_cluster.rs
+++ b/tests/common/busy_cluster.rs
@@ -23,7 +23,7 @@
 /// A cluster without random faults in which the tasks of [`LongJobs`] run.
 pub struct BusyCluster {
     /// The cluster.
-    pub world: Simulation,
+    pub simulation: Simulation,
     /// The controller that leads it.
     pub leader: usize,
     /// The time reached, ms from the beginning.
@@ -42,6 +42,6 @@
         }
         world.run_until(BUSY_AT_MS);
         let leader = leader_index(&world).expect("somebody leads");
-        BusyCluster { world, leader, now_ms: BUSY_AT_MS }
+        BusyCluster { simulation: world, leader, now_ms: BUSY_AT_MS }
     }
 }
--- a/tests/common/cluster.rs
+++ b/tests/common/cluster.rs
@@ -31,7 +31,7 @@
 }
 
 /// Fails the test, with `context`, unless no invariant was violated and every job is over.
-pub fn assert_ends_well(world: &Simulation, context: &str) {
+pub fn assert_completed_without_violations(world: &Simulation, context: &str) {
     assert!(world.violations.is_empty(), "{context}: {:?}", world.violations);
     for job in &world.jobs {
         let end = job.last_status.as_deref().unwrap_or("no answer");
--- a/tests/concurrent_faults.rs
+++ b/tests/concurrent_faults.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::busy_cluster::{BusyCluster, LongJobs};
-use common::cluster::{assert_ends_well, leader_index, tasks_killed};
+use common::cluster::{assert_completed_without_violations, leader_index, tasks_killed};
 use common::seeds::seeds_from_environment;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -54,7 +54,7 @@
 fn what_others_confirmed_ends_in_time_though_the_leader_cannot_read_it() {
     let mut met = 0;
     for seed in 0..6 {
-        let BusyCluster { mut world, leader, now_ms } =
+        let BusyCluster { simulation: mut world, leader, now_ms } =
             BusyCluster::run_until_busy(seed, &LONG_JOBS);
         world.partitions.push(store_partition(leader, now_ms, 14_000));
         world.schedule_store_outage(now_ms + 2_000, 59_000);
@@ -82,7 +82,7 @@
 #[test]
 fn a_leader_that_learns_nothing_falls_silent() {
     for seed in 0..4 {
-        let BusyCluster { mut world, leader, now_ms } =
+        let BusyCluster { simulation: mut world, leader, now_ms } =
             BusyCluster::run_until_busy(seed, &LONG_JOBS);
         world
             .partitions
@@ -107,7 +107,7 @@
 fn the_gap_holds_with_crashes_and_second_refusals() {
     let mut met = 0;
     for seed in 0..24u64 {
-        let BusyCluster { mut world, leader, now_ms } =
+        let BusyCluster { simulation: mut world, leader, now_ms } =
             BusyCluster::run_until_busy(seed, &LONG_JOBS);
         let mut rng = StdRng::seed_from_u64(seed);
         let other = |n: usize| (leader + 1 + n) % 3;
@@ -142,7 +142,8 @@
 /// the job's last record, which the leader writes when nothing is left, needs no other's word.
 #[test]
 fn nobody_is_told_of_a_cancellation_that_one_controller_holds_alone() {
-    let BusyCluster { mut world, leader, now_ms } = BusyCluster::run_until_busy(3, &LONG_JOBS);
+    let BusyCluster { simulation: mut world, leader, now_ms } =
+        BusyCluster::run_until_busy(3, &LONG_JOBS);
     for n in 0..3 {
         world.partitions.push(NetworkPartition {
             peers: true,
@@ -641,7 +642,7 @@
     let mut told = 0;
     for seed in seeds_from_environment("MEETINGS").unwrap_or(0..48) {
         let world = run_with_two_faults(seed);
-        assert_ends_well(&world, &format!("seed {seed}"));
+        assert_completed_without_violations(&world, &format!("seed {seed}"));
         told += world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
     }
     assert!(told > 0);
--- a/tests/machine_hangs.rs
+++ b/tests/machine_hangs.rs
@@ -5,7 +5,9 @@
 mod common;
 
 use common::busy_cluster::{BusyCluster, LongJobs};
-use common::cluster::{assert_ends_well, hang_machines, leader_index, machines_with_tasks};
+use common::cluster::{
+    assert_completed_without_violations, hang_machines, leader_index, machines_with_tasks,
+};
 use common::seeds::seeds_from_environment;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -36,7 +38,7 @@
         [300, 1_000, 2_000, 2_450, 2_520, 2_600, 2_700, 3_000, 4_500].into_iter().enumerate()
     {
         for (m, hang_ms) in [None, Some(8_000), Some(50_000)].into_iter().enumerate() {
-            let BusyCluster { mut world, leader, now_ms } =
+            let BusyCluster { simulation: mut world, leader, now_ms } =
                 BusyCluster::run_until_busy(n as u64 * 3 + m as u64, &LONG_JOBS);
             world.partitions.push(NetworkPartition {
                 store: true,
@@ -50,7 +52,7 @@
             told += world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
             hung += world.fault_counts.get("hung").copied().unwrap_or(0);
             world.run_until(now_ms + 260_000);
-            assert_ends_well(&world, &format!("gap {gap}, hang {hang_ms:?}"));
+            assert_completed_without_violations(&world, &format!("gap {gap}, hang {hang_ms:?}"));
         }
     }
     assert!(told >= 100, "{told} were told in the gap");
@@ -63,7 +65,7 @@
 fn cancelled_while_cloud_and_state_service_are_slow_or_away() {
     let (mut told, mut met) = (0, 0);
     for seed in 0..12u64 {
-        let BusyCluster { mut world, leader, now_ms } =
+        let BusyCluster { simulation: mut world, leader, now_ms } =
             BusyCluster::run_until_busy(seed, &LONG_JOBS);
         let mut rng = StdRng::seed_from_u64(seed ^ 0xc1);
         match seed % 3 {
@@ -87,7 +89,7 @@
         told += world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
         met += world.fault_counts.get("cloud trouble").copied().unwrap_or(0);
         world.run_until(now_ms + 260_000);
-        assert_ends_well(&world, &format!("seed {seed}"));
+        assert_completed_without_violations(&world, &format!("seed {seed}"));
     }
     assert!(told >= 60, "{told} were told");
     assert!(met >= 60, "{met} calls to the cloud were slow or refused");
@@ -99,7 +101,7 @@
 fn while_nobody_leads_machines_that_hang_are_returned() {
     let (mut told, mut hung, mut nobody) = (0, 0, 0);
     for seed in 0..24u64 {
-        let BusyCluster { mut world, leader, now_ms } =
+        let BusyCluster { simulation: mut world, leader, now_ms } =
             BusyCluster::run_until_busy(seed, &LONG_JOBS);
         world.restart_delay_ms = Some([100, 5_000][seed as usize % 2]);
         world.schedule_running_cancellations(now_ms, 8, Some(70_000));
@@ -126,7 +128,7 @@
         told += world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
         hung += world.fault_counts.get("hung").copied().unwrap_or(0);
         world.run_until(now_ms + 260_000);
-        assert_ends_well(&world, &format!("seed {seed}"));
+        assert_completed_without_violations(&world, &format!("seed {seed}"));
     }
     println!("nobody led {nobody} times, {told} told, {hung} hung");
     assert!(nobody >= 7, "nobody led on {nobody} days");
@@ -210,7 +212,7 @@
         held += world.fault_counts.get("held by a hang").copied().unwrap_or(0);
         told += world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
         world.run_until(400_000);
-        assert_ends_well(&world, &format!("seed {seed}"));
+        assert_completed_without_violations(&world, &format!("seed {seed}"));
     }
     assert!(held >= 10, "{held} commands waited for a machine that hung");
     assert!(told >= 10 * 12, "{told} were told");
--- a/tests/unreachable_machines.rs
+++ b/tests/unreachable_machines.rs
@@ -3,7 +3,9 @@
 
 mod common;
 
-use common::cluster::{assert_ends_well, hang_machines, leader_index, machines_with_tasks};
+use common::cluster::{
+    assert_completed_without_violations, hang_machines, leader_index, machines_with_tasks,
+};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeSet;
@@ -122,7 +124,7 @@
             }
         }
         world.run_until(600_000);
-        assert_ends_well(&world, &format!("seed {seed}"));
+        assert_completed_without_violations(&world, &format!("seed {seed}"));
     }
     assert!(met >= 100, "{met} moments at which a new leader counted a cancelled task at a limit");
     assert_eq!(crews.len(), 3, "{crews:?}");
@@ -190,7 +192,7 @@
         told += world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
         by_duty += duties;
         world.run_until(at + 200_000);
-        assert_ends_well(&world, &format!("seed {seed}"));
+        assert_completed_without_violations(&world, &format!("seed {seed}"));
     }
     assert!(told >= 15 * 20, "{told} were told");
     assert!(shared >= 12, "{shared} machines reported through another controller");
@@ -248,7 +250,7 @@
         assert!(late.is_empty(), "seed {seed}: {late:?} wait for machines that report to nobody");
         cancelled += world.fault_counts.get("mute").copied().unwrap_or(0);
         world.run_until(300_000);
-        assert_ends_well(&world, &format!("seed {seed}"));
+        assert_completed_without_violations(&world, &format!("seed {seed}"));
     }
     assert!(cancelled >= 100, "{cancelled} reports came nowhere");
     assert!(asked >= 100, "{asked} answers to questions");
@@ -351,7 +353,7 @@
         assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
         world.store.limit_sizes(8.0, 16);
         world.run_until(700_000);
-        assert_ends_well(&world, &format!("seed {seed}"));
+        assert_completed_without_violations(&world, &format!("seed {seed}"));
     }
     assert!(refused >= 200, "{refused} transactions were refused for their size");
     assert!(told >= 8 * 20, "{told} were told");
