--- a/src/admin.rs
+++ b/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' listener: JSON over HTTP, apart from the protocol's own listeners.
+//! The operators' listener: JSON over HTTP, on an address separate from the protocol's listeners.
 
 use crate::constants::{KEEP_ALIVE_S, MAX_ADMIN_BODY_BYTES, MAX_ADMIN_CONNECTIONS};
 use crate::http::respond;
@@ -13,34 +13,37 @@
 
 /// Paths of this listener.
 pub mod path {
-    /// Jobs that are not over; `?after=` goes on behind an id.
+    /// GET: the jobs that have not ended, in pages; `?after=` continues after a job id.
     pub const JOBS: &str = "/admin/jobs";
-    /// Why a job is steered as it is.
+    /// GET: how policy and plug-ins affect a job, and what it waits for.
     pub const EXPLAIN: &str = "/admin/jobs/{id}/explain";
-    /// Where a job stands in the tiers and the line.
+    /// GET: the tier of a job and its position in the queue.
     pub const JOB_TIER: &str = "/admin/jobs/{id}/tier";
-    /// The jobs before and after one.
+    /// GET: the jobs that a job depends on and those that depend on it.
     pub const PIPELINE: &str = "/admin/jobs/{id}/pipeline";
-    /// The table of tiers: GET shows it, PUT offers another.
+    /// The tier table. GET: the table in force; PUT: replaces it by one of a higher version.
     pub const TIERS: &str = "/admin/tiers";
-    /// Arrivals: GET lists them, `?of=` one; PUT offers another plan; POST adds one.
+    /// Arrivals. GET: all, or with `?of=` one; PUT: replaces the plan by one of a higher version; POST: adds one.
     pub const DISPATCH: &str = "/admin/dispatch";
-    /// Accelerators lent; `?of=` one job's.
+    /// GET: the loans of accelerators, or with `?of=` those of one job.
     pub const LOANS: &str = "/admin/loans";
-    /// Plug-ins.
+    /// GET: all plug-ins.
     pub const PLUGINS: &str = "/admin/plugins";
-    /// One plug-in: PUT offers it, DELETE removes it.
+    /// One plug-in. PUT: adds it or a new version of it; DELETE: removes it.
     pub const PLUGIN: &str = "/admin/plugins/{name}";
-    /// Switches it on.
+    /// POST: enables a plug-in.
     pub const ENABLE: &str = "/admin/plugins/{name}/enable";
-    /// Switches it off.
+    /// POST: disables a plug-in.
     pub const DISABLE: &str = "/admin/plugins/{name}/disable";
 }
 
 type ControllerAddress = web::Data<Addr<ControllerActor>>;
 
-async fn forward_to_controller(to: &Addr<ControllerActor>, ask: AdminRequest) -> HttpResponse {
-    let reply = to.send(IncomingRequest(TypedRequest::AdminRequest(ask))).await;
+async fn forward_to_controller(
+    controller: &Addr<ControllerActor>,
+    request: AdminRequest,
+) -> HttpResponse {
+    let reply = controller.send(IncomingRequest(TypedRequest::AdminRequest(request))).await;
     respond(reply.unwrap_or_else(|_| Reply::retry_later("this node is ending")), "application/json")
 }
 
@@ -49,28 +52,28 @@
     after: Option<String>,
 }
 
-async fn list_jobs(to: ControllerAddress, query: web::Query<PageQuery>) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::Jobs(query.into_inner().after)).await
+async fn list_jobs(controller: ControllerAddress, query: web::Query<PageQuery>) -> HttpResponse {
+    forward_to_controller(&controller, AdminRequest::Jobs(query.into_inner().after)).await
 }
 
-async fn explain_job(to: ControllerAddress, id: web::Path<String>) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::ExplainJob(id.into_inner())).await
+async fn explain_job(controller: ControllerAddress, id: web::Path<String>) -> HttpResponse {
+    forward_to_controller(&controller, AdminRequest::ExplainJob(id.into_inner())).await
 }
 
-async fn show_pipeline(to: ControllerAddress, id: web::Path<String>) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::Pipeline(id.into_inner())).await
+async fn show_pipeline(controller: ControllerAddress, id: web::Path<String>) -> HttpResponse {
+    forward_to_controller(&controller, AdminRequest::Pipeline(id.into_inner())).await
 }
 
-async fn show_tiers(to: ControllerAddress) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::Tiers).await
+async fn show_tiers(controller: ControllerAddress) -> HttpResponse {
+    forward_to_controller(&controller, AdminRequest::Tiers).await
 }
 
-async fn set_tiers(to: ControllerAddress, body: web::Bytes) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::SetTiers(body.to_vec())).await
+async fn set_tiers(controller: ControllerAddress, body: web::Bytes) -> HttpResponse {
+    forward_to_controller(&controller, AdminRequest::SetTiers(body.to_vec())).await
 }
 
-async fn explain_tier(to: ControllerAddress, id: web::Path<String>) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::ExplainTier(id.into_inner())).await
+async fn explain_tier(controller: ControllerAddress, id: web::Path<String>) -> HttpResponse {
+    forward_to_controller(&controller, AdminRequest::ExplainTier(id.into_inner())).await
 }
 
 #[derive(Deserialize)]
@@ -79,64 +82,71 @@
     selected: Option<String>,
 }
 
-async fn show_dispatch(to: ControllerAddress, query: web::Query<SelectionQuery>) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::Occurrences(query.into_inner().selected)).await
+async fn list_arrivals(
+    controller: ControllerAddress,
+    query: web::Query<SelectionQuery>,
+) -> HttpResponse {
+    forward_to_controller(&controller, AdminRequest::Occurrences(query.into_inner().selected)).await
 }
 
-async fn set_dispatch(to: ControllerAddress, body: web::Bytes) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::SetDeadlinePlan(body.to_vec())).await
+async fn set_dispatch_plan(controller: ControllerAddress, body: web::Bytes) -> HttpResponse {
+    forward_to_controller(&controller, AdminRequest::SetDeadlinePlan(body.to_vec())).await
 }
 
-async fn add_arrival(to: ControllerAddress, body: web::Bytes) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::AddOccurrence(body.to_vec())).await
+async fn add_arrival(controller: ControllerAddress, body: web::Bytes) -> HttpResponse {
+    forward_to_controller(&controller, AdminRequest::AddOccurrence(body.to_vec())).await
 }
 
-async fn show_loans(to: ControllerAddress, query: web::Query<SelectionQuery>) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::Loans(query.into_inner().selected)).await
+async fn show_loans(
+    controller: ControllerAddress,
+    query: web::Query<SelectionQuery>,
+) -> HttpResponse {
+    forward_to_controller(&controller, AdminRequest::Loans(query.into_inner().selected)).await
 }
 
-async fn list_plugins(to: ControllerAddress) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::Plugins).await
+async fn list_plugins(controller: ControllerAddress) -> HttpResponse {
+    forward_to_controller(&controller, AdminRequest::Plugins).await
 }
 
 async fn offer_plugin(
-    to: ControllerAddress,
+    controller: ControllerAddress,
     name: web::Path<String>,
     body: web::Bytes,
 ) -> HttpResponse {
-    forward_to_controller(&to, AdminRequest::OfferPlugin(name.into_inner(), body.to_vec())).await
+    forward_to_controller(&controller, AdminRequest::OfferPlugin(name.into_inner(), body.to_vec()))
+        .await
 }
 
-async fn enable_plugin(to: ControllerAddress, name: web::Path<String>) -> HttpResponse {
+async fn enable_plugin(controller: ControllerAddress, name: web::Path<String>) -> HttpResponse {
     forward_to_controller(
-        &to,
+        &controller,
         AdminRequest::ChangePlugin(name.into_inner(), PluginTransition::Enable),
     )
     .await
 }
 
-async fn disable_plugin(to: ControllerAddress, name: web::Path<String>) -> HttpResponse {
+async fn disable_plugin(controller: ControllerAddress, name: web::Path<String>) -> HttpResponse {
     forward_to_controller(
-        &to,
+        &controller,
         AdminRequest::ChangePlugin(name.into_inner(), PluginTransition::Disable),
     )
     .await
 }
 
-async fn remove_plugin(to: ControllerAddress, name: web::Path<String>) -> HttpResponse {
+async fn remove_plugin(controller: ControllerAddress, name: web::Path<String>) -> HttpResponse {
     forward_to_controller(
-        &to,
+        &controller,
         AdminRequest::ChangePlugin(name.into_inner(), PluginTransition::Remove),
     )
     .await
 }
 
-/// Serves operators until the process ends.
-pub async fn serve(listen: SocketAddr, to: Addr<ControllerActor>) -> std::io::Result<()> {
-    let data = web::Data::new(to);
+/// Serves operators until the process ends. Fails if the address cannot be bound.
+pub async fn serve(listen: SocketAddr, controller: Addr<ControllerActor>) -> std::io::Result<()> {
+    let controller = web::Data::new(controller);
     let server = HttpServer::new(move || {
         App::new()
-            .app_data(data.clone())
+            .app_data(controller.clone())
             .app_data(web::PayloadConfig::new(MAX_ADMIN_BODY_BYTES))
             .route(path::JOBS, web::get().to(list_jobs))
             .route(path::EXPLAIN, web::get().to(explain_job))
@@ -145,8 +155,8 @@
             .route(path::TIERS, web::get().to(show_tiers))
             .route(path::TIERS, web::put().to(set_tiers))
             .route(path::LOANS, web::get().to(show_loans))
-            .route(path::DISPATCH, web::get().to(show_dispatch))
-            .route(path::DISPATCH, web::put().to(set_dispatch))
+            .route(path::DISPATCH, web::get().to(list_arrivals))
+            .route(path::DISPATCH, web::put().to(set_dispatch_plan))
             .route(path::DISPATCH, web::post().to(add_arrival))
             .route(path::PLUGINS, web::get().to(list_plugins))
             .route(path::PLUGIN, web::put().to(offer_plugin))
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,5 +1,5 @@
-//! The gate at the entry: a request is let in by its urgency and the length that it tells, before its
-//! body is read; what trickles is cut off.
+//! Admission control of HTTP requests. A request is admitted by its priority and the length that it states, before its body
+//! is read. A body that arrives too slowly is cut off.
 
 use crate::constants::{REQUEST_BODY_TIMEOUT_MS, SHED_RETRY_AFTER_S};
 use crate::http::{MESSAGE_PACK, respond};
@@ -24,7 +24,7 @@
 
 impl SharedAdmissionState {
     fn lock_body_gate(&self) -> MutexGuard<'_, AdmissionGate> {
-        // The gate holds numbers alone: they are sound whoever panicked.
+        // The gate holds only numbers, which stay valid if a holder of the lock panics.
         self.body_gate.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -37,21 +37,21 @@
     }
 }
 
-/// The gate, shared by the listeners and the controller, which tells it how pressed it is.
+/// Admission control, shared by the listeners and the controller, which reports its load level.
 #[derive(Clone)]
 pub struct AdmissionController {
     shared: Arc<SharedAdmissionState>,
 }
 
-/// A request let in, with its body.
+/// An admitted request with its body.
 pub struct AdmittedRequest {
     /// The body.
     pub body: web::Bytes,
-    /// What it holds until it is answered.
+    /// The memory that the request holds until it is answered.
     pub reservation: BodyReservation,
 }
 
-/// What a request holds of the bodies' memory; given back when dropped.
+/// The memory that a request holds of the budget for request bodies. Released when dropped.
 pub struct BodyReservation {
     shared: Arc<SharedAdmissionState>,
     bytes: usize,
@@ -64,7 +64,7 @@
 }
 
 impl AdmissionController {
-    /// A gate for that many bytes of bodies and requests.
+    /// Creates admission control for at most `body_bytes` bytes of admitted requests, including their bodies.
     pub fn new(body_bytes: usize) -> AdmissionController {
         let shared = SharedAdmissionState {
             body_gate: Mutex::new(AdmissionGate::new(body_bytes)),
@@ -75,7 +75,7 @@
         AdmissionController { shared: Arc::new(shared) }
     }
 
-    /// The controller's pressure, as it is now.
+    /// Sets the current load level of the controller.
     pub fn set_level(&self, level: LoadLevel) {
         self.shared.level.store(level as u8, Ordering::Relaxed);
     }
@@ -88,13 +88,14 @@
         }
     }
 
-    /// Whether a poll comes before others: one of the same job was turned away here.
+    /// Whether a poll takes precedence over first polls, because an earlier poll of the same job was rejected here.
+    /// Counts it if so: the number of polls that take precedence per second is limited.
     pub fn is_retried_poll(&self, id: &str) -> bool {
         let now = self.shared.elapsed_ms();
         self.shared.lock_rejected_polls().take_precedence(id, now)
     }
 
-    /// What became of a poll.
+    /// Records whether a poll was answered or rejected.
     pub fn record_poll(&self, id: &str, answered: bool) {
         match answered {
             true => self.shared.lock_rejected_polls().on_answered(id),
@@ -105,27 +106,29 @@
         }
     }
 
-    /// Lets a request in that says so of its body's length, or refuses it.
+    /// Admits a request, or returns the response that rejects it. `length` is the stated length of its body in bytes, if
+    /// known.
     pub fn admit(
         &self,
-        urgency: RequestPriority,
+        priority: RequestPriority,
         length: Option<usize>,
     ) -> Result<BodyReservation, HttpResponse> {
         let level = self.level();
-        match self.shared.lock_body_gate().try_admit(urgency, length, level) {
+        match self.shared.lock_body_gate().try_admit(priority, length, level) {
             Some(bytes) => Ok(BodyReservation { shared: self.shared.clone(), bytes }),
             None => {
                 let mut reply = Reply::retry_later("this node has more to do than it can");
                 reply.retry_after = Some(level as u32 * SHED_RETRY_AFTER_S + 1);
-                Err(refuse_and_close(reply))
+                Err(reject_and_close(reply))
             }
         }
     }
 
-    /// Lets a request in and reads its body, or refuses it.
+    /// Admits a request and reads its body, or returns the response that rejects it. A body must arrive within
+    /// [`REQUEST_BODY_TIMEOUT_MS`] and be no larger than [`MAX_BODY_BYTES`].
     pub async fn admit_and_read(
         &self,
-        urgency: RequestPriority,
+        priority: RequestPriority,
         request: &HttpRequest,
         body: web::Payload,
     ) -> Result<AdmittedRequest, HttpResponse> {
@@ -134,29 +137,29 @@
         if length.is_some_and(|l: usize| l > MAX_BODY_BYTES) {
             return Err(unreadable_body("it is larger than 64 KiB"));
         }
-        let held = self.admit(urgency, length)?;
-        let whole = timeout(
+        let reservation = self.admit(priority, length)?;
+        let body = timeout(
             Duration::from_millis(REQUEST_BODY_TIMEOUT_MS),
             body.to_bytes_limited(MAX_BODY_BYTES),
         );
-        match whole.await {
-            Ok(Ok(Ok(body))) => Ok(AdmittedRequest { body, reservation: held }),
+        match body.await {
+            Ok(Ok(Ok(body))) => Ok(AdmittedRequest { body, reservation }),
             Ok(Ok(Err(e))) => Err(unreadable_body(&e.to_string())),
             Ok(Err(_)) => Err(unreadable_body("it is larger than 64 KiB")),
-            Err(_) => Err(refuse_and_close(Reply::retry_later("the body did not come in time"))),
+            Err(_) => Err(reject_and_close(Reply::retry_later("the body did not come in time"))),
         }
     }
 }
 
-/// The rest of a refused body is not waited for.
-fn refuse_and_close(reply: Reply) -> HttpResponse {
+/// Rejects a request and closes the connection, so that the rest of the body is not read.
+fn reject_and_close(reply: Reply) -> HttpResponse {
     let mut response = respond(reply, MESSAGE_PACK);
     response.head_mut().set_connection_type(actix_web::http::ConnectionType::Close);
     response
 }
 
 fn unreadable_body(cause: &str) -> HttpResponse {
-    refuse_and_close(Reply::new(
+    reject_and_close(Reply::new(
         400,
         &ErrorResponse { error: format!("the body cannot be read: {cause}") },
     ))
--- a/src/commands/jobs.rs
+++ b/src/commands/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: submit, poll, cancel, list.
+//! The subcommands for jobs: submit, poll, cancel, list.
 
 use super::{AdminTarget, ServiceTarget, block_on, output};
 use crate::admin::path;
@@ -11,56 +11,56 @@
 use swiftsail_controller::job::{JobId, JobKind, JobSpec, Priority};
 use swiftsail_protocol::users::{JobStatusResponse, is_valid_job_id};
 
-/// What may be done with jobs.
+/// Commands for jobs.
 #[derive(Debug, Subcommand)]
 pub enum JobCommand {
     /// Submit the job that a TOML file describes
     Submit {
         /// The file, like those under examples/
         file: PathBuf,
-        /// Its id, of the form wk-NAME; by default a new one
+        /// Id of the job, of the form wk-NAME; by default a random one
         #[arg(long)]
         id: Option<String>,
-        /// A job that has to be done before any task of this one starts; may be given several times, beside those
-        /// that the file names under `awaits`
+        /// Id of a job that must be done before any task of this one starts, in addition to those that the file lists
+        /// under `awaits`; may be repeated
         #[arg(long = "await", value_name = "JOB")]
         awaits: Vec<String>,
-        /// Where it goes
+        /// Addresses of the controllers and output format
         #[command(flatten)]
         to: ServiceTarget,
     },
-    /// Show a job's state
+    /// Show the status of a job
     Poll {
-        /// Its id
+        /// Id of the job
         job: String,
-        /// Where it goes
+        /// Addresses of the controllers and output format
         #[command(flatten)]
         to: ServiceTarget,
     },
     /// Cancel a job
     Cancel {
-        /// Its id
+        /// Id of the job
         job: String,
-        /// Where it goes
+        /// Addresses of the controllers and output format
         #[command(flatten)]
         to: ServiceTarget,
     },
-    /// List the jobs that are not over
+    /// List the jobs that have not ended
     Jobs {
-        /// Where it goes
+        /// Addresses of the controllers and output format
         #[command(flatten)]
         admin: AdminTarget,
     },
 }
 
-/// A job's file.
+/// The TOML file of a job.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct JobFile {
     class: String,
     team: String,
     kind: JobKind,
-    #[serde(default = "normal")]
+    #[serde(default = "default_priority")]
     priority: Priority,
     tasks: u32,
     cpus: f64,
@@ -92,62 +92,64 @@
     awaits: Vec<String>,
 }
 
-fn normal() -> Priority {
+fn default_priority() -> Priority {
     Priority::Normal
 }
 
 fn load_job_file(file: &Path) -> Result<(JobSpec, Vec<JobId>), Box<dyn Error>> {
     let name = file.display();
-    let text = std::fs::read_to_string(file)
-        .map_err(|e| format!("job file {name}: cannot be read: {e}; give a readable TOML file"))?;
-    let j: JobFile = toml::from_str(&text).map_err(|e| format!("job file {name}: {e}"))?;
-    let awaits = j.awaits.into_iter().map(JobId::from).collect();
+    let text = std::fs::read_to_string(file).map_err(|e| {
+        format!("job file {name}: cannot read it: {e}; give the path of a readable TOML file")
+    })?;
+    let job: JobFile = toml::from_str(&text).map_err(|e| format!("job file {name}: {e}"))?;
+    let awaits = job.awaits.into_iter().map(JobId::from).collect();
     let spec = JobSpec {
-        class: j.class,
-        team: j.team,
-        kind: j.kind,
-        priority: j.priority,
-        tasks: j.tasks,
-        cpus: j.cpus,
-        gpus: j.gpus,
-        memory_gb: j.memory_gb,
-        image: j.image,
-        image_gb: j.image_gb,
-        machine_types: j.types,
-        zone: j.zone,
-        one_zone: j.one_zone,
-        spread: j.spread,
-        spot: j.spot,
-        runtime_estimate_s: j.estimate_s,
-        checkpoint_interval_s: j.checkpoint_s,
-        checkpoint_duration_s: j.save_s,
-        deadline_s: j.deadline_s,
+        class: job.class,
+        team: job.team,
+        kind: job.kind,
+        priority: job.priority,
+        tasks: job.tasks,
+        cpus: job.cpus,
+        gpus: job.gpus,
+        memory_gb: job.memory_gb,
+        image: job.image,
+        image_gb: job.image_gb,
+        machine_types: job.types,
+        zone: job.zone,
+        one_zone: job.one_zone,
+        spread: job.spread,
+        spot: job.spot,
+        runtime_estimate_s: job.estimate_s,
+        checkpoint_interval_s: job.checkpoint_s,
+        checkpoint_duration_s: job.save_s,
+        deadline_s: job.deadline_s,
     };
     Ok((spec, awaits))
 }
 
 impl JobCommand {
-    /// Does it.
+    /// Runs the command and prints its result. Fails if an argument or a file is invalid, the service does not respond,
+    /// or it rejects the request.
     pub fn run(self) -> Result<(), Box<dyn Error>> {
         match self {
-            JobCommand::Submit { file, id, awaits: more, to } => {
+            JobCommand::Submit { file, id, awaits: more_dependencies, to } => {
                 let (spec, mut awaits) = load_job_file(&file)?;
-                awaits.extend(more.into_iter().map(JobId::from));
+                awaits.extend(more_dependencies.into_iter().map(JobId::from));
                 let id = id.unwrap_or_else(|| format!("wk-{:012x}", rand::random::<u64>() >> 16));
                 let id = checked_job_id(&id)?;
                 let client = || Client::new(to.to.clone());
-                let answer = block_on(async { client().submit(id, &spec, &awaits).await })?;
-                print_job_status(&answer, to.json);
+                let response = block_on(async { client().submit(id, &spec, &awaits).await })?;
+                print_job_status(&response, to.json);
             }
             JobCommand::Poll { job, to } => {
                 let id = checked_job_id(&job)?;
-                let answer = block_on(async { Client::new(to.to.clone()).poll(id).await })?;
-                print_job_status(&answer, to.json);
+                let response = block_on(async { Client::new(to.to.clone()).poll(id).await })?;
+                print_job_status(&response, to.json);
             }
             JobCommand::Cancel { job, to } => {
                 let id = checked_job_id(&job)?;
-                let answer = block_on(async { Client::new(to.to.clone()).cancel(id).await })?;
-                print_job_status(&answer, to.json);
+                let response = block_on(async { Client::new(to.to.clone()).cancel(id).await })?;
+                print_job_status(&response, to.json);
             }
             JobCommand::Jobs { admin } => list_jobs(&admin)?,
         }
@@ -156,21 +158,21 @@
 }
 
 fn checked_job_id(id: &str) -> Result<&str, String> {
-    let why = || format!("`{id}` has not the form of a job's id: wk- and letters or digits");
-    is_valid_job_id(id).then_some(id).ok_or_else(why)
+    let error = || format!("invalid job id `{id}`: expected wk- followed by letters or digits");
+    is_valid_job_id(id).then_some(id).ok_or_else(error)
 }
 
-fn print_job_status(answer: &JobStatusResponse, as_json: bool) {
-    let value = serde_json::to_value(answer).unwrap_or(Value::Null);
-    let shown = json!({
-        "job": answer.id, "status": value["status"],
-        "done": answer.tasks_done, "running": answer.tasks_running,
+fn print_job_status(response: &JobStatusResponse, as_json: bool) {
+    let value = serde_json::to_value(response).unwrap_or(Value::Null);
+    let summary = json!({
+        "job": response.id, "status": value["status"],
+        "done": response.tasks_done, "running": response.tasks_running,
     });
     if as_json {
-        output::print_json(&shown);
+        output::print_json(&summary);
     } else {
         let fields = ["job", "status", "running", "done"];
-        output::print_table(&fields, vec![output::row_cells(&shown, &fields)]);
+        output::print_table(&fields, vec![output::row_cells(&summary, &fields)]);
     }
 }
 
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands that talk to a service that runs.
+//! The subcommands that send requests to a running service.
 
 mod dispatch;
 mod jobs;
@@ -22,7 +22,7 @@
 use std::error::Error;
 use std::net::SocketAddr;
 
-/// Where users' requests go.
+/// Options of the commands for users.
 #[derive(Debug, Clone, Args)]
 pub struct ServiceTarget {
     /// Addresses of controllers for users, tried in order
@@ -39,7 +39,7 @@
     json: bool,
 }
 
-/// Where operators' requests go.
+/// Options of the commands for operators.
 #[derive(Debug, Clone, Args)]
 pub struct AdminTarget {
     /// Addresses of controllers for operators, tried in order
@@ -56,12 +56,12 @@
     json: bool,
 }
 
-/// Runs a request to its end on this thread.
+/// Runs a request to completion on this thread.
 fn block_on<T>(request: impl Future<Output = Result<T, ClientError>>) -> Result<T, Box<dyn Error>> {
     Ok(actix::System::new().block_on(request)?)
 }
 
-/// Asks a controller something for an operator.
+/// Sends an operator's request to the controllers and returns the JSON body of the response.
 fn admin_request(
     admin: &AdminTarget,
     method: &str,
@@ -71,11 +71,11 @@
     block_on(async { Client::new(admin.admin.clone()).admin_request(method, path, body).await })
 }
 
-/// Asks a `swiftsail local` that runs for a fault.
+/// Injects a fault into a running `swiftsail local`. Fails if it does not respond or rejects the fault.
 pub fn inject_fault(at: SocketAddr, fault: &Fault) -> Result<(), Box<dyn Error>> {
     let body = serde_json::to_vec(fault)?;
     let client = || Client::new(vec![at]);
-    let answer = block_on(async { client().admin_request("POST", path::FAULT, body).await })?;
-    output::print_line(answer["done"].as_str().unwrap_or("done"));
+    let response = block_on(async { client().admin_request("POST", path::FAULT, body).await })?;
+    output::print_line(response["done"].as_str().unwrap_or("done"));
     Ok(())
 }
--- a/src/commands/output.rs
+++ b/src/commands/output.rs
@@ -1,33 +1,34 @@
-//! Output of the commands: tables or JSON. A closed pipe is no reason to complain.
+//! Output of the commands on standard output: tables or JSON. Write errors, such as a closed pipe, are ignored.
 
 use comfy_table::{ContentArrangement, Table, presets};
 use serde_json::Value;
 use std::io::Write;
 
-/// A line.
+/// Prints a line.
 pub fn print_line(text: &str) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
-/// A value as JSON.
+/// Prints a value as indented JSON.
 pub fn print_json(value: &Value) {
     print_line(&serde_json::to_string_pretty(value).unwrap_or_default());
 }
 
-/// A table with a head.
-pub fn print_table(head: &[&str], rows: Vec<Vec<String>>) {
+/// Prints a table with a header row.
+pub fn print_table(header: &[&str], rows: Vec<Vec<String>>) {
     let mut table = Table::new();
     table
         .load_preset(presets::UTF8_HORIZONTAL_ONLY)
         .set_content_arrangement(ContentArrangement::Dynamic)
-        .set_header(head.to_vec());
+        .set_header(header.to_vec());
     rows.into_iter().for_each(|row| {
         table.add_row(row);
     });
     print_line(&table.to_string());
 }
 
-/// A value in a cell: text without its quotes, nothing as a dash, numbers short.
+/// Formats a value for a table cell: text without quotes, null as a dash, fractions with at most two digits, arrays
+/// separated by commas.
 pub fn cell_text(value: &Value) -> String {
     match value {
         Value::Null => "-".into(),
@@ -41,12 +42,12 @@
     }
 }
 
-/// Fields of an object as cells.
+/// Formats these fields of an object as the cells of a row.
 pub fn row_cells(value: &Value, fields: &[&str]) -> Vec<String> {
     fields.iter().map(|f| cell_text(&value[*f])).collect()
 }
 
-/// The fields of an object, one a row, or the object as JSON.
+/// Prints an object as a table with one row for each field, or as JSON.
 pub fn print_fields(value: &Value, as_json: bool) {
     if as_json {
         return print_json(value);
--- a/src/commands/plugins.rs
+++ b/src/commands/plugins.rs
@@ -1,4 +1,4 @@
-//! Plug-ins: add, list, show, switch on and off, remove, explain.
+//! The `plugin` subcommand: add, list, show, enable, disable, remove, explain, check.
 
 use super::{AdminTarget, admin_request, output};
 use crate::admin::path;
@@ -10,74 +10,74 @@
 use swiftsail_policy::plugin::{PluginKind, PluginOffer, is_valid_name};
 use swiftsail_policy::plugin_host::{PluginHost, try_hook};
 
-/// What may be done with plug-ins.
+/// Commands for plug-ins.
 #[derive(Debug, Subcommand)]
 pub enum PluginCommand {
-    /// Add a plug-in, or another version of one, and switch it on
+    /// Add a plug-in, or a new version of one, and enable it
     Add {
-        /// Its name
+        /// Name of the plug-in
         name: String,
-        /// Its source: functions (.rhai), or an address to report to (.toml)
+        /// Source file: hook functions (.rhai), or the address of an event receiver (.toml)
         file: PathBuf,
-        /// Order of precedence: the lower the stronger
+        /// Precedence of the plug-in: lower numbers take precedence
         #[arg(long, default_value_t = DEFAULT_PRECEDENCE)]
         precedence: u32,
-        /// Leave it switched off
+        /// Do not enable it
         #[arg(long)]
         disabled: bool,
-        /// Where it goes
+        /// Addresses of the controllers and output format
         #[command(flatten)]
         admin: AdminTarget,
     },
-    /// List the plug-ins, in the order in which they speak
+    /// List the plug-ins in the order in which they are called
     List {
-        /// Where it goes
+        /// Addresses of the controllers and output format
         #[command(flatten)]
         admin: AdminTarget,
     },
     /// Show one plug-in
     Show {
-        /// Its name
+        /// Name of the plug-in
         name: String,
-        /// Where it goes
+        /// Addresses of the controllers and output format
         #[command(flatten)]
         admin: AdminTarget,
     },
-    /// Switch a plug-in on, also one that was suspended
+    /// Enable a plug-in, including a suspended one
     Enable {
-        /// Its name
+        /// Name of the plug-in
         name: String,
-        /// Where it goes
+        /// Addresses of the controllers and output format
         #[command(flatten)]
         admin: AdminTarget,
     },
-    /// Switch a plug-in off
+    /// Disable a plug-in
     Disable {
-        /// Its name
+        /// Name of the plug-in
         name: String,
-        /// Where it goes
+        /// Addresses of the controllers and output format
         #[command(flatten)]
         admin: AdminTarget,
     },
     /// Remove a plug-in
     Remove {
-        /// Its name
+        /// Name of the plug-in
         name: String,
-        /// Where it goes
+        /// Addresses of the controllers and output format
         #[command(flatten)]
         admin: AdminTarget,
     },
-    /// Show who said what of a job, and what was taken
+    /// Show the answers of policy and plug-ins for a job, and the values applied
     Explain {
-        /// The job's id
+        /// Id of the job
         job: String,
-        /// Where it goes
+        /// Addresses of the controllers and output format
         #[command(flatten)]
         admin: AdminTarget,
     },
-    /// Check a plug-in's file without a service
+    /// Validate a plug-in's file without a running service
     Check {
-        /// The file
+        /// Source file of the plug-in
         file: PathBuf,
     },
 }
@@ -87,28 +87,35 @@
     let kind = match file.extension().and_then(|e| e.to_str()) {
         Some("rhai") => PluginKind::Decision,
         Some("toml") => PluginKind::EventReceiver,
-        _ => return Err(format!("plug-in {name}: give a file that ends in .rhai or .toml").into()),
+        _ => {
+            return Err(
+                format!("plug-in file {name}: expected the extension .rhai or .toml").into()
+            );
+        }
     };
-    let source = std::fs::read_to_string(file)
-        .map_err(|e| format!("plug-in {name}: cannot be read: {e}; give a readable file"))?;
+    let source = std::fs::read_to_string(file).map_err(|e| {
+        format!("plug-in file {name}: cannot read it: {e}; give the path of a readable file")
+    })?;
     Ok((kind, source))
 }
 
-/// Checks a plug-in's file here: it compiles, and its hooks answer sensibly on samples.
+/// Validates a plug-in's file: it must compile, and its hooks must return valid answers for sample inputs.
 fn check_plugin_file(file: &Path) -> Result<(PluginKind, String), Box<dyn Error>> {
     let (kind, source) = read_plugin_file(file)?;
-    let refused = |flaw| format!("plug-in {}: {flaw}", file.display());
-    for hook in PluginHost::default().validate_source(kind, &source).map_err(refused)? {
-        try_hook(&source, hook)
-            .map_err(|flaw| format!("{} (hook {} on samples)", refused(flaw), hook.name()))?;
+    let file_error = |cause| format!("plug-in file {}: {cause}", file.display());
+    for hook in PluginHost::default().validate_source(kind, &source).map_err(file_error)? {
+        try_hook(&source, hook).map_err(|cause| {
+            format!("{} (hook {}, sample input)", file_error(cause), hook.name())
+        })?;
     }
     Ok((kind, source))
 }
 
 impl PluginCommand {
-    /// Does it.
+    /// Runs the command and prints its result. Fails if an argument or a file is invalid, the service does not respond,
+    /// or it rejects the request.
     pub fn run(self) -> Result<(), Box<dyn Error>> {
-        let one = |template: &str, name: &str| template.replace("{name}", name);
+        let plugin_path = |template: &str, name: &str| template.replace("{name}", name);
         match self {
             PluginCommand::Check { file } => {
                 check_plugin_file(&file)?;
@@ -116,36 +123,42 @@
             }
             PluginCommand::Add { name, file, precedence, disabled, admin } => {
                 if !is_valid_name(&name) {
-                    let why = "a name has 1 to 40 lower-case letters, digits and dashes";
-                    return Err(format!("plug-in `{name}`: {why}").into());
+                    let expected = "expected 1 to 40 lower-case letters, digits and dashes";
+                    return Err(format!("invalid plug-in name `{name}`: {expected}").into());
                 }
-                // Here only the form is checked: what it does is the service's to judge.
+                // The service validates the source.
                 let (kind, source) = read_plugin_file(&file)?;
                 let offer = PluginOffer { kind, source, precedence, enable: !disabled };
                 let body = serde_json::to_vec(&offer)?;
-                send_plugin_change(&admin, "PUT", &one(path::PLUGIN, &name), body)?;
+                send_plugin_change(&admin, "PUT", &plugin_path(path::PLUGIN, &name), body)?;
             }
             PluginCommand::Enable { name, admin } => {
-                send_plugin_change(&admin, "POST", &one(path::ENABLE, &name), Vec::new())?;
+                send_plugin_change(&admin, "POST", &plugin_path(path::ENABLE, &name), Vec::new())?;
             }
             PluginCommand::Disable { name, admin } => {
-                send_plugin_change(&admin, "POST", &one(path::DISABLE, &name), Vec::new())?;
+                send_plugin_change(&admin, "POST", &plugin_path(path::DISABLE, &name), Vec::new())?;
             }
             PluginCommand::Remove { name, admin } => {
-                send_plugin_change(&admin, "DELETE", &one(path::PLUGIN, &name), Vec::new())?;
+                send_plugin_change(
+                    &admin,
+                    "DELETE",
+                    &plugin_path(path::PLUGIN, &name),
+                    Vec::new(),
+                )?;
             }
             PluginCommand::List { admin } => list_plugins(&admin)?,
             PluginCommand::Show { name, admin } => {
-                let all = admin_request(&admin, "GET", path::PLUGINS, Vec::new())?;
-                let mut found = all["plugins"].as_array().into_iter().flatten();
-                let found = found.find(|p| p["name"] == name.as_str());
-                let found = found.ok_or_else(|| format!("no plug-in `{name}`; see plugin list"))?;
-                output::print_fields(found, admin.json);
+                let response = admin_request(&admin, "GET", path::PLUGINS, Vec::new())?;
+                let mut plugins = response["plugins"].as_array().into_iter().flatten();
+                let plugin = plugins.find(|p| p["name"] == name.as_str());
+                let plugin = plugin
+                    .ok_or_else(|| format!("no plug-in `{name}`; see `swiftsail plugin list`"))?;
+                output::print_fields(plugin, admin.json);
             }
             PluginCommand::Explain { job, admin } => {
                 let path = path::EXPLAIN.replace("{id}", &job);
-                let found = admin_request(&admin, "GET", &path, Vec::new())?;
-                print_explanation(&found, admin.json);
+                let explanation = admin_request(&admin, "GET", &path, Vec::new())?;
+                print_explanation(&explanation, admin.json);
             }
         }
         Ok(())
@@ -158,63 +171,64 @@
     path: &str,
     body: Vec<u8>,
 ) -> Result<(), Box<dyn Error>> {
-    let done = admin_request(admin, method, path, body)?;
+    let response = admin_request(admin, method, path, body)?;
     if admin.json {
-        output::print_json(&done);
+        output::print_json(&response);
     } else {
-        let said = format!(
+        let summary = format!(
             "{}: {}",
-            output::cell_text(&done["plugin"]),
-            output::cell_text(&done["status"])
+            output::cell_text(&response["plugin"]),
+            output::cell_text(&response["status"])
         );
-        output::print_line(&said);
+        output::print_line(&summary);
     }
     Ok(())
 }
 
 fn list_plugins(admin: &AdminTarget) -> Result<(), Box<dyn Error>> {
-    let all = admin_request(admin, "GET", path::PLUGINS, Vec::new())?;
+    let response = admin_request(admin, "GET", path::PLUGINS, Vec::new())?;
     if admin.json {
-        output::print_json(&all);
+        output::print_json(&response);
         return Ok(());
     }
     let fields =
         ["name", "kind", "state", "version", "precedence", "hooks", "calls", "ops", "reason"];
-    let rows = all["plugins"].as_array().into_iter().flatten();
+    let rows = response["plugins"].as_array().into_iter().flatten();
     output::print_table(&fields, rows.map(|p| output::row_cells(p, &fields)).collect());
     Ok(())
 }
 
-fn print_explanation(found: &Value, as_json: bool) {
+fn print_explanation(explanation: &Value, as_json: bool) {
     if as_json {
-        return output::print_json(found);
+        return output::print_json(explanation);
     }
     let mut rows = Vec::new();
-    for part in ["waits", "limit"] {
-        let said = if part == "limit" { &found["waits"]["limit"] } else { &found["waits"] };
-        for (name, value) in said.as_object().into_iter().flatten().filter(|(_, v)| !v.is_object())
-        {
-            rows.push(vec![name.clone(), part.into(), output::cell_text(value)]);
+    let waits = &explanation["waits"];
+    for (section, object) in [("waits", waits), ("limit", &waits["limit"])] {
+        let fields = object.as_object().into_iter().flatten();
+        for (name, value) in fields.filter(|(_, value)| !value.is_object()) {
+            rows.push(vec![name.clone(), section.into(), output::cell_text(value)]);
         }
     }
-    for lent in found["lent"].as_array().into_iter().flatten() {
-        rows.push(vec!["lent".into(), "loans".into(), output::cell_text(lent)]);
+    for loan in explanation["lent"].as_array().into_iter().flatten() {
+        rows.push(vec!["lent".into(), "loans".into(), output::cell_text(loan)]);
     }
-    for (name, value) in found["policy"].as_object().into_iter().flatten() {
+    for (name, value) in explanation["policy"].as_object().into_iter().flatten() {
         rows.push(vec![name.clone(), "policy".into(), output::cell_text(value)]);
     }
-    for (hook, verdict) in found["hooks"].as_object().into_iter().flatten() {
-        for said in verdict["said"].as_array().into_iter().flatten() {
-            let answer = if said["fault"].is_null() { &said["answer"] } else { &said["fault"] };
+    for (hook, result) in explanation["hooks"].as_object().into_iter().flatten() {
+        for response in result["said"].as_array().into_iter().flatten() {
+            let fault = &response["fault"];
+            let answer = if fault.is_null() { &response["answer"] } else { fault };
             let answer = answer.as_object().and_then(|o| o.values().next()).unwrap_or(answer);
             rows.push(vec![
                 hook.clone(),
-                output::cell_text(&said["plugin"]),
+                output::cell_text(&response["plugin"]),
                 output::cell_text(answer),
             ]);
         }
     }
-    for (name, value) in found["taken"].as_object().into_iter().flatten() {
+    for (name, value) in explanation["taken"].as_object().into_iter().flatten() {
         rows.push(vec![name.clone(), "taken".into(), output::cell_text(value)]);
     }
     output::print_table(&["what", "who", "said"], rows);
--- a/src/commands/tiers.rs
+++ b/src/commands/tiers.rs
@@ -1,4 +1,4 @@
-//! Tiers: list, show, set, explain.
+//! The `tier` subcommand: list, show and replace the tier table, and explain the tier of a job.
 
 use super::{AdminTarget, admin_request, output};
 use crate::admin::path;
@@ -9,40 +9,41 @@
 use swiftsail_policy::operator_settings::{OperatorSettings, line_and_column};
 use swiftsail_tiers::{TierTable, TierTableError, TierTableRecord};
 
-/// What may be done with tiers.
+/// Commands for tiers.
 #[derive(Debug, Subcommand)]
 pub enum TierCommand {
-    /// List the tiers in force, and what waits in each
+    /// List the tiers in force, with the waiting jobs and tasks of each
     List {
-        /// Where it goes
+        /// Addresses of the controllers and output format
         #[command(flatten)]
         admin: AdminTarget,
     },
-    /// Show the table in force: its version, and whether it is held in the state service
+    /// Show the tier table in force: its version, and whether it is stored in the state service
     Show {
-        /// Where it goes
+        /// Addresses of the controllers and output format
         #[command(flatten)]
         admin: AdminTarget,
     },
-    /// Put the [tiers] table of an operators' file in force, if its version is higher than the one there
+    /// Replace the tier table by the [tiers] table of an operators' file, if its version is higher
     Set {
-        /// The file
+        /// The operators' file
         file: PathBuf,
-        /// Where it goes
+        /// Addresses of the controllers and output format
         #[command(flatten)]
         admin: AdminTarget,
     },
-    /// Show why a job is of its tier, and how many wait ahead of it
+    /// Show why a job is in its tier, and how many jobs wait ahead of it
     Explain {
-        /// The job's id
+        /// Id of the job
         job: String,
-        /// Where it goes
+        /// Addresses of the controllers and output format
         #[command(flatten)]
         admin: AdminTarget,
     },
 }
 
-/// The table of an operators' file, checked; none: it has none. An error names the file, the line and the remedy.
+/// Validates and returns the tier table of an operators' file, or none if the file has no `[tiers]` table. An error
+/// states the file, the position and the remedy.
 pub fn load_tier_table(
     file: &std::path::Path,
     operator: &OperatorSettings,
@@ -51,70 +52,72 @@
     let record = tier_table_from_settings(tiers);
     match TierTable::new(record.clone()) {
         Ok(_) => Ok(Some(record)),
-        Err(flawed) => Err(error_location(file, operator, &flawed)),
+        Err(error) => Err(format_table_error(file, operator, &error)),
     }
 }
 
-/// Where in the file a flaw of a table lies.
-fn error_location(
+/// Formats an error in a tier table with its position in the file.
+fn format_table_error(
     file: &std::path::Path,
     operator: &OperatorSettings,
-    flawed: &TierTableError,
+    error: &TierTableError,
 ) -> String {
     let text = std::fs::read_to_string(file).unwrap_or_default();
-    let when = operator.tiers.as_ref().and_then(|t| t.tier.get(flawed.number.saturating_sub(1)));
-    let (line, column) = when.map_or((0, 0), |t| line_and_column(&text, t.when.span().start));
-    // The text begins behind its quotes.
-    let right = if flawed.line <= 1 { column + flawed.column } else { flawed.column };
-    let line = line + flawed.line.saturating_sub(1);
-    let cause = &flawed.cause;
+    let tier = operator.tiers.as_ref().and_then(|t| t.tier.get(error.number.saturating_sub(1)));
+    let (line, column) = tier.map_or((0, 0), |t| line_and_column(&text, t.when.span().start));
+    // The span includes the opening quote. Adding the column, which counts from 1, skips it.
+    let column = if error.line <= 1 { column + error.column } else { error.column };
+    let line = line + error.line.saturating_sub(1);
+    let cause = &error.cause;
     format!(
-        "operators' file {}, line {line}, column {right}: tier `{}`: {cause}",
+        "operators' file {}, line {line}, column {column}: tier `{}`: {cause}",
         file.display(),
-        flawed.name
+        error.name
     )
 }
 
 impl TierCommand {
-    /// Does it.
+    /// Runs the command and prints its result. Fails if an argument or a file is invalid, the service does not respond,
+    /// or it rejects the request.
     pub fn run(self) -> Result<(), Box<dyn Error>> {
         match self {
             TierCommand::List { admin } => {
-                let all = admin_request(&admin, "GET", path::TIERS, Vec::new())?;
+                let response = admin_request(&admin, "GET", path::TIERS, Vec::new())?;
                 if admin.json {
-                    output::print_json(&all);
+                    output::print_json(&response);
                     return Ok(());
                 }
                 let fields =
                     ["tier", "when", "ordered", "jobs", "tasks_waiting", "first", "held_by_limit"];
-                let rows = all["tiers"].as_array().into_iter().flatten();
+                let rows = response["tiers"].as_array().into_iter().flatten();
                 output::print_table(&fields, rows.map(|t| output::row_cells(t, &fields)).collect());
             }
             TierCommand::Show { admin } => {
-                let mut all = admin_request(&admin, "GET", path::TIERS, Vec::new())?;
-                if let Some(tiers) = all["tiers"].as_array() {
+                let mut table = admin_request(&admin, "GET", path::TIERS, Vec::new())?;
+                if let Some(tiers) = table["tiers"].as_array() {
                     let names = tiers.iter().map(|t| t["tier"].clone()).collect();
-                    all["tiers"] = serde_json::Value::Array(names);
+                    table["tiers"] = serde_json::Value::Array(names);
                 }
-                output::print_fields(&all, admin.json);
+                output::print_fields(&table, admin.json);
             }
             TierCommand::Set { file, admin } => {
                 let operator = OperatorSettings::load(&file)?;
-                let name = file.display();
+                let file_name = file.display();
                 let table = load_tier_table(&file, &operator)?.ok_or_else(|| {
-                    format!("operators' file {name}: it has no [tiers] table; add one")
+                    format!("operators' file {file_name}: expected a [tiers] table, found none")
                 })?;
-                let done = admin_request(&admin, "PUT", path::TIERS, serde_json::to_vec(&table)?)?;
+                let response =
+                    admin_request(&admin, "PUT", path::TIERS, serde_json::to_vec(&table)?)?;
                 if admin.json {
-                    output::print_json(&done);
+                    output::print_json(&response);
                 } else {
                     output::print_line(&format!("tiers, version {}: committed", table.version));
                 }
             }
             TierCommand::Explain { job, admin } => {
                 let path = path::JOB_TIER.replace("{id}", &job);
-                let found = admin_request(&admin, "GET", &path, Vec::new())?;
-                output::print_fields(&found, admin.json);
+                let explanation = admin_request(&admin, "GET", &path, Vec::new())?;
+                output::print_fields(&explanation, admin.json);
             }
         }
         Ok(())
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,5 +1,5 @@
-//! The HTTP front: users, workers, health checks; and the controllers' own listener. Every request
-//! passes the gate before its body is read.
+//! The HTTP listeners: `front` for users, workers and health checks, and `cluster_listen` for the other controllers. Every
+//! request passes admission control before its body is read.
 
 use crate::admission::{AdmissionController, AdmittedRequest};
 use crate::constants::{KEEP_ALIVE_S, LISTEN_BACKLOG, REQUEST_HEAD_TIMEOUT_MS};
@@ -19,120 +19,131 @@
 use swiftsail_protocol::users::ErrorResponse;
 use swiftsail_protocol::{controllers, decode, encode, users, workers};
 
-/// A reply as an answer in a format.
-pub fn respond(reply: Reply, format: &str) -> HttpResponse {
+/// Converts a reply to an HTTP response with this content type.
+pub fn respond(reply: Reply, content_type: &str) -> HttpResponse {
     let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut response = HttpResponse::build(status);
-    response.insert_header(("Content-Type", format));
-    if let Some(after) = reply.retry_after {
-        response.insert_header(("Retry-After", after.to_string()));
+    response.insert_header(("Content-Type", content_type));
+    if let Some(retry_after_s) = reply.retry_after {
+        response.insert_header(("Retry-After", retry_after_s.to_string()));
     }
     response.body(reply.body)
 }
 
-async fn forward_to_controller(to: &Addr<ControllerActor>, ask: TypedRequest) -> HttpResponse {
-    match to.send(IncomingRequest(ask)).await {
+async fn forward_to_controller(
+    controller: &Addr<ControllerActor>,
+    request: TypedRequest,
+) -> HttpResponse {
+    match controller.send(IncomingRequest(request)).await {
         Ok(reply) => respond(reply, MESSAGE_PACK),
         Err(_) => respond(Reply::retry_later("this node is ending"), MESSAGE_PACK),
     }
 }
 
-/// Format of the protocol's bodies.
+/// Content type of the protocol's bodies.
 pub const MESSAGE_PACK: &str = "application/msgpack";
 
 type ControllerAddress = web::Data<Addr<ControllerActor>>;
 type Admission = web::Data<AdmissionController>;
 
-async fn get_health(to: ControllerAddress, gate: Admission) -> HttpResponse {
-    match gate.admit(RequestPriority::Cancellations, Some(0)) {
-        Ok(_held) => {
-            forward_to_controller(&to, TypedRequest::UserRequest(UserRequest::Health)).await
+async fn get_health(controller: ControllerAddress, admission: Admission) -> HttpResponse {
+    match admission.admit(RequestPriority::Cancellations, Some(0)) {
+        Ok(_reservation) => {
+            forward_to_controller(&controller, TypedRequest::UserRequest(UserRequest::Health)).await
         }
-        Err(refused) => refused,
+        Err(rejection) => rejection,
     }
 }
 
 async fn submit_job(
-    to: ControllerAddress,
-    gate: Admission,
+    controller: ControllerAddress,
+    admission: Admission,
     request: HttpRequest,
     body: web::Payload,
 ) -> HttpResponse {
-    match gate.admit_and_read(RequestPriority::Submissions, &request, body).await {
-        Ok(AdmittedRequest { body, reservation: _held }) => {
+    match admission.admit_and_read(RequestPriority::Submissions, &request, body).await {
+        Ok(AdmittedRequest { body, reservation: _reservation }) => {
             forward_to_controller(
-                &to,
+                &controller,
                 TypedRequest::UserRequest(UserRequest::Submit(body.to_vec())),
             )
             .await
         }
-        Err(refused) => refused,
+        Err(rejection) => rejection,
     }
 }
 
-async fn poll_job(to: ControllerAddress, gate: Admission, id: web::Path<String>) -> HttpResponse {
+async fn poll_job(
+    controller: ControllerAddress,
+    admission: Admission,
+    id: web::Path<String>,
+) -> HttpResponse {
     let id = id.into_inner();
-    // Where polls are turned away, a job's second question is not turned away for others' first.
-    let pressing = gate.is_retried_poll(&id);
-    let urgency = if pressing { RequestPriority::Cancellations } else { RequestPriority::Polls };
-    let response = match gate.admit(urgency, Some(0)) {
-        Ok(_held) => {
-            let asked = if pressing {
+    // While polls are rejected, the retried poll of a job takes precedence over the first polls of others.
+    let is_retry = admission.is_retried_poll(&id);
+    let priority = if is_retry { RequestPriority::Cancellations } else { RequestPriority::Polls };
+    let response = match admission.admit(priority, Some(0)) {
+        Ok(_reservation) => {
+            let request = if is_retry {
                 UserRequest::RetriedPoll(id.clone())
             } else {
                 UserRequest::Poll(id.clone())
             };
-            forward_to_controller(&to, TypedRequest::UserRequest(asked)).await
+            forward_to_controller(&controller, TypedRequest::UserRequest(request)).await
         }
-        Err(refused) => refused,
+        Err(rejection) => rejection,
     };
-    gate.record_poll(&id, response.status() != StatusCode::SERVICE_UNAVAILABLE);
+    admission.record_poll(&id, response.status() != StatusCode::SERVICE_UNAVAILABLE);
     response
 }
 
-async fn cancel_job(to: ControllerAddress, gate: Admission, id: web::Path<String>) -> HttpResponse {
-    match gate.admit(RequestPriority::Cancellations, Some(0)) {
-        Ok(_held) => {
+async fn cancel_job(
+    controller: ControllerAddress,
+    admission: Admission,
+    id: web::Path<String>,
+) -> HttpResponse {
+    match admission.admit(RequestPriority::Cancellations, Some(0)) {
+        Ok(_reservation) => {
             forward_to_controller(
-                &to,
+                &controller,
                 TypedRequest::UserRequest(UserRequest::Cancel(id.into_inner())),
             )
             .await
         }
-        Err(refused) => refused,
+        Err(rejection) => rejection,
     }
 }
 
 async fn receive_status_report(
-    to: ControllerAddress,
-    gate: Admission,
+    controller: ControllerAddress,
+    admission: Admission,
     request: HttpRequest,
     body: web::Payload,
 ) -> HttpResponse {
-    let admitted = gate.admit_and_read(RequestPriority::Reports, &request, body).await;
-    decode_and_forward::<workers::StatusReport>(to, admitted, |report| {
+    let admitted = admission.admit_and_read(RequestPriority::Reports, &request, body).await;
+    decode_and_forward::<workers::StatusReport>(controller, admitted, |report| {
         TypedRequest::StatusReport(Box::new(report))
     })
     .await
 }
 
 async fn decode_and_forward<T: DeserializeOwned>(
-    to: ControllerAddress,
+    controller: ControllerAddress,
     admitted: Result<AdmittedRequest, HttpResponse>,
-    asked: impl FnOnce(T) -> TypedRequest,
+    to_request: impl FnOnce(T) -> TypedRequest,
 ) -> HttpResponse {
-    let AdmittedRequest { body, reservation: _held } = match admitted {
+    let AdmittedRequest { body, reservation: _reservation } = match admitted {
         Ok(admitted) => admitted,
-        Err(refused) => return refused,
+        Err(rejection) => return rejection,
     };
     match decode::<T>(&body) {
-        Ok(found) => forward_to_controller(&to, asked(found)).await,
+        Ok(message) => forward_to_controller(&controller, to_request(message)).await,
         Err(e) => respond(Reply::new(400, &ErrorResponse { error: e.to_string() }), MESSAGE_PACK),
     }
 }
 
-/// Taken by what only controllers may ask. Users reach the front alone, so the listener tells who
-/// may speak for the controllers; elsewhere there is no such path.
+/// Extractor that succeeds only on the cluster listener. Users and workers can reach only `front`, so the listener shows
+/// that a request comes from a controller. On `front` the response is 404, as for an unknown path.
 struct ControllerOrigin;
 
 impl FromRequest for ControllerOrigin {
@@ -140,26 +151,27 @@
     type Future = std::future::Ready<Result<Self, Self::Error>>;
 
     fn from_request(request: &HttpRequest, _: &mut Payload) -> Self::Future {
-        let own = request.app_data::<web::Data<SocketAddr>>();
-        let here = own.is_some_and(|own| request.app_config().local_addr() == ***own);
-        std::future::ready(if here {
+        let cluster_listen = request.app_data::<web::Data<SocketAddr>>();
+        let is_cluster_listener =
+            cluster_listen.is_some_and(|address| request.app_config().local_addr() == ***address);
+        std::future::ready(if is_cluster_listener {
             Ok(ControllerOrigin)
         } else {
-            let absent = HttpResponse::NotFound().finish();
-            Err(InternalError::from_response("not a controllers' listener", absent).into())
+            let not_found = HttpResponse::NotFound().finish();
+            Err(InternalError::from_response("not the cluster listener", not_found).into())
         })
     }
 }
 
 async fn receive_forwarded_reports(
     _: ControllerOrigin,
-    to: ControllerAddress,
-    gate: Admission,
+    controller: ControllerAddress,
+    admission: Admission,
     request: HttpRequest,
     body: web::Payload,
 ) -> HttpResponse {
-    let admitted = gate.admit_and_read(RequestPriority::Controllers, &request, body).await;
-    decode_and_forward::<controllers::ForwardedReports>(to, admitted, |batch| {
+    let admitted = admission.admit_and_read(RequestPriority::Controllers, &request, body).await;
+    decode_and_forward::<controllers::ForwardedReports>(controller, admitted, |batch| {
         TypedRequest::ForwardedReports(Box::new(batch))
     })
     .await
@@ -167,41 +179,41 @@
 
 async fn receive_heartbeat(
     _: ControllerOrigin,
-    to: ControllerAddress,
-    gate: Admission,
+    controller: ControllerAddress,
+    admission: Admission,
     request: HttpRequest,
     body: web::Payload,
 ) -> HttpResponse {
-    let AdmittedRequest { body, reservation: _held } =
-        match gate.admit_and_read(RequestPriority::Controllers, &request, body).await {
+    let AdmittedRequest { body, reservation: _reservation } =
+        match admission.admit_and_read(RequestPriority::Controllers, &request, body).await {
             Ok(admitted) => admitted,
-            Err(refused) => return refused,
+            Err(rejection) => return rejection,
         };
-    let Ok(theirs) = decode::<controllers::Heartbeat>(&body) else {
+    let Ok(heartbeat) = decode::<controllers::Heartbeat>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
-    match to.send(IncomingHeartbeat(theirs)).await {
-        Ok(ours) => HttpResponse::Ok().body(encode(&ours)),
+    match controller.send(IncomingHeartbeat(heartbeat)).await {
+        Ok(own_heartbeat) => HttpResponse::Ok().body(encode(&own_heartbeat)),
         Err(_) => HttpResponse::ServiceUnavailable().finish(),
     }
 }
 
-/// Serves both listeners until the process ends.
+/// Serves both listeners until the process ends. Fails if an address cannot be bound.
 pub async fn serve(
     settings: &Settings,
-    to: Addr<ControllerActor>,
+    controller: Addr<ControllerActor>,
     budget: &MemoryBudget,
-    entry: AdmissionController,
+    admission: AdmissionController,
 ) -> std::io::Result<()> {
-    let data = web::Data::new(to);
-    let entry = web::Data::new(entry);
-    let cluster = web::Data::new(settings.cluster_listen);
-    let both = [settings.front, settings.cluster_listen];
+    let controller = web::Data::new(controller);
+    let admission = web::Data::new(admission);
+    let cluster_listen = web::Data::new(settings.cluster_listen);
+    let addresses = [settings.front, settings.cluster_listen];
     let server = HttpServer::new(move || {
         App::new()
-            .app_data(data.clone())
-            .app_data(cluster.clone())
-            .app_data(entry.clone())
+            .app_data(controller.clone())
+            .app_data(cluster_listen.clone())
+            .app_data(admission.clone())
             .route(users::path::HEALTH, web::get().to(get_health))
             .route(users::path::JOBS, web::post().to(submit_job))
             .route(users::path::JOB, web::get().to(poll_job))
@@ -216,6 +228,6 @@
     .backlog(LISTEN_BACKLOG)
     .keep_alive(Duration::from_secs(KEEP_ALIVE_S))
     .disable_signals()
-    .bind(&both[..])?;
+    .bind(&addresses[..])?;
     server.run().await
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! swiftsail: a cluster scheduler that places work by its probability of meeting its deadline.
 //!
-//! The controller ([`swiftsail_controller::controller::Controller`]) is a pure state machine. This package is its runtime:
+//! The controller ([`swiftsail_controller::controller::Controller`]) is a pure state machine. This crate is its runtime:
 //! the actor that owns it and its HTTP clients ([`runtime`]), the HTTP listeners ([`http`], [`admin`]) with admission
 //! control ([`admission`]), the command line ([`program`], [`commands`]) and an emulated platform ([`local`]).
 
--- a/src/local/config.rs
+++ b/src/local/config.rs
@@ -1,4 +1,5 @@
-//! What `swiftsail local` is made of: machine types, teams, limits, and the controllers' settings.
+//! Configuration of `swiftsail local`: the file of machine types, teams and limits, the ports, and the settings files that
+//! are written for the controllers.
 
 use crate::constants::{
     LOCAL_MAX_CLOCK_OFFSET_MS, LOCAL_MAX_CONNECTIONS, LOCAL_MAX_CONTROLLERS, LOCAL_MEMORY_MB,
@@ -12,10 +13,10 @@
 use swiftsail_protocol::cloud::ListedMachineType;
 use swiftsail_simulation::cloud::MachineOffer;
 
-/// The file that is built in.
+/// The built-in configuration file.
 const BUILT_IN: &str = include_str!("../../deploy/local.toml");
 
-/// A machine type, in the words of `deploy/local.toml`.
+/// A machine type, with the fields and units of `deploy/local.toml`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfiguredMachineType {
@@ -33,11 +34,11 @@
     capacity: u32,
 }
 
-/// The whole file.
+/// The configuration file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LocalConfig {
-    /// Zones; the first controllers stand in the first of them.
+    /// Names of the zones. The controllers are assigned to them in turn.
     pub zones: Vec<String>,
     #[serde(rename = "types")]
     machine_types: Vec<ConfiguredMachineType>,
@@ -47,22 +48,22 @@
     cloud: CloudSettings,
 }
 
-/// Why a file of machines was refused.
+/// Why a configuration file was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum LocalConfigError {
-    /// It could not be read.
-    #[error("machines' file {0}: cannot be read: {1}; give the path of a readable TOML file")]
+    /// The file of this path could not be read.
+    #[error("machines file {0}: cannot read it: {1}; give the path of a readable TOML file")]
     Read(String, std::io::Error),
-    /// It is not of the expected form.
-    #[error("machines' file {0}: {1}")]
+    /// The file is not valid TOML or does not have the expected fields.
+    #[error("machines file {0}: {1}")]
     Malformed(String, Box<toml::de::Error>),
-    /// A value is impossible.
-    #[error("machines' file {0}: {1}")]
+    /// A value is invalid. Holds the path and the cause.
+    #[error("machines file {0}: {1}")]
     InvalidValue(String, String),
 }
 
 impl LocalConfig {
-    /// The file of that path, or the built-in one.
+    /// Loads and validates the file of this path, or the built-in file.
     pub fn load(path: Option<&Path>) -> Result<LocalConfig, LocalConfigError> {
         let file = path.map_or("built-in".into(), |p| p.display().to_string());
         let text = match path {
@@ -70,27 +71,30 @@
                 .map_err(|e| LocalConfigError::Read(file.clone(), e))?,
             None => BUILT_IN.to_string(),
         };
-        let model: LocalConfig = toml::from_str(&text)
+        let config: LocalConfig = toml::from_str(&text)
             .map_err(|e| LocalConfigError::Malformed(file.clone(), Box::new(e)))?;
-        let bad = |why: String| Err(LocalConfigError::InvalidValue(file.clone(), why));
-        if model.zones.is_empty() || model.machine_types.is_empty() || model.teams.is_empty() {
-            return bad("zones, types and teams are empty; name at least one of each".into());
+        let invalid = |cause: String| Err(LocalConfigError::InvalidValue(file.clone(), cause));
+        if config.zones.is_empty() || config.machine_types.is_empty() || config.teams.is_empty() {
+            return invalid("expected at least one zone, one type and one team".into());
         }
-        for t in &model.machine_types {
+        for t in &config.machine_types {
             let amounts = [t.cpus, t.memory_gb, t.cache_gb, t.fetch_gb_per_s, t.price, t.boot_s];
             if amounts.iter().any(|a| !(a.is_finite() && *a > 0.0)) {
-                return bad(format!("type {}: an amount is not above 0; correct it", t.name));
+                return invalid(format!(
+                    "type {}: cpus, memory_gb, cache_gb, fetch_gb_per_s, price and boot_s must be above 0",
+                    t.name
+                ));
             }
-            if let Some(zone) = t.zones.iter().find(|z| !model.zones.contains(z)) {
-                return bad(format!("type {}: zone `{zone}` is not among `zones`", t.name));
+            if let Some(zone) = t.zones.iter().find(|z| !config.zones.contains(z)) {
+                return invalid(format!("type {}: zone `{zone}` is not listed in `zones`", t.name));
             }
         }
-        Ok(model)
+        Ok(config)
     }
 
-    /// What the cloud offers.
+    /// Returns the machine types that the cloud offers, with their capacity.
     pub fn cloud_offers(&self) -> Vec<MachineOffer> {
-        let hull = |t: &ConfiguredMachineType| ListedMachineType {
+        let machine_type = |t: &ConfiguredMachineType| ListedMachineType {
             name: t.name.clone(),
             cpus: t.cpus,
             gpus: t.gpus,
@@ -104,16 +108,16 @@
         };
         self.machine_types
             .iter()
-            .map(|t| MachineOffer { machine_type: hull(t), capacity: t.capacity })
+            .map(|t| MachineOffer { machine_type: machine_type(t), capacity: t.capacity })
             .collect()
     }
 
-    /// Machines that there can be at once.
+    /// Returns the maximum number of machines that can be provisioned at once.
     pub fn max_machines(&self) -> usize {
         self.machine_types.iter().map(|t| 2 * t.capacity as usize * t.zones.len()).sum()
     }
 
-    /// The platform as the controllers' settings tell it.
+    /// Returns the platform section of the controllers' settings.
     pub fn platform(&self) -> PlatformSettings {
         PlatformSettings {
             zones: self.zones.clone(),
@@ -132,14 +136,14 @@
     }
 }
 
-/// The addresses of everything, all on loopback.
+/// The addresses of all listeners, on loopback, relative to a base port.
 #[derive(Debug, Clone, Copy)]
 pub struct PortPlan {
     base: u16,
 }
 
 impl PortPlan {
-    /// Addresses from a port on.
+    /// Creates a plan from the base port on.
     pub fn from(base: u16) -> PortPlan {
         PortPlan { base }
     }
@@ -147,64 +151,64 @@
     fn at(self, offset: usize) -> SocketAddr {
         SocketAddr::from((Ipv4Addr::LOCALHOST, self.base.saturating_add(offset as u16)))
     }
-    /// Where a controller listens for users and workers.
+    /// Address on which a controller listens for users and workers.
     pub fn http(self, node: usize) -> SocketAddr {
         self.at(node)
     }
-    /// Where it listens for the others.
+    /// Address on which a controller listens for other controllers.
     pub fn cluster(self, node: usize) -> SocketAddr {
         self.at(10 + node)
     }
-    /// Where it listens for operators.
+    /// Address on which a controller listens for operators.
     pub fn admin(self, node: usize) -> SocketAddr {
         self.at(20 + node)
     }
-    /// The state service as a controller sees it.
+    /// Address of the state service for a controller. It identifies the caller.
     pub fn state(self, node: usize) -> SocketAddr {
         self.at(30 + node)
     }
-    /// The cloud as a controller sees it.
+    /// Address of the cloud for a controller. It identifies the caller.
     pub fn cloud(self, node: usize) -> SocketAddr {
         self.at(40 + node)
     }
-    /// The way from one controller to another, which can be cut.
+    /// Address of the proxy from one controller to another, which emulates network partitions.
     pub fn link(self, from: usize, to: usize) -> SocketAddr {
         self.at(50 + from * LOCAL_MAX_CONTROLLERS + to)
     }
-    /// Where faults are asked for.
+    /// Address for fault injection and status requests.
     pub fn control(self) -> SocketAddr {
         self.at(99)
     }
-    /// Where a machine's worker takes commands.
+    /// Address on which the worker with this socket number receives commands.
     pub fn worker(self, number: usize) -> SocketAddr {
         self.at(100 + number)
     }
 }
 
-/// The zone of a controller.
+/// Returns the zone of a controller.
 pub fn zone_of_controller(zones: &[String], node: usize) -> String {
     zones[node % zones.len()].clone()
 }
 
-/// The name of a controller.
+/// Returns the name of a controller.
 pub fn controller_name(node: usize) -> String {
     format!("node-{node}")
 }
 
-/// The number of a controller's name.
+/// Returns the number of the controller of this name, or none if the name is not that of a controller.
 pub fn controller_number(name: &str) -> Option<usize> {
     name.strip_prefix("node-")?.parse().ok()
 }
 
 #[derive(Serialize)]
-struct OtherFile {
+struct PeerSection {
     host_name: String,
     site: String,
     address: SocketAddr,
 }
 
 #[derive(Serialize)]
-struct EndpointsFile {
+struct EndpointsSection {
     cloud: SocketAddr,
     state: SocketAddr,
 }
@@ -215,46 +219,46 @@
     site: String,
     front: SocketAddr,
     cluster_listen: SocketAddr,
-    endpoints: EndpointsFile,
-    others: Vec<OtherFile>,
+    endpoints: EndpointsSection,
+    others: Vec<PeerSection>,
     settings: PlatformSettings,
 }
 
-/// Writes a controller's settings and operators' file into a folder. Returns their paths.
+/// Writes the settings file and the operators' file of a controller to a folder. Returns their paths in this order.
 pub fn write_controller_config(
-    model: &LocalConfig,
+    config: &LocalConfig,
     ports: PortPlan,
     node: usize,
-    nodes: usize,
+    controller_count: usize,
     folder: &Path,
 ) -> std::io::Result<(PathBuf, PathBuf)> {
-    let others = (0..nodes).filter(|n| *n != node).map(|n| OtherFile {
+    let others = (0..controller_count).filter(|n| *n != node).map(|n| PeerSection {
         host_name: controller_name(n),
-        site: zone_of_controller(&model.zones, n),
+        site: zone_of_controller(&config.zones, n),
         address: ports.link(node, n),
     });
     let file = SettingsFile {
         host_name: controller_name(node),
-        site: zone_of_controller(&model.zones, node),
+        site: zone_of_controller(&config.zones, node),
         front: ports.http(node),
         cluster_listen: ports.cluster(node),
-        endpoints: EndpointsFile { cloud: ports.cloud(node), state: ports.state(node) },
+        endpoints: EndpointsSection { cloud: ports.cloud(node), state: ports.state(node) },
         others: others.collect(),
-        settings: model.platform(),
+        settings: config.platform(),
     };
     let text = toml::to_string(&file).map_err(std::io::Error::other)?;
-    let (config, operator) = (
+    let (settings_path, operator_path) = (
         folder.join(format!("{}.toml", controller_name(node))),
         folder.join(format!("{}-operator.toml", controller_name(node))),
     );
-    std::fs::write(&config, text)?;
-    // Tiers and dispatch are on with what holds without them, so that others can be put in force.
+    std::fs::write(&settings_path, text)?;
+    // Tiers and the dispatch plan are enabled with their defaults, so that operators can replace them at run time.
     let text = format!(
         "[admin]\nlisten = \"{}\"\n[plugins]\nenabled = true\n[loans]\ndurable = true\n[dispatch]\nversion = 0\n\
          [tiers]\nversion = 0\n[[tiers.tier]]\nname = \"core\"\nordered = true\n\
          when = 'job.priority == \"production\" && job.kind == \"service\"'\n",
         ports.admin(node)
     );
-    std::fs::write(&operator, text)?;
-    Ok((config, operator))
+    std::fs::write(&operator_path, text)?;
+    Ok((settings_path, operator_path))
 }
--- a/src/local/emulator.rs
+++ b/src/local/emulator.rs
@@ -1,11 +1,11 @@
-//! The actor that owns the pure machines of `swiftsail local`: state service, cloud and plant. It
-//! reads the clock, applies faults, and carries workers' reports to the controllers.
+//! The actor that owns the emulated state service, cloud and machines of `swiftsail local`, which are pure state machines.
+//! It reads the clock, applies faults, and sends the workers' reports to the controllers.
 
 use super::config::{LocalConfig, PortPlan, controller_number, zone_of_controller};
 use super::faults::Fault;
 use super::persistence::Persistence;
 use crate::constants::{
-    EXIT_STATUS_REFUSED, LOCAL_MAX_MACHINES, LOCAL_PARTITION_HOLD_MS, LOCAL_RECLAIM_NOTICE_MS,
+    EXIT_STATUS_REJECTED, LOCAL_MAX_MACHINES, LOCAL_PARTITION_HOLD_MS, LOCAL_RECLAIM_NOTICE_MS,
     LOCAL_STEP_INTERVAL_MS,
 };
 use actix::prelude::*;
@@ -27,76 +27,76 @@
 use swiftsail_simulation::store::{CompactedRevision, FakeStore, TransactionResult};
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// An answer: status and body.
+/// A response: HTTP status and body.
 pub type RawResponse = (u16, Vec<u8>);
 
-/// What is asked of the world outside the controllers.
+/// A call to the emulated state service, cloud or workers.
 #[derive(Debug)]
 pub enum EmulatorCall {
     /// Read a key.
     Get(String),
     /// Read a page of keys.
     List { prefix: String, from: Option<String>, limit: usize },
-    /// A transaction.
+    /// Apply a transaction.
     Commit(Box<Transaction>),
-    /// A new lease.
+    /// Create a lease with this time to live, ms.
     CreateLease(u64),
-    /// Extend a lease.
+    /// Renew the lease of this id.
     RenewLease(u64),
-    /// End a lease.
+    /// Revoke the lease of this id.
     RevokeLease(u64),
-    /// Wait for changes.
+    /// Read changes, or wait for them for up to `block_ms` ms.
     Watch { prefix: String, from_revision: u64, block_ms: u64 },
-    /// Machine types.
+    /// List the machine types.
     ListMachineTypes,
-    /// Rent.
+    /// Provision machines.
     ProvisionMachines(ProvisionMachinesRequest),
-    /// Return.
+    /// Terminate machines of these names.
     ReleaseMachines(Vec<String>),
-    /// The machine list.
+    /// Read a page of the machine list.
     ListMachines { from: Option<String>, limit: usize },
-    /// Commands straight to the worker at an address.
+    /// Send commands directly to the worker with this socket number.
     SendCommands(usize, Box<DirectCommands>),
-    /// A worker's report on request.
+    /// Request a status report from the worker with this socket number.
     ProbeWorker(usize),
 }
 
-/// A call, and which controller's way it came by.
+/// A call, with the number of the calling controller if it is known.
 #[derive(Message)]
 #[rtype(result = "RawResponse")]
 pub struct EmulatorRequest(pub Option<usize>, pub EmulatorCall);
 
-/// A fault that is asked for.
+/// Injects a fault.
 #[derive(Message)]
 #[rtype(result = "RawResponse")]
 pub struct InjectFault(pub Fault);
 
-/// How things stand, in a line.
+/// Requests the status of the emulated cluster.
 #[derive(Message)]
 #[rtype(result = "EmulatorStatus")]
 pub struct GetEmulatorStatus;
 
-/// How things stand.
+/// Status of the emulated cluster.
 #[derive(Debug, Clone, Serialize)]
 pub struct EmulatorStatus {
-    /// Controller that leads.
+    /// Name of the leader.
     pub leader: Option<String>,
-    /// Jobs not over.
+    /// Number of jobs that have not ended.
     pub jobs: usize,
-    /// Machines rented, and those up.
+    /// Number of provisioned machines.
     pub machines: usize,
-    /// See `machines`.
+    /// Number of provisioned machines that have booted.
     #[serde(rename = "up")]
     pub machines_up: usize,
-    /// Tasks on machines.
+    /// Number of tasks on machines.
     pub tasks: usize,
-    /// Tasks that have completed.
+    /// Number of tasks that have completed.
     #[serde(rename = "done")]
     pub tasks_done: usize,
-    /// Tasks killed by the end of a worker's lease.
+    /// Number of tasks killed because a worker's lease expired.
     #[serde(rename = "killed")]
     pub tasks_killed: u64,
-    /// Money spent.
+    /// Total cost of the machines, in the currency unit of the machine prices.
     #[serde(rename = "spent")]
     pub money_spent: f64,
 }
@@ -107,19 +107,20 @@
     worker: String,
     session: u64,
     sent_at: u64,
-    answer: Option<RawResponse>,
+    /// `None` if the controller did not respond.
+    response: Option<RawResponse>,
 }
 
-/// A watch that waits.
+/// A watch that waits for changes.
 struct PendingWatch {
-    answer: oneshot::Sender<RawResponse>,
+    response_sender: oneshot::Sender<RawResponse>,
     controller: Option<usize>,
     prefix: String,
     from_revision: u64,
     expires_at: u64,
 }
 
-/// The world outside the controllers.
+/// The emulated state service, cloud and machines.
 pub struct Emulator {
     store: FakeStore,
     persistence: Option<Persistence>,
@@ -129,15 +130,19 @@
     controller_count: usize,
     client: Client,
     started_at: Instant,
-    /// Ends of faults, ms.
+    /// End of the state service's outage, ms after the start.
     store_outage_until: u64,
+    /// End of the state service's outage for single controllers, ms after the start.
     store_outage_until_by_controller: BTreeMap<usize, u64>,
+    /// End of the cloud's outage, ms after the start.
     cloud_outage_until: u64,
+    /// The partitioned zone, and the end of the partition, ms after the start.
     zone_partition: Option<(String, u64)>,
     partitioned_zones: watch::Sender<BTreeSet<String>>,
     crash_requests: mpsc::UnboundedSender<usize>,
-    /// Sockets of workers: which are free, and whose the others are.
+    /// Numbers of the workers' sockets that no machine uses.
     free_sockets: Vec<usize>,
+    /// Names of the machines that use the other sockets.
     machine_by_socket: BTreeMap<usize, String>,
     pending_watches: Vec<PendingWatch>,
 }
@@ -146,53 +151,56 @@
     (503, encode(&json!({ "error": "trouble" })))
 }
 
-/// What is not on disk must not be answered as if it were.
+/// Stops the process, because a change that is not on disk must not be confirmed.
 fn persistence_failure(cause: &redb::Error) -> RawResponse {
-    tracing::error!(%cause, "cannot write the data folder: free space, then restart");
-    System::current().stop_with_code(i32::from(EXIT_STATUS_REFUSED));
+    tracing::error!(%cause, "cannot write to the data folder; stopping. Free disk space, then restart");
+    System::current().stop_with_code(i32::from(EXIT_STATUS_REJECTED));
     unavailable()
 }
 
-fn malformed(why: &str) -> RawResponse {
-    (400, encode(&json!({ "error": why })))
+fn malformed(cause: &str) -> RawResponse {
+    (400, encode(&json!({ "error": cause })))
 }
 
 impl Emulator {
-    /// A world as it was kept, or a new one. `links` is told which zones are cut off, `crash` which
-    /// controller is to be killed.
+    /// Creates an emulator with the contents of `persistence`, if there are any, or an empty one. Sends the partitioned
+    /// zones to `partitioned_zones`, and the numbers of controllers to be killed to `crash_requests`.
     pub fn new(
-        model: &LocalConfig,
+        config: &LocalConfig,
         ports: PortPlan,
-        nodes: usize,
+        controller_count: usize,
         (speed, seed): (f64, u64),
-        keep: Option<Persistence>,
-        links: watch::Sender<BTreeSet<String>>,
-        crash: mpsc::UnboundedSender<usize>,
+        persistence: Option<Persistence>,
+        partitioned_zones: watch::Sender<BTreeSet<String>>,
+        crash_requests: mpsc::UnboundedSender<usize>,
     ) -> Result<Emulator, redb::Error> {
-        let platform = model.platform();
-        let (pairs, epoch) = keep.as_ref().map(Persistence::load).transpose()?.unwrap_or_default();
-        let mut plant =
-            SimulatedCluster::new(model.cloud_offers(), platform.clone(), nodes, speed, seed, 0);
-        let named = keep.as_ref().map(Persistence::machines_named).transpose()?.unwrap_or(0);
-        plant.cloud.raise_last_machine_number(named);
+        let platform = config.platform();
+        let (pairs, revision) =
+            persistence.as_ref().map(Persistence::load).transpose()?.unwrap_or_default();
+        let offers = config.cloud_offers();
+        let mut cluster =
+            SimulatedCluster::new(offers, platform.clone(), controller_count, speed, seed, 0);
+        let last_machine_number =
+            persistence.as_ref().map(Persistence::last_machine_number).transpose()?.unwrap_or(0);
+        cluster.cloud.raise_last_machine_number(last_machine_number);
         let timeout =
             Duration::from_millis(swiftsail_simulation::constants::WORKER_ANSWER_TIMEOUT_MS);
         Ok(Emulator {
-            store: FakeStore::restore(platform.state.clone(), 0, pairs, epoch),
-            persistence: keep,
-            cluster: plant,
+            store: FakeStore::restore(platform.state.clone(), 0, pairs, revision),
+            persistence,
+            cluster,
             ports,
-            zones: model.zones.clone(),
-            controller_count: nodes,
+            zones: config.zones.clone(),
+            controller_count,
             client: Client::builder().disable_redirects().timeout(timeout).finish(),
             started_at: Instant::now(),
             store_outage_until: 0,
             store_outage_until_by_controller: BTreeMap::new(),
             cloud_outage_until: 0,
             zone_partition: None,
-            partitioned_zones: links,
-            crash_requests: crash,
-            free_sockets: (0..model.max_machines().min(LOCAL_MAX_MACHINES)).rev().collect(),
+            partitioned_zones,
+            crash_requests,
+            free_sockets: (0..config.max_machines().min(LOCAL_MAX_MACHINES)).rev().collect(),
             machine_by_socket: BTreeMap::new(),
             pending_watches: Vec::new(),
         })
@@ -202,56 +210,63 @@
         self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Whether a cut lies between a zone and a controller.
+    /// Whether a partition separates a zone from a controller.
     fn is_partitioned_from_zone(&self, zone: &str, node: usize) -> bool {
-        let other = zone_of_controller(&self.zones, node);
-        let cut = self.zone_partition.as_ref().filter(|(_, until)| self.elapsed_ms() < *until);
-        cut.is_some_and(|(lost, _)| zone != other && (zone == lost || other == *lost))
+        let controller_zone = zone_of_controller(&self.zones, node);
+        let partition =
+            self.zone_partition.as_ref().filter(|(_, until)| self.elapsed_ms() < *until);
+        partition.is_some_and(|(partitioned, _)| {
+            zone != controller_zone && (zone == partitioned || controller_zone == *partitioned)
+        })
     }
 
-    /// Whether a controller is cut off from what belongs to no zone.
+    /// Whether a partition separates a controller from the state service and the cloud, which are in no zone.
     fn is_isolated(&self, node: Option<usize>) -> bool {
-        let cut = self.zone_partition.as_ref().filter(|(_, until)| self.elapsed_ms() < *until);
+        let partition =
+            self.zone_partition.as_ref().filter(|(_, until)| self.elapsed_ms() < *until);
         node.is_some_and(|n| {
-            cut.is_some_and(|(lost, _)| *lost == zone_of_controller(&self.zones, n))
+            partition.is_some_and(|(zone, _)| *zone == zone_of_controller(&self.zones, n))
         })
     }
 
-    fn state_call(
+    /// Executes a call to the state service. Gives any other call back as the error.
+    fn store_call(
         &mut self,
         node: Option<usize>,
         call: EmulatorCall,
     ) -> Result<RawResponse, EmulatorCall> {
         let now = self.elapsed_ms();
-        let alone = node
+        let is_unavailable_to_caller = node
             .and_then(|n| self.store_outage_until_by_controller.get(&n))
             .is_some_and(|until| now < *until);
-        if now < self.store_outage_until || alone {
+        if now < self.store_outage_until || is_unavailable_to_caller {
             return Ok(unavailable());
         }
-        let changes =
-            if let EmulatorCall::Commit(commit) = &call { commit.mutations.len() } else { 0 };
-        if !self.store.admit(changes, now) {
+        let mutation_count = match &call {
+            EmulatorCall::Commit(transaction) => transaction.mutations.len(),
+            _ => 0,
+        };
+        if !self.store.admit(mutation_count, now) {
             return Ok((429, encode(&json!({ "error": "too many requests" }))));
         }
-        let no_grant = || (404, encode(&json!({ "error": "no such lease" })));
+        let no_such_lease = || (404, encode(&json!({ "error": "no such lease" })));
         Ok(match call {
             EmulatorCall::Get(key) => match self.store.get(&key) {
                 Some(pair) => (200, encode(pair)),
                 None => (404, encode(&json!({ "epoch": self.store.revision() }))),
             },
-            EmulatorCall::List { prefix, from, limit: most } => {
-                (200, encode(&self.store.list(&prefix, from.as_deref(), most)))
+            EmulatorCall::List { prefix, from, limit } => {
+                (200, encode(&self.store.list(&prefix, from.as_deref(), limit)))
             }
-            EmulatorCall::Commit(commit) => self.commit(&commit),
+            EmulatorCall::Commit(transaction) => self.commit(&transaction),
             EmulatorCall::CreateLease(ttl_ms) => match self.store.create_lease(ttl_ms, now) {
-                Some(mooring) => (200, encode(&LeaseResponse { lease: mooring })),
+                Some(lease) => (200, encode(&LeaseResponse { lease })),
                 None => malformed("ttl_ms is from 100 to 600000"),
             },
             EmulatorCall::RenewLease(id) if self.store.renew_lease(id, now) => {
                 (200, encode(&json!({})))
             }
-            EmulatorCall::RenewLease(_) => no_grant(),
+            EmulatorCall::RenewLease(_) => no_such_lease(),
             EmulatorCall::RevokeLease(id) => {
                 self.store.revoke_lease(id);
                 (200, encode(&json!({})))
@@ -260,36 +275,34 @@
         })
     }
 
-    fn commit(&mut self, commit: &Transaction) -> RawResponse {
-        match self.store.apply_transaction(commit) {
-            TransactionResult::Committed(epoch) => {
+    /// Applies a transaction, and records it on disk before it is confirmed.
+    fn commit(&mut self, transaction: &Transaction) -> RawResponse {
+        match self.store.apply_transaction(transaction) {
+            TransactionResult::Committed(revision) => {
                 let store = &self.store;
-                let kept = self.persistence.as_ref().filter(|_| !commit.mutations.is_empty());
-                let kept = kept
-                    .map(|k| k.record_transaction(commit, epoch, |key| store.get(key).cloned()));
-                if let Some(Err(e)) = kept {
+                let persistence =
+                    self.persistence.as_ref().filter(|_| !transaction.mutations.is_empty());
+                let recorded = persistence.map(|p| {
+                    p.record_transaction(transaction, revision, |key| store.get(key).cloned())
+                });
+                if let Some(Err(e)) = recorded {
                     return persistence_failure(&e);
                 }
-                (
-                    200,
-                    encode(&state::TransactionResponse {
-                        revision: epoch,
-                        failed_keys: Vec::new(),
-                    }),
-                )
+                (200, encode(&state::TransactionResponse { revision, failed_keys: Vec::new() }))
             }
-            TransactionResult::PreconditionFailed(failed) => (
+            TransactionResult::PreconditionFailed(failed_keys) => (
                 409,
                 encode(&state::TransactionResponse {
                     revision: self.store.revision(),
-                    failed_keys: failed,
+                    failed_keys,
                 }),
             ),
             TransactionResult::LeaseNotFound => malformed("no such lease"),
-            TransactionResult::Malformed(why) => malformed(&why),
+            TransactionResult::Malformed(cause) => malformed(&cause),
         }
     }
 
+    /// Executes a call to the cloud.
     fn cloud_call(&mut self, call: EmulatorCall) -> RawResponse {
         let now = self.elapsed_ms();
         if now < self.cloud_outage_until {
@@ -302,16 +315,16 @@
             EmulatorCall::ListMachineTypes => {
                 (200, encode(&self.cluster.cloud.list_machine_types(now)))
             }
-            EmulatorCall::ProvisionMachines(rent) => match self.cluster.provision(&rent, now) {
+            EmulatorCall::ProvisionMachines(request) => match self.cluster.provision(&request, now)
+            {
                 None => malformed("no such type or zone, or a number that is not from 1 to 50"),
                 Some(names) if names.is_empty() => (503, encode(&json!({ "error": NO_CAPACITY }))),
                 Some(names) => {
                     names.iter().for_each(|name| self.assign_socket(name));
-                    let kept = self
-                        .persistence
-                        .as_ref()
-                        .map(|k| k.record_machines_named(self.cluster.cloud.last_machine_number()));
-                    if let Some(Err(e)) = kept {
+                    let number = self.cluster.cloud.last_machine_number();
+                    let recorded =
+                        self.persistence.as_ref().map(|p| p.record_last_machine_number(number));
+                    if let Some(Err(e)) = recorded {
                         return persistence_failure(&e);
                     }
                     (200, encode(&MachineNames { machines: names }))
@@ -327,14 +340,14 @@
                 self.release_sockets();
                 (200, encode(&json!({})))
             }
-            EmulatorCall::ListMachines { from, limit: most } => {
-                (200, encode(&self.cluster.cloud.list_machines(from.as_deref(), most, now)))
+            EmulatorCall::ListMachines { from, limit } => {
+                (200, encode(&self.cluster.cloud.list_machines(from.as_deref(), limit, now)))
             }
             _ => malformed("no such call"),
         }
     }
 
-    /// Gives a new machine's worker a socket of its own.
+    /// Assigns a free socket to the worker of a new machine.
     fn assign_socket(&mut self, name: &str) {
         let Some(worker) = self.cluster.workers.get_mut(name) else { return };
         if self.machine_by_socket.values().any(|n| n == name) {
@@ -347,11 +360,16 @@
         }
     }
 
-    /// Sockets of machines that are gone are free again.
+    /// Removes the workers of terminated machines and frees their sockets.
     fn release_sockets(&mut self) {
-        let gone = |name: &String| self.cluster.workers.get(name).is_none_or(|w| w.is_terminated);
-        let free: Vec<usize> =
-            self.machine_by_socket.iter().filter(|(_, n)| gone(n)).map(|(s, _)| *s).collect();
+        let is_terminated =
+            |name: &String| self.cluster.workers.get(name).is_none_or(|w| w.is_terminated);
+        let free: Vec<usize> = self
+            .machine_by_socket
+            .iter()
+            .filter(|(_, n)| is_terminated(n))
+            .map(|(s, _)| *s)
+            .collect();
         for socket in free {
             self.machine_by_socket.remove(&socket);
             self.free_sockets.insert(0, socket);
@@ -359,25 +377,26 @@
         self.cluster.workers.retain(|_, w| !w.is_terminated);
     }
 
-    /// The controller that leads, by the state service.
+    /// Returns the name of the leader, according to the state service.
     fn leader_name(&self) -> Option<String> {
         let pair = self.store.get(keys::LEADER)?;
         serde_json::from_value::<LeaderRecord>(pair.value.clone()).ok().map(|r| r.node)
     }
 
-    /// Commands or a question straight to a worker. None: it is silent.
+    /// Executes a call to a worker. The caller is taken to be the leader. Returns none if the worker does not answer.
     fn worker_call(&mut self, socket: usize, call: EmulatorCall) -> Option<RawResponse> {
         let now = self.elapsed_ms();
         let name = self.machine_by_socket.get(&socket)?.clone();
         let zone = self.cluster.workers.get(&name)?.hardware.zone.clone();
-        let from = self.leader_name().and_then(|l| controller_number(&l));
-        if from.is_some_and(|n| self.is_partitioned_from_zone(&zone, n)) {
+        let leader = self.leader_name().and_then(|l| controller_number(&l));
+        if leader.is_some_and(|n| self.is_partitioned_from_zone(&zone, n)) {
             return None;
         }
         match call {
-            EmulatorCall::SendCommands(_, direct) => {
-                let (good, report) = self.cluster.handle_direct_commands(&name, &direct, now)?;
-                Some((if good { 200 } else { 409 }, encode(&report)))
+            EmulatorCall::SendCommands(_, commands) => {
+                let (executed, report) =
+                    self.cluster.handle_direct_commands(&name, &commands, now)?;
+                Some((if executed { 200 } else { 409 }, encode(&report)))
             }
             _ => {
                 let worker =
@@ -387,11 +406,11 @@
         }
     }
 
-    /// What a worker starts, it fetches the description of: users upload it, which here is what the
-    /// state service holds of the job.
-    fn register_job_specs(&mut self, orders: &HeartbeatResponse) {
-        for order in orders.commands.iter().filter(|o| o.kind == CommandKind::Start) {
-            let Some((job, _)) = order.task.rsplit_once('/') else { continue };
+    /// Registers the specs of the jobs whose tasks these commands start. Workers fetch a spec that users have uploaded; the
+    /// emulator takes it from the job's record in the state service.
+    fn register_job_specs(&mut self, response: &HeartbeatResponse) {
+        for command in response.commands.iter().filter(|c| c.kind == CommandKind::Start) {
+            let Some((job, _)) = command.task.rsplit_once('/') else { continue };
             if self.cluster.has_job(job) {
                 continue;
             }
@@ -403,6 +422,7 @@
         }
     }
 
+    /// Advances the state service and all machines to the current time, and sends the reports that are due.
     fn run_step(&mut self, ctx: &mut Context<Self>) {
         let now = self.elapsed_ms();
         self.store.expire_leases(now, now < self.store_outage_until);
@@ -423,88 +443,91 @@
         self.answer_watches();
     }
 
-    /// Carries a worker's report to a controller, and the answer back.
-    fn send_report(&self, node: usize, report: StatusReport, sent: u64, ctx: &mut Context<Self>) {
+    /// Sends a worker's report to a controller. The response arrives as a [`ReportAnswered`] message.
+    fn send_report(
+        &self,
+        node: usize,
+        report: StatusReport,
+        sent_at: u64,
+        ctx: &mut Context<Self>,
+    ) {
         let url = format!("http://{}{}", self.ports.http(node), path::REPORT);
-        let (client, to) = (self.client.clone(), ctx.address());
+        let (client, actor) = (self.client.clone(), ctx.address());
         actix::spawn(async move {
             let request = client.post(url).insert_header(("Content-Type", "application/msgpack"));
-            let answer = match request.send_body(encode(&report)).await {
+            let response = match request.send_body(encode(&report)).await {
                 Ok(mut response) => {
                     let status = response.status().as_u16();
                     response.body().await.ok().map(|body| (status, body.to_vec()))
                 }
                 Err(_) => None,
             };
-            to.do_send(ReportAnswered {
+            actor.do_send(ReportAnswered {
                 worker: report.machine,
                 session: report.session,
-                sent_at: sent,
-                answer,
+                sent_at,
+                response,
             });
         });
     }
 
+    /// Responds to the waiting watches for which there are changes, or whose time is over.
     fn answer_watches(&mut self) {
         let now = self.elapsed_ms();
         for n in (0..self.pending_watches.len()).rev() {
-            let PendingWatch {
-                controller: node,
-                prefix,
-                from_revision: from,
-                expires_at: until,
-                ..
-            } = &self.pending_watches[n];
-            let alone = node
+            let PendingWatch { controller, prefix, from_revision, expires_at, .. } =
+                &self.pending_watches[n];
+            let is_unavailable_to_caller = controller
                 .and_then(|n| self.store_outage_until_by_controller.get(&n))
-                .is_some_and(|u| now < *u);
-            // Open watches stay open through an outage.
-            if now < self.store_outage_until || alone {
+                .is_some_and(|until| now < *until);
+            // Open watches stay open during an outage.
+            if now < self.store_outage_until || is_unavailable_to_caller {
                 continue;
             }
-            let answer = match self.store.changes_since(prefix, *from) {
+            let response = match self.store.changes_since(prefix, *from_revision) {
                 Err(CompactedRevision) => (410, encode(&json!({ "error": "too old" }))),
-                Ok(Some(news)) => (200, encode(&news)),
-                Ok(None) if now >= *until => (200, encode(&self.store.empty_watch_response())),
+                Ok(Some(changes)) => (200, encode(&changes)),
+                Ok(None) if now >= *expires_at => (200, encode(&self.store.empty_watch_response())),
                 Ok(None) => continue,
             };
-            let _ = self.pending_watches.swap_remove(n).answer.send(answer);
+            let _ = self.pending_watches.swap_remove(n).response_sender.send(response);
         }
     }
 
+    /// Starts a fault. Responds with a description of it, or with the reason why it is invalid.
     fn inject_fault(&mut self, fault: Fault) -> RawResponse {
-        if let Some(flaw) = fault.validation_error(self.controller_count, &self.zones) {
-            return (422, serde_json::to_vec(&json!({ "error": flaw })).unwrap_or_default());
+        if let Some(error) = fault.validation_error(self.controller_count, &self.zones) {
+            return (422, serde_json::to_vec(&json!({ "error": error })).unwrap_or_default());
         }
         let now = self.elapsed_ms();
-        let after = |seconds: f64| now + (seconds * 1000.0) as u64;
+        let end = |seconds: f64| now + (seconds * 1000.0) as u64;
         tracing::warn!(?fault, "fault requested");
-        let done = match fault {
+        let description = match fault {
             Fault::Crash { node } => {
                 let _ = self.crash_requests.send(node);
                 format!("controller {node} is killed, and starts again in 3 s")
             }
             Fault::Store { seconds, node: Some(node) } => {
-                self.store_outage_until_by_controller.insert(node, after(seconds));
+                self.store_outage_until_by_controller.insert(node, end(seconds));
                 format!("the state service refuses controller {node} for {seconds} s")
             }
             Fault::Store { seconds, node: None } => {
-                self.store_outage_until = after(seconds);
+                self.store_outage_until = end(seconds);
                 format!("the state service is away for {seconds} s")
             }
             Fault::Cloud { seconds } => {
-                self.cloud_outage_until = after(seconds);
+                self.cloud_outage_until = end(seconds);
                 format!("the cloud's interface is away for {seconds} s")
             }
             Fault::Zone { zone, seconds } => {
-                self.partitioned_zones.send_modify(|lost| *lost = BTreeSet::from([zone.clone()]));
-                self.zone_partition = Some((zone.clone(), after(seconds)));
+                self.partitioned_zones.send_modify(|zones| *zones = BTreeSet::from([zone.clone()]));
+                self.zone_partition = Some((zone.clone(), end(seconds)));
                 format!("zone {zone} is cut off for {seconds} s")
             }
             Fault::Spot { number } => {
-                let taken =
+                let reclaimed =
                     self.cluster.reclaim_spot_machines(number, LOCAL_RECLAIM_NOTICE_MS, now);
-                format!("{taken} spot machines are being taken")
+                format!("{reclaimed} spot machines are being taken")
             }
             Fault::Hang { number, seconds } => {
                 let hung = self.cluster.hang_machines(number, (seconds * 1000.0) as u64, now);
@@ -517,7 +540,7 @@
                 )
             }
         };
-        (200, serde_json::to_vec(&json!({ "done": done })).unwrap_or_default())
+        (200, serde_json::to_vec(&json!({ "done": description })).unwrap_or_default())
     }
 }
 
@@ -525,7 +548,9 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.run_interval(Duration::from_millis(LOCAL_STEP_INTERVAL_MS), |me, ctx| me.run_step(ctx));
+        ctx.run_interval(Duration::from_millis(LOCAL_STEP_INTERVAL_MS), |emulator, ctx| {
+            emulator.run_step(ctx)
+        });
     }
 }
 
@@ -534,52 +559,53 @@
 
     fn handle(&mut self, msg: EmulatorRequest, _: &mut Self::Context) -> Self::Result {
         let EmulatorRequest(node, call) = msg;
-        // What goes into a cut is held for longer than its sender waits.
-        let silent = || -> ResponseFuture<RawResponse> {
+        // A request across a partition is held for longer than its sender waits.
+        let no_response = || -> ResponseFuture<RawResponse> {
             Box::pin(async {
                 actix_rt::time::sleep(Duration::from_millis(LOCAL_PARTITION_HOLD_MS)).await;
                 unavailable()
             })
         };
         if self.is_isolated(node) {
-            return silent();
+            return no_response();
         }
-        let answer = match call {
+        let response = match call {
             EmulatorCall::SendCommands(socket, _) | EmulatorCall::ProbeWorker(socket) => {
                 match self.worker_call(socket, call) {
-                    Some(answer) => answer,
-                    None => return silent(),
+                    Some(response) => response,
+                    None => return no_response(),
                 }
             }
-            EmulatorCall::Watch { prefix, from_revision: from, block_ms } => {
+            EmulatorCall::Watch { prefix, from_revision, block_ms } => {
                 let now = self.elapsed_ms();
                 if now < self.store_outage_until || !self.store.admit(0, now) {
                     return Box::pin(std::future::ready(unavailable()));
                 }
-                let (answer, waits) = oneshot::channel();
-                let until = now + block_ms.min(MAX_WATCH_WAIT_MS);
+                let (response_sender, response) = oneshot::channel();
+                let expires_at = now + block_ms.min(MAX_WATCH_WAIT_MS);
                 self.pending_watches.push(PendingWatch {
-                    answer,
+                    response_sender,
                     controller: node,
                     prefix,
-                    from_revision: from,
-                    expires_at: until,
+                    from_revision,
+                    expires_at,
                 });
                 self.answer_watches();
-                return Box::pin(async move { waits.await.unwrap_or_else(|_| unavailable()) });
+                return Box::pin(async move { response.await.unwrap_or_else(|_| unavailable()) });
             }
             EmulatorCall::ListMachineTypes
             | EmulatorCall::ProvisionMachines(_)
             | EmulatorCall::ReleaseMachines(_)
             | EmulatorCall::ListMachines { .. } => self.cloud_call(call),
             other => {
-                let answer =
-                    self.state_call(node, other).unwrap_or_else(|_| malformed("no such call"));
+                let response =
+                    self.store_call(node, other).unwrap_or_else(|_| malformed("no such call"));
+                // A transaction may have changed what waiting watches observe.
                 self.answer_watches();
-                answer
+                response
             }
         };
-        Box::pin(std::future::ready(answer))
+        Box::pin(std::future::ready(response))
     }
 }
 
@@ -588,20 +614,24 @@
 
     fn handle(&mut self, msg: ReportAnswered, _: &mut Self::Context) {
         let now = self.elapsed_ms();
-        let ReportAnswered { worker: name, session, sent_at: sent, answer } = msg;
-        if let Some((200, body)) = &answer
-            && let Ok(orders) = decode::<HeartbeatResponse>(body)
+        let ReportAnswered { worker: name, session, sent_at, response } = msg;
+        if let Some((200, body)) = &response
+            && let Ok(commands) = decode::<HeartbeatResponse>(body)
         {
-            self.register_job_specs(&orders);
-            return self.cluster.handle_heartbeat_response(&name, &orders, session, sent, now);
+            self.register_job_specs(&commands);
+            return self.cluster.handle_heartbeat_response(&name, &commands, session, sent_at, now);
         }
         let Some(worker) = self.cluster.workers.get_mut(&name) else { return };
-        match answer {
+        match response {
             Some((421, body)) => {
-                let named = decode::<Redirect>(&body).ok().and_then(|r| r.controller);
-                worker.handle_redirect(sent, named.and_then(|n| controller_number(&n)), now);
+                let target = decode::<Redirect>(&body).ok().and_then(|r| r.controller);
+                worker.handle_redirect(
+                    sent_at,
+                    target.and_then(|name| controller_number(&name)),
+                    now,
+                );
             }
-            _ => worker.handle_report_timeout(sent, now),
+            _ => worker.handle_report_timeout(sent_at, now),
         }
     }
 }
@@ -620,7 +650,7 @@
     fn handle(&mut self, _: GetEmulatorStatus, _: &mut Self::Context) -> Self::Result {
         let now = self.elapsed_ms();
         let workers = || self.cluster.workers.values().filter(|w| !w.is_terminated);
-        let standing = EmulatorStatus {
+        let status = EmulatorStatus {
             leader: self.leader_name(),
             jobs: self.store.count_keys(keys::JOBS),
             machines: workers().count(),
@@ -630,6 +660,6 @@
             tasks_killed: workers().map(|w| w.tasks_killed).sum(),
             money_spent: self.cluster.cloud.money_spent(now),
         };
-        MessageResult(standing)
+        MessageResult(status)
     }
 }
--- a/src/local/fault_proxy.rs
+++ b/src/local/fault_proxy.rs
@@ -1,32 +1,33 @@
-//! The ways between controllers: connections are passed on, and can be cut. What is under way when a
-//! way is cut is held back and delivered when it opens again.
+//! TCP proxies between controllers, which emulate network partitions. Data in transit when a link is cut is held back and
+//! delivered when the link is restored.
 
 use std::net::SocketAddr;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Passes connections on from one address to another while `open` says so.
+/// Accepts connections at `listen` and forwards their data to `target` while `is_open` is true. Runs until the process
+/// ends. Fails if the address cannot be bound.
 pub async fn run_fault_proxy(
-    at: SocketAddr,
-    to: SocketAddr,
-    open: watch::Receiver<bool>,
+    listen: SocketAddr,
+    target: SocketAddr,
+    is_open: watch::Receiver<bool>,
 ) -> std::io::Result<()> {
-    let listener = TcpListener::bind(at).await?;
+    let listener = TcpListener::bind(listen).await?;
     loop {
-        let (here, _) = listener.accept().await?;
-        let mut open = open.clone();
+        let (client, _) = listener.accept().await?;
+        let mut is_open = is_open.clone();
         actix::spawn(async move {
-            if open.wait_for(|o| *o).await.is_err() {
+            if is_open.wait_for(|open| *open).await.is_err() {
                 return;
             }
-            let Ok(there) = TcpStream::connect(to).await else { return };
-            let (from_here, to_here) = here.into_split();
-            let (from_there, to_there) = there.into_split();
-            let back = open.clone();
+            let Ok(server) = TcpStream::connect(target).await else { return };
+            let (from_client, to_client) = client.into_split();
+            let (from_server, to_server) = server.into_split();
+            let is_open_for_responses = is_open.clone();
             futures_util::future::join(
-                copy_while_open(from_here, to_there, open),
-                copy_while_open(from_there, to_here, back),
+                copy_while_open(from_client, to_server, is_open),
+                copy_while_open(from_server, to_client, is_open_for_responses),
             )
             .await;
         });
@@ -36,7 +37,7 @@
 async fn copy_while_open(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
-    mut open: watch::Receiver<bool>,
+    mut is_open: watch::Receiver<bool>,
 ) {
     let mut buffer = vec![0; 16 * 1024];
     loop {
@@ -44,10 +45,12 @@
             Ok(0) | Err(_) => break,
             Ok(read) => read,
         };
-        if open.wait_for(|o| *o).await.is_err() || to.write_all(&buffer[..read]).await.is_err() {
+        if is_open.wait_for(|open| *open).await.is_err()
+            || to.write_all(&buffer[..read]).await.is_err()
+        {
             break;
         }
     }
-    // The other side learns of the end.
+    // Passes the end of the stream on to the receiver.
     let _ = to.shutdown().await;
 }
--- a/src/local/faults.rs
+++ b/src/local/faults.rs
@@ -1,60 +1,61 @@
-//! Faults that can be asked for while `swiftsail local` runs.
+//! Faults that can be injected while `swiftsail local` runs.
 
 use crate::constants::LOCAL_MAX_FAULT_S;
 use clap::Subcommand;
 use serde::{Deserialize, Serialize};
 
-/// A fault.
+/// A fault to inject.
 #[derive(Debug, Clone, PartialEq, Subcommand, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// Crash a controller; it starts again after some seconds
+    /// Crash a controller; it restarts after a few seconds
     Crash {
-        /// Its number, from 0
+        /// Number of the controller, from 0
         node: usize,
     },
-    /// Stop the state service, for all or for one controller
+    /// Make the state service unavailable, for all controllers or for one
     Store {
-        /// How long, s
+        /// Duration, s
         seconds: f64,
-        /// Only for this controller
+        /// Number of the only controller affected
         #[arg(long)]
         node: Option<usize>,
     },
-    /// Stop the cloud's interface
+    /// Make the cloud's API unavailable
     Cloud {
-        /// How long, s
+        /// Duration, s
         seconds: f64,
     },
-    /// Cut a zone off from everything
+    /// Partition a zone from the other zones, the state service and the cloud
     Zone {
-        /// Its name
+        /// Name of the zone
         zone: String,
-        /// How long, s
+        /// Duration, s
         seconds: f64,
     },
-    /// The cloud takes spot machines back
+    /// Make the cloud reclaim spot machines
     Spot {
-        /// How many
+        /// Number of machines
         number: usize,
     },
-    /// Machines hang
+    /// Make machines hang
     Hang {
-        /// How many
+        /// Number of machines
         number: usize,
-        /// How long, s
+        /// Duration, s
         seconds: f64,
     },
-    /// Machines fail every task that they start
+    /// Make machines fail every task that they start from now on
     Spoil {
-        /// How many
+        /// Number of machines
         number: usize,
     },
 }
 
 impl Fault {
-    /// What is impossible about it, if anything.
-    pub fn validation_error(&self, nodes: usize, zones: &[String]) -> Option<String> {
+    /// Returns why the fault is invalid for this number of controllers and these zones, or none if it is valid. The
+    /// message is sent to the requester.
+    pub fn validation_error(&self, controller_count: usize, zones: &[String]) -> Option<String> {
         let (node, seconds) = match self {
             Fault::Crash { node } => (Some(*node), None),
             Fault::Store { seconds, node } => (*node, Some(*seconds)),
@@ -65,11 +66,14 @@
             Fault::Zone { seconds, .. } => (None, Some(*seconds)),
             Fault::Spot { .. } | Fault::Spoil { .. } => (None, None),
         };
-        if let Some(node) = node.filter(|n| *n >= nodes) {
-            return Some(format!("controller {node} is unknown; there are 0 to {}", nodes - 1));
+        if let Some(node) = node.filter(|n| *n >= controller_count) {
+            return Some(format!(
+                "controller {node} is unknown; there are 0 to {}",
+                controller_count - 1
+            ));
         }
-        let odd = |s: &f64| !(s.is_finite() && *s > 0.0 && *s <= LOCAL_MAX_FAULT_S);
-        let odd = seconds.filter(odd)?;
-        Some(format!("{odd} s is not a time above 0 and up to {LOCAL_MAX_FAULT_S} s"))
+        let is_invalid = |s: &f64| !(s.is_finite() && *s > 0.0 && *s <= LOCAL_MAX_FAULT_S);
+        let invalid_seconds = seconds.filter(is_invalid)?;
+        Some(format!("{invalid_seconds} s is not a time above 0 and up to {LOCAL_MAX_FAULT_S} s"))
     }
 }
--- a/src/local/http.rs
+++ b/src/local/http.rs
@@ -1,5 +1,5 @@
-//! The listeners of `swiftsail local`: state service, cloud and workers over HTTP, as the protocol has
-//! them. Each controller has ways of its own to the first two, so that faults can tell them apart.
+//! The HTTP listeners of `swiftsail local`: state service, cloud and workers, as the protocol defines them. Each controller
+//! has its own addresses for the state service and the cloud, so that faults can affect single controllers.
 
 use super::config::PortPlan;
 use super::emulator::{
@@ -21,11 +21,11 @@
 use swiftsail_protocol::{decode, encode};
 use swiftsail_simulation::constants::{MAX_MACHINE_PAGE, MAX_PAGE_KEYS};
 
-/// Paths of faults and of how things stand.
+/// Paths for fault injection and status.
 pub mod path {
-    /// Asks for a fault.
+    /// POST: injects a fault.
     pub const FAULT: &str = "/fault";
-    /// How things stand.
+    /// GET: the status of the emulated cluster.
     pub const STATUS: &str = "/standing";
 }
 
@@ -36,78 +36,93 @@
 
 type SharedContext = web::Data<RequestContext>;
 
-fn respond((status, body): RawResponse, format: &str) -> HttpResponse {
+fn respond((status, body): RawResponse, content_type: &str) -> HttpResponse {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    HttpResponse::build(status).insert_header(("Content-Type", format)).body(body)
+    HttpResponse::build(status).insert_header(("Content-Type", content_type)).body(body)
 }
 
-/// The controller by whose way a request came, or the number of the worker's socket.
+/// Returns the index, below `count`, of the listener that received a request: the number of the calling controller or of
+/// the called worker's socket.
 fn index_of_listener(
     request: &HttpRequest,
-    of: impl Fn(usize) -> SocketAddr,
-    most: usize,
+    listener_address: impl Fn(usize) -> SocketAddr,
+    count: usize,
 ) -> Option<usize> {
-    let here = request.app_config().local_addr();
-    (0..most).find(|n| of(*n) == here)
+    let local_address = request.app_config().local_addr();
+    (0..count).find(|n| listener_address(*n) == local_address)
 }
 
 async fn call_emulator(
-    ways: &RequestContext,
+    context: &RequestContext,
     node: Option<usize>,
     call: EmulatorCall,
 ) -> HttpResponse {
-    match ways.emulator.send(EmulatorRequest(node, call)).await {
-        Ok(answer) => respond(answer, "application/msgpack"),
+    match context.emulator.send(EmulatorRequest(node, call)).await {
+        Ok(response) => respond(response, "application/msgpack"),
         Err(_) => HttpResponse::ServiceUnavailable().finish(),
     }
 }
 
-fn store_caller(request: &HttpRequest, ways: &RequestContext) -> Option<usize> {
-    index_of_listener(request, |n| ways.ports.state(n), LOCAL_MAX_CONTROLLERS)
+fn store_caller(request: &HttpRequest, context: &RequestContext) -> Option<usize> {
+    index_of_listener(request, |n| context.ports.state(n), LOCAL_MAX_CONTROLLERS)
 }
 
-fn malformed_request(why: impl std::fmt::Display) -> HttpResponse {
-    respond((400, encode(&serde_json::json!({ "error": why.to_string() }))), "application/msgpack")
+fn malformed_request(cause: impl std::fmt::Display) -> HttpResponse {
+    respond(
+        (400, encode(&serde_json::json!({ "error": cause.to_string() }))),
+        "application/msgpack",
+    )
 }
 
 #[derive(Deserialize)]
 struct ListQuery {
-    starts: String,
+    #[serde(rename = "starts")]
+    prefix: String,
     from: Option<String>,
-    most: Option<usize>,
+    #[serde(rename = "most")]
+    limit: Option<usize>,
 }
 
-async fn get(request: HttpRequest, ways: SharedContext, key: web::Path<String>) -> HttpResponse {
-    call_emulator(&ways, store_caller(&request, &ways), EmulatorCall::Get(key.into_inner())).await
+async fn get(request: HttpRequest, context: SharedContext, key: web::Path<String>) -> HttpResponse {
+    call_emulator(&context, store_caller(&request, &context), EmulatorCall::Get(key.into_inner()))
+        .await
 }
 
 async fn list(
     request: HttpRequest,
-    ways: SharedContext,
+    context: SharedContext,
     query: web::Query<ListQuery>,
 ) -> HttpResponse {
-    let ListQuery { starts, from, most } = query.into_inner();
-    let call = EmulatorCall::List { prefix: starts, from, limit: most.unwrap_or(MAX_PAGE_KEYS) };
-    call_emulator(&ways, store_caller(&request, &ways), call).await
+    let ListQuery { prefix, from, limit } = query.into_inner();
+    let call = EmulatorCall::List { prefix, from, limit: limit.unwrap_or(MAX_PAGE_KEYS) };
+    call_emulator(&context, store_caller(&request, &context), call).await
 }
 
-async fn commit(request: HttpRequest, ways: SharedContext, body: web::Bytes) -> HttpResponse {
+async fn commit(request: HttpRequest, context: SharedContext, body: web::Bytes) -> HttpResponse {
     match decode::<Transaction>(&body) {
-        Ok(it) => {
-            call_emulator(&ways, store_caller(&request, &ways), EmulatorCall::Commit(Box::new(it)))
-                .await
+        Ok(transaction) => {
+            call_emulator(
+                &context,
+                store_caller(&request, &context),
+                EmulatorCall::Commit(Box::new(transaction)),
+            )
+            .await
         }
         Err(e) => malformed_request(e),
     }
 }
 
-async fn create_lease(request: HttpRequest, ways: SharedContext, body: web::Bytes) -> HttpResponse {
+async fn create_lease(
+    request: HttpRequest,
+    context: SharedContext,
+    body: web::Bytes,
+) -> HttpResponse {
     match decode::<LeaseRequest>(&body) {
-        Ok(it) => {
+        Ok(lease) => {
             call_emulator(
-                &ways,
-                store_caller(&request, &ways),
-                EmulatorCall::CreateLease(it.ttl_ms),
+                &context,
+                store_caller(&request, &context),
+                EmulatorCall::CreateLease(lease.ttl_ms),
             )
             .await
         }
@@ -117,60 +132,70 @@
 
 async fn renew_lease(
     request: HttpRequest,
-    ways: SharedContext,
+    context: SharedContext,
     id: web::Path<u64>,
 ) -> HttpResponse {
-    call_emulator(&ways, store_caller(&request, &ways), EmulatorCall::RenewLease(id.into_inner()))
-        .await
+    call_emulator(
+        &context,
+        store_caller(&request, &context),
+        EmulatorCall::RenewLease(id.into_inner()),
+    )
+    .await
 }
 
 async fn revoke_lease(
     request: HttpRequest,
-    ways: SharedContext,
+    context: SharedContext,
     id: web::Path<u64>,
 ) -> HttpResponse {
-    call_emulator(&ways, store_caller(&request, &ways), EmulatorCall::RevokeLease(id.into_inner()))
-        .await
+    call_emulator(
+        &context,
+        store_caller(&request, &context),
+        EmulatorCall::RevokeLease(id.into_inner()),
+    )
+    .await
 }
 
 #[derive(Deserialize)]
-struct FollowQuery {
-    starts: String,
-    from: u64,
+struct WatchQuery {
+    #[serde(rename = "starts")]
+    prefix: String,
+    #[serde(rename = "from")]
+    from_revision: u64,
     block_ms: Option<u64>,
 }
 
 async fn watch(
     request: HttpRequest,
-    ways: SharedContext,
-    query: web::Query<FollowQuery>,
+    context: SharedContext,
+    query: web::Query<WatchQuery>,
 ) -> HttpResponse {
-    let FollowQuery { starts, from, block_ms } = query.into_inner();
-    let call = EmulatorCall::Watch {
-        prefix: starts,
-        from_revision: from,
-        block_ms: block_ms.unwrap_or(0),
-    };
-    call_emulator(&ways, store_caller(&request, &ways), call).await
+    let WatchQuery { prefix, from_revision, block_ms } = query.into_inner();
+    let call = EmulatorCall::Watch { prefix, from_revision, block_ms: block_ms.unwrap_or(0) };
+    call_emulator(&context, store_caller(&request, &context), call).await
 }
 
-fn cloud_caller(request: &HttpRequest, ways: &RequestContext) -> Option<usize> {
-    index_of_listener(request, |n| ways.ports.cloud(n), LOCAL_MAX_CONTROLLERS)
+fn cloud_caller(request: &HttpRequest, context: &RequestContext) -> Option<usize> {
+    index_of_listener(request, |n| context.ports.cloud(n), LOCAL_MAX_CONTROLLERS)
 }
 
-async fn list_machine_types(request: HttpRequest, ways: SharedContext) -> HttpResponse {
-    call_emulator(&ways, cloud_caller(&request, &ways), EmulatorCall::ListMachineTypes).await
+async fn list_machine_types(request: HttpRequest, context: SharedContext) -> HttpResponse {
+    call_emulator(&context, cloud_caller(&request, &context), EmulatorCall::ListMachineTypes).await
 }
 
 async fn provision_machines(
     request: HttpRequest,
-    ways: SharedContext,
+    context: SharedContext,
     body: web::Bytes,
 ) -> HttpResponse {
     match decode::<ProvisionMachinesRequest>(&body) {
-        Ok(it) => {
-            call_emulator(&ways, cloud_caller(&request, &ways), EmulatorCall::ProvisionMachines(it))
-                .await
+        Ok(provision) => {
+            call_emulator(
+                &context,
+                cloud_caller(&request, &context),
+                EmulatorCall::ProvisionMachines(provision),
+            )
+            .await
         }
         Err(e) => malformed_request(e),
     }
@@ -178,15 +203,15 @@
 
 async fn release_machines(
     request: HttpRequest,
-    ways: SharedContext,
+    context: SharedContext,
     body: web::Bytes,
 ) -> HttpResponse {
     match decode::<MachineNames>(&body) {
-        Ok(it) => {
+        Ok(names) => {
             call_emulator(
-                &ways,
-                cloud_caller(&request, &ways),
-                EmulatorCall::ReleaseMachines(it.machines),
+                &context,
+                cloud_caller(&request, &context),
+                EmulatorCall::ReleaseMachines(names.machines),
             )
             .await
         }
@@ -197,35 +222,36 @@
 #[derive(Deserialize)]
 struct MachinesQuery {
     from: Option<String>,
-    most: Option<usize>,
+    #[serde(rename = "most")]
+    limit: Option<usize>,
 }
 
 async fn list_machines(
     request: HttpRequest,
-    ways: SharedContext,
+    context: SharedContext,
     query: web::Query<MachinesQuery>,
 ) -> HttpResponse {
-    let MachinesQuery { from, most } = query.into_inner();
-    let call = EmulatorCall::ListMachines { from, limit: most.unwrap_or(MAX_MACHINE_PAGE) };
-    call_emulator(&ways, cloud_caller(&request, &ways), call).await
+    let MachinesQuery { from, limit } = query.into_inner();
+    let call = EmulatorCall::ListMachines { from, limit: limit.unwrap_or(MAX_MACHINE_PAGE) };
+    call_emulator(&context, cloud_caller(&request, &context), call).await
 }
 
-fn worker_socket(request: &HttpRequest, ways: &RequestContext) -> usize {
-    let found = index_of_listener(request, |n| ways.ports.worker(n), LOCAL_MAX_MACHINES);
-    found.unwrap_or(usize::MAX)
+fn worker_socket(request: &HttpRequest, context: &RequestContext) -> usize {
+    let socket = index_of_listener(request, |n| context.ports.worker(n), LOCAL_MAX_MACHINES);
+    socket.unwrap_or(usize::MAX)
 }
 
 async fn send_commands(
     request: HttpRequest,
-    ways: SharedContext,
+    context: SharedContext,
     body: web::Bytes,
 ) -> HttpResponse {
     match decode::<DirectCommands>(&body) {
-        Ok(it) => {
+        Ok(commands) => {
             call_emulator(
-                &ways,
+                &context,
                 None,
-                EmulatorCall::SendCommands(worker_socket(&request, &ways), Box::new(it)),
+                EmulatorCall::SendCommands(worker_socket(&request, &context), Box::new(commands)),
             )
             .await
         }
@@ -233,38 +259,39 @@
     }
 }
 
-async fn probe_worker(request: HttpRequest, ways: SharedContext) -> HttpResponse {
-    call_emulator(&ways, None, EmulatorCall::ProbeWorker(worker_socket(&request, &ways))).await
+async fn probe_worker(request: HttpRequest, context: SharedContext) -> HttpResponse {
+    call_emulator(&context, None, EmulatorCall::ProbeWorker(worker_socket(&request, &context)))
+        .await
 }
 
-async fn inject_fault(ways: SharedContext, body: web::Json<Fault>) -> HttpResponse {
-    match ways.emulator.send(InjectFault(body.into_inner())).await {
-        Ok(answer) => respond(answer, "application/json"),
+async fn inject_fault(context: SharedContext, body: web::Json<Fault>) -> HttpResponse {
+    match context.emulator.send(InjectFault(body.into_inner())).await {
+        Ok(response) => respond(response, "application/json"),
         Err(_) => HttpResponse::ServiceUnavailable().finish(),
     }
 }
 
-async fn emulator_status(ways: SharedContext) -> HttpResponse {
-    match ways.emulator.send(GetEmulatorStatus).await {
-        Ok(standing) => HttpResponse::Ok().json(standing),
+async fn emulator_status(context: SharedContext) -> HttpResponse {
+    match context.emulator.send(GetEmulatorStatus).await {
+        Ok(status) => HttpResponse::Ok().json(status),
         Err(_) => HttpResponse::ServiceUnavailable().finish(),
     }
 }
 
-/// Binds all listeners, and serves them until the process ends.
+/// Binds all listeners. Returns the server, which runs until the process ends. Fails if an address cannot be bound.
 pub fn serve(
-    to: Addr<Emulator>,
+    emulator: Addr<Emulator>,
     ports: PortPlan,
-    nodes: usize,
-    machines_most: usize,
+    controller_count: usize,
+    machine_count: usize,
 ) -> std::io::Result<actix_web::dev::Server> {
-    let data = web::Data::new(RequestContext { emulator: to, ports });
-    let mut all = vec![ports.control()];
-    all.extend((0..nodes).flat_map(|n| [ports.state(n), ports.cloud(n)]));
-    all.extend((0..machines_most).map(|n| ports.worker(n)));
+    let context = web::Data::new(RequestContext { emulator, ports });
+    let mut addresses = vec![ports.control()];
+    addresses.extend((0..controller_count).flat_map(|n| [ports.state(n), ports.cloud(n)]));
+    addresses.extend((0..machine_count).map(|n| ports.worker(n)));
     let mut server = HttpServer::new(move || {
         App::new()
-            .app_data(data.clone())
+            .app_data(context.clone())
             .app_data(web::PayloadConfig::new(MAX_ADMIN_BODY_BYTES))
             .route(&format!("{}/{{key:.*}}", state::KEYS), web::get().to(get))
             .route(state::KEYS, web::get().to(list))
@@ -288,10 +315,12 @@
     .workers(1)
     .keep_alive(Duration::from_secs(KEEP_ALIVE_S))
     .disable_signals();
-    for at in all {
-        server = server.bind(at).map_err(|e| {
-            let why = format!("{at}: {e}; free it, or give another --port");
-            std::io::Error::new(e.kind(), why)
+    for address in addresses {
+        server = server.bind(address).map_err(|e| {
+            let message = format!(
+                "cannot listen on {address}: {e}; free the address, or give another --port"
+            );
+            std::io::Error::new(e.kind(), message)
         })?;
     }
     Ok(server.run())
--- a/src/local/persistence.rs
+++ b/src/local/persistence.rs
@@ -1,4 +1,4 @@
-//! The state service's contents on disk: every committed change is there before it is answered.
+//! The contents of the emulated state service on disk. Every transaction is durable before it is answered.
 
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::path::Path;
@@ -8,25 +8,25 @@
 const KEY_VALUES: TableDefinition<&str, &[u8]> = TableDefinition::new("pairs");
 const METADATA: TableDefinition<&str, u64> = TableDefinition::new("meta");
 const REVISION_ENTRY: &str = "epoch";
-const MACHINE_COUNT_ENTRY: &str = "machines";
+const LAST_MACHINE_NUMBER_ENTRY: &str = "machines";
 
-/// What is kept.
+/// The database file of the emulated state service.
 pub struct Persistence {
     database: Database,
 }
 
 impl Persistence {
-    /// Opens or makes the file.
+    /// Opens the file, or creates it. Fails if another process uses it.
     pub fn open(path: &Path) -> Result<Persistence, redb::Error> {
-        let base = Database::create(path)?;
-        let txn = base.begin_write()?;
+        let database = Database::create(path)?;
+        let txn = database.begin_write()?;
         txn.open_table(KEY_VALUES)?;
         txn.open_table(METADATA)?;
         txn.commit()?;
-        Ok(Persistence { database: base })
+        Ok(Persistence { database })
     }
 
-    /// All pairs, and the revision.
+    /// Returns all keys with their values, and the revision. Values that cannot be decoded are logged and left out.
     pub fn load(&self) -> Result<(Vec<KeyValue>, u64), redb::Error> {
         let txn = self.database.begin_read()?;
         let mut pairs = Vec::new();
@@ -35,44 +35,45 @@
             match decode::<KeyValue>(value.value()) {
                 Ok(pair) => pairs.push(pair),
                 Err(e) => {
-                    tracing::error!(key = key.value(), cause = %e, "unreadable stored value")
+                    tracing::error!(key = key.value(), cause = %e, "cannot decode a stored value; the key is left out")
                 }
             }
         }
-        let epoch = txn.open_table(METADATA)?.get(REVISION_ENTRY)?.map_or(0, |e| e.value());
-        Ok((pairs, epoch))
+        let revision = txn.open_table(METADATA)?.get(REVISION_ENTRY)?.map_or(0, |e| e.value());
+        Ok((pairs, revision))
     }
 
-    /// Number of the last machine that was named.
-    pub fn machines_named(&self) -> Result<u32, redb::Error> {
+    /// Returns the number in the name of the last provisioned machine, or 0.
+    pub fn last_machine_number(&self) -> Result<u32, redb::Error> {
         let txn = self.database.begin_read()?;
-        let held = txn.open_table(METADATA)?.get(MACHINE_COUNT_ENTRY)?.map_or(0, |n| n.value());
-        Ok(held.try_into().unwrap_or(u32::MAX))
+        let number =
+            txn.open_table(METADATA)?.get(LAST_MACHINE_NUMBER_ENTRY)?.map_or(0, |n| n.value());
+        Ok(number.try_into().unwrap_or(u32::MAX))
     }
 
-    /// Keeps the number of the last machine that was named: no name is given twice.
-    pub fn record_machines_named(&self, number: u32) -> Result<(), redb::Error> {
+    /// Records the number in the name of the last provisioned machine, so that no name is reused after a restart.
+    pub fn record_last_machine_number(&self, number: u32) -> Result<(), redb::Error> {
         let txn = self.database.begin_write()?;
-        txn.open_table(METADATA)?.insert(MACHINE_COUNT_ENTRY, u64::from(number))?;
+        txn.open_table(METADATA)?.insert(LAST_MACHINE_NUMBER_ENTRY, u64::from(number))?;
         txn.commit()?;
         Ok(())
     }
 
-    /// Keeps a transaction that was applied at a revision, durably.
+    /// Durably records a transaction that was applied at this revision. `current` returns the current entry of a key.
     pub fn record_transaction(
         &self,
-        commit: &Transaction,
-        epoch: u64,
-        now: impl Fn(&str) -> Option<KeyValue>,
+        transaction: &Transaction,
+        revision: u64,
+        current: impl Fn(&str) -> Option<KeyValue>,
     ) -> Result<(), redb::Error> {
         use swiftsail_protocol::state::Mutation;
         let txn = self.database.begin_write()?;
         {
             let mut pairs = txn.open_table(KEY_VALUES)?;
-            for change in &commit.mutations {
-                let (Mutation::Put { key, .. } | Mutation::Delete { key }) = change;
-                // What hangs on a lease does not outlive the service.
-                match now(key).filter(|p| p.lease.is_none()) {
+            for mutation in &transaction.mutations {
+                let (Mutation::Put { key, .. } | Mutation::Delete { key }) = mutation;
+                // Keys attached to a lease are not stored: they do not survive a restart of the service.
+                match current(key).filter(|p| p.lease.is_none()) {
                     Some(pair) => {
                         pairs.insert(key.as_str(), encode(&pair).as_slice())?;
                     }
@@ -81,7 +82,7 @@
                     }
                 }
             }
-            txn.open_table(METADATA)?.insert(REVISION_ENTRY, epoch)?;
+            txn.open_table(METADATA)?.insert(REVISION_ENTRY, revision)?;
         }
         txn.commit()?;
         Ok(())
--- a/src/local/processes.rs
+++ b/src/local/processes.rs
@@ -1,65 +1,68 @@
-//! The controllers' processes: started, watched, killed when a fault asks for it, started again.
+//! The controller processes: starts them, restarts them after they exit, and kills them for injected faults.
 
 use crate::constants::LOCAL_RESTART_DELAY_MS;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Where a controller's process stands.
+/// State of a controller process.
 enum ProcessState {
-    /// It runs.
+    /// The process runs.
     Running(Child),
-    /// It ended, and starts again then.
+    /// The process has exited and is restarted at this time.
     Exited(Instant),
 }
 
-/// One controller.
+/// One controller process.
 struct ControllerProcess {
     name: String,
+    /// Settings file and operators' file.
     config_files: (PathBuf, PathBuf),
     log_file: PathBuf,
     state: ProcessState,
 }
 
-/// All controllers.
+/// The processes of all controllers. They are killed when this is dropped.
 pub struct ControllerProcesses {
     controllers: Vec<ControllerProcess>,
     log_format: &'static str,
 }
 
 impl ControllerProcesses {
-    /// Starts a controller from each pair of files, with its log beside them.
+    /// Starts a controller for each name, settings file and operators' file. Its log is appended to a file beside the
+    /// settings file. Fails if a process cannot be started.
     pub fn start(
         files: Vec<(String, PathBuf, PathBuf)>,
         log_format: &'static str,
     ) -> std::io::Result<ControllerProcesses> {
-        let mut all = ControllerProcesses { controllers: Vec::new(), log_format };
+        let mut processes = ControllerProcesses { controllers: Vec::new(), log_format };
         for (name, config, operator) in files {
-            let log = config.with_extension("log");
-            let phase = ProcessState::Exited(Instant::now());
-            all.controllers.push(ControllerProcess {
+            let log_file = config.with_extension("log");
+            let state = ProcessState::Exited(Instant::now());
+            processes.controllers.push(ControllerProcess {
                 name,
                 config_files: (config, operator),
-                log_file: log,
-                state: phase,
+                log_file,
+                state,
             });
         }
-        all.restart_exited()?;
-        Ok(all)
+        processes.restart_exited()?;
+        Ok(processes)
     }
 
-    /// Looks after them: one that ended is started again after a while.
+    /// Checks the processes, and restarts those that exited at least [`LOCAL_RESTART_DELAY_MS`] ago.
     pub fn restart_exited(&mut self) -> std::io::Result<()> {
         for controller in &mut self.controllers {
             match &mut controller.state {
                 ProcessState::Running(child) => {
                     if let Some(status) = child.try_wait()? {
-                        tracing::warn!(controller = %controller.name, %status, "controller ended");
-                        let again = Instant::now() + Duration::from_millis(LOCAL_RESTART_DELAY_MS);
-                        controller.state = ProcessState::Exited(again);
+                        tracing::warn!(controller = %controller.name, %status, "controller process exited");
+                        let restart_at =
+                            Instant::now() + Duration::from_millis(LOCAL_RESTART_DELAY_MS);
+                        controller.state = ProcessState::Exited(restart_at);
                     }
                 }
-                ProcessState::Exited(at) if Instant::now() >= *at => {
+                ProcessState::Exited(restart_at) if Instant::now() >= *restart_at => {
                     controller.state =
                         ProcessState::Running(spawn_controller(controller, self.log_format)?);
                 }
@@ -69,12 +72,12 @@
         Ok(())
     }
 
-    /// Kills one, without a warning.
+    /// Kills a controller process without a graceful shutdown.
     pub fn kill(&mut self, node: usize) {
         if let Some(ProcessState::Running(child)) =
             self.controllers.get_mut(node).map(|c| &mut c.state)
         {
-            // It may have ended by itself meanwhile, which is as good.
+            // An error means that the process has already exited.
             let _ = child.kill();
         }
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: everything is in the library.
+//! The `swiftsail` binary. All code is in the library.
 
 #![forbid(unsafe_code)]
 
--- a/src/program.rs
+++ b/src/program.rs
@@ -1,11 +1,11 @@
-//! The command line.
+//! The command line: options, subcommands and exit status.
 
 use crate::admission::AdmissionController;
 use crate::client::ClientError;
 use crate::commands::{
     DispatchCommand, JobCommand, LoanCommand, PipelineCommand, PluginCommand, TierCommand,
 };
-use crate::constants::EXIT_STATUS_REFUSED;
+use crate::constants::EXIT_STATUS_REJECTED;
 use crate::local::{LocalArgs, LocalCommand};
 use crate::logging::{self, LogFormat};
 use crate::runtime::ControllerActor;
@@ -22,23 +22,23 @@
 use swiftsail_overload_control::memory_budget::MemoryBudget;
 use swiftsail_policy::operator_settings::OperatorSettings;
 
-/// A cluster scheduler that places work by its chance of meeting its deadline.
+/// A cluster scheduler that places work by its probability of meeting its deadline.
 #[derive(Debug, Parser)]
 #[command(
     name = "swiftsail",
     version,
     arg_required_else_help = true,
-    after_help = "Exit status: 0 done; 2 refused (a file, an argument, or the service's answer); 3 no answer, or \
-not known whether it was done."
+    after_help = "Exit status: 0 success; 2 rejected (an invalid file or argument, or a request that the service \
+rejects); 3 no response, or unknown outcome."
 )]
 struct CommandLine {
-    /// Run a controller with this settings file, the platform's
+    /// Run a controller with this settings file of the platform
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// The operators' file, which holds policy, plug-ins and the operators' listener
+    /// The operators' file: policy, plug-ins and the operators' listener
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// Form of the log, which goes to standard error
+    /// Format of the log, which is written to standard error
     #[arg(long, value_enum, default_value_t, value_name = "FORM", global = true)]
     log_format: LogFormat,
     #[command(subcommand)]
@@ -47,42 +47,42 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Check a settings file, or an operators' file, without running
+    /// Validate a settings file or an operators' file without running a controller
     Check {
-        /// The settings file, the platform's
+        /// The platform's settings file
         #[arg(long, value_name = "FILE", required_unless_present = "operator")]
         config: Option<PathBuf>,
         /// The operators' file
         #[arg(long, value_name = "FILE")]
         operator: Option<PathBuf>,
     },
-    /// Run everything on this machine: state service, cloud, workers, controllers
+    /// Run a cluster on this machine: an emulated state service, cloud and workers, and real controllers
     Local(LocalArgs),
     #[command(flatten)]
     Job(JobCommand),
-    /// Plug-ins: add, list, show, enable, disable, remove, explain, check
+    /// Manage plug-ins: add, list, show, enable, disable, remove, explain, check
     #[command(subcommand)]
     Plugin(PluginCommand),
-    /// Tiers: list, show, set, explain
+    /// Manage the tier table: list, show, set, explain
     #[command(subcommand)]
     Tier(TierCommand),
-    /// Arrivals and what must be done before: list, show, why, add, set
+    /// Manage arrivals and the steps that must be done before them: list, show, why, add, set
     #[command(subcommand)]
     Dispatch(DispatchCommand),
-    /// Accelerators lent: list, show
+    /// Show loans of accelerators between jobs: list, show
     #[command(subcommand)]
     Loan(LoanCommand),
-    /// Jobs that await others, with their deadlines along the chain
+    /// Show pipelines of dependent jobs, with the deadlines along the chain
     #[command(subcommand)]
     Pipeline(PipelineCommand),
-    /// Print completions for a shell
+    /// Print a completion script for a shell
     Completions {
         /// The shell
         shell: Shell,
     },
 }
 
-/// Runs the program.
+/// Parses the command line, runs the command and returns the exit status. Errors are written to standard error.
 pub fn main() -> ExitCode {
     let args = CommandLine::parse();
     let outcome = match (args.command, args.config) {
@@ -103,7 +103,7 @@
         (Some(Command::Completions { shell }), _) => {
             let mut out = Vec::new();
             clap_complete::generate(shell, &mut CommandLine::command(), "swiftsail", &mut out);
-            // A closed pipe is no reason to complain.
+            // A closed pipe is not an error.
             let _ = std::io::stdout().write_all(&out);
             Ok(())
         }
@@ -111,14 +111,14 @@
             logging::init_logging(args.log_format);
             run_controller(&config, args.operator.as_deref())
         }
-        (None, None) => Err("nothing to do; give --config FILE, or --help for more".into()),
+        (None, None) => Err("expected --config FILE or a subcommand; see --help".into()),
     };
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            let _ = writeln!(std::io::stderr(), "swiftsail: {why}");
-            let silent = why.downcast_ref::<ClientError>().map(ClientError::exit_status);
-            ExitCode::from(silent.unwrap_or(EXIT_STATUS_REFUSED))
+        Err(error) => {
+            let _ = writeln!(std::io::stderr(), "swiftsail: {error}");
+            let status = error.downcast_ref::<ClientError>().map(ClientError::exit_status);
+            ExitCode::from(status.unwrap_or(EXIT_STATUS_REJECTED))
         }
     }
 }
@@ -127,21 +127,21 @@
     config: Option<PathBuf>,
     operator: Option<PathBuf>,
 ) -> Result<(), Box<dyn Error>> {
-    // A closed pipe is no reason to complain.
+    // A closed pipe is not an error.
     let mut out = std::io::stdout();
     if let Some(file) = config {
         let settings = Settings::load(&file)?;
         let _ = writeln!(out, "{}: settings are sound", settings.host_name);
     }
     if let Some(file) = operator {
-        load_operator(&file)?;
+        load_operator_settings(&file)?;
         let _ = writeln!(out, "{}: the operators' file is sound", file.display());
     }
     Ok(())
 }
 
-/// Reads the operators' file and checks all of it.
-fn load_operator(file: &Path) -> Result<OperatorSettings, Box<dyn Error>> {
+/// Loads and validates the operators' file, including its tier table and dispatch plan.
+fn load_operator_settings(file: &Path) -> Result<OperatorSettings, Box<dyn Error>> {
     let operator = OperatorSettings::load(file)?;
     commands::load_tier_table(file, &operator)?;
     commands::load_dispatch_plan(file, &operator)?;
@@ -150,26 +150,29 @@
 
 fn run_controller(config: &Path, operator: Option<&Path>) -> Result<(), Box<dyn Error>> {
     let settings = Arc::new(Settings::load(config)?);
-    let operator = operator.map(load_operator).transpose()?.unwrap_or_default();
+    let operator = operator.map(load_operator_settings).transpose()?.unwrap_or_default();
     tracing::info!(node = %settings.host_name, site = %settings.site, front = %settings.front, "starting");
     let seed = rand::random();
-    let served = actix::System::new().block_on(async move {
+    let result = actix::System::new().block_on(async move {
         let limits = &settings.settings.machine_limits;
         let budget = MemoryBudget::divide(limits.mem_mb, limits.max_connections);
-        let entry = AdmissionController::new(budget.body_bytes);
-        let controller = ControllerActor::new(settings.clone(), &operator, entry.clone(), seed).start();
+        let admission = AdmissionController::new(budget.body_bytes);
+        let controller = ControllerActor::new(settings.clone(), &operator, admission.clone(), seed).start();
         if let Some(listen) = operator.admin.listen {
-            let to = controller.clone();
+            let admin_controller = controller.clone();
             actix::spawn(async move {
-                // Without it the service goes on: operators are not what it is for.
-                if let Err(e) = admin::serve(listen, to).await {
-                    tracing::error!(%listen, cause = %e, "cannot serve operators: free the address");
+                // The controller serves users and workers even if the operators' listener fails.
+                if let Err(e) = admin::serve(listen, admin_controller).await {
+                    tracing::error!(%listen, cause = %e, "operators' listener failed; check that its address is free");
                 }
             });
         }
-        http::serve(&settings, controller, &budget, entry).await
+        http::serve(&settings, controller, &budget, admission).await
     });
-    served.map_err(|e| {
-        format!("cannot listen: {e}; check that `front` and `cluster_listen` are free").into()
+    result.map_err(|e| {
+        format!(
+            "cannot listen on `front` and `cluster_listen`: {e}; check that both addresses are free"
+        )
+        .into()
     })
 }
--- a/src/runtime/actions.rs
+++ b/src/runtime/actions.rs
@@ -1,4 +1,4 @@
-//! Executes the controller's actions. None waits for its call: what the call brings about comes back as an event.
+//! Executes the controller's actions. Calls run in the background, and their outcomes are sent to the actor as events.
 
 use super::{ControllerActor, EventOccurred};
 use super::{cloud_client, peer_client, store_client, worker_client};
@@ -17,7 +17,7 @@
         match action {
             Action::Reply(id, reply) => {
                 if let Some(reply_sender) = self.pending_replies.remove(&id) {
-                    // Whoever asked may have closed the connection.
+                    // The client may have closed the connection.
                     let _ = reply_sender.send(reply);
                 }
             }
@@ -107,8 +107,8 @@
             let client = self.clients.short_call.clone();
             let (address, actor, body) = (peer.address, actor.clone(), body.clone());
             actix::spawn(async move {
-                if let Some(theirs) = peer_client::send_heartbeat(&client, address, body).await {
-                    actor.do_send(EventOccurred(Event::Heartbeat(theirs)));
+                if let Some(response) = peer_client::send_heartbeat(&client, address, body).await {
+                    actor.do_send(EventOccurred(Event::Heartbeat(response)));
                 }
             });
         }
--- a/src/runtime/cloud_client.rs
+++ b/src/runtime/cloud_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud over HTTP.
+//! HTTP calls to the cloud.
 
 use super::http_clients::{HttpResponse, RequestError, send_request};
 use awc::Client;
@@ -10,7 +10,7 @@
 use swiftsail_protocol::cloud::{MachineNames, NO_CAPACITY, path};
 use swiftsail_protocol::{decode, encode};
 
-/// Makes one call. `Failed` says only that there is no answer that can be read: the call may have been carried out.
+/// Makes one call. `Failed` means that there was no valid response; the cloud may still have executed the call.
 pub(super) async fn call_cloud(
     client: &Client,
     address: SocketAddr,
@@ -51,7 +51,7 @@
     }
 }
 
-/// What a response means for its call, by the protocol's statuses.
+/// Maps a response to the outcome of its call, by the status codes of the protocol.
 fn outcome_of(call: &CloudCall, response: &HttpResponse) -> CloudOutcome {
     let body = &response.body;
     let failed = |_| CloudOutcome::Failed;
--- a/src/runtime/http_clients.rs
+++ b/src/runtime/http_clients.rs
@@ -1,4 +1,4 @@
-//! The HTTP clients of the runtime, by how long their calls may take, and sending one request of the protocol.
+//! The HTTP clients of the runtime, which differ in their timeouts, and the sending of protocol requests.
 
 use crate::constants::{MAX_RESPONSE_BYTES, PROBE_CONNECT_TIMEOUT_MS, PROBE_TIMEOUT_MS};
 use awc::error::{PayloadError, SendRequestError};
@@ -6,9 +6,9 @@
 use std::time::Duration;
 use swiftsail_controller::constants::{STORE_TIMEOUT_MS, WATCH_TIMEOUT_MS};
 
-/// Clients that keep connections of their own. A request may set a timeout that differs from its client's.
+/// HTTP clients, each with its own connections. A request may override the timeout of its client.
 pub(super) struct HttpClients {
-    /// For calls that are answered at once.
+    /// For calls that are answered immediately.
     pub short_call: Client,
     /// For watches of the state service, calls to the cloud and forwarded reports.
     pub long_call: Client,
@@ -24,8 +24,8 @@
                 .timeout(Duration::from_millis(timeout_ms))
                 .finish()
         };
-        // The controller bounds how many probes are in flight: one that waited here for a free connection would look
-        // like a machine that hangs.
+        // No limit on connections: the controller bounds the number of probes in flight, and a machine whose probe
+        // waited here for a free connection would appear to hang.
         let probe_connector =
             Connector::new().limit(0).timeout(Duration::from_millis(PROBE_CONNECT_TIMEOUT_MS));
         let probe = Client::builder()
@@ -41,35 +41,36 @@
     }
 }
 
-/// A response, of any status, that was read whole.
+/// A response of any status, with its complete body.
 pub(super) struct HttpResponse {
     pub status: u16,
     pub body: Vec<u8>,
 }
 
-/// Why a request has no response. Whether the other side carried it out is not known.
+/// Why a request has no response. The receiver may have executed it.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RequestError {
     #[error("no response: {0}")]
     NoResponse(#[from] SendRequestError),
-    #[error("the response cannot be read: {0}")]
+    #[error("cannot read the response body: {0}")]
     UnreadableBody(#[from] PayloadError),
 }
 
-/// Sends a request of the protocol and reads its response.
+/// Sends a protocol request and reads its response. Fails if there is no response, or if its body cannot be read or is
+/// larger than [`MAX_RESPONSE_BYTES`].
 pub(super) async fn send_request(
     request: ClientRequest,
     body: Option<Vec<u8>>,
 ) -> Result<HttpResponse, RequestError> {
     let request = request.insert_header(("Content-Type", "application/msgpack"));
-    let sent = match body {
+    let result = match body {
         Some(body) => request.send_body(body).await,
         None => request.send().await,
     };
     let mut response =
-        sent.inspect_err(|e| tracing::debug!(cause = %e, "no response to a request"))?;
+        result.inspect_err(|e| tracing::debug!(cause = %e, "no response to an HTTP request"))?;
     let status = response.status().as_u16();
-    // The protocol does not limit the size of a watch's response.
+    // The protocol does not limit the size of the response to a watch.
     let body = response.body().limit(MAX_RESPONSE_BYTES).await?.to_vec();
     Ok(HttpResponse { status, body })
 }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,8 +1,8 @@
-//! The actor around the pure controller: it brings events to it, one at a time and with the time of their arrival,
-//! and has the actions that the controller returns executed.
+//! The actor that runs the [`Controller`]. It passes events to the controller one at a time, each with the current time,
+//! and executes the actions that the controller returns.
 //!
-//! It owns the [`Controller`], the clocks and the requests that wait for a reply. Outbound HTTP is in
-//! `store_client`, `cloud_client`, `worker_client` and `peer_client`; `actions` says which action calls which.
+//! It owns the controller, the clocks and the requests that wait for a reply. Outbound HTTP calls are in `store_client`,
+//! `cloud_client`, `worker_client` and `peer_client`; `actions` maps each action to its call.
 
 mod actions;
 mod cloud_client;
@@ -40,45 +40,46 @@
     pending_replies: HashMap<RequestId, oneshot::Sender<Reply>>,
     next_request_id: RequestId,
     admission: AdmissionController,
-    /// `None` where the system does not tell how much processor time the process has used.
+    /// `None` if the operating system does not report the CPU time of the process.
     last_cpu_sample: Option<CpuSample>,
 }
 
-/// Processor time used by this process, as measured at one moment.
+/// The CPU time that this process had used at one point in time.
 struct CpuSample {
     taken_at: Instant,
     used: ProcessTime,
 }
 
-/// An inbound request, resolved by the controller's reply. There is a reply in any case: an actor that ends gives 503.
+/// An inbound request. It resolves to the controller's reply, or to status 503 if the actor stops before it replies.
 #[derive(Message)]
 #[rtype(result = "Reply")]
 pub struct IncomingRequest(pub TypedRequest);
 
-/// An inbound request, by who sent it.
+/// An inbound request, by its sender and kind.
 pub enum TypedRequest {
-    /// A user's.
+    /// A request from a user.
     UserRequest(UserRequest),
-    /// A worker's heartbeat with the status of its tasks.
+    /// A worker's status report.
     StatusReport(Box<StatusReport>),
-    /// Heartbeats of workers that another controller forwards to the leader.
+    /// Workers' status reports that another controller forwards to the leader.
     ForwardedReports(Box<ForwardedReports>),
-    /// An operator's.
+    /// A request from an operator.
     AdminRequest(AdminRequest),
 }
 
-/// A heartbeat of another controller, resolved by this controller's own heartbeat.
+/// A heartbeat from another controller. It resolves to this controller's own heartbeat.
 #[derive(Message)]
 #[rtype(result = "Heartbeat")]
 pub struct IncomingHeartbeat(pub Heartbeat);
 
-/// An event that an outbound call of this actor brought about.
+/// The outcome of an outbound call, sent to the actor as an event.
 #[derive(Message)]
 #[rtype(result = "()")]
 struct EventOccurred(Event);
 
 impl ControllerActor {
-    /// A controller ready to start. `seed` decides all of its random choices; `admission` is told its load level.
+    /// Creates an actor with a new controller. `seed` determines all random choices of the controller; `admission` is
+    /// kept up to date with its load level.
     pub fn new(
         settings: Arc<Settings>,
         operator: &OperatorSettings,
@@ -102,9 +103,9 @@
         }
     }
 
-    /// Reports the load level to the admission controller and, once per sampling interval, the processor time that
-    /// this process used to the controller.
-    fn measure_cpu_usage(&mut self, ctx: &mut Context<Self>) {
+    /// Reports the load level to the admission controller and, once per sampling interval, the CPU time that this
+    /// process used to the controller.
+    fn report_load(&mut self, ctx: &mut Context<Self>) {
         self.admission.set_level(self.controller.load_level());
         let Some(last) = &self.last_cpu_sample else { return };
         let elapsed_ms = last.taken_at.elapsed().as_millis() as u64;
@@ -125,7 +126,7 @@
     fn apply_event(&mut self, event: Event, ctx: &mut Context<Self>) {
         let now = self.current_time();
         self.controller.handle(event, now);
-        // Executing an action can bring up an outcome at once, which makes more actions.
+        // Repeats until the controller has no further actions.
         loop {
             let actions = self.controller.take_actions();
             if actions.is_empty() {
@@ -145,7 +146,7 @@
         ctx.set_mailbox_capacity(MAX_MAILBOX_MESSAGES);
         ctx.run_interval(Duration::from_millis(TICK_INTERVAL_MS), |actor, ctx| {
             actor.apply_event(Event::Tick, ctx);
-            actor.measure_cpu_usage(ctx);
+            actor.report_load(ctx);
         });
     }
 }
@@ -189,7 +190,7 @@
     }
 }
 
-/// Time since the Unix epoch, ms; 0 if the clock is set before it.
+/// Time since the Unix epoch, ms; 0 if the system clock is set to an earlier time.
 fn wall_clock_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
--- a/src/runtime/peer_client.rs
+++ b/src/runtime/peer_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the other controllers, and to the receivers of plug-ins' events, over HTTP.
+//! HTTP calls to the other controllers, and the delivery of events to the receivers of plug-ins.
 
 use super::http_clients::send_request;
 use crate::constants::PEER_TIMEOUT_MS;
@@ -11,7 +11,8 @@
 use swiftsail_protocol::controllers::{ForwardedAnswers, ForwardedReports, Heartbeat, path};
 use swiftsail_protocol::{decode, encode};
 
-/// Forwards workers' heartbeats to the leader. `None`: it is not known whether it took them.
+/// Forwards workers' status reports to the leader. `None` if there is no valid response; the leader may still have
+/// processed them.
 pub(super) async fn forward_reports(
     client: &Client,
     leader: SocketAddr,
@@ -26,7 +27,8 @@
     decode(&response.body).ok()
 }
 
-/// Sends an encoded heartbeat to another controller, which answers with its own.
+/// Sends an encoded heartbeat to another controller and returns that controller's heartbeat. `None` if there is no valid
+/// response.
 pub(super) async fn send_heartbeat(
     client: &Client,
     peer: SocketAddr,
@@ -41,7 +43,7 @@
     decode(&response.body).ok()
 }
 
-/// Delivers events to a plug-in's receiver. True if the receiver has accepted them.
+/// Delivers events to a plug-in's receiver. Returns whether the receiver responded with a success status.
 pub(super) async fn deliver_events(client: &Client, delivery: &EventDelivery) -> bool {
     let url = format!("http://{}{}", delivery.to, delivery.path);
     let request = client
--- a/src/runtime/store_client.rs
+++ b/src/runtime/store_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the state service over HTTP.
+//! HTTP calls to the state service.
 
 use super::http_clients::{HttpResponse, RequestError, send_request};
 use awc::Client;
@@ -10,7 +10,8 @@
 use swiftsail_protocol::state::{LeaseRequest, LeaseResponse, Mutation, TransactionResponse, path};
 use swiftsail_protocol::{decode, encode};
 
-/// Makes one call. Without a response that can be read the outcome is `Unknown`: the call may have been carried out.
+/// Makes one call. The outcome is `Unknown` if there is no valid response; the state service may still have executed the
+/// call.
 pub(super) async fn call_store(
     client: &Client,
     address: SocketAddr,
@@ -65,7 +66,7 @@
     }
 }
 
-/// What a response means for its call, by the protocol's statuses.
+/// Maps a response to the outcome of its call, by the status codes of the protocol.
 fn outcome_of(call: &StoreCall, response: &HttpResponse) -> StoreOutcome {
     let body = &response.body;
     match (response.status, call) {
--- a/src/runtime/worker_client.rs
+++ b/src/runtime/worker_client.rs
@@ -1,4 +1,4 @@
-//! Calls to workers over HTTP: direct commands and probes.
+//! HTTP calls to workers: direct commands and probes.
 
 use super::http_clients::send_request;
 use crate::constants::{MAX_RESPONSE_BYTES, WORKER_TIMEOUT_MS};
@@ -9,14 +9,15 @@
 use swiftsail_protocol::workers::{DirectCommands, StatusReport, path};
 use swiftsail_protocol::{decode, encode};
 
-/// What a probe showed of a worker.
+/// The result of probing a worker.
 pub(super) struct ProbeResult {
     pub outcome: ProbeOutcome,
-    /// The status of its tasks, if it answered.
+    /// The worker's status report, if it answered.
     pub report: Option<StatusReport>,
 }
 
-/// Sends commands straight to a worker. `None`: it is not known whether it took them.
+/// Sends commands directly to a worker and returns its status report. `None` if there is no valid response; the worker
+/// may still have executed them.
 pub(super) async fn send_commands(
     client: &Client,
     address: &str,
@@ -26,13 +27,14 @@
     let request = client.post(url).timeout(Duration::from_millis(WORKER_TIMEOUT_MS));
     let response = send_request(request, Some(encode(commands))).await.ok()?;
     match response.status {
-        // 409 carries a report too: it may show a newer token or session.
+        // A 409 carries a report too, which may show a newer fencing token or session.
         200 | 409 => decode(&response.body).ok(),
         _ => None,
     }
 }
 
-/// Asks a worker for its status. How the connection ends tells a dead machine from one that hangs.
+/// Requests the status of a worker. The way in which the connection fails distinguishes a machine that is down from one
+/// that hangs.
 pub(super) async fn probe_worker(client: &Client, address: &str) -> ProbeResult {
     let request = client.get(format!("http://{address}{}", path::INSPECT)).force_close();
     let without_report = |outcome| ProbeResult { outcome, report: None };
--- a/tests/recorded_bytes/files.rs
+++ b/tests/recorded_bytes/files.rs
@@ -104,7 +104,7 @@
         _ => None,
     };
     keep.record_transaction(&commit, 432, now).expect("it is kept");
-    keep.record_machines_named(17).expect("it is kept");
+    keep.record_last_machine_number(17).expect("it is kept");
 }
 
 #[test]
@@ -152,5 +152,5 @@
     drop(base);
     let keep = Persistence::open(&path).expect("it is there");
     assert_eq!(keep.load().expect("it is read"), (vec![pair("a/stays", 432, None)], 432));
-    assert_eq!(keep.machines_named().expect("it is read"), 17);
+    assert_eq!(keep.last_machine_number().expect("it is read"), 17);
 }
