--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Helpers that several test programs share: questions about a simulated cluster, load, seeds and property tests.
+//! Helpers shared by several test programs: queries and faults of a simulated cluster, jobs, seeds and property tests.
 //!
-//! Each file under `tests` is a program of its own and compiles this module into itself. It owns no state. Helpers
-//! that assert say so in their names (`assert_...`, `require_...`).
+//! Each file under `tests` is a separate program and compiles this module into itself. The module has no state. The names of
+//! helpers that assert begin with `assert_`.
 
 #![allow(dead_code, reason = "each test program uses only a part of these helpers")]
 
--- a/tests/record_upgrade.rs
+++ b/tests/record_upgrade.rs
@@ -1,5 +1,5 @@
-//! What an earlier version has left, under limits that it did not know: records are brought down step by step, and
-//! whoever reads them between two steps finds every task where it is.
+//! Records of an earlier version that exceed the size limits of the state service now in force. They are rewritten step by
+//! step, and a controller that loads them between two steps must find every task on its machine.
 
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
     AttemptPhase, Binding, BindingChunk, JobId, JobKind, JobRecord, keys,
 };
 use swiftsail_controller::settings::Settings;
-use swiftsail_controller::store::{StoreCall, StoreClient as Client, StoreOutcome};
+use swiftsail_controller::store::{StoreCall, StoreClient, StoreOutcome};
 use swiftsail_protocol::state::{Mutation, Transaction};
 use swiftsail_protocol::workers::ExitCause;
 use swiftsail_simulation::simulation::{controller_settings, job_spec};
@@ -19,35 +19,36 @@
 const TASKS: u32 = 256;
 
 fn put_record(store: &mut FakeStore, key: &str, value: serde_json::Value) -> u64 {
-    let apply = vec![Mutation::Put { key: key.into(), value, lease: None }];
-    match store.apply_transaction(&Transaction { preconditions: Vec::new(), mutations: apply }) {
-        TransactionResult::Committed(epoch) => epoch,
+    let mutations = vec![Mutation::Put { key: key.into(), value, lease: None }];
+    match store.apply_transaction(&Transaction { preconditions: Vec::new(), mutations }) {
+        TransactionResult::Committed(revision) => revision,
         other => panic!("{other:?}"),
     }
 }
 
 fn restore_cluster_state(store: &FakeStore, token: u64) -> ClusterState {
-    let mut tables = ClusterState::new(token, 1, 1_000);
-    tables.load_jobs(&store.list(keys::JOBS, None, 1_000), 1_000, 1_000);
-    tables.load_bindings(&store.list(keys::BINDINGS, None, 1_000), 1_000);
-    tables.load_log_segments(&store.list(keys::SHEETS, None, 1_000), 1_000);
-    tables.finish_loading(1_000, 1_000);
-    tables
+    let mut state = ClusterState::new(token, 1, 1_000);
+    state.load_jobs(&store.list(keys::JOBS, None, 1_000), 1_000, 1_000);
+    state.load_bindings(&store.list(keys::BINDINGS, None, 1_000), 1_000);
+    state.load_log_segments(&store.list(keys::SHEETS, None, 1_000), 1_000);
+    state.finish_loading(1_000, 1_000);
+    state
 }
 
-/// Which attempt of which task is where, as a new leader would have it.
-fn tasks_by_attempt(tables: &ClusterState) -> BTreeMap<u32, u64> {
-    let attempts = tables.jobs[JOB].attempts.iter();
+/// Returns the number of the current attempt of each task, as a new leader would load it.
+fn attempts_by_task(state: &ClusterState) -> BTreeMap<u32, u64> {
+    let attempts = state.jobs[JOB].attempts.iter();
     attempts.map(|(task, a)| (*task, a.number)).collect()
 }
 
-/// A chunk of 8 KiB that holds what no sheet does, and then values of 2 KiB at most: before it is written smaller, what
-/// it has no room for is on sheets. A leader may end between any two writes.
+/// A binding chunk of 8 KiB holds bindings that are in no log segment, and then values are limited to 2 KiB. Before the
+/// chunk is rewritten within the limit, the bindings that no longer fit must be in log segments. The leader may crash
+/// between any two writes.
 #[test]
 #[expect(clippy::too_many_lines, reason = "not split yet")]
-fn a_chunk_too_large_for_the_limits_to_come_loses_nothing() {
-    let before = controller_settings(0);
-    let mut store = FakeStore::new(before.settings.state.clone(), 0);
+fn oversized_chunk_is_rewritten_without_losing_tasks() {
+    let initial_settings = controller_settings(0);
+    let mut store = FakeStore::new(initial_settings.settings.state.clone(), 0);
     let token =
         put_record(&mut store, keys::LEADER, json!({"node": "n0", "process": 1, "grant": 1}));
     let record = JobRecord {
@@ -60,8 +61,12 @@
         depends_on: Vec::new(),
         spec: job_spec(JobKind::Array, TASKS, 1.0, "img"),
     };
-    put_record(&mut store, &keys::job(JOB), serde_json::to_value(record).expect("our own"));
-    let bound: Vec<Binding> = (40..240)
+    put_record(
+        &mut store,
+        &keys::job(JOB),
+        serde_json::to_value(record).expect("it has a JSON form"),
+    );
+    let bindings: Vec<Binding> = (40..240)
         .map(|task| Binding {
             task,
             attempt: u64::from(task) + 100,
@@ -69,77 +74,78 @@
             worker_session: 1,
         })
         .collect();
-    let chunk = BindingChunk {
-        write_number: 1,
-        covers: 9_999,
-        done: vec![(0, 9), (20, 25)],
-        bindings: bound,
-    };
+    let chunk =
+        BindingChunk { write_number: 1, covers: 9_999, done: vec![(0, 9), (20, 25)], bindings };
     put_record(
         &mut store,
         &format!("{}{JOB}/00000", keys::BINDINGS),
-        serde_json::to_value(chunk).expect("our own"),
+        serde_json::to_value(chunk).expect("it has a JSON form"),
     );
-    let mut small: Settings = (*before).clone();
-    small.settings.state.value_kb = 2.0;
-    small.settings.state.txn_ops = 5;
+    let mut settings: Settings = (*initial_settings).clone();
+    settings.settings.state.value_kb = 2.0;
+    settings.settings.state.txn_ops = 5;
     store.limit_sizes(2.0, 5);
 
-    let mut tables = restore_cluster_state(&store, token);
-    let mut expected = tasks_by_attempt(&tables);
+    let mut state = restore_cluster_state(&store, token);
+    let mut expected = attempts_by_task(&state);
     assert_eq!(expected.len(), 200);
-    let mut client: Client<CallContext> = Client::new(1_000.0, 100.0, 1_000);
-    let (mut sheets, mut chunks) = (0, 0);
-    // Sheets are written late: chunks that could go first do.
-    let mut waiting: Vec<(u64, u64, StoreCall)> = Vec::new();
+    let mut client: StoreClient<CallContext> = StoreClient::new(1_000.0, 100.0, 1_000);
+    let (mut segment_writes, mut chunk_writes) = (0, 0);
+    // Writes of log segments are delayed, so that chunk writes which do not wait for them come first.
+    let mut pending: Vec<(u64, u64, StoreCall)> = Vec::new();
     for step in 0..60 {
         let now = 1_000 + step * 300;
         if step < 20 {
-            // Something ends, so that the chunk has to be written.
+            // A task exits, so that the chunk has to be written.
             let task = 60 + step as u32 * 7;
-            let job = tables.jobs.get_mut(JOB).expect("it lives");
-            let attempt = job.attempts.get_mut(&task).expect("it is bound");
+            let job = state.jobs.get_mut(JOB).expect("the job is live");
+            let attempt = job.attempts.get_mut(&task).expect("the task is bound");
             attempt.advance(AttemptPhase::Exited(ExitCause::Completed), now);
             job.mark_chunk_dirty(task, now);
         }
-        let mut ctx = LeaderContext { now, wall_clock: now, settings: &small, store: &mut client };
-        tables.write_binding_log(&mut ctx);
-        tables.flush_all(&mut ctx);
-        let (calls, late) = client.take_due_calls(now);
-        assert!(late.is_empty());
+        let mut ctx =
+            LeaderContext { now, wall_clock: now, settings: &settings, store: &mut client };
+        state.write_binding_log(&mut ctx);
+        state.flush_all(&mut ctx);
+        let (calls, expired) = client.take_due_calls(now);
+        assert!(expired.is_empty());
         for (number, call) in calls {
-            let StoreCall::Commit(commit) = &call else { panic!("{call:?}") };
-            let sheet = commit.preconditions.iter().any(|w| w.key.starts_with(keys::SHEETS));
-            waiting.push((if sheet { step + 5 } else { step }, number, call));
+            let StoreCall::Commit(transaction) = &call else { panic!("{call:?}") };
+            let writes_segment =
+                transaction.preconditions.iter().any(|p| p.key.starts_with(keys::SHEETS));
+            pending.push((if writes_segment { step + 5 } else { step }, number, call));
         }
-        let due: Vec<_> = waiting.extract_if(.., |(at, ..)| *at <= step).collect();
+        let due: Vec<_> = pending.extract_if(.., |(due_step, ..)| *due_step <= step).collect();
         for (_, number, call) in due {
-            let StoreCall::Commit(commit) = &call else { panic!("{call:?}") };
-            let outcome = match store.apply_transaction(commit) {
-                TransactionResult::Committed(epoch) => StoreOutcome::Committed(epoch),
+            let StoreCall::Commit(transaction) = &call else { panic!("{call:?}") };
+            let outcome = match store.apply_transaction(transaction) {
+                TransactionResult::Committed(revision) => StoreOutcome::Committed(revision),
                 other => panic!("step {step}: {other:?}: {call:?}"),
             };
-            // A leader that begins now: what is done is done, and nothing that runs is lost or elsewhere.
-            let next = restore_cluster_state(&store, token);
-            let done = &next.jobs[JOB].done;
+            // A leader that starts now must load all completed tasks as done, and every other task with its attempt.
+            let new_leader = restore_cluster_state(&store, token);
+            let done = &new_leader.jobs[JOB].done;
             expected.retain(|task, _| !done.contains(task));
-            assert_eq!(tasks_by_attempt(&next), expected, "step {step}");
-            let end = client.finish(number, outcome, now).expect("it has an outcome");
+            assert_eq!(attempts_by_task(&new_leader), expected, "step {step}");
+            let finished = client.finish(number, outcome, now).expect("it has an outcome");
             let mut ctx =
-                LeaderContext { now, wall_clock: now, settings: &small, store: &mut client };
-            match &end.context {
+                LeaderContext { now, wall_clock: now, settings: &settings, store: &mut client };
+            match &finished.context {
                 CallContext::WriteBindingLog { .. } => {
-                    sheets += 1;
-                    assert!(!tables.on_binding_log_written(&end, &mut ctx));
+                    segment_writes += 1;
+                    assert!(!state.on_binding_log_written(&finished, &mut ctx));
                 }
                 CallContext::FlushJob { .. } => {
-                    chunks += 1;
-                    assert!(!tables.on_job_flushed(&JobId::from(JOB), &end, &mut ctx));
+                    chunk_writes += 1;
+                    assert!(!state.on_job_flushed(&JobId::from(JOB), &finished, &mut ctx));
                 }
                 other => panic!("{other:?}"),
             }
         }
     }
-    assert!(sheets >= 1 && chunks >= 1, "{sheets} sheets, {chunks} chunks were written");
-    assert_eq!(expected.len(), 180, "what has ended is recorded as done");
+    assert!(
+        segment_writes >= 1 && chunk_writes >= 1,
+        "{segment_writes} writes of log segments, {chunk_writes} writes of chunks"
+    );
+    assert_eq!(expected.len(), 180, "tasks that exited must be recorded as done");
 }
--- a/tests/recorded_bytes/keys.rs
+++ b/tests/recorded_bytes/keys.rs
@@ -7,7 +7,7 @@
 use swiftsail_quota::records::QuotaKey;
 
 #[test]
-fn keys_are_as_before() {
+fn store_keys_are_unchanged() {
     let fixed = [
         (keys::JOBS, "job/"),
         (keys::FINALS, "end/"),
@@ -21,7 +21,7 @@
         (keys::MACHINE_TYPES, "types/all"),
         (quota_records::KEY_PREFIX, "amount/"),
     ];
-    fixed.iter().for_each(|(now, before)| assert_eq!(now, before));
+    fixed.iter().for_each(|(current, recorded)| assert_eq!(current, recorded));
     let built = [
         (keys::job("wk-1"), "job/wk-1"),
         (keys::log_segment(7), "sheet/007"),
@@ -34,11 +34,11 @@
         (quota_records::store_key(2, &QuotaKey::Holding("north".into())), "amount/2/of/north"),
         (Occurrence::key("north", 1_700_000_600_000), "01700000600000-north"),
     ];
-    built.iter().for_each(|(now, before)| assert_eq!(now, before));
+    built.iter().for_each(|(current, recorded)| assert_eq!(current, recorded));
 }
 
 #[test]
-fn paths_are_as_before() {
+fn protocol_paths_are_unchanged() {
     let paths = [
         (users::path::JOBS, "/v1/jobs"),
         (users::path::JOB, "/v1/jobs/{id}"),
@@ -59,11 +59,11 @@
         (controllers::path::HEARTBEAT, "/beat"),
         (controllers::path::FORWARDED_REPORTS, "/relay"),
     ];
-    paths.iter().for_each(|(now, before)| assert_eq!(now, before));
+    paths.iter().for_each(|(current, recorded)| assert_eq!(current, recorded));
 }
 
 #[test]
-fn paths_of_operators_are_as_before() {
+fn operator_and_local_paths_are_unchanged() {
     use swiftsail::admin::path;
     let paths = [
         (path::JOBS, "/admin/jobs"),
@@ -81,5 +81,5 @@
         (swiftsail::local::path::STATUS, "/standing"),
         (swiftsail::http::MESSAGE_PACK, "application/msgpack"),
     ];
-    paths.iter().for_each(|(now, before)| assert_eq!(now, before));
+    paths.iter().for_each(|(current, recorded)| assert_eq!(current, recorded));
 }
--- a/tests/recorded_bytes/main.rs
+++ b/tests/recorded_bytes/main.rs
@@ -1,9 +1,10 @@
-//! The bytes of every stored record, message, file and JSON output. The files under `fixtures/` were written before
-//! types, fields and variants were renamed: a renaming that changes what is stored or sent fails here.
+//! The bytes of every stored record, message, file and JSON output, compared with the files under `fixtures/`. The files
+//! were written before types, fields and variants were renamed, so that a rename that changes what is stored or sent fails
+//! here.
 //!
-//! Each entry of such a file has three lines: its name, its value as JSON, its bytes in hexadecimal. Every value is built
-//! in code too, so that the meaning of each field is pinned beside its name. A difference is written to
-//! `CARGO_TARGET_TMPDIR`, to be compared with the file; the file itself is never written by a test.
+//! Each entry of a fixture file has three lines: its name, its value as JSON, and its bytes in hexadecimal. Every value is
+//! also built in code, so that the tests check the meaning of each field as well as its name. If a fixture differs, the
+//! current text is written to `CARGO_TARGET_TMPDIR` for comparison; tests never write the fixture itself.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -22,142 +23,159 @@
 use swiftsail_protocol::{decode, encode};
 use swiftsail_replicated_records::Versioned;
 
-/// Reads bytes into today's type and writes them again.
-pub type Again = Box<dyn Fn(&[u8]) -> Result<Vec<u8>, String>>;
+/// Decodes bytes into the current type and encodes the value again.
+pub type Reencode = Box<dyn Fn(&[u8]) -> Result<Vec<u8>, String>>;
 
-/// One value: its name, its bytes as today's code writes them, how they are read, and whether they are JSON.
+/// One value: its name, its bytes as written by the current code, how they are read, and whether they are JSON.
 pub struct Case {
     name: String,
     bytes: Vec<u8>,
-    again: Option<Again>,
-    json: bool,
+    /// `None` if the program only writes the value.
+    reencode: Option<Reencode>,
+    is_json: bool,
 }
 
 impl Case {
-    /// A message of MessagePack.
+    /// A MessagePack message.
     pub fn message<T: Serialize + DeserializeOwned + 'static>(name: &str, value: &T) -> Case {
-        let again = |bytes: &[u8]| {
-            let found: T = decode(bytes).map_err(|e| e.to_string())?;
-            Ok(encode(&found))
+        let reencode = |bytes: &[u8]| {
+            let value: T = decode(bytes).map_err(|e| e.to_string())?;
+            Ok(encode(&value))
         };
-        Case { name: name.into(), bytes: encode(value), again: Some(Box::new(again)), json: false }
+        Case {
+            name: name.into(),
+            bytes: encode(value),
+            reencode: Some(Box::new(reencode)),
+            is_json: false,
+        }
     }
 
-    /// A record of the state service: a value within a message, with its fields in the order of their names.
+    /// A record of the state service: a JSON value within a MessagePack message, with its fields sorted by name.
     pub fn record<T: Serialize + DeserializeOwned + 'static>(name: &str, value: &T) -> Case {
-        let again = |bytes: &[u8]| {
-            let held: Value = decode(bytes).map_err(|e| e.to_string())?;
-            let found: T = serde_json::from_value(held).map_err(|e| e.to_string())?;
-            Ok(encode(&serde_json::to_value(&found).map_err(|e| e.to_string())?))
+        let reencode = |bytes: &[u8]| {
+            let json: Value = decode(bytes).map_err(|e| e.to_string())?;
+            let value: T = serde_json::from_value(json).map_err(|e| e.to_string())?;
+            Ok(encode(&serde_json::to_value(&value).map_err(|e| e.to_string())?))
         };
-        let bytes = encode(&serde_json::to_value(value).expect("our own records have a JSON form"));
-        Case { name: name.into(), bytes, again: Some(Box::new(again)), json: false }
+        let bytes = encode(&serde_json::to_value(value).expect("the record has a JSON form"));
+        Case { name: name.into(), bytes, reencode: Some(Box::new(reencode)), is_json: false }
     }
 
-    /// A record with the version of its form.
+    /// A record with its format version.
     pub fn versioned<T: Versioned + 'static>(name: &str, value: &T) -> Case {
-        let again = |bytes: &[u8]| {
-            let held: Value = decode(bytes).map_err(|e| e.to_string())?;
-            let found = T::from_record("fixture", &held).map_err(|e| e.to_string())?;
-            Ok(encode(&found.to_record()))
+        let reencode = |bytes: &[u8]| {
+            let json: Value = decode(bytes).map_err(|e| e.to_string())?;
+            let value = T::from_record("fixture", &json).map_err(|e| e.to_string())?;
+            Ok(encode(&value.to_record()))
         };
         let bytes = encode(&value.to_record());
-        Case { name: name.into(), bytes, again: Some(Box::new(again)), json: false }
+        Case { name: name.into(), bytes, reencode: Some(Box::new(reencode)), is_json: false }
     }
 
-    /// JSON that this program only writes.
+    /// JSON that the program only writes.
     pub fn json<T: Serialize>(name: &str, value: &T) -> Case {
-        let bytes = serde_json::to_vec(value).expect("our own outputs have a JSON form");
-        Case { name: name.into(), bytes, again: None, json: true }
+        let bytes = serde_json::to_vec(value).expect("the value has a JSON form");
+        Case { name: name.into(), bytes, reencode: None, is_json: true }
     }
 
-    /// JSON that this program writes and reads.
-    pub fn json_both<T: Serialize + DeserializeOwned + 'static>(name: &str, value: &T) -> Case {
-        let again = |bytes: &[u8]| {
-            let found: T = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
-            serde_json::to_vec(&found).map_err(|e| e.to_string())
+    /// JSON that the program writes and reads.
+    pub fn json_round_trip<T: Serialize + DeserializeOwned + 'static>(
+        name: &str,
+        value: &T,
+    ) -> Case {
+        let reencode = |bytes: &[u8]| {
+            let value: T = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
+            serde_json::to_vec(&value).map_err(|e| e.to_string())
         };
-        Case { again: Some(Box::new(again)), ..Case::json(name, value) }
+        Case { reencode: Some(Box::new(reencode)), ..Case::json(name, value) }
     }
 
-    /// Bytes written elsewhere, such as by a function of the program.
+    /// MessagePack bytes that were written in another way, such as by a function of the program.
     pub fn bytes(name: &str, bytes: Vec<u8>) -> Case {
-        Case { name: name.into(), bytes, again: None, json: false }
+        Case { name: name.into(), bytes, reencode: None, is_json: false }
     }
 
-    fn decoded(&self) -> String {
-        let value: Value = match self.json {
+    fn to_json_text(&self) -> String {
+        let value: Value = match self.is_json {
             true => serde_json::from_slice(&self.bytes).expect("it is JSON"),
             false => decode(&self.bytes).expect("it is MessagePack"),
         };
         value.to_string()
     }
 
-    fn entry(&self) -> String {
-        format!("{}\n{}\n{}\n\n", self.name, self.decoded(), to_hex(&self.bytes))
+    /// The three lines of this value in a fixture file, and an empty line.
+    fn fixture_entry(&self) -> String {
+        format!("{}\n{}\n{}\n\n", self.name, self.to_json_text(), to_hex(&self.bytes))
     }
 }
 
-/// Bytes in hexadecimal.
+/// Encodes bytes in hexadecimal.
 pub fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// Bytes from hexadecimal.
+/// Decodes hexadecimal bytes.
 pub fn from_hex(text: &str) -> Vec<u8> {
-    let digit = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal");
-    (0..text.len()).step_by(2).map(digit).collect()
+    let byte = |index: usize| u8::from_str_radix(&text[index..index + 2], 16).expect("hexadecimal");
+    (0..text.len()).step_by(2).map(byte).collect()
 }
 
-/// The entries of a fixture file: the bytes by name.
-pub fn entries(text: &str) -> BTreeMap<String, Vec<u8>> {
-    let entry = |part: &str| {
-        let mut lines = part.lines();
+/// Parses a fixture file. Returns the bytes of its entries by name.
+pub fn parse_entries(text: &str) -> BTreeMap<String, Vec<u8>> {
+    let entry = |block: &str| {
+        let mut lines = block.lines();
         let name = lines.next().expect("a name").to_string();
         let _json = lines.next().expect("a JSON form");
         (name, from_hex(lines.next().expect("bytes")))
     };
-    text.split("\n\n").filter(|p| !p.trim().is_empty()).map(entry).collect()
+    text.split("\n\n").filter(|block| !block.trim().is_empty()).map(entry).collect()
 }
 
-/// Compares all cases with a fixture file: the same names, the same bytes and JSON forms, and today's types read the
-/// recorded bytes and write the same ones again.
-pub fn compare(file: &str, recorded: &str, cases: &[Case]) {
-    let now: String = cases.iter().map(Case::entry).collect();
+/// Asserts that all cases match a fixture file: the names, bytes and JSON forms are the same, and the current types decode
+/// the recorded bytes and encode them to the same bytes.
+pub fn assert_matches_fixture(file: &str, recorded: &str, cases: &[Case]) {
+    let current: String = cases.iter().map(Case::fixture_entry).collect();
     let path = format!("{}/{file}", env!("CARGO_TARGET_TMPDIR"));
-    let held = entries(recorded);
-    let mut wrong = Vec::new();
+    let recorded_entries = parse_entries(recorded);
+    let mut errors = Vec::new();
     for case in cases {
-        match held.get(&case.name) {
-            None => wrong.push(format!("{}: is not recorded", case.name)),
-            Some(bytes) if *bytes != case.bytes => wrong.push(format!(
-                "{}: is written as other bytes, now {}",
+        match recorded_entries.get(&case.name) {
+            None => errors.push(format!("{}: not in the fixture", case.name)),
+            Some(bytes) if *bytes != case.bytes => errors.push(format!(
+                "{}: written as other bytes than recorded, now {}",
                 case.name,
-                case.decoded()
+                case.to_json_text()
             )),
             Some(bytes) => {
-                let read = case.again.as_ref().map(|again| again(bytes));
-                if read.as_ref().is_some_and(|r| r.as_ref() != Ok(bytes)) {
-                    wrong.push(format!("{}: is not read as it was written: {read:?}", case.name));
+                let reencoded = case.reencode.as_ref().map(|reencode| reencode(bytes));
+                if reencoded.as_ref().is_some_and(|r| r.as_ref() != Ok(bytes)) {
+                    errors.push(format!(
+                        "{}: recorded bytes do not round-trip: {reencoded:?}",
+                        case.name
+                    ));
                 }
             }
         }
     }
     let names: Vec<&String> = cases.iter().map(|c| &c.name).collect();
-    wrong.extend(held.keys().filter(|n| !names.contains(n)).map(|n| format!("{n}: is not built")));
-    if now != recorded {
-        std::fs::write(&path, &now).expect("the folder for trials can be written");
+    let missing = recorded_entries.keys().filter(|name| !names.contains(name));
+    errors.extend(missing.map(|name| format!("{name}: no case for this entry of the fixture")));
+    if current != recorded {
+        std::fs::write(&path, &current).expect("the temporary folder is writable");
     }
-    assert!(wrong.is_empty(), "{file}, today's in {path}:\n{}", wrong.join("\n"));
-    assert_eq!(names.len(), held.len(), "{file}: a name is used twice");
-    assert_eq!(now, recorded, "{file}: names, JSON forms or order differ, today's in {path}");
+    assert!(errors.is_empty(), "{file}, current text in {path}:\n{}", errors.join("\n"));
+    assert_eq!(names.len(), recorded_entries.len(), "{file}: a name is used twice");
+    assert_eq!(
+        current, recorded,
+        "{file}: names, JSON forms or order differ, current text in {path}"
+    );
 }
 
-/// Compares a whole text with a fixture file.
-pub fn same(file: &str, recorded: &str, now: &str) {
+/// Asserts that a text is the same as a fixture file.
+pub fn assert_same_text(file: &str, recorded: &str, current: &str) {
     let path = format!("{}/{file}", env!("CARGO_TARGET_TMPDIR"));
-    if now != recorded {
-        std::fs::write(&path, now).expect("the folder for trials can be written");
+    if current != recorded {
+        std::fs::write(&path, current).expect("the temporary folder is writable");
     }
-    assert_eq!(now, recorded, "{file}: today's in {path}");
+    assert_eq!(current, recorded, "{file}: current text in {path}");
 }
--- a/tests/recorded_bytes/messages.rs
+++ b/tests/recorded_bytes/messages.rs
@@ -1,7 +1,7 @@
 //! Every message between processes, with and without its optional fields.
 
-use crate::records::{hull, least_spec, whole_spec};
-use crate::{Case, compare};
+use crate::records::{full_spec, machine_type, minimal_spec};
+use crate::{Case, assert_matches_fixture};
 use serde_json::json;
 use swiftsail_controller::job::{JobKind, JobSpec, Priority};
 use swiftsail_protocol::cloud::{
@@ -25,7 +25,7 @@
 
 const RECORDED: &str = include_str!("fixtures/messages.txt");
 
-/// A report with every field set.
+/// A status report with every field set.
 pub fn report() -> StatusReport {
     StatusReport {
         machine: "m-000231".into(),
@@ -37,11 +37,11 @@
         sequence: 88,
         fencing_token: 41,
         reclaim_in_s: Some(30.5),
-        tasks: shards(),
+        tasks: task_statuses(),
     }
 }
 
-fn shards() -> Vec<TaskStatus> {
+fn task_statuses() -> Vec<TaskStatus> {
     use ExitCause::*;
     let phases = [
         TaskPhase::Fetching,
@@ -50,15 +50,15 @@
         TaskPhase::Saving,
         TaskPhase::Unknown,
     ];
-    let of = |n: usize, status, cause, stored| TaskStatus {
+    let status = |n: usize, phase, exit_cause, progress_saved| TaskStatus {
         task: format!("wk-000412/{n}"),
         attempt: 2,
-        phase: status,
-        exit_cause: cause,
-        progress_saved: stored,
+        phase,
+        exit_cause,
+        progress_saved,
     };
-    let mut all: Vec<TaskStatus> =
-        phases.iter().enumerate().map(|(n, p)| of(n, *p, None, None)).collect();
+    let mut statuses: Vec<TaskStatus> =
+        phases.iter().enumerate().map(|(n, phase)| status(n, *phase, None, None)).collect();
     let causes = [
         Completed,
         Stopped,
@@ -71,31 +71,28 @@
         Other,
     ];
     for (n, cause) in causes.into_iter().enumerate() {
-        all.push(of(5 + n, TaskPhase::Exited, Some(cause), (cause == Stopped).then_some(true)));
+        let progress_saved = (cause == Stopped).then_some(true);
+        statuses.push(status(5 + n, TaskPhase::Exited, Some(cause), progress_saved));
     }
-    all
+    statuses
 }
 
-/// A report without what may be left out.
-pub fn short_report() -> StatusReport {
+/// A status report without optional fields.
+pub fn minimal_report() -> StatusReport {
     StatusReport { spot: false, reclaim_in_s: None, tasks: Vec::new(), ..report() }
 }
 
 fn commands() -> Vec<Command> {
-    let of = |verb, shard: &str, launch, ease_s| Command {
-        kind: verb,
-        task: shard.into(),
-        attempt: launch,
-        grace_s: ease_s,
-    };
+    let command =
+        |kind, task: &str, attempt, grace_s| Command { kind, task: task.into(), attempt, grace_s };
     vec![
-        of(CommandKind::Start, "wk-000412/4", 2, None),
-        of(CommandKind::Stop, "wk-000377/1", 1, Some(10.0)),
-        of(CommandKind::Forget, "wk-000398/0", 1, None),
+        command(CommandKind::Start, "wk-000412/4", 2, None),
+        command(CommandKind::Stop, "wk-000377/1", 1, Some(10.0)),
+        command(CommandKind::Forget, "wk-000398/0", 1, None),
     ]
 }
 
-fn whole_beat() -> Heartbeat {
+fn full_heartbeat() -> Heartbeat {
     Heartbeat {
         controller: "berth-1".into(),
         fencing_token: 41,
@@ -119,8 +116,8 @@
 }
 
 fn controllers() -> Vec<Case> {
-    let whole = ForwardedReport::Full { report: Box::new(report()), content_hash: 5 };
-    let same = ForwardedReport::Unchanged {
+    let full = ForwardedReport::Full { report: Box::new(report()), content_hash: 5 };
+    let unchanged = ForwardedReport::Unchanged {
         machine: "m-000231".into(),
         session: 1,
         sequence: 89,
@@ -128,46 +125,47 @@
     };
     let batch = ForwardedReports {
         controller: "berth-1".into(),
-        reports: vec![whole, same],
+        reports: vec![full, unchanged],
         locally_answered: Vec::new(),
     };
-    let well = ForwardedReports {
+    let with_local_answers = ForwardedReports {
         locally_answered: vec![("m-000232".to_string(), 1, 90, 7).into()],
         ..batch.clone()
     };
-    let orders = vec![Some(commands()), Some(Vec::new()), None];
+    let commands = vec![Some(commands()), Some(Vec::new()), None];
     let answers = ForwardedAnswers {
         fencing_token: 41,
-        commands: orders,
+        commands,
         delegable_reports: vec![1],
         must_forward_machines: vec!["m-9".into()],
         delegation_ms: 800,
     };
-    let least = ForwardedAnswers {
+    let minimal = ForwardedAnswers {
         delegable_reports: Vec::new(),
         must_forward_machines: Vec::new(),
         delegation_ms: 0,
         ..answers.clone()
     };
     vec![
-        Case::message("beat", &whole_beat()),
+        Case::message("beat", &full_heartbeat()),
         Case::message(
             "beat least",
             &Heartbeat { controller: "berth-1".into(), ..Heartbeat::default() },
         ),
         Case::message("batch", &batch),
-        Case::message("batch with well machines", &well),
+        Case::message("batch with well machines", &with_local_answers),
         Case::message("batch without anything", &ForwardedReports::default()),
         Case::message("answers", &answers),
-        Case::message("answers least", &least),
+        Case::message("answers least", &minimal),
     ]
 }
 
 fn workers() -> Vec<Case> {
-    let redirect = |harbor: Option<&str>| Redirect { controller: harbor.map(str::to_string) };
+    let redirect =
+        |controller: Option<&str>| Redirect { controller: controller.map(str::to_string) };
     vec![
         Case::message("report", &report()),
-        Case::message("report least", &short_report()),
+        Case::message("report least", &minimal_report()),
         Case::message("orders", &HeartbeatResponse { fencing_token: 41, commands: commands() }),
         Case::message(
             "direct",
@@ -179,14 +177,14 @@
 }
 
 fn cloud() -> Vec<Case> {
-    let rent = ProvisionMachinesRequest {
+    let request = ProvisionMachinesRequest {
         request_id: "r-17".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         count: 12,
     };
-    let listed = |status| ListedMachine {
+    let machine = |status| ListedMachine {
         name: "m-000231".into(),
         address: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
@@ -196,89 +194,89 @@
         age_s: 61.5,
     };
     use ListedMachineStatus::*;
-    let berths = [Booting, Running, Failed, Unknown].map(listed).into();
+    let machines = [Booting, Running, Failed, Unknown].map(machine).into();
     vec![
-        Case::message("machine types", &MachineTypes { machine_types: vec![hull()] }),
-        Case::message("rental", &rent),
+        Case::message("machine types", &MachineTypes { machine_types: vec![machine_type()] }),
+        Case::message("rental", &request),
         Case::message("machines rented", &MachineNames { machines: vec!["m-000231".into()] }),
-        Case::message("machine list", &MachinePage { machines: berths, has_next: true }),
+        Case::message("machine list", &MachinePage { machines, has_next: true }),
         Case::message("machine list without anything", &MachinePage::default()),
     ]
 }
 
 fn state() -> Vec<Case> {
-    let pair = |mooring| KeyValue {
-        key: "a/b".into(),
-        value: json!({"x": 1}),
-        mod_revision: 412,
-        lease: mooring,
+    let key_value =
+        |lease| KeyValue { key: "a/b".into(), value: json!({"x": 1}), mod_revision: 412, lease };
+    let page = KeyPage {
+        entries: vec![key_value(Some(7)), key_value(None)],
+        has_next: true,
+        revision: 431,
     };
-    let page = KeyPage { entries: vec![pair(Some(7)), pair(None)], has_next: true, revision: 431 };
-    let put = |mooring| Mutation::Put { key: "a/b".into(), value: json!({"x": 1}), lease: mooring };
-    let commit = Transaction {
+    let put = |lease| Mutation::Put { key: "a/b".into(), value: json!({"x": 1}), lease };
+    let transaction = Transaction {
         preconditions: vec![Precondition { key: "a/b".into(), mod_revision: 9 }],
         mutations: vec![put(Some(7)), put(None), Mutation::Delete { key: "c/d".into() }],
     };
-    let item = |write: Option<&str>, remove: Option<&str>| WatchEvent {
-        put_key: write.map(str::to_string),
-        deleted_key: remove.map(str::to_string),
-        value: write.map_or(json!(null), |_| json!({"x": 1})),
+    let event = |put_key: Option<&str>, deleted_key: Option<&str>| WatchEvent {
+        put_key: put_key.map(str::to_string),
+        deleted_key: deleted_key.map(str::to_string),
+        value: put_key.map_or(json!(null), |_| json!({"x": 1})),
         mod_revision: 433,
     };
-    let news = WatchResponse {
+    let changes = WatchResponse {
         revision: 434,
-        events: vec![item(Some("c/9"), None), item(None, Some("c/d"))],
+        events: vec![event(Some("c/9"), None), event(None, Some("c/d"))],
     };
     vec![
-        Case::message("pair", &pair(Some(7))),
+        Case::message("pair", &key_value(Some(7))),
         Case::message("page", &page),
-        Case::message("transaction", &commit),
+        Case::message("transaction", &transaction),
         Case::message(
             "transaction taken",
             &TransactionResponse { revision: 432, failed_keys: vec!["a/b".into()] },
         ),
         Case::message("lease asked", &LeaseRequest { ttl_ms: 5_000 }),
         Case::message("lease", &LeaseResponse { lease: 7 }),
-        Case::message("news", &news),
+        Case::message("news", &changes),
     ]
 }
 
 fn users() -> Vec<Case> {
-    let answer = |status, done, running| JobStatusResponse {
+    let response = |status, tasks_done, tasks_running| JobStatusResponse {
         id: "wk-1".into(),
         status,
-        tasks_done: done,
-        tasks_running: running,
+        tasks_done,
+        tasks_running,
     };
-    let spec = |kind, priority| JobSpec { kind, priority, ..least_spec() };
-    let sent = |name: &str, spec: &JobSpec, awaits: &[&str]| {
-        let awaits: Vec<_> = awaits.iter().map(|id| (*id).into()).collect();
-        let mut case = Case::bytes(name, write_submission("wk-1", spec, &awaits));
-        case.again = Some(Box::new(|bytes| {
-            let found = read_submission(bytes).map_err(|e| e.to_string())?;
-            let spec = found.spec.map_err(|e| e.to_string())?;
-            Ok(write_submission(&found.id, &spec, &found.depends_on))
+    let spec = |kind, priority| JobSpec { kind, priority, ..minimal_spec() };
+    let submission = |name: &str, spec: &JobSpec, depends_on: &[&str]| {
+        let depends_on: Vec<_> = depends_on.iter().map(|id| (*id).into()).collect();
+        let mut case = Case::bytes(name, write_submission("wk-1", spec, &depends_on));
+        case.reencode = Some(Box::new(|bytes| {
+            let submission = read_submission(bytes).map_err(|e| e.to_string())?;
+            let spec = submission.spec.map_err(|e| e.to_string())?;
+            Ok(write_submission(&submission.id, &spec, &submission.depends_on))
         }));
         case
     };
     vec![
-        sent("submission", &whole_spec(), &[]),
-        sent("submission that awaits", &whole_spec(), &["wk-2", "wk-3"]),
-        sent("submission least", &least_spec(), &[]),
-        sent("submission array low", &spec(JobKind::Array, Priority::Low), &[]),
-        sent("submission array normal", &spec(JobKind::Array, Priority::Normal), &[]),
-        sent("submission service", &spec(JobKind::Service, Priority::Production), &[]),
-        Case::message("job pending", &answer(JobStatus::Pending, None, None)),
-        Case::message("job running", &answer(JobStatus::Running, Some(3), Some(13))),
-        Case::message("job done", &answer(JobStatus::Done, Some(16), Some(0))),
-        Case::message("job withdrawn", &answer(JobStatus::Cancelled, None, None)),
+        submission("submission", &full_spec(), &[]),
+        submission("submission that awaits", &full_spec(), &["wk-2", "wk-3"]),
+        submission("submission least", &minimal_spec(), &[]),
+        submission("submission array low", &spec(JobKind::Array, Priority::Low), &[]),
+        submission("submission array normal", &spec(JobKind::Array, Priority::Normal), &[]),
+        submission("submission service", &spec(JobKind::Service, Priority::Production), &[]),
+        Case::message("job pending", &response(JobStatus::Pending, None, None)),
+        Case::message("job running", &response(JobStatus::Running, Some(3), Some(13))),
+        Case::message("job done", &response(JobStatus::Done, Some(16), Some(0))),
+        Case::message("job withdrawn", &response(JobStatus::Cancelled, None, None)),
         Case::message("problem", &ErrorResponse { error: "no such job".into() }),
     ]
 }
 
 #[test]
-fn messages_are_written_and_read_as_before() {
+fn messages_are_written_and_read_unchanged() {
     let parts = [controllers(), workers(), cloud(), state(), users()];
     let cases: Vec<Case> = parts.into_iter().flatten().collect();
-    compare("messages.txt", RECORDED, &cases);
+    assert_matches_fixture("messages.txt", RECORDED, &cases);
 }
--- a/tests/recorded_bytes/operators.rs
+++ b/tests/recorded_bytes/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' file, with every table and field, and the files under `deploy/`.
+//! Reading of the operators' file, with every table and field, and of the files under `deploy/`.
 
 use std::collections::BTreeMap;
 use swiftsail::local::LocalConfig;
@@ -8,7 +8,7 @@
 use swiftsail_protocol::cloud::ListedMachineType;
 use swiftsail_tiers::{TierDefinition, TierTableRecord};
 
-const WHOLE: &str = r#"
+const FULL: &str = r#"
 [admin]
 listen = "127.0.0.1:8081"
 [plugins]
@@ -63,64 +63,64 @@
 idle_s = 20.0
 "#;
 
-fn whole() -> OperatorSettings {
-    OperatorSettings::parse("whole", WHOLE).expect("the file is sound")
+fn full_settings() -> OperatorSettings {
+    OperatorSettings::parse("full", FULL).expect("the file is valid")
 }
 
 #[test]
-fn every_field_of_the_operators_file_is_read_as_before() {
-    let found = whole();
+fn every_field_of_the_operators_file_is_read_unchanged() {
+    let found = full_settings();
     assert_eq!(found.admin.listen.map(|a| a.to_string()), Some("127.0.0.1:8081".into()));
     assert!(found.plugins.enabled && found.amounts.durable && found.loans.durable);
-    let share = "if job.gpus > 0.0 { 0.0 } else { 0.9 }";
+    let spot_share = "if job.gpus > 0.0 { 0.0 } else { 0.9 }";
     let policy = [
         ("threshold", PolicySetting::Number(0.5)),
         ("toggle", PolicySetting::Integer(2)),
-        ("spot_share", PolicySetting::Expression(share.into())),
+        ("spot_share", PolicySetting::Expression(spot_share.into())),
         ("line_cap", PolicySetting::Integer(5)),
         ("round_s", PolicySetting::Number(1.5)),
         ("reserve", PolicySetting::Integer(3)),
         ("idle_s", PolicySetting::Number(20.0)),
     ];
     let policy: BTreeMap<String, PolicySetting> =
-        policy.into_iter().map(|(name, set)| (name.to_string(), set)).collect();
+        policy.into_iter().map(|(name, value)| (name.to_string(), value)).collect();
     assert_eq!(found.policy, policy);
-    let none = OperatorSettings::parse("none", "").expect("all may be left out");
-    assert_eq!(none, OperatorSettings::default());
+    let empty = OperatorSettings::parse("empty", "").expect("all tables are optional");
+    assert_eq!(empty, OperatorSettings::default());
     for table in ["admin", "plugins", "amounts", "loans"] {
         let text = format!("[{table}]\n");
         assert_eq!(
             OperatorSettings::parse(table, &text).expect("it may be empty"),
-            none,
+            empty,
             "{table}"
         );
         assert!(OperatorSettings::parse(table, &format!("{text}other = 1\n")).is_err(), "{table}");
     }
 }
 
-/// Each switch stands for itself: none for another.
+/// Each switch affects only its own setting.
 #[test]
-fn switches_of_the_operators_file_are_told_apart() {
-    let on = |table: &str, field: &str| {
+fn switches_of_the_operators_file_are_independent() {
+    let enable = |table: &str, field: &str| {
         let text = format!("[{table}]\n{field} = true\n");
-        let found = OperatorSettings::parse(table, &text).expect("it is sound");
+        let found = OperatorSettings::parse(table, &text).expect("it is valid");
         (found.plugins.enabled, found.amounts.durable, found.loans.durable)
     };
-    assert_eq!(on("plugins", "enabled"), (true, false, false));
-    assert_eq!(on("amounts", "durable"), (false, true, false));
-    assert_eq!(on("loans", "durable"), (false, false, true));
+    assert_eq!(enable("plugins", "enabled"), (true, false, false));
+    assert_eq!(enable("amounts", "durable"), (false, true, false));
+    assert_eq!(enable("loans", "durable"), (false, false, true));
 }
 
 #[test]
-fn tiers_of_the_operators_file_are_read_as_before() {
-    let found = whole().tiers.expect("there are tiers");
-    let line = |name: &str, when: &str, ordered| TierDefinition {
+fn tiers_of_the_operators_file_are_read_unchanged() {
+    let found = full_settings().tiers.expect("there are tiers");
+    let tier = |name: &str, when: &str, ordered| TierDefinition {
         name: name.into(),
         when: when.into(),
         ordered,
     };
-    let core = line("core", r#"job.priority == "production""#, true);
-    let tiers = vec![core, line("other", "true", false)];
+    let core = tier("core", r#"job.priority == "production""#, true);
+    let tiers = vec![core, tier("other", "true", false)];
     assert_eq!(
         tier_table_from_settings(&found),
         TierTableRecord { format_version: 0, version: 4, tiers }
@@ -128,9 +128,9 @@
 }
 
 #[test]
-fn the_plan_of_the_operators_file_is_read_as_before() {
-    let found =
-        compile_deadline_plan(whole().dispatch.expect("there is a plan")).expect("it is sound");
+fn the_dispatch_plan_of_the_operators_file_is_read_unchanged() {
+    let found = compile_deadline_plan(full_settings().dispatch.expect("there is a plan"))
+        .expect("it is valid");
     let step = |name: &str, after: &[&str], margin_s| StepDefinition {
         name: name.into(),
         when: format!("job.class == \"{name}\""),
@@ -167,26 +167,26 @@
 }
 
 #[test]
-fn deployed_files_are_read_as_before() {
+fn deployed_files_are_read_unchanged() {
     let read =
-        |text: &str| OperatorSettings::parse("deploy", text).expect("the deployed file is sound");
-    let usual = read(include_str!("../../deploy/operator.toml"));
-    assert_eq!((usual.policy.len(), usual.plugins.enabled), (7, false));
+        |text: &str| OperatorSettings::parse("deploy", text).expect("the deployed file is valid");
+    let operator = read(include_str!("../../deploy/operator.toml"));
+    assert_eq!((operator.policy.len(), operator.plugins.enabled), (7, false));
     assert!(read(include_str!("../../deploy/amounts.toml")).amounts.durable);
     let tiers = read(include_str!("../../deploy/tiers.toml")).tiers.expect("there are tiers");
     let names: Vec<&str> = tiers.tier.iter().map(|t| t.name.as_str()).collect();
     assert_eq!(names, ["core", "production", "high", "whole-machines", "normal"]);
     let plan = read(include_str!("../../deploy/dispatch.toml")).dispatch.expect("there is a plan");
-    let plan = compile_deadline_plan(plan).expect("it is sound");
+    let plan = compile_deadline_plan(plan).expect("it is valid");
     assert_eq!((plan.plan().entries.len(), plan.plan().chains[0].steps.len()), (2, 2));
 }
 
-/// The machines that `swiftsail local` offers, as its built-in file names them.
+/// The machine types of the built-in file of `swiftsail local`.
 #[test]
-fn the_file_of_local_machines_is_read_as_before() {
-    let model = LocalConfig::load(None).expect("the built-in file is sound");
-    assert_eq!(model.zones, ["north", "south", "west"]);
-    let offered = model.cloud_offers();
+fn the_file_of_local_machines_is_read_unchanged() {
+    let config = LocalConfig::load(None).expect("the built-in file is valid");
+    assert_eq!(config.zones, ["north", "south", "west"]);
+    let offers = config.cloud_offers();
     let gpu = ListedMachineType {
         name: "gpu".into(),
         cpus: 24.0,
@@ -199,5 +199,5 @@
         boot_s: 12.0,
         zones: vec!["north".into(), "south".into()],
     };
-    assert_eq!((offered.len(), &offered[2].machine_type, offered[2].capacity), (3, &gpu, 2));
+    assert_eq!((offers.len(), &offers[2].machine_type, offers[2].capacity), (3, &gpu, 2));
 }
--- a/tests/recorded_bytes/published.rs
+++ b/tests/recorded_bytes/published.rs
@@ -1,4 +1,4 @@
-//! The messages of the published protocol, word for word as its page shows them.
+//! The messages of the published protocol, exactly as its documentation shows them.
 
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::{Value, json};
@@ -20,27 +20,28 @@
 };
 use swiftsail_protocol::{decode, encode};
 
-/// Whether what is written says all that is shown; null may be left out, and 8 is 8.0.
-fn says(written: &Value, shown: &Value) -> bool {
-    match (written, shown) {
-        (Value::Object(w), Value::Object(s)) => {
-            s.iter().all(|(key, value)| says(w.get(key).unwrap_or(&Value::Null), value))
+/// Whether a written message contains everything that the published one does. Null fields may be omitted, and 8 equals
+/// 8.0.
+fn contains_all(written: &Value, published: &Value) -> bool {
+    match (written, published) {
+        (Value::Object(w), Value::Object(p)) => {
+            p.iter().all(|(key, value)| contains_all(w.get(key).unwrap_or(&Value::Null), value))
         }
-        (Value::Array(w), Value::Array(s)) => {
-            w.len() == s.len() && w.iter().zip(s).all(|(w, s)| says(w, s))
+        (Value::Array(w), Value::Array(p)) => {
+            w.len() == p.len() && w.iter().zip(p).all(|(w, p)| contains_all(w, p))
         }
-        (Value::Number(w), Value::Number(s)) => w.as_f64() == s.as_f64(),
-        (written, shown) => written == shown,
+        (Value::Number(w), Value::Number(p)) => w.as_f64() == p.as_f64(),
+        (written, published) => written == published,
     }
 }
 
-/// The message shown is read as this value, and this value is written as the message shown.
-fn is_shown_as<T: Serialize + DeserializeOwned>(value: &T, shown: Value) {
-    let bytes = rmp_serde::to_vec_named(&shown).expect("JSON has a MessagePack form");
-    let found: T = decode(&bytes).expect("the published message is read");
-    assert_eq!(encode(&found), encode(value), "{shown}");
+/// Asserts that the published message is read as this value, and that this value is written as the published message.
+fn assert_published_as<T: Serialize + DeserializeOwned>(value: &T, published: Value) {
+    let bytes = rmp_serde::to_vec_named(&published).expect("JSON has a MessagePack form");
+    let decoded: T = decode(&bytes).expect("the published message is read");
+    assert_eq!(encode(&decoded), encode(value), "{published}");
     let written: Value = decode(&encode(value)).expect("it is MessagePack");
-    assert!(says(&written, &shown), "{written} for {shown}");
+    assert!(contains_all(&written, &published), "{written} for {published}");
 }
 
 fn published_spec() -> JobSpec {
@@ -67,30 +68,30 @@
     }
 }
 
-fn shown_submission() -> Value {
+fn published_submission() -> Value {
     json!({"name_id":"wk-000412","jobclass":"train","crew":"vision","shape":"gang","rank":"high",
         "shards":16,"cpus":8.0,"accelerators":1.0,"memory_gb":64.0,"bundle":"img-07","pull_gb":6.2,
         "hulls":["g8"],"dock":null,"one_zone":true,"scatter":false,"driftwood":true,
         "eta_s":240.0,"mark_s":30.0,"stow_s":4.0,"due_s":900.0})
 }
 
-fn check_submission(spec: &JobSpec, shown: &Value) {
-    let bytes = rmp_serde::to_vec_named(shown).expect("JSON has a MessagePack form");
-    let found = read_submission(&bytes).expect("it is read");
-    assert_eq!(&*found.id, "wk-000412");
-    assert_eq!(&found.spec.expect("every field is sound"), spec);
+fn assert_submission_published_as(spec: &JobSpec, published: &Value) {
+    let bytes = rmp_serde::to_vec_named(published).expect("JSON has a MessagePack form");
+    let submission = read_submission(&bytes).expect("it is read");
+    assert_eq!(&*submission.id, "wk-000412");
+    assert_eq!(&submission.spec.expect("every field is valid"), spec);
     let written: Value = decode(&write_submission("wk-000412", spec, &[])).expect("MessagePack");
-    assert!(says(&written, shown), "{written} for {shown}");
+    assert!(contains_all(&written, published), "{written} for {published}");
 }
 
 #[test]
 fn submissions_are_as_published() {
-    check_submission(&published_spec(), &shown_submission());
+    assert_submission_published_as(&published_spec(), &published_submission());
     let kinds = [("array", JobKind::Array), ("gang", JobKind::Gang), ("service", JobKind::Service)];
     for (shape, kind) in kinds {
-        let mut shown = shown_submission();
-        shown["shape"] = shape.into();
-        check_submission(&JobSpec { kind, ..published_spec() }, &shown);
+        let mut published = published_submission();
+        published["shape"] = shape.into();
+        assert_submission_published_as(&JobSpec { kind, ..published_spec() }, &published);
     }
     let ranks = [
         ("production", Priority::Production),
@@ -99,51 +100,53 @@
         ("low", Priority::Low),
     ];
     for (rank, priority) in ranks {
-        let mut shown = shown_submission();
-        shown["rank"] = rank.into();
-        check_submission(&JobSpec { priority, ..published_spec() }, &shown);
+        let mut published = published_submission();
+        published["rank"] = rank.into();
+        assert_submission_published_as(&JobSpec { priority, ..published_spec() }, &published);
     }
 }
 
 #[test]
-fn answers_to_users_are_as_published() {
-    let of = |status, done, running| JobStatusResponse {
+fn responses_to_users_are_as_published() {
+    let response = |status, tasks_done, tasks_running| JobStatusResponse {
         id: "wk-000412".into(),
         status,
-        tasks_done: done,
-        tasks_running: running,
+        tasks_done,
+        tasks_running,
     };
-    let shown = json!({"name_id":"wk-000412","status":"running","done":3,"running":13});
-    is_shown_as(&of(JobStatus::Running, Some(3), Some(13)), shown);
+    let published = json!({"name_id":"wk-000412","status":"running","done":3,"running":13});
+    assert_published_as(&response(JobStatus::Running, Some(3), Some(13)), published);
     let statuses = [
         ("pending", JobStatus::Pending),
         ("running", JobStatus::Running),
         ("done", JobStatus::Done),
         ("withdrawn", JobStatus::Cancelled),
     ];
-    for (shown, status) in statuses {
-        is_shown_as(&of(status, None, None), json!({"name_id":"wk-000412","status":shown}));
+    for (word, status) in statuses {
+        assert_published_as(
+            &response(status, None, None),
+            json!({"name_id":"wk-000412","status":word}),
+        );
     }
     for error in ["no capacity", "trouble", "no such lease"] {
-        is_shown_as(&ErrorResponse { error: error.into() }, json!({ "error": error }));
+        assert_published_as(&ErrorResponse { error: error.into() }, json!({ "error": error }));
     }
 }
 
-fn shard(shard: &str, launch: u64, status: TaskPhase, cause: Option<ExitCause>) -> TaskStatus {
-    TaskStatus {
-        task: shard.into(),
-        attempt: launch,
-        phase: status,
-        exit_cause: cause,
-        progress_saved: None,
-    }
+fn task_status(
+    task: &str,
+    attempt: u64,
+    phase: TaskPhase,
+    exit_cause: Option<ExitCause>,
+) -> TaskStatus {
+    TaskStatus { task: task.into(), attempt, phase, exit_cause, progress_saved: None }
 }
 
 #[test]
 fn reports_are_as_published() {
-    let shards = vec![
-        shard("wk-000412/3", 2, TaskPhase::Running, None),
-        shard("wk-000398/0", 1, TaskPhase::Exited, Some(ExitCause::Completed)),
+    let tasks = vec![
+        task_status("wk-000412/3", 2, TaskPhase::Running, None),
+        task_status("wk-000398/0", 1, TaskPhase::Exited, Some(ExitCause::Completed)),
     ];
     let report = StatusReport {
         machine: "m-000231".into(),
@@ -155,17 +158,17 @@
         sequence: 88,
         fencing_token: 41,
         reclaim_in_s: None,
-        tasks: shards,
+        tasks,
     };
-    let shown = json!({"berth":"m-000231","addr":"10.1.0.232:9000","hull":"g8","dock":"a",
+    let published = json!({"berth":"m-000231","addr":"10.1.0.232:9000","hull":"g8","dock":"a",
         "driftwood":true,"watch":1,"tick":88,"helm":41,"recall_s":null,
         "shards":[{"shard":"wk-000412/3","launch":2,"status":"running"},
                   {"shard":"wk-000398/0","launch":1,"status":"exited","cause":"done"}]});
-    is_shown_as(&report, shown);
+    assert_published_as(&report, published);
 }
 
 #[test]
-fn states_and_causes_of_tasks_are_as_published() {
+fn task_phases_and_exit_causes_are_as_published() {
     let phases = [
         ("fetching", TaskPhase::Fetching),
         ("gathering", TaskPhase::WaitingForGang),
@@ -174,8 +177,8 @@
         ("exited", TaskPhase::Exited),
     ];
     for (word, phase) in phases {
-        let shown = json!({"shard":"wk-1/0","launch":1,"status":word});
-        is_shown_as(&shard("wk-1/0", 1, phase, None), shown);
+        let published = json!({"shard":"wk-1/0","launch":1,"status":word});
+        assert_published_as(&task_status("wk-1/0", 1, phase, None), published);
     }
     let causes = [
         ("done", ExitCause::Completed),
@@ -188,47 +191,46 @@
         ("no_such", ExitCause::UnknownJob),
     ];
     for (word, cause) in causes {
-        let shown = json!({"shard":"wk-1/0","launch":1,"status":"exited","cause":word});
-        is_shown_as(&shard("wk-1/0", 1, TaskPhase::Exited, Some(cause)), shown);
+        let published = json!({"shard":"wk-1/0","launch":1,"status":"exited","cause":word});
+        assert_published_as(&task_status("wk-1/0", 1, TaskPhase::Exited, Some(cause)), published);
     }
-    let shown =
+    let published =
         json!({"shard":"wk-1/0","launch":1,"status":"exited","cause":"halted","stored":true});
     let saved = TaskStatus {
         progress_saved: Some(true),
-        ..shard("wk-1/0", 1, TaskPhase::Exited, Some(ExitCause::Stopped))
+        ..task_status("wk-1/0", 1, TaskPhase::Exited, Some(ExitCause::Stopped))
     };
-    is_shown_as(&saved, shown);
+    assert_published_as(&saved, published);
 }
 
 #[test]
 fn commands_are_as_published() {
-    let of = |verb, shard: &str, launch, ease_s| Command {
-        kind: verb,
-        task: shard.into(),
-        attempt: launch,
-        grace_s: ease_s,
-    };
-    let orders = vec![
-        of(CommandKind::Start, "wk-000412/4", 2, None),
-        of(CommandKind::Stop, "wk-000377/1", 1, Some(10.0)),
-        of(CommandKind::Forget, "wk-000398/0", 1, None),
+    let command =
+        |kind, task: &str, attempt, grace_s| Command { kind, task: task.into(), attempt, grace_s };
+    let commands = vec![
+        command(CommandKind::Start, "wk-000412/4", 2, None),
+        command(CommandKind::Stop, "wk-000377/1", 1, Some(10.0)),
+        command(CommandKind::Forget, "wk-000398/0", 1, None),
     ];
-    let shown = json!([{"verb":"start","shard":"wk-000412/4","launch":2},
+    let published = json!([{"verb":"start","shard":"wk-000412/4","launch":2},
         {"verb":"stop","shard":"wk-000377/1","launch":1,"ease_s":10},
         {"verb":"reap","shard":"wk-000398/0","launch":1}]);
-    is_shown_as(
-        &HeartbeatResponse { fencing_token: 41, commands: orders.clone() },
-        json!({"helm":41,"orders":shown}),
+    assert_published_as(
+        &HeartbeatResponse { fencing_token: 41, commands: commands.clone() },
+        json!({"helm":41,"orders":published}),
+    );
+    let direct = json!({"helm":41,"watch":1,"orders":published});
+    assert_published_as(&DirectCommands { fencing_token: 41, session: 1, commands }, direct);
+    assert_published_as(
+        &Redirect { controller: Some("berth-2".into()) },
+        json!({"harbor":"berth-2"}),
     );
-    let direct = json!({"helm":41,"watch":1,"orders":shown});
-    is_shown_as(&DirectCommands { fencing_token: 41, session: 1, commands: orders }, direct);
-    is_shown_as(&Redirect { controller: Some("berth-2".into()) }, json!({"harbor":"berth-2"}));
-    is_shown_as(&Redirect { controller: None }, json!({}));
+    assert_published_as(&Redirect { controller: None }, json!({}));
 }
 
 #[test]
 fn messages_of_the_cloud_are_as_published() {
-    let hull = ListedMachineType {
+    let machine_type = ListedMachineType {
         name: "g8".into(),
         cpus: 96.0,
         gpus: 8.0,
@@ -240,21 +242,20 @@
         boot_s: 45.0,
         zones: vec!["a".into(), "b".into()],
     };
-    let shown = json!({"hulls":[{"sku":"g8","cpus":96,"accelerators":8,"memory_gb":768,
+    let published = json!({"hulls":[{"sku":"g8","cpus":96,"accelerators":8,"memory_gb":768,
         "cache_gb":200,"fetch_gb_per_s":1.0,"price":12.0,"market_price":4.5,"boot_s":45,
         "docks":["a","b"]}]});
-    is_shown_as(&MachineTypes { machine_types: vec![hull] }, shown);
-    let (hull, dock) = ("g8".to_string(), "a".to_string());
-    let rent = ProvisionMachinesRequest {
+    assert_published_as(&MachineTypes { machine_types: vec![machine_type] }, published);
+    let request = ProvisionMachinesRequest {
         request_id: "r-17".into(),
-        machine_type: hull,
-        zone: dock,
+        machine_type: "g8".into(),
+        zone: "a".into(),
         spot: true,
         count: 12,
     };
-    let shown = json!({"charter":"r-17","hull":"g8","dock":"a","driftwood":true,"number":12});
-    is_shown_as(&rent, shown);
-    is_shown_as(
+    let published = json!({"charter":"r-17","hull":"g8","dock":"a","driftwood":true,"number":12});
+    assert_published_as(&request, published);
+    assert_published_as(
         &MachineNames { machines: vec!["m-000231".into()] },
         json!({"berths":["m-000231"]}),
     );
@@ -268,7 +269,7 @@
         ("failed", ListedMachineStatus::Failed),
     ];
     for (word, status) in states {
-        let listed = ListedMachine {
+        let machine = ListedMachine {
             name: "m-000231".into(),
             address: "10.1.0.232:9000".into(),
             machine_type: "g8".into(),
@@ -277,46 +278,49 @@
             status,
             age_s: 61.5,
         };
-        let shown = json!({"berths":[{"name_id":"m-000231","addr":"10.1.0.232:9000","hull":"g8",
+        let published = json!({"berths":[{"name_id":"m-000231","addr":"10.1.0.232:9000","hull":"g8",
             "dock":"a","driftwood":true,"status":word,"held_s":61.5}],"has_next":false});
-        is_shown_as(&MachinePage { machines: vec![listed], has_next: false }, shown);
+        assert_published_as(&MachinePage { machines: vec![machine], has_next: false }, published);
     }
 }
 
 #[test]
 fn messages_of_the_state_service_are_as_published() {
-    let pair =
+    let key_value =
         KeyValue { key: "a/b".into(), value: json!({"x":1}), mod_revision: 412, lease: Some(7) };
-    let shown = json!({"key":"a/b","value":{"x":1},"stamp":412,"mooring":7});
-    is_shown_as(&pair, shown.clone());
-    let page = KeyPage { entries: vec![pair], has_next: true, revision: 431 };
-    is_shown_as(&page, json!({"pairs":[shown],"has_next":true,"epoch":431}));
+    let published = json!({"key":"a/b","value":{"x":1},"stamp":412,"mooring":7});
+    assert_published_as(&key_value, published.clone());
+    let page = KeyPage { entries: vec![key_value], has_next: true, revision: 431 };
+    assert_published_as(&page, json!({"pairs":[published],"has_next":true,"epoch":431}));
     let put = Mutation::Put { key: "a/b".into(), value: json!({"x":1}), lease: Some(7) };
-    let commit = Transaction {
+    let transaction = Transaction {
         preconditions: vec![Precondition { key: "a/b".into(), mod_revision: 0 }],
         mutations: vec![put, Mutation::Delete { key: "c/d".into() }],
     };
-    let shown = json!({"when":[{"key":"a/b","stamp":0}],
+    let published = json!({"when":[{"key":"a/b","stamp":0}],
         "apply":[{"write":"a/b","value":{"x":1},"mooring":7},{"remove":"c/d"}]});
-    is_shown_as(&commit, shown);
-    is_shown_as(&TransactionResponse { revision: 432, failed_keys: vec![] }, json!({"epoch":432}));
-    let refused = TransactionResponse { revision: 431, failed_keys: vec!["a/b".into()] };
-    is_shown_as(&refused, json!({"failed":["a/b"],"epoch":431}));
-    is_shown_as(&LeaseRequest { ttl_ms: 5_000 }, json!({"ttl_ms":5000}));
-    is_shown_as(&LeaseResponse { lease: 7 }, json!({"mooring":7}));
+    assert_published_as(&transaction, published);
+    assert_published_as(
+        &TransactionResponse { revision: 432, failed_keys: vec![] },
+        json!({"epoch":432}),
+    );
+    let conflict = TransactionResponse { revision: 431, failed_keys: vec!["a/b".into()] };
+    assert_published_as(&conflict, json!({"failed":["a/b"],"epoch":431}));
+    assert_published_as(&LeaseRequest { ttl_ms: 5_000 }, json!({"ttl_ms":5000}));
+    assert_published_as(&LeaseResponse { lease: 7 }, json!({"mooring":7}));
     let put = WatchEvent {
         put_key: Some("c/9".into()),
         deleted_key: None,
         value: json!({"x":1}),
         mod_revision: 433,
     };
-    let gone = WatchEvent {
+    let deletion = WatchEvent {
         put_key: None,
         deleted_key: Some("c/d".into()),
         value: Value::Null,
         mod_revision: 432,
     };
-    let shown = json!({"epoch":433,"news":[{"write":"c/9","value":{"x":1},"stamp":433},
+    let published = json!({"epoch":433,"news":[{"write":"c/9","value":{"x":1},"stamp":433},
         {"remove":"c/d","stamp":432}]});
-    is_shown_as(&WatchResponse { revision: 433, events: vec![put, gone] }, shown);
+    assert_published_as(&WatchResponse { revision: 433, events: vec![put, deletion] }, published);
 }
--- a/tests/recorded_bytes/records.rs
+++ b/tests/recorded_bytes/records.rs
@@ -1,6 +1,6 @@
-//! Every record in the state service, in each of its states.
+//! Every type of record in the state service, in each of its states.
 
-use crate::{Case, compare};
+use crate::{Case, assert_matches_fixture};
 use std::collections::BTreeMap;
 use swiftsail_controller::cluster_state::LogSegmentRecord;
 use swiftsail_controller::job::{
@@ -23,8 +23,8 @@
 
 const RECORDED: &str = include_str!("fixtures/records.txt");
 
-/// What a job asks for, with every field different from its neighbours.
-pub fn whole_spec() -> JobSpec {
+/// A job spec with all optional fields, in which neighbouring fields of the same type differ.
+pub fn full_spec() -> JobSpec {
     JobSpec {
         class: "train".into(),
         team: "vision".into(),
@@ -48,8 +48,8 @@
     }
 }
 
-/// Without what may be left out, and the flags the other way about.
-pub fn least_spec() -> JobSpec {
+/// A job spec without optional fields and with the flags inverted.
+pub fn minimal_spec() -> JobSpec {
     JobSpec {
         machine_types: None,
         zone: None,
@@ -57,7 +57,7 @@
         spread: true,
         spot: false,
         deadline_s: None,
-        ..whole_spec()
+        ..full_spec()
     }
 }
 
@@ -70,16 +70,16 @@
         write_number: 77,
         tier: None,
         depends_on: Vec::new(),
-        spec: whole_spec(),
+        spec: full_spec(),
     }
 }
 
 fn jobs() -> Vec<Case> {
     let of = |name: &str, record: JobRecord| Case::record(name, &record);
-    let with = |kind, priority| JobSpec { kind, priority, ..least_spec() };
+    let spec = |kind, priority| JobSpec { kind, priority, ..minimal_spec() };
     vec![
         of("job live", job()),
-        of("job least", JobRecord { spec: least_spec(), ..job() }),
+        of("job least", JobRecord { spec: minimal_spec(), ..job() }),
         of(
             "job cancelled",
             JobRecord { cancelled: true, cancelled_wall: 1_700_000_000_502, ..job() },
@@ -89,25 +89,25 @@
             "job that awaits",
             JobRecord { depends_on: vec!["wk-1".into(), "wk-2".into()], ..job() },
         ),
-        of("job array low", JobRecord { spec: with(JobKind::Array, Priority::Low), ..job() }),
-        of("job array normal", JobRecord { spec: with(JobKind::Array, Priority::Normal), ..job() }),
+        of("job array low", JobRecord { spec: spec(JobKind::Array, Priority::Low), ..job() }),
+        of("job array normal", JobRecord { spec: spec(JobKind::Array, Priority::Normal), ..job() }),
         of(
             "job service",
-            JobRecord { spec: with(JobKind::Service, Priority::Production), ..job() },
+            JobRecord { spec: spec(JobKind::Service, Priority::Production), ..job() },
         ),
     ]
 }
 
-fn ends() -> Vec<Case> {
-    let end = |ending, done, at_wall| FinalRecord { state: ending, done, ended_wall: at_wall };
+fn final_records() -> Vec<Case> {
+    let record = |state, done, ended_wall| FinalRecord { state, done, ended_wall };
     vec![
-        Case::record("end done", &end(FinalState::Done, 16, Some(1_700_000_000_903))),
-        Case::record("end cancelled", &end(FinalState::Cancelled, 3, Some(1_700_000_000_904))),
-        Case::record("end of an earlier version", &end(FinalState::Done, 16, None)),
+        Case::record("end done", &record(FinalState::Done, 16, Some(1_700_000_000_903))),
+        Case::record("end cancelled", &record(FinalState::Cancelled, 3, Some(1_700_000_000_904))),
+        Case::record("end of an earlier version", &record(FinalState::Done, 16, None)),
     ]
 }
 
-fn bound(task: u32) -> Binding {
+fn binding(task: u32) -> Binding {
     Binding { task, attempt: 1001, machine: "m-000231".into(), worker_session: 2 }
 }
 
@@ -116,24 +116,24 @@
         write_number: 5,
         covers: 1002,
         done: vec![(0, 3), (7, 9)],
-        bindings: vec![bound(4)],
+        bindings: vec![binding(4)],
     };
-    let jobs = [("wk-1", vec![bound(4), bound(5)]), ("wk-2", vec![bound(0)])];
-    let sheet = LogSegmentRecord {
+    let jobs = [("wk-1", vec![binding(4), binding(5)]), ("wk-2", vec![binding(0)])];
+    let segment = LogSegmentRecord {
         write_number: 6,
-        bindings: jobs.map(|(j, b)| (j.to_string(), b)).into(),
+        bindings: jobs.map(|(job, bindings)| (job.to_string(), bindings)).into(),
     };
     vec![
-        Case::record("binding", &bound(4)),
+        Case::record("binding", &binding(4)),
         Case::record("chunk", &chunk),
         Case::record("chunk without anything", &BindingChunk::default()),
-        Case::record("sheet", &sheet),
+        Case::record("sheet", &segment),
         Case::record("sheet without anything", &LogSegmentRecord::default()),
     ]
 }
 
-/// A machine type with every field different from its neighbours.
-pub fn hull() -> ListedMachineType {
+/// A machine type in which neighbouring fields of the same type differ.
+pub fn machine_type() -> ListedMachineType {
     ListedMachineType {
         name: "g8".into(),
         cpus: 96.0,
@@ -148,29 +148,33 @@
     }
 }
 
-fn term_and_types() -> Vec<Case> {
+fn leader_and_machine_types() -> Vec<Case> {
     let leader = LeaderRecord { node: "berth-2".into(), incarnation: 9_001, lease: 7 };
     vec![
         Case::record("leader", &leader),
-        Case::record("types", &MachineTypes { machine_types: vec![hull()] }),
+        Case::record("types", &MachineTypes { machine_types: vec![machine_type()] }),
         Case::record("no types", &MachineTypes::default()),
     ]
 }
 
-fn amounts() -> Vec<Case> {
-    let of = |cpus, gpus| ResourceQuantities {
+fn quotas() -> Vec<Case> {
+    let quantities = |cpus, gpus| ResourceQuantities {
         cpus: Quantity::from_units(cpus),
         gpus: Quantity::from_units(gpus),
     };
-    let kept = TeamQuota { limit: of(40_000_000_000, 2), target: of(30, 1), free: of(7, 5) };
-    let by = |team: &str, a| BTreeMap::from([(team.to_string(), a)]);
+    let quota = TeamQuota {
+        limit: quantities(40_000_000_000, 2),
+        target: quantities(30, 1),
+        free: quantities(7, 5),
+    };
+    let by_team = |team: &str, quantities| BTreeMap::from([(team.to_string(), quantities)]);
     let holding = QuotaHolding {
         last_transaction: (41, 3),
-        held: by("red", of(11, 12)),
-        configured_limits: by("blue", of(13, 14)),
+        held: by_team("red", quantities(11, 12)),
+        configured_limits: by_team("blue", quantities(13, 14)),
     };
     vec![
-        Case::record("pool", &QuotaPool { teams: BTreeMap::from([("red".to_string(), kept)]) }),
+        Case::record("pool", &QuotaPool { teams: BTreeMap::from([("red".to_string(), quota)]) }),
         Case::record("pool without teams", &QuotaPool::default()),
         Case::record("holding", &holding),
         Case::record("holding without anything", &QuotaHolding::default()),
@@ -178,9 +182,9 @@
 }
 
 fn tiers() -> Vec<Case> {
-    let line =
+    let tier =
         |name: &str, ordered| TierDefinition { name: name.into(), when: "true".into(), ordered };
-    let tiers = vec![line("core", true), line("other", false)];
+    let tiers = vec![tier("core", true), tier("other", false)];
     vec![
         Case::versioned("tiers", &TierTableRecord { format_version: 0, version: 7, tiers }),
         Case::versioned("tiers built in", &TierTableRecord::default()),
@@ -216,75 +220,76 @@
     DeadlinePlan { format_version: 0, version: 3, entries: vec![entry, once], chains }
 }
 
-fn dispatch() -> Vec<Case> {
-    let (at, past) = (1_700_000_600_000, 60_000);
-    let steps = |to: &[StepPhase]| {
+fn dispatch_records() -> Vec<Case> {
+    let (due_at, retention_ms) = (1_700_000_600_000, 60_000);
+    let steps = |phases: &[StepPhase]| {
         let mut step = OccurrenceStep::new("count", 1_700_000_500_000, 1_700_000_400_000);
-        for stage in to {
-            assert!(step.advance_phase(*stage, Some("wk-1")), "{stage:?}");
+        for phase in phases {
+            assert!(step.advance_phase(*phase, Some("wk-1")), "{phase:?}");
             step.accepted_at = 1_700_000_300_000;
         }
         vec![step]
     };
-    let (new, begun) = (vec![], vec![StepPhase::Submitted]);
+    let (pending, submitted) = (vec![], vec![StepPhase::Submitted]);
     let done = vec![StepPhase::Submitted, StepPhase::Done];
     let cases = [
-        ("arrival foreseen", new.clone(), at - 9, false),
-        ("arrival under way", begun.clone(), at - 9, false),
-        ("arrival late", begun.clone(), at - 9, true),
-        ("arrival ready", done, at - 9, false),
-        ("arrival missed", begun, at, false),
-        ("arrival past", new, at + past, false),
+        ("arrival foreseen", pending.clone(), due_at - 9, false),
+        ("arrival under way", submitted.clone(), due_at - 9, false),
+        ("arrival late", submitted.clone(), due_at - 9, true),
+        ("arrival ready", done, due_at - 9, false),
+        ("arrival missed", submitted, due_at, false),
+        ("arrival past", pending, due_at + retention_ms, false),
     ];
-    let arrival = |(name, to, now, late): (&str, Vec<StepPhase>, u64, bool)| {
-        let mut arrival = Occurrence::new("north", "lists", at, steps(&to));
-        arrival.advance_phase(now, late, past);
-        arrival.lateness_warning = late.then(|| ("count".into(), "no room".into()));
-        Case::versioned(name, &arrival)
+    let arrival = |(name, phases, now, is_late): (&str, Vec<StepPhase>, u64, bool)| {
+        let mut occurrence = Occurrence::new("north", "lists", due_at, steps(&phases));
+        occurrence.advance_phase(now, is_late, retention_ms);
+        occurrence.lateness_warning = is_late.then(|| ("count".into(), "no room".into()));
+        Case::versioned(name, &occurrence)
     };
-    let mut all: Vec<Case> = cases.map(arrival).into();
-    all.push(Case::versioned("took", &StepDurations { samples_ms: vec![61_000, 62_000] }));
-    all.push(Case::versioned("plan", &plan()));
-    all.push(Case::versioned("plan without anything", &DeadlinePlan::default()));
-    all
+    let mut cases: Vec<Case> = cases.map(arrival).into();
+    cases.push(Case::versioned("took", &StepDurations { samples_ms: vec![61_000, 62_000] }));
+    cases.push(Case::versioned("plan", &plan()));
+    cases.push(Case::versioned("plan without anything", &DeadlinePlan::default()));
+    cases
 }
 
-/// A loan that has gone through all that is seen of it here: whether lender and borrower are on the machine.
-fn lent(confirm: bool, history: &[(bool, bool)]) -> LenderRecord {
+/// Returns the record of a lender with one loan, after these observations of whether lender and borrower are on the
+/// machine. `confirm`: the request of the loan was committed before.
+fn lender_record(confirm: bool, history: &[(bool, bool)]) -> LenderRecord {
     let now = 1_700_000_000_000;
     let mut loans = GpuLoans::default();
     assert!(loans.request_loan("wk-l", "wk-b", &[("m-000231".into(), 2.0)], now));
     if confirm {
         loans.on_committed("wk-l", now + 1);
     }
-    let mut lent = loans.lender_record("wk-l").expect("it was asked").clone();
-    for (n, (lender_there, borrower_there)) in history.iter().copied().enumerate() {
-        let seen = LoanObservation {
+    let mut record = loans.lender_record("wk-l").expect("a loan was requested").clone();
+    for (n, (lender_on_machine, borrower_on_machine)) in history.iter().copied().enumerate() {
+        let observation = LoanObservation {
             lender_is_live: true,
             borrower_is_live: true,
             borrower_is_waiting: true,
-            machine_is_available: lender_there || borrower_there || confirm,
-            lender_on_machine: lender_there,
-            borrower_on_machine: borrower_there,
+            machine_is_available: lender_on_machine || borrower_on_machine || confirm,
+            lender_on_machine,
+            borrower_on_machine,
             lender_is_waiting: true,
         };
-        lent.loans.iter_mut().for_each(|l: &mut GpuLoan| {
-            assert!(l.advance_phase(seen, now + 100 + n as u64));
+        record.loans.iter_mut().for_each(|loan: &mut GpuLoan| {
+            assert!(loan.advance_phase(observation, now + 100 + n as u64));
         });
     }
-    lent
+    record
 }
 
 fn loans() -> Vec<Case> {
-    let all = [(false, false), (false, true), (false, false), (true, false)];
+    let history = [(false, false), (false, true), (false, false), (true, false)];
     vec![
-        Case::versioned("loan asked", &lent(false, &[])),
-        Case::versioned("loan stopping", &lent(true, &[])),
-        Case::versioned("loan gone", &lent(true, &all[..1])),
-        Case::versioned("loan serving", &lent(true, &all[..2])),
-        Case::versioned("loan ending", &lent(true, &all[..3])),
-        Case::versioned("loan back", &lent(true, &all)),
-        Case::versioned("loan dropped", &lent(false, &all[..1])),
+        Case::versioned("loan asked", &lender_record(false, &[])),
+        Case::versioned("loan stopping", &lender_record(true, &[])),
+        Case::versioned("loan gone", &lender_record(true, &history[..1])),
+        Case::versioned("loan serving", &lender_record(true, &history[..2])),
+        Case::versioned("loan ending", &lender_record(true, &history[..3])),
+        Case::versioned("loan back", &lender_record(true, &history)),
+        Case::versioned("loan dropped", &lender_record(false, &history[..1])),
         Case::versioned("nothing lent", &LenderRecord::default()),
     ]
 }
@@ -308,38 +313,38 @@
 fn plugins() -> Vec<Case> {
     let decision = |state| plugin(PluginKind::Decision, state, None);
     let suspended = plugin(PluginKind::Decision, PluginState::Suspended, Some("slow"));
-    let report = plugin(PluginKind::EventReceiver, PluginState::Active, None);
+    let event_receiver = plugin(PluginKind::EventReceiver, PluginState::Active, None);
     vec![
         Case::record("plug-in offered", &decision(PluginState::Offered)),
         Case::record("plug-in checked", &decision(PluginState::Checked)),
         Case::record("plug-in active", &decision(PluginState::Active)),
         Case::record("plug-in suspended", &suspended),
         Case::record("plug-in removed", &decision(PluginState::Removed)),
-        Case::record("plug-in of reports", &report),
+        Case::record("plug-in of reports", &event_receiver),
     ]
 }
 
 #[test]
-fn records_are_written_and_read_as_before() {
+fn records_are_written_and_read_unchanged() {
     let parts = [
         jobs(),
-        ends(),
+        final_records(),
         bindings(),
-        term_and_types(),
-        amounts(),
+        leader_and_machine_types(),
+        quotas(),
         tiers(),
-        dispatch(),
+        dispatch_records(),
         loans(),
         plugins(),
     ];
     let cases: Vec<Case> = parts.into_iter().flatten().collect();
-    compare("records.txt", RECORDED, &cases);
+    assert_matches_fixture("records.txt", RECORDED, &cases);
 }
 
-/// A final record may stand under a live job's key: each is told from the other.
+/// A final record may be stored under the key of a live job. The two types of record must be distinguished.
 #[test]
-fn a_jobs_key_holds_a_live_job_or_its_end() {
-    for (name, bytes) in crate::entries(RECORDED) {
+fn live_jobs_and_final_records_are_distinguished() {
+    for (name, bytes) in crate::parse_entries(RECORDED) {
         let value = swiftsail_protocol::decode(&bytes).expect("it is MessagePack");
         match (StoredJob::read(&value), name.split(' ').next()) {
             (Some(StoredJob::Live(_)), kind) => assert_eq!(kind, Some("job"), "{name}"),
--- a/tests/recorded_bytes/shown.rs
+++ b/tests/recorded_bytes/shown.rs
@@ -1,7 +1,7 @@
-//! JSON for operators, report hooks and `swiftsail local`.
+//! JSON output for operators, event receivers and `swiftsail local`.
 
 use crate::records::plugin;
-use crate::{Case, compare};
+use crate::{Case, assert_matches_fixture};
 use std::collections::BTreeSet;
 use swiftsail::local::{EmulatorStatus, Fault};
 use swiftsail_policy::hooks::{Hook, HookAnswer};
@@ -22,17 +22,18 @@
     }
 }
 
-/// What a report hook is sent, after one event found no room.
+/// The body of a delivery to an event receiver.
 fn delivery() -> Case {
-    let hook = EventReceiver::parse("to = \"127.0.0.1:9\"\npath = \"/in\"\nevents = [\"task\"]\n");
-    let mut outbox = EventOutbox::new(hook.expect("the hook is sound"));
+    let receiver =
+        EventReceiver::parse("to = \"127.0.0.1:9\"\npath = \"/in\"\nevents = [\"task\"]\n");
+    let mut outbox = EventOutbox::new(receiver.expect("the receiver is valid"));
     outbox.enqueue(&event(Some("m-000231")));
     outbox.enqueue(&event(None));
-    let sent = outbox.next_delivery("evening", 0).expect("it may leave");
-    assert_eq!((sent.to.port(), sent.path.as_str()), (9, "/in"));
-    let body: serde_json::Value = serde_json::from_slice(&sent.body).expect("it is JSON");
+    let delivery = outbox.next_delivery("evening", 0).expect("a delivery is due");
+    assert_eq!((delivery.to.port(), delivery.path.as_str()), (9, "/in"));
+    let body: serde_json::Value = serde_json::from_slice(&delivery.body).expect("it is JSON");
     let mut case = Case::json("delivery to a report hook", &body);
-    case.bytes = sent.body;
+    case.bytes = delivery.body;
     case
 }
 
@@ -44,7 +45,7 @@
         enable,
     };
     let counts = DeliveryCounts { waiting: 1, delivered: 2, dropped: 3, failures: 4 };
-    let shown = |delivery| PluginStatus {
+    let status = |delivery| PluginStatus {
         record: plugin(PluginKind::EventReceiver, PluginState::Suspended, Some("slow")),
         calls: 5,
         ops: 6,
@@ -52,42 +53,42 @@
         delivery,
     };
     vec![
-        Case::json_both("event", &event(Some("m-000231"))),
-        Case::json_both("event least", &event(None)),
+        Case::json_round_trip("event", &event(Some("m-000231"))),
+        Case::json_round_trip("event least", &event(None)),
         delivery(),
-        Case::json_both("offer", &offer(true)),
-        Case::json_both("offer not enabled", &offer(false)),
+        Case::json_round_trip("offer", &offer(true)),
+        Case::json_round_trip("offer not enabled", &offer(false)),
         Case::json("counts", &counts),
-        Case::json("plug-in shown", &shown(Some(counts))),
-        Case::json("plug-in shown without deliveries", &shown(None)),
-        Case::json_both("hooks", &Hook::ALL.to_vec()),
+        Case::json("plug-in shown", &status(Some(counts))),
+        Case::json("plug-in shown without deliveries", &status(None)),
+        Case::json_round_trip("hooks", &Hook::ALL.to_vec()),
     ]
 }
 
-fn verdict() -> Case {
-    let avoided = BTreeSet::from(["g8".to_string()]);
+fn hook_result() -> Case {
+    let avoided_types = BTreeSet::from(["g8".to_string()]);
     let answers = [
         Some(HookAnswer::Score(1.5)),
         Some(HookAnswer::ClassOrder(2)),
         Some(HookAnswer::SpotShare(0.5)),
-        Some(HookAnswer::AvoidTypes(avoided)),
+        Some(HookAnswer::AvoidTypes(avoided_types)),
         Some(HookAnswer::RetryAfterS(4.0)),
         None,
     ];
-    let said = answers.into_iter().map(|answer| HookResponse {
+    let responses = answers.into_iter().map(|answer| HookResponse {
         plugin: "evening".into(),
         fault: answer.is_none().then(|| "it loops".into()),
         answer,
     });
     Case::json(
         "verdict",
-        &HookResult { responses: said.collect(), composed: Some(HookAnswer::Score(3.5)) },
+        &HookResult { responses: responses.collect(), composed: Some(HookAnswer::Score(3.5)) },
     )
 }
 
-fn knobs() -> Case {
+fn policy_parameters() -> Case {
     use PolicyParameter::*;
-    Case::json_both(
+    Case::json_round_trip(
         "knobs",
         &vec![
             PruningThreshold,
@@ -113,8 +114,9 @@
         ("fault hang", Fault::Hang { number: 4, seconds }),
         ("fault spoil", Fault::Spoil { number: 5 }),
     ];
-    let mut all: Vec<Case> = faults.iter().map(|(n, f)| Case::json_both(n, f)).collect();
-    let standing = EmulatorStatus {
+    let mut cases: Vec<Case> =
+        faults.iter().map(|(name, fault)| Case::json_round_trip(name, fault)).collect();
+    let status = EmulatorStatus {
         leader: Some("node-0".into()),
         jobs: 1,
         machines: 2,
@@ -124,35 +126,39 @@
         tasks_killed: 6,
         money_spent: 7.5,
     };
-    all.push(Case::json("standing", &standing));
-    all
+    cases.push(Case::json("standing", &status));
+    cases
 }
 
 #[test]
-fn what_operators_and_hooks_see_is_as_before() {
+fn json_for_operators_and_event_receivers_is_unchanged() {
     let cases: Vec<Case> =
-        plugins().into_iter().chain([verdict(), knobs()]).chain(local()).collect();
-    compare("shown.txt", RECORDED, &cases);
+        plugins().into_iter().chain([hook_result(), policy_parameters()]).chain(local()).collect();
+    assert_matches_fixture("shown.txt", RECORDED, &cases);
 }
 
-/// The name of a hook's function and its name in records are the same, and so are those of knobs.
+/// Names of hooks and policy parameters. The name of a hook's function is also its name in records.
 #[test]
-fn names_of_hooks_and_knobs_are_as_before() {
+fn names_of_hooks_and_policy_parameters_are_unchanged() {
     let hooks = ["priority", "class_order", "spot_share", "avoid_types", "admit"];
     assert_eq!(Hook::ALL.map(Hook::name), hooks);
-    let knobs = ["threshold", "spot_share", "toggle", "line_cap", "round_s", "reserve", "idle_s"];
-    assert_eq!(parameter_names().collect::<Vec<_>>(), knobs);
+    let parameters =
+        ["threshold", "spot_share", "toggle", "line_cap", "round_s", "reserve", "idle_s"];
+    assert_eq!(parameter_names().collect::<Vec<_>>(), parameters);
 }
 
-/// A report hook's source names all that it may; nothing else is taken.
+/// The optional fields of an event receiver and of a plug-in offer have the same defaults, and unknown fields of an event
+/// receiver are rejected.
 #[test]
-fn a_report_hook_is_read_as_before() {
-    let hook = EventReceiver::parse("to = \"127.0.0.1:9\"").expect("the least is sound");
-    assert_eq!((hook.path.as_str(), hook.events.len()), ("/", 0));
+fn event_receivers_are_read_unchanged() {
+    let receiver =
+        EventReceiver::parse("to = \"127.0.0.1:9\"").expect("optional fields may be omitted");
+    assert_eq!((receiver.path.as_str(), receiver.events.len()), ("/", 0));
     assert!(EventReceiver::parse("to = \"127.0.0.1:9\"\nother = 1").is_err());
     assert_eq!(swiftsail_policy::outbox::EVENT_KINDS, ["task", "job", "machine", "term", "rental"]);
-    let least = br#"{"kind":"report","source":"x"}"#;
-    let offer: PluginOffer = serde_json::from_slice(least).expect("the least is sound");
+    let minimal = br#"{"kind":"report","source":"x"}"#;
+    let offer: PluginOffer =
+        serde_json::from_slice(minimal).expect("optional fields may be omitted");
     assert_eq!(
         (offer.kind, offer.precedence, offer.enable),
         (PluginKind::EventReceiver, 100, false)
