--- a/tests/machine_hangs.rs
+++ b/tests/machine_hangs.rs
@@ -5,7 +5,9 @@
 mod common;
 
 use common::busy_cluster::{BusyCluster, LongJobs};
-use common::cluster::{assert_ends_well, hang_machines, leader_index, machines_with_tasks};
+use common::cluster::{
+    assert_completed_without_violations, hang_machines, leader_index, machines_with_tasks,
+};
 use common::seeds::seeds_from_environment;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -37,7 +39,7 @@
         [300, 1_000, 2_000, 2_450, 2_520, 2_600, 2_700, 3_000, 4_500].into_iter().enumerate()
     {
         for (m, hang_ms) in [None, Some(8_000), Some(50_000)].into_iter().enumerate() {
-            let BusyCluster { world: mut sim, leader, now_ms } =
+            let BusyCluster { simulation: mut sim, leader, now_ms } =
                 BusyCluster::run_until_busy(n as u64 * 3 + m as u64, &LONG_JOBS);
             sim.partitions.push(NetworkPartition {
                 store: true,
@@ -51,7 +53,7 @@
             confirmed += sim.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
             hung += sim.fault_counts.get("hung").copied().unwrap_or(0);
             sim.run_until(now_ms + 260_000);
-            assert_ends_well(&sim, &format!("gap {gap}, hang {hang_ms:?}"));
+            assert_completed_without_violations(&sim, &format!("gap {gap}, hang {hang_ms:?}"));
         }
     }
     assert!(confirmed >= 100, "{confirmed} cancellations were confirmed during the outage");
@@ -64,7 +66,7 @@
 fn jobs_cancelled_while_cloud_and_state_service_fail_end() {
     let (mut confirmed, mut cloud_faults) = (0, 0);
     for seed in 0..12u64 {
-        let BusyCluster { world: mut sim, leader, now_ms } =
+        let BusyCluster { simulation: mut sim, leader, now_ms } =
             BusyCluster::run_until_busy(seed, &LONG_JOBS);
         let mut rng = StdRng::seed_from_u64(seed ^ 0xc1);
         match seed % 3 {
@@ -88,7 +90,7 @@
         confirmed += sim.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
         cloud_faults += sim.fault_counts.get("cloud trouble").copied().unwrap_or(0);
         sim.run_until(now_ms + 260_000);
-        assert_ends_well(&sim, &format!("seed {seed}"));
+        assert_completed_without_violations(&sim, &format!("seed {seed}"));
     }
     assert!(confirmed >= 60, "{confirmed} cancellations were confirmed");
     assert!(cloud_faults >= 60, "{cloud_faults} calls to the cloud were slow or refused");
@@ -101,7 +103,7 @@
 fn hanging_machines_are_returned_while_there_is_no_leader() {
     let (mut confirmed, mut hung, mut without_leader) = (0, 0, 0);
     for seed in 0..24u64 {
-        let BusyCluster { world: mut sim, leader, now_ms } =
+        let BusyCluster { simulation: mut sim, leader, now_ms } =
             BusyCluster::run_until_busy(seed, &LONG_JOBS);
         sim.restart_delay_ms = Some([100, 5_000][seed as usize % 2]);
         sim.schedule_running_cancellations(now_ms, 8, Some(70_000));
@@ -129,7 +131,7 @@
         confirmed += sim.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
         hung += sim.fault_counts.get("hung").copied().unwrap_or(0);
         sim.run_until(now_ms + 260_000);
-        assert_ends_well(&sim, &format!("seed {seed}"));
+        assert_completed_without_violations(&sim, &format!("seed {seed}"));
     }
     println!("no leader {without_leader} times, {confirmed} confirmed, {hung} hung");
     assert!(without_leader >= 7, "there was no leader {without_leader} times");
@@ -216,7 +218,7 @@
         delayed += sim.fault_counts.get("held by a hang").copied().unwrap_or(0);
         confirmed += sim.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
         sim.run_until(400_000);
-        assert_ends_well(&sim, &format!("seed {seed}"));
+        assert_completed_without_violations(&sim, &format!("seed {seed}"));
     }
     assert!(delayed >= 10, "{delayed} commands waited for a hanging machine");
     assert!(confirmed >= 10 * 12, "{confirmed} cancellations were confirmed");
--- a/tests/unreachable_machines.rs
+++ b/tests/unreachable_machines.rs
@@ -4,7 +4,9 @@
 
 mod common;
 
-use common::cluster::{assert_ends_well, hang_machines, leader_index, machines_with_tasks};
+use common::cluster::{
+    assert_completed_without_violations, hang_machines, leader_index, machines_with_tasks,
+};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeSet;
@@ -122,7 +124,7 @@
             }
         }
         sim.run_until(600_000);
-        assert_ends_well(&sim, &format!("seed {seed}"));
+        assert_completed_without_violations(&sim, &format!("seed {seed}"));
     }
     assert!(observed >= 100, "a new leader had a blocked team {observed} times");
     assert_eq!(blocked_teams.len(), 3, "{blocked_teams:?}");
@@ -190,7 +192,7 @@
         confirmed += sim.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
         delegated += delegated_answers;
         sim.run_until(at + 200_000);
-        assert_ends_well(&sim, &format!("seed {seed}"));
+        assert_completed_without_violations(&sim, &format!("seed {seed}"));
     }
     assert!(confirmed >= 15 * 20, "{confirmed} cancellations were confirmed");
     assert!(forwarded >= 12, "{forwarded} machines reported through another controller");
@@ -252,7 +254,7 @@
         );
         lost_reports += sim.fault_counts.get("mute").copied().unwrap_or(0);
         sim.run_until(300_000);
-        assert_ends_well(&sim, &format!("seed {seed}"));
+        assert_completed_without_violations(&sim, &format!("seed {seed}"));
     }
     assert!(lost_reports >= 100, "{lost_reports} reports reached no controller");
     assert!(
@@ -360,7 +362,7 @@
         assert!(sim.violations.is_empty(), "seed {seed}: {:?}", sim.violations);
         sim.store.limit_sizes(8.0, 16);
         sim.run_until(700_000);
-        assert_ends_well(&sim, &format!("seed {seed}"));
+        assert_completed_without_violations(&sim, &format!("seed {seed}"));
     }
     assert!(refused >= 200, "{refused} transactions were refused for their size");
     assert!(confirmed >= 8 * 20, "{confirmed} cancellations were confirmed");
