--- a/src/local/config.rs
+++ b/src/local/config.rs
@@ -148,40 +148,40 @@
         PortPlan { base }
     }
 
-    fn at(self, offset: usize) -> SocketAddr {
+    fn address_at(self, offset: usize) -> SocketAddr {
         SocketAddr::from((Ipv4Addr::LOCALHOST, self.base.saturating_add(offset as u16)))
     }
     /// Address on which a controller listens for users and workers.
     pub fn http(self, node: usize) -> SocketAddr {
-        self.at(node)
+        self.address_at(node)
     }
     /// Address on which a controller listens for other controllers.
     pub fn cluster(self, node: usize) -> SocketAddr {
-        self.at(10 + node)
+        self.address_at(10 + node)
     }
     /// Address on which a controller listens for operators.
     pub fn admin(self, node: usize) -> SocketAddr {
-        self.at(20 + node)
+        self.address_at(20 + node)
     }
     /// Address of the state service for a controller. It identifies the caller.
     pub fn state(self, node: usize) -> SocketAddr {
-        self.at(30 + node)
+        self.address_at(30 + node)
     }
     /// Address of the cloud for a controller. It identifies the caller.
     pub fn cloud(self, node: usize) -> SocketAddr {
-        self.at(40 + node)
+        self.address_at(40 + node)
     }
     /// Address of the proxy from one controller to another, which emulates network partitions.
     pub fn link(self, from: usize, to: usize) -> SocketAddr {
-        self.at(50 + from * LOCAL_MAX_CONTROLLERS + to)
+        self.address_at(50 + from * LOCAL_MAX_CONTROLLERS + to)
     }
     /// Address for fault injection and status requests.
     pub fn control(self) -> SocketAddr {
-        self.at(99)
+        self.address_at(99)
     }
     /// Address on which the worker with this socket number receives commands.
     pub fn worker(self, number: usize) -> SocketAddr {
-        self.at(100 + number)
+        self.address_at(100 + number)
     }
 }
 
--- a/src/local/mod.rs
+++ b/src/local/mod.rs
@@ -42,7 +42,7 @@
     /// Machine types, zones, teams and limits: a file like deploy/local.toml, or `built-in`
     #[arg(long, default_value = "built-in", value_name = "FILE")]
     machines: PathBuf,
-    /// Factor by which machines boot, fetch images and run tasks faster
+    /// Speed factor of booting, image fetching and task execution
     #[arg(long, default_value_t = 1.0, value_name = "X", value_parser = parse_speed)]
     speed: f64,
     /// Folder in which the contents of the state service, settings and logs are kept; by default a temporary one
--- a/src/program.rs
+++ b/src/program.rs
@@ -32,7 +32,7 @@
 rejects); 3 no response, or unknown outcome."
 )]
 struct CommandLine {
-    /// Run a controller with this settings file of the platform
+    /// Run a controller with the platform's settings from this file
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     /// The operators' file: policy, plug-ins and the operators' listener
--- a/tests/recorded_bytes/files.rs
+++ b/tests/recorded_bytes/files.rs
@@ -14,19 +14,19 @@
 
 #[test]
 fn every_field_of_the_settings_file_is_read_unchanged() {
-    let found = Settings::parse("full", FULL).expect("the file is valid");
-    assert_eq!((found.host_name.as_str(), found.site.as_str()), ("n0", "a"));
+    let settings = Settings::parse("full", FULL).expect("the file is valid");
+    assert_eq!((settings.host_name.as_str(), settings.site.as_str()), ("n0", "a"));
     let addresses = [
-        (found.front, 6000),
-        (found.cluster_listen, 7000),
-        (found.others[0].address, 7001),
-        (found.endpoints.cloud, 1),
-        (found.endpoints.state, 2),
+        (settings.front, 6000),
+        (settings.cluster_listen, 7000),
+        (settings.others[0].address, 7001),
+        (settings.endpoints.cloud, 1),
+        (settings.endpoints.state, 2),
     ];
     addresses.iter().for_each(|(address, port)| assert_eq!(address.port(), *port));
-    let other = &found.others[0];
+    let other = &settings.others[0];
     assert_eq!((other.host_name.as_str(), other.site.as_str()), ("n1", "b"));
-    let platform = &found.settings;
+    let platform = &settings.settings;
     assert_eq!(
         (platform.zones.as_slice(), platform.clock_off_ms),
         (["a".into(), "b".into()].as_slice(), 20.0)
@@ -73,8 +73,8 @@
 /// The names and the order of all settings that are written, at every level.
 #[test]
 fn settings_are_written_unchanged() {
-    let found = Settings::parse("full", FULL).expect("the file is valid");
-    let text = serde_json::to_string(&found.settings).expect("they have a JSON form");
+    let settings = Settings::parse("full", FULL).expect("the file is valid");
+    let text = serde_json::to_string(&settings.settings).expect("they have a JSON form");
     assert_same_text("platform.json", include_str!("fixtures/platform.json"), &text);
     let read = serde_json::from_str::<swiftsail_controller::settings::PlatformSettings>(&text);
     let written = serde_json::to_string(&read.expect("it is read")).expect("it is written");
@@ -130,7 +130,7 @@
 #[test]
 fn the_local_database_is_written_unchanged() {
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let path = folder.path().join("kept");
+    let path = folder.path().join("database");
     record_changes(&Persistence::open(&path).expect("it is created"));
     let database = Database::open(&path).expect("it exists");
     let txn = database.begin_read().expect("it is read");
@@ -156,7 +156,7 @@
 #[test]
 fn the_local_database_is_read_unchanged() {
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let path = folder.path().join("kept");
+    let path = folder.path().join("database");
     let database = Database::create(&path).expect("it is created");
     let txn = database.begin_write().expect("it is written");
     for (key, bytes) in parse_entries(include_str!("fixtures/kept.txt")) {
--- a/tests/recorded_bytes/operators.rs
+++ b/tests/recorded_bytes/operators.rs
@@ -69,9 +69,9 @@
 
 #[test]
 fn every_field_of_the_operators_file_is_read_unchanged() {
-    let found = full_settings();
-    assert_eq!(found.admin.listen.map(|a| a.to_string()), Some("127.0.0.1:8081".into()));
-    assert!(found.plugins.enabled && found.amounts.durable && found.loans.durable);
+    let settings = full_settings();
+    assert_eq!(settings.admin.listen.map(|a| a.to_string()), Some("127.0.0.1:8081".into()));
+    assert!(settings.plugins.enabled && settings.amounts.durable && settings.loans.durable);
     let spot_share = "if job.gpus > 0.0 { 0.0 } else { 0.9 }";
     let policy = [
         ("threshold", PolicySetting::Number(0.5)),
@@ -84,7 +84,7 @@
     ];
     let policy: BTreeMap<String, PolicySetting> =
         policy.into_iter().map(|(name, value)| (name.to_string(), value)).collect();
-    assert_eq!(found.policy, policy);
+    assert_eq!(settings.policy, policy);
     let empty = OperatorSettings::parse("empty", "").expect("all tables are optional");
     assert_eq!(empty, OperatorSettings::default());
     for table in ["admin", "plugins", "amounts", "loans"] {
@@ -103,8 +103,8 @@
 fn switches_of_the_operators_file_are_independent() {
     let enable = |table: &str, field: &str| {
         let text = format!("[{table}]\n{field} = true\n");
-        let found = OperatorSettings::parse(table, &text).expect("it is valid");
-        (found.plugins.enabled, found.amounts.durable, found.loans.durable)
+        let settings = OperatorSettings::parse(table, &text).expect("it is valid");
+        (settings.plugins.enabled, settings.amounts.durable, settings.loans.durable)
     };
     assert_eq!(enable("plugins", "enabled"), (true, false, false));
     assert_eq!(enable("amounts", "durable"), (false, true, false));
@@ -113,7 +113,7 @@
 
 #[test]
 fn tiers_of_the_operators_file_are_read_unchanged() {
-    let found = full_settings().tiers.expect("there are tiers");
+    let tier_settings = full_settings().tiers.expect("there are tiers");
     let tier = |name: &str, when: &str, ordered| TierDefinition {
         name: name.into(),
         when: when.into(),
@@ -122,14 +122,14 @@
     let core = tier("core", r#"job.priority == "production""#, true);
     let tiers = vec![core, tier("other", "true", false)];
     assert_eq!(
-        tier_table_from_settings(&found),
+        tier_table_from_settings(&tier_settings),
         TierTableRecord { format_version: 0, version: 4, tiers }
     );
 }
 
 #[test]
 fn the_dispatch_plan_of_the_operators_file_is_read_unchanged() {
-    let found = compile_deadline_plan(full_settings().dispatch.expect("there is a plan"))
+    let calendar = compile_deadline_plan(full_settings().dispatch.expect("there is a plan"))
         .expect("it is valid");
     let step = |name: &str, after: &[&str], margin_s| StepDefinition {
         name: name.into(),
@@ -161,7 +161,7 @@
     };
     let chains = vec![ChainDefinition { name: "lists".into(), steps }];
     assert_eq!(
-        *found.plan(),
+        *calendar.plan(),
         DeadlinePlan { format_version: 0, version: 5, entries: vec![north, once], chains }
     );
 }
