--- a/crates/policy/src/hooks.rs
+++ b/crates/policy/src/hooks.rs
@@ -5,7 +5,7 @@
 //! | --- | --- | --- |
 //! | `priority(job, cluster)` | a number from -100 to 100 | the sum, clamped to the same range |
 //! | `class_order(class, cluster)` | an integer from 0 to 1000 | the first answer |
-//! | `spot_share(job, cluster)` | a number from 0 to 1 | the minimum |
+//! | `spot_share(job, cluster)` | a number from 0 to 1 | the minimum, so that every limit holds |
 //! | `avoid_types(job, types)` | a list of names of machine types | the union; ignored if no type would be left |
 //! | `admit(job, cluster)` | true, or a retry delay from 0 to 30 s | the longest delay |
 //!
--- a/crates/quota/src/constants.rs
+++ b/crates/quota/src/constants.rs
@@ -62,8 +62,8 @@
 /// Between two partitions that both lack quota, an amount is moved only if it is at least the giver's holding divided
 /// by this number.
 pub const REBALANCE_DIVISOR: i64 = 6;
-/// Minimum time between two rounds of stopping a team's work for a lowered limit, ms: tasks stopped in one round are
-/// confirmed terminated before the next.
+/// Minimum time between two rounds of stopping a team's work for a lowered limit, ms: tasks stopped in one round should
+/// be confirmed terminated before the next.
 pub const LIMIT_STOP_INTERVAL_MS: u64 = 3_000;
 /// Time within which revoked work should be confirmed terminated, ms: enough for reachable machines to stop tasks and
 /// report it. After it the team's quota may be revoked elsewhere.
