--- a/crates/controller/src/controller/policy_evaluation.rs
+++ b/crates/controller/src/controller/policy_evaluation.rs
@@ -242,7 +242,7 @@
             "cpus_most": team.cpus_max,
             "gpus_used": used.gpus.to_f64(),
             "gpus_most": team.gpus_max,
-            "more_tasks": cap.remaining(*used).times_covering(per_task),
+            "more_tasks": cap.remaining(*used).fit_count(per_task),
         })
     });
     let is_limited = team.is_some_and(|(_, used, cap)| !cap.allows(*used, per_task));
--- a/crates/controller/src/placement/team_usage.rs
+++ b/crates/controller/src/placement/team_usage.rs
@@ -107,7 +107,7 @@
     /// `fitting`. Returns their number.
     pub fn take_tasks(&mut self, team: usize, spec: &JobSpec, waiting: u32, fitting: u32) -> u32 {
         let each = quota_per_task(spec);
-        let tasks = waiting.min(fitting).min(self.remaining[team].times_covering(each));
+        let tasks = waiting.min(fitting).min(self.remaining[team].fit_count(each));
         self.remaining[team] -= each.multiplied_by(tasks);
         tasks
     }
