--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -63,7 +63,7 @@
     /// Share of the machines that never come up.
     pub never_boots_probability: f64,
     /// Boots take this many times as long as usual.
-    pub slow_boot_probability: f64,
+    pub boot_time_factor: f64,
     /// Every machine is up within so long, ms; none: after its usual time.
     pub fixed_boot_ms: Option<u64>,
 }
@@ -90,7 +90,7 @@
             charged_until: now,
             last_machine_number: 0,
             never_boots_probability: FAILED_BOOT_SHARE,
-            slow_boot_probability: 1.0,
+            boot_time_factor: 1.0,
             fixed_boot_ms: None,
         }
     }
@@ -145,7 +145,7 @@
         });
         let number = rent.count.min(offered.capacity.saturating_sub(held.count() as u32));
         let boot_ms =
-            offered.machine_type.boot_s * MS_PER_S / self.speed * self.slow_boot_probability;
+            offered.machine_type.boot_s * MS_PER_S / self.speed * self.boot_time_factor;
         let mut names = Vec::new();
         for _ in 0..number {
             self.last_machine_number += 1;
--- a/crates/simulation/src/quota_model.rs
+++ b/crates/simulation/src/quota_model.rs
@@ -385,7 +385,7 @@
 
 /// The records of a page as they would be with this in the pool and nothing held: where worlds begin that
 /// are not about how a team becomes known.
-pub fn begun(limit: i64, deciders: usize) -> QuotaPage {
+pub fn initial_page(limit: i64, deciders: usize) -> QuotaPage {
     let kept = swiftsail_quota::records::TeamQuota {
         limit: cpu_parts(limit),
         target: cpu_parts(limit),
@@ -404,7 +404,7 @@
 impl QuotaModel {
     /// The same, with its records written and read by all.
     pub fn with_initial_records(mut self, limit: i64) -> QuotaModel {
-        self.page = begun(limit, self.fencing_tokens.len());
+        self.page = initial_page(limit, self.fencing_tokens.len());
         self.revision += 1;
         for holder in &mut self.holders {
             holder.account.on_page(&self.page);
--- a/tests/pauses_and_partitions.rs
+++ b/tests/pauses_and_partitions.rs
@@ -328,7 +328,7 @@
 fn machines_that_come_late_at_once_or_never() {
     for (never, slower) in [(0.5, 1.0), (0.0, 0.02), (0.1, 6.0), (0.4, 0.3)] {
         let mut world = Simulation::with_capacity(8, FaultRates::NONE, 600_000, 8);
-        (world.cluster.cloud.never_boots_probability, world.cluster.cloud.slow_boot_probability) =
+        (world.cluster.cloud.never_boots_probability, world.cluster.cloud.boot_time_factor) =
             (never, slower);
         for n in 0..6 {
             let id = format!("wk-a{n}");
