--- a/crates/controller/src/controller/fleet_management.rs
+++ b/crates/controller/src/controller/fleet_management.rs
@@ -1,5 +1,5 @@
-//! The leader's machines: scale out and in, liveness probes, drains. Plans come from `placement` and `fleet`; this
-//! module applies them to the cluster state and is the only one that asks the cloud for machines.
+//! The leader's fleet of machines: scale-out, scale-in, draining and liveness probes. `placement` and `fleet` plan;
+//! this module applies their plans to the cluster state, and is the only one that requests machines from the cloud.
 
 use super::{Action, Controller};
 use crate::Time;
@@ -15,8 +15,9 @@
 use swiftsail_failure_detector::ProbeOutcome;
 use swiftsail_protocol::workers::StatusReport;
 
-/// Queues provisioning requests, in the given order. A request of the same offer that has not been sent yet is enlarged
-/// instead, since the cloud's calls a second are few.
+/// Queues provisioning requests for the cloud, in the given order. If a request for the same offer (type, zone, spot)
+/// has not been sent yet, its number of machines is increased instead, since the cloud accepts few calls per second.
+/// Requests above the batch size of the cloud's protocol are split.
 pub fn enqueue_provisioning(
     state: &mut ClusterState,
     cloud: &mut CloudClient,
@@ -26,25 +27,25 @@
     for request in requests {
         let mut remaining = request.count;
         for (request_id, open) in state.provisioning.unsent_requests(&request) {
-            let more = remaining.min(MAX_PROVISION_BATCH.saturating_sub(open.request.count));
-            if more > 0 && cloud.enlarge_queued_request(request_id, open.request.count + more) {
-                open.request.count += more;
-                remaining -= more;
+            let added = remaining.min(MAX_PROVISION_BATCH.saturating_sub(open.request.count));
+            if added > 0 && cloud.enlarge_queued_request(request_id, open.request.count + added) {
+                open.request.count += added;
+                remaining -= added;
             }
         }
         while remaining > 0 {
             let number = remaining.min(MAX_PROVISION_BATCH);
             remaining -= number;
             tracing::info!(kind = %request.machine_type, zone = %request.zone, spot = request.spot, number, "scale out");
-            let part = ProvisioningRequest { count: number, ..request.clone() };
-            let request_id = state.provisioning.open_request(state.token, part.clone(), now);
-            cloud.enqueue(CloudCall::Provision(part.to_wire(&request_id)));
+            let batch = ProvisioningRequest { count: number, ..request.clone() };
+            let request_id = state.provisioning.open_request(state.token, batch.clone(), now);
+            cloud.enqueue(CloudCall::Provision(batch.to_wire(&request_id)));
         }
     }
 }
 
-/// Plans and applies what the fleet needs. Called with every tick of the leader. `store_answers`: the store has
-/// responded within the time of a lease. Returns the machines to probe.
+/// Plans changes of the fleet and applies them. Called at every tick of the leader. `store_answers`: the state
+/// service has responded within the time to live of the leader's lease. Returns the machines to probe.
 pub fn update_fleet(
     state: &mut ClusterState,
     cloud: &mut CloudClient,
@@ -70,7 +71,7 @@
     to_probe
 }
 
-/// Asks the cloud for its machines and types where the plan wants them.
+/// Requests the cloud's lists of machines and machine types, as far as the plan asks for them.
 fn refresh_cloud_inventory(
     state: &mut ClusterState,
     cloud: &mut CloudClient,
@@ -88,7 +89,8 @@
     }
 }
 
-/// Marks machines and tasks as the plan says.
+/// Applies a plan to the cluster state: marks machines for termination, requests stops of tasks and changes the
+/// states of machines.
 fn apply_fleet_plan(state: &mut ClusterState, plan: FleetPlan, now: Time) {
     for (id, reason) in plan.returns {
         let is_unreachable =
@@ -114,8 +116,8 @@
     }
 }
 
-/// Queues termination requests for marked machines. Urgent ones are not queued a second time while a request waits to
-/// be sent.
+/// Queues termination requests for the machines that are marked for it. Urgent ones are added only if no termination
+/// request is waiting to be sent.
 fn terminate_machines(state: &mut ClusterState, cloud: &mut CloudClient, now: Time) {
     let urgent = if cloud.has_queued_return() {
         Vec::new()
@@ -131,13 +133,13 @@
 }
 
 impl Controller {
-    /// Manages the leader's machines. Called with every tick.
+    /// Manages the fleet and sends liveness probes. Called at every tick of the leader.
     pub(super) fn manage_fleet(&mut self) {
         let now = self.now.monotonic;
-        let is_crowded = self.is_crowded();
+        let exceeds_limit = self.fleet_exceeds_limit();
         let reachable_zones = self.reachable_zones();
         let Some(state) = &mut self.cluster_state else { return };
-        if is_crowded {
+        if exceeds_limit {
             self.job_policies.idle_timeout_ms = 0;
         }
         state.reachable_zones = reachable_zones;
@@ -154,77 +156,78 @@
         for id in update_fleet(state, &mut self.cloud, context, store_answers) {
             let machine = state.machines.get_mut(&id);
             let Some(machine) = machine.filter(|m| !m.address.is_empty()) else {
-                // Not in the machine list yet: there is no address to probe.
+                // Not in the machine list yet, so its address is unknown.
                 state.on_probed(&id, ProbeOutcome::Refused, None, now);
                 continue;
             };
-            if self.open_probes.contains_key(&id) {
+            if self.previous_term_probes.contains_key(&id) {
                 machine.probe_baseline = None;
             }
             self.actions.push(Action::ProbeMachine(id, machine.address.clone()));
         }
     }
 
-    /// Zones in which a controller is heard, this one's own among them.
+    /// Zones with a controller whose heartbeats arrive, this controller's own zone included.
     fn reachable_zones(&self) -> std::collections::BTreeSet<String> {
         let now = self.now.monotonic;
-        let is_heard = |name: &String| {
+        let is_reachable = |name: &String| {
             let peer = self.peers.get(name);
             peer.is_some_and(|p| now.saturating_sub(p.health.heartbeat_at) <= HEARTBEAT_VALIDITY_MS)
         };
-        let others = self.settings.others.iter().filter(|other| is_heard(&other.host_name));
+        let others = self.settings.others.iter().filter(|other| is_reachable(&other.host_name));
         let own = std::iter::once(&self.settings.site);
         others.map(|other| &other.site).chain(own).cloned().collect()
     }
 
-    /// A probe of a machine ended, with or without an answer.
-    pub(super) fn on_probed(
+    /// Handles the end of a probe of a machine, with or without an answer.
+    pub(super) fn on_probe_finished(
         &mut self,
         id: &MachineId,
-        probe: ProbeOutcome,
+        outcome: ProbeOutcome,
         report: Option<Box<StatusReport>>,
     ) {
-        // Where a probe of an earlier leadership is open, it cannot be told which of the two this answers. Its report
-        // then counts as any report, and proves nothing about the worker's restart.
-        let is_ambiguous = self.closes_previous_term_probe(id);
+        // While a probe of an earlier term is open, it is unknown which of the probes this answers. The report then
+        // counts like any other report, and is no evidence of a restart of the worker.
+        let is_ambiguous = self.close_previous_term_probe(id);
         if !is_ambiguous && let Some(state) = &mut self.cluster_state {
-            state.on_probed(id, probe, report.as_deref(), self.now.monotonic);
+            state.on_probed(id, outcome, report.as_deref(), self.now.monotonic);
         }
-        tracing::debug!(machine = %id, ?probe, "machine probed");
+        tracing::debug!(machine = %id, probe = ?outcome, "machine probed");
         if let Some(report) = report {
             self.on_command_response(&report);
         }
     }
 
-    /// Whether a probe of this machine that an earlier leadership sent is open; if so, one of them is closed.
-    fn closes_previous_term_probe(&mut self, id: &MachineId) -> bool {
-        let Some(open) = self.open_probes.get_mut(id) else { return false };
+    /// Counts one probe of this machine from an earlier term as finished, if one is open. Returns whether one was.
+    fn close_previous_term_probe(&mut self, id: &MachineId) -> bool {
+        let Some(open) = self.previous_term_probes.get_mut(id) else { return false };
         *open -= 1;
         if *open == 0 {
-            self.open_probes.remove(id);
+            self.previous_term_probes.remove(id);
         }
         true
     }
 
-    /// A call to the cloud ended, with or without a response.
-    pub(super) fn on_cloud(&mut self, call: &CloudCall, outcome: &CloudOutcome) {
+    /// Handles the outcome of a call to the cloud.
+    pub(super) fn on_cloud_response(&mut self, call: &CloudCall, outcome: &CloudOutcome) {
         self.cloud.on_outcome(outcome, self.now.monotonic);
         if let CloudOutcome::Types(types) = outcome {
-            self.learn_machine_types(types);
+            self.set_machine_types(types);
             self.store_machine_types(types);
         }
         if let (CloudCall::Return(names), CloudOutcome::Returned) = (call, outcome) {
             self.pending_terminations.on_terminated(names);
         }
         let Some(state) = &mut self.cluster_state else { return };
-        let retry = apply_cloud_outcome(state, call, outcome, self.now.monotonic);
-        if let Some(retry) = retry {
-            self.cloud.enqueue(retry);
+        let next_call = apply_cloud_outcome(state, call, outcome, self.now.monotonic);
+        if let Some(next_call) = next_call {
+            self.cloud.enqueue(next_call);
         }
     }
 }
 
-/// Applies the outcome of a call to the cluster state. Returns the call to make next, if any.
+/// Applies the outcome of a cloud call to the cluster state. Returns the follow-up call, if any: a retry, or the next
+/// page of a list.
 fn apply_cloud_outcome(
     state: &mut ClusterState,
     call: &CloudCall,
@@ -238,7 +241,7 @@
         (CloudCall::Provision(request), CloudOutcome::NoCapacity | CloudOutcome::Malformed(_)) => {
             state.on_provisioning_refused(&request.request_id, now);
         }
-        // Idempotent: if the request was served, the same id gets the same machines.
+        // A retry is safe: a request that was already served returns the same machines for the same request id.
         (CloudCall::Provision(request), _) => {
             return state.provisioning.mark_unanswered(&request.request_id).then(|| call.clone());
         }
