--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -1,4 +1,5 @@
-//! The cloud as a pure machine: rentals, boot times, capacity, a list that lags, prices, money.
+//! A fake cloud, as a state machine without I/O: provisioning, boot times, capacity, a machine list that lags behind,
+//! prices and costs. Times are milliseconds of the caller's monotonic clock.
 
 use crate::constants::{
     BOOT_TIME_SIGMA, DEAD_MACHINE_LISTED_MS, FAILED_BOOT_SHARE, MAX_MACHINE_PAGE,
@@ -16,37 +17,37 @@
     ProvisionMachinesRequest,
 };
 
-/// A machine type with what is to be had of it.
+/// A machine type that the cloud offers, with its capacity.
 #[derive(Debug, Clone)]
 pub struct MachineOffer {
     /// The type as the cloud publishes it.
     pub machine_type: ListedMachineType,
-    /// Machines of it in each zone, ordinary and spot each.
+    /// Most machines of the type at a time, in each zone, counted separately for on-demand and spot machines.
     pub capacity: u32,
 }
 
-/// A machine that was rented.
+/// A machine that was provisioned.
 #[derive(Debug, Clone)]
 pub struct CloudMachine {
-    /// Number of its type among those offered.
+    /// Index of its offer.
     pub type_index: usize,
     /// Zone.
     pub zone: String,
-    /// Spot.
+    /// Whether it is a spot machine.
     pub spot: bool,
-    /// Its worker's address.
+    /// Address at which its worker receives direct commands.
     pub address: String,
-    /// When it was rented.
+    /// When it was provisioned.
     pub provisioned_at: u64,
-    /// When it comes up; none: never.
+    /// When it has booted; `None`: never.
     pub up_at: Option<u64>,
-    /// When it was returned or taken, or died.
+    /// When it was returned or reclaimed, or died.
     pub terminated_at: Option<u64>,
-    /// It died, and is listed for a while.
+    /// Whether it died: it is listed until it is returned, at first as running and then as failed.
     pub has_failed: bool,
 }
 
-/// The cloud.
+/// A fake cloud.
 pub struct FakeCloud {
     offers: Vec<MachineOffer>,
     machines: BTreeMap<String, CloudMachine>,
@@ -55,21 +56,21 @@
     rate_limiter: TokenBucket,
     rng: StdRng,
     speed: f64,
-    /// Spot prices as shares of the nominal ones, and when they were made.
+    /// When the spot prices were last changed, and the factor on each offer's nominal spot price.
     prices: (u64, Vec<f64>),
     money_spent: f64,
     charged_until: u64,
     last_machine_number: u32,
-    /// Share of the machines that never come up.
+    /// Probability that a machine never finishes booting.
     pub never_boots_probability: f64,
-    /// Boots take this many times as long as usual.
+    /// Factor on all boot times.
     pub boot_time_factor: f64,
-    /// Every machine is up within so long, ms; none: after its usual time.
+    /// If set, every machine boots within this time, ms, drawn uniformly; otherwise by its type's boot time.
     pub fixed_boot_ms: Option<u64>,
 }
 
 impl FakeCloud {
-    /// A cloud that offers these types. `speed`: how many times as fast machines boot.
+    /// A cloud with these offers. `speed` divides the boot times.
     pub fn new(
         offers: Vec<MachineOffer>,
         limits: Limits,
@@ -95,16 +96,16 @@
         }
     }
 
-    /// Whether the limit lets a request through: bursts worth two seconds.
+    /// Whether the rate limit admits a request now. Allows bursts of two seconds' worth of requests.
     pub fn admit(&mut self, now: u64) -> bool {
-        let open = self.rate_limiter.can_take(1.0, 0.0, now);
-        if open {
+        let admitted = self.rate_limiter.can_take(1.0, 0.0, now);
+        if admitted {
             self.rate_limiter.take(1.0);
         }
-        open
+        admitted
     }
 
-    /// All types, with their prices now.
+    /// All machine types with their current prices.
     pub fn list_machine_types(&mut self, now: u64) -> MachineTypes {
         if now >= self.prices.0 + PRICE_INTERVAL_MS {
             self.charge_until(now);
@@ -112,59 +113,66 @@
             let price = |_: &MachineOffer| 1.0 + rng.random_range(-PRICE_SPREAD..PRICE_SPREAD);
             self.prices = (now, self.offers.iter().map(price).collect());
         }
-        let with = |(o, share): (&MachineOffer, &f64)| ListedMachineType {
-            spot_price: o.machine_type.spot_price * share,
-            ..o.machine_type.clone()
+        let to_listed = |(offer, factor): (&MachineOffer, &f64)| ListedMachineType {
+            spot_price: offer.machine_type.spot_price * factor,
+            ..offer.machine_type.clone()
         };
-        MachineTypes { machine_types: self.offers.iter().zip(&self.prices.1).map(with).collect() }
+        MachineTypes {
+            machine_types: self.offers.iter().zip(&self.prices.1).map(to_listed).collect(),
+        }
     }
 
-    /// The types as offered.
+    /// The offers, in the order given to [`FakeCloud::new`].
     pub fn offers(&self) -> &[MachineOffer] {
         &self.offers
     }
 
-    /// Rents. None: no such type or zone, or a malformed number. Empty: no capacity.
-    pub fn provision(&mut self, rent: &ProvisionMachinesRequest, now: u64) -> Option<Vec<String>> {
-        if let Some(names) = self.provisioned_by_request.get(&rent.request_id) {
+    /// Provisions machines and returns their names: fewer than requested, or none, if the capacity is used up. `None` if
+    /// the type or zone does not exist or the count is out of range. A repeated request id returns the same names again.
+    pub fn provision(
+        &mut self,
+        request: &ProvisionMachinesRequest,
+        now: u64,
+    ) -> Option<Vec<String>> {
+        if let Some(names) = self.provisioned_by_request.get(&request.request_id) {
             return Some(names.clone());
         }
         self.charge_until(now);
-        let kind = self.offers.iter().position(|o| o.machine_type.name == rent.machine_type)?;
-        let offered = &self.offers[kind];
-        if !offered.machine_type.zones.contains(&rent.zone)
-            || !(1..=MAX_PROVISION_MACHINES).contains(&rent.count)
+        let type_index =
+            self.offers.iter().position(|o| o.machine_type.name == request.machine_type)?;
+        let offer = &self.offers[type_index];
+        if !offer.machine_type.zones.contains(&request.zone)
+            || !(1..=MAX_PROVISION_MACHINES).contains(&request.count)
         {
             return None;
         }
-        let held = self.machines.values().filter(|m| {
+        let active = self.machines.values().filter(|m| {
             m.terminated_at.is_none()
-                && m.type_index == kind
-                && m.zone == rent.zone
-                && m.spot == rent.spot
+                && m.type_index == type_index
+                && m.zone == request.zone
+                && m.spot == request.spot
         });
-        let number = rent.count.min(offered.capacity.saturating_sub(held.count() as u32));
-        let boot_ms =
-            offered.machine_type.boot_s * MS_PER_S / self.speed * self.boot_time_factor;
+        let count = request.count.min(offer.capacity.saturating_sub(active.count() as u32));
+        let boot_ms = offer.machine_type.boot_s * MS_PER_S / self.speed * self.boot_time_factor;
         let mut names = Vec::new();
-        for _ in 0..number {
+        for _ in 0..count {
             self.last_machine_number += 1;
             let name = format!("m-{:06}", self.last_machine_number);
             let factor = match self.rng.random_range(0.0..1.0) {
-                at if at < self.never_boots_probability => None,
-                at if at < self.never_boots_probability + SLOW_BOOT_SHARE => {
+                draw if draw < self.never_boots_probability => None,
+                draw if draw < self.never_boots_probability + SLOW_BOOT_SHARE => {
                     Some(self.rng.random_range(2.0..5.0))
                 }
                 _ => LogNormal::new(0.0, BOOT_TIME_SIGMA).ok().map(|d| d.sample(&mut self.rng)),
             };
-            let quick = self.fixed_boot_ms.map(|most| now + self.rng.random_range(0..=most));
+            let fixed = self.fixed_boot_ms.map(|limit| now + self.rng.random_range(0..=limit));
             let machine = CloudMachine {
-                type_index: kind,
-                zone: rent.zone.clone(),
-                spot: rent.spot,
+                type_index,
+                zone: request.zone.clone(),
+                spot: request.spot,
                 address: name.clone(),
                 provisioned_at: now,
-                up_at: quick.or(factor.map(|f| now + (boot_ms * f) as u64)),
+                up_at: fixed.or(factor.map(|f| now + (boot_ms * f) as u64)),
                 terminated_at: None,
                 has_failed: false,
             };
@@ -172,103 +180,107 @@
             names.push(name);
         }
         if !names.is_empty() {
-            self.provisioned_by_request.insert(rent.request_id.clone(), names.clone());
+            self.provisioned_by_request.insert(request.request_id.clone(), names.clone());
         }
         Some(names)
     }
 
-    /// Names of machines go on from a number: none is given twice, restarts included.
+    /// Makes machine numbers continue after `number`, so that no name is reused after a restart.
     pub fn raise_last_machine_number(&mut self, number: u32) {
         self.last_machine_number = self.last_machine_number.max(number);
     }
 
-    /// Number of the last machine named.
+    /// The number in the name of the latest machine.
     pub fn last_machine_number(&self) -> u32 {
         self.last_machine_number
     }
 
-    /// A machine.
+    /// The machine with this name, terminated or not.
     pub fn machine(&self, name: &str) -> Option<&CloudMachine> {
         self.machines.get(name)
     }
 
-    /// Names where its worker takes commands.
-    pub fn set_address(&mut self, name: &str, addr: String) {
+    /// Sets the address at which a machine's worker receives direct commands.
+    pub fn set_address(&mut self, name: &str, address: String) {
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.address = addr;
+            machine.address = address;
         }
     }
 
-    /// Machines returned, taken (`died` false) or dead: gone from now on.
-    pub fn terminate(&mut self, names: &[String], died: bool, now: u64) {
+    /// Terminates machines: they die (`has_died`), or are returned or reclaimed.
+    pub fn terminate(&mut self, names: &[String], has_died: bool, now: u64) {
         self.charge_until(now);
         for name in names {
             let Some(machine) = self.machines.get_mut(name) else { continue };
-            // A dead machine that is returned is no longer listed.
-            machine.has_failed &= died;
+            // A dead machine is no longer listed once it is returned.
+            machine.has_failed &= has_died;
             if machine.terminated_at.is_none() {
                 machine.terminated_at = Some(now);
-                machine.has_failed = died;
-                if !died && now < machine.provisioned_at + (MIN_BILLED_S * MS_PER_S) as u64 {
-                    let ran = now.saturating_sub(machine.provisioned_at) as f64 / MS_PER_S;
-                    let (kind, spot) = (machine.type_index, machine.spot);
-                    self.money_spent += self.price_of(kind, spot) * (MIN_BILLED_S - ran) / 3600.0;
+                machine.has_failed = has_died;
+                if !has_died && now < machine.provisioned_at + (MIN_BILLED_S * MS_PER_S) as u64 {
+                    let ran_s = now.saturating_sub(machine.provisioned_at) as f64 / MS_PER_S;
+                    let (type_index, spot) = (machine.type_index, machine.spot);
+                    self.money_spent +=
+                        self.price_of(type_index, spot) * (MIN_BILLED_S - ran_s) / 3600.0;
                 }
             }
         }
     }
 
-    /// A page of the list, as it was a while ago.
-    pub fn list_machines(&mut self, from: Option<&str>, most: usize, now: u64) -> MachinePage {
+    /// A page of the machine list after the name `from`, as the list was some time ago.
+    pub fn list_machines(&mut self, from: Option<&str>, limit: usize, now: u64) -> MachinePage {
         let lag = self.limits.list_lag_s * MS_PER_S;
-        let then = now.saturating_sub((lag * self.rng.random_range(0.5..2.0)) as u64);
-        let mut berths = Vec::new();
+        let listed_at = now.saturating_sub((lag * self.rng.random_range(0.5..2.0)) as u64);
+        let mut machines = Vec::new();
         let mut has_next = false;
         for (name, m) in &self.machines {
-            if from.is_some_and(|f| name.as_str() <= f) || m.provisioned_at > then {
+            if from.is_some_and(|f| name.as_str() <= f) || m.provisioned_at > listed_at {
                 continue;
             }
             let listed_until = m
                 .terminated_at
                 .map(|at| if m.has_failed { at + DEAD_MACHINE_LISTED_MS } else { at });
-            if !m.has_failed && listed_until.is_some_and(|until| until <= then) {
+            if !m.has_failed && listed_until.is_some_and(|until| until <= listed_at) {
                 continue;
             }
-            if berths.len() >= most.min(MAX_MACHINE_PAGE) {
+            if machines.len() >= limit.min(MAX_MACHINE_PAGE) {
                 has_next = true;
                 break;
             }
             let status = match m.up_at {
-                _ if listed_until.is_some_and(|until| until <= then) => ListedMachineStatus::Failed,
-                Some(up) if up <= then => ListedMachineStatus::Running,
+                _ if listed_until.is_some_and(|until| until <= listed_at) => {
+                    ListedMachineStatus::Failed
+                }
+                Some(up) if up <= listed_at => ListedMachineStatus::Running,
                 _ => ListedMachineStatus::Booting,
             };
-            berths.push(ListedMachine {
+            machines.push(ListedMachine {
                 name: name.clone(),
                 address: m.address.clone(),
                 machine_type: self.offers[m.type_index].machine_type.name.clone(),
                 zone: m.zone.clone(),
                 spot: m.spot,
                 status,
-                age_s: (then - m.provisioned_at) as f64 / MS_PER_S,
+                age_s: (listed_at - m.provisioned_at) as f64 / MS_PER_S,
             });
         }
-        MachinePage { machines: berths, has_next }
+        MachinePage { machines, has_next }
     }
 
-    fn price_of(&self, kind: usize, spot: bool) -> f64 {
-        let hull = &self.offers[kind].machine_type;
-        if spot { hull.spot_price * self.prices.1[kind] } else { hull.price }
+    fn price_of(&self, type_index: usize, spot: bool) -> f64 {
+        let machine_type = &self.offers[type_index].machine_type;
+        if spot { machine_type.spot_price * self.prices.1[type_index] } else { machine_type.price }
     }
 
     fn charge_until(&mut self, now: u64) {
         let hours = now.saturating_sub(self.charged_until) as f64 / MS_PER_S / 3600.0;
-        let held = self.machines.values().filter(|m| m.terminated_at.is_none());
-        self.money_spent += held.map(|m| self.price_of(m.type_index, m.spot) * hours).sum::<f64>();
+        let active = self.machines.values().filter(|m| m.terminated_at.is_none());
+        self.money_spent +=
+            active.map(|m| self.price_of(m.type_index, m.spot) * hours).sum::<f64>();
         self.charged_until = now;
     }
 
-    /// Money spent so far.
+    /// Total cost so far.
     pub fn money_spent(&mut self, now: u64) -> f64 {
         self.charge_until(now);
         self.money_spent
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -1,8 +1,8 @@
-//! All machines together, and what runs on them: gangs, checkpoints, results. A pure machine that
-//! serves simulated time and real sockets alike.
+//! All machines of a cluster and the tasks on them: gangs, checkpoints and results. A state machine without I/O, used
+//! with simulated time and behind real sockets. Times are milliseconds of the caller's monotonic clock.
 
 use crate::cloud::{FakeCloud, MachineOffer};
-use crate::constants::{FETCH_SPREAD, MS_PER_S, RUNTIME_SIGMA, SPEED_SPREAD};
+use crate::constants::{FETCH_RATE_SPREAD, MS_PER_S, RUNTIME_SIGMA, SPEED_SPREAD};
 use crate::worker::{ExecutionPhase, FakeWorker, MachineHardware};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -16,31 +16,31 @@
     Command, CommandKind, DirectCommands, ExitCause, HeartbeatResponse, StatusReport,
 };
 
-/// A job as the plant runs it.
+/// A job as the machines run it.
 #[derive(Debug, Clone)]
 struct Workload {
     spec: Arc<JobSpec>,
-    /// True run time of each of its tasks, ms.
+    /// Actual run time of each task at nominal speed, ms.
     true_runtime_ms: f64,
-    /// Progress saved: of each task; of a gang, of task 0.
+    /// Saved progress by task number, ms. A gang's is that of task 0.
     saved_progress: BTreeMap<u32, f64>,
 }
 
-/// A gang's attempt that is being stopped: the first stop, and the progress then.
+/// A gang's attempt that is being stopped: when its first task was told to stop, and the progress then.
 #[derive(Debug, Clone, Copy)]
 struct StoppingAttempt {
     stopped_at: u64,
     progress: f64,
 }
 
-/// All machines and their work.
+/// The machines of a cluster, the tasks on them, and the cloud that provides them.
 pub struct SimulatedCluster {
-    /// The cloud that rents them.
+    /// The cloud that provides the machines.
     pub cloud: FakeCloud,
-    /// Workers by machine.
+    /// Workers by machine name, those of terminated machines included.
     pub workers: BTreeMap<String, FakeWorker>,
     workloads: BTreeMap<String, Workload>,
-    /// Results: they are kept, and a task started again exits at once.
+    /// Tasks that have completed. Their results persist: such a task exits at once when started again.
     pub finished_tasks: BTreeSet<String>,
     stopping: BTreeMap<(String, u64), StoppingAttempt>,
     platform: PlatformSettings,
@@ -48,25 +48,25 @@
     speed: f64,
     rng: StdRng,
     last_step_at: BTreeMap<String, u64>,
-    /// Jobs submitted with a mistake: their tasks fail on every machine.
+    /// Jobs with an error of their own: their tasks fail on every machine.
     pub faulty_jobs: BTreeSet<String>,
-    /// Tasks that have failed so far, by job.
+    /// Number of failed attempts so far, by job.
     pub failures_by_job: BTreeMap<String, u64>,
-    /// Starts of tasks so far.
+    /// Number of task starts so far.
     pub task_starts: u64,
-    /// When each task was first on its machine.
+    /// When each task first had its image on a machine.
     pub first_started_at: BTreeMap<String, u64>,
-    /// Tasks that commands have stopped.
+    /// Names of tasks whose phase a stop command has changed, in order.
     pub stopped_tasks: Vec<String>,
-    /// Counts changes of what is on machines.
+    /// Incremented whenever what is on a machine may have changed.
     pub change_count: u64,
 }
 
 impl SimulatedCluster {
-    /// An empty plant. `nodes`: controllers that workers know; `speed`: how many times as fast
-    /// machines boot, fetch and run.
+    /// A cluster without machines. `controller_count` is the number of controllers that workers know. `speed` is a factor
+    /// on the speed at which machines boot, fetch images and run tasks.
     pub fn new(
-        offered: Vec<MachineOffer>,
+        offers: Vec<MachineOffer>,
         platform: PlatformSettings,
         controller_count: usize,
         speed: f64,
@@ -74,9 +74,9 @@
         now: u64,
     ) -> SimulatedCluster {
         let rng = StdRng::seed_from_u64(seed);
-        let clouds = StdRng::seed_from_u64(seed ^ 0xc10d);
+        let cloud_rng = StdRng::seed_from_u64(seed ^ 0xc10d);
         SimulatedCluster {
-            cloud: FakeCloud::new(offered, platform.cloud.clone(), clouds, speed, now),
+            cloud: FakeCloud::new(offers, platform.cloud.clone(), cloud_rng, speed, now),
             workers: BTreeMap::new(),
             workloads: BTreeMap::new(),
             finished_tasks: BTreeSet::new(),
@@ -95,50 +95,55 @@
         }
     }
 
-    /// Whether a job's description is here.
+    /// Whether the specification of a job is registered.
     pub fn has_job(&self, job: &str) -> bool {
         self.workloads.contains_key(job)
     }
 
-    /// What a job asks for, if its description is here.
+    /// The specification of a job, if it is registered.
     pub fn spec(&self, job: &str) -> Option<Arc<JobSpec>> {
         self.workloads.get(job).map(|l| l.spec.clone())
     }
 
-    /// Takes a job's description: users upload it. `exact`: its tasks run as long as estimated.
-    pub fn register_job(&mut self, job: &str, spec: JobSpec, exact: bool) {
+    /// Registers a job's specification, unless the job is registered. Actual run times are as estimated if
+    /// `is_estimate_exact`, and otherwise differ by a random factor.
+    pub fn register_job(&mut self, job: &str, spec: JobSpec, is_estimate_exact: bool) {
         let factor = match LogNormal::new(0.0, RUNTIME_SIGMA) {
-            Ok(d) if !exact => d.sample(&mut self.rng),
+            Ok(d) if !is_estimate_exact => d.sample(&mut self.rng),
             _ => 1.0,
         };
         let run_ms = spec.runtime_estimate_s * MS_PER_S * factor;
-        let load = Workload {
+        let workload = Workload {
             spec: Arc::new(spec),
             true_runtime_ms: run_ms,
             saved_progress: BTreeMap::new(),
         };
-        self.workloads.entry(job.into()).or_insert(load);
+        self.workloads.entry(job.into()).or_insert(workload);
     }
 
-    /// Rents machines, as the cloud does. None: malformed.
-    pub fn provision(&mut self, rent: &ProvisionMachinesRequest, now: u64) -> Option<Vec<String>> {
-        let names = self.cloud.provision(rent, now)?;
+    /// Provisions machines as [`FakeCloud::provision`] does, each with a worker.
+    pub fn provision(
+        &mut self,
+        request: &ProvisionMachinesRequest,
+        now: u64,
+    ) -> Option<Vec<String>> {
+        let names = self.cloud.provision(request, now)?;
         for name in &names {
             if self.workers.contains_key(name) {
                 continue;
             }
             let Some(machine) = self.cloud.machine(name).cloned() else { continue };
-            let hull = &self.cloud.offers()[machine.type_index].machine_type;
+            let machine_type = &self.cloud.offers()[machine.type_index].machine_type;
             let spread = |rng: &mut StdRng, by: f64| 1.0 + rng.random_range(-by..by);
             let hardware = MachineHardware {
-                machine_type: hull.name.clone(),
+                machine_type: machine_type.name.clone(),
                 zone: machine.zone,
                 spot: machine.spot,
-                resources: [hull.cpus, hull.gpus, hull.memory_gb],
-                cache_gb: hull.cache_gb,
-                image_fetch_gb_per_s: hull.image_fetch_gb_per_s
+                resources: [machine_type.cpus, machine_type.gpus, machine_type.memory_gb],
+                cache_gb: machine_type.cache_gb,
+                image_fetch_gb_per_s: machine_type.image_fetch_gb_per_s
                     * self.speed
-                    * spread(&mut self.rng, FETCH_SPREAD),
+                    * spread(&mut self.rng, FETCH_RATE_SPREAD),
                 speed: self.speed * spread(&mut self.rng, SPEED_SPREAD),
             };
             let up_at = machine.up_at.unwrap_or(u64::MAX);
@@ -150,9 +155,9 @@
         Some(names)
     }
 
-    /// Machines are gone: returned, taken, or dead.
-    pub fn terminate(&mut self, names: &[String], died: bool, now: u64) {
-        self.cloud.terminate(names, died, now);
+    /// Terminates machines and their tasks: the machines die (`has_died`), or are returned or reclaimed.
+    pub fn terminate(&mut self, names: &[String], has_died: bool, now: u64) {
+        self.cloud.terminate(names, has_died, now);
         for name in names {
             if let Some(worker) = self.workers.get_mut(name) {
                 worker.is_terminated = true;
@@ -162,7 +167,7 @@
         }
     }
 
-    /// A machine's worker begins anew: nothing is on it, and its numbers count from the start.
+    /// Restarts a machine's worker, as [`FakeWorker::restart`] does.
     pub fn restart_worker(&mut self, name: &str, now: u64) {
         if let Some(worker) = self.workers.get_mut(name).filter(|w| !w.is_terminated) {
             worker.restart(now);
@@ -170,23 +175,23 @@
         }
     }
 
-    /// A response of a controller to a worker's report.
+    /// Delivers a controller's response to the report that a worker sent at `sent` in `session`.
     pub fn handle_heartbeat_response(
         &mut self,
         name: &str,
-        orders: &HeartbeatResponse,
+        response: &HeartbeatResponse,
         session: u64,
         sent: u64,
         now: u64,
     ) {
         let Some(worker) = self.workers.get_mut(name) else { return };
-        if worker.handle_heartbeat_response(orders, session, sent, now) {
-            self.execute_commands(name, &orders.commands, now);
+        if worker.handle_heartbeat_response(response, session, sent, now) {
+            self.execute_commands(name, &response.commands, now);
         }
     }
 
-    /// Commands sent straight to a worker: its report, and whether they were executed. None: it does
-    /// not answer.
+    /// Delivers direct commands to a worker. Returns whether it executed them, and its report, or `None` if it does not
+    /// answer.
     pub fn handle_direct_commands(
         &mut self,
         name: &str,
@@ -194,44 +199,49 @@
         now: u64,
     ) -> Option<(bool, StatusReport)> {
         let worker = self.workers.get_mut(name).filter(|w| w.is_responsive(now))?;
-        let good = worker.accept_direct_commands(direct);
-        if good {
+        let accepted = worker.accept_direct_commands(direct);
+        if accepted {
             self.execute_commands(name, &direct.commands, now);
         }
         let worker = self.workers.get_mut(name)?;
-        Some((good, worker.build_report(now)))
+        Some((accepted, worker.build_report(now)))
     }
 
-    fn execute_commands(&mut self, name: &str, orders: &[Command], now: u64) {
+    fn execute_commands(&mut self, name: &str, commands: &[Command], now: u64) {
         let peer_ms = (self.platform.workers.gang_peer_s * MS_PER_S) as u64;
-        for order in orders {
+        for command in commands {
             let Some(worker) = self.workers.get_mut(name) else { return };
             self.change_count += 1;
-            match order.kind {
+            match command.kind {
                 CommandKind::Start => {
-                    let job = order.task.rsplit_once('/').map_or("", |(job, _)| job);
+                    let job = command.task.rsplit_once('/').map_or("", |(job, _)| job);
                     let spec = self.workloads.get(job).map(|l| l.spec.clone());
-                    worker.start_task(&order.task, order.attempt, spec);
+                    worker.start_task(&command.task, command.attempt, spec);
                 }
-                CommandKind::Forget => worker.forget_task(&order.task, order.attempt),
+                CommandKind::Forget => worker.forget_task(&command.task, command.attempt),
                 CommandKind::Stop => {
-                    let Some(task) = worker.task_mut(&order.task, order.attempt) else { continue };
-                    let ease = order.grace_s.unwrap_or(0.0);
+                    let Some(task) = worker.task_mut(&command.task, command.attempt) else {
+                        continue;
+                    };
+                    let grace_s = command.grace_s.unwrap_or(0.0);
                     let Some(spec) = task.spec.clone() else { continue };
-                    let saves =
-                        spec.checkpoint_interval_s > 0.0 && ease >= spec.checkpoint_duration_s;
+                    let can_save =
+                        spec.checkpoint_interval_s > 0.0 && grace_s >= spec.checkpoint_duration_s;
                     let save_ms = (spec.checkpoint_duration_s * MS_PER_S / self.speed) as u64;
                     let gang = spec.kind == JobKind::Gang;
-                    let (key, progress) = ((task.job().to_string(), order.attempt), task.progress);
+                    let (key, progress) =
+                        ((task.job().to_string(), command.attempt), task.progress);
                     let first = self.stopping.get(&key).map_or(now, |s| s.stopped_at);
                     let to = match task.phase() {
-                        // Told too late: the save has failed.
-                        ExecutionPhase::Running if saves && gang && now > first + peer_ms => {
+                        // Told to stop too long after the first member of its gang: the checkpoint fails.
+                        ExecutionPhase::Running if can_save && gang && now > first + peer_ms => {
                             ExecutionPhase::Exited(ExitCause::GangMemberLost, false)
                         }
-                        ExecutionPhase::Running if saves => ExecutionPhase::Saving(now + save_ms),
-                        // A second stop without grace ends a save; one with grace changes nothing.
-                        ExecutionPhase::Saving(until) if ease > 0.0 => {
+                        ExecutionPhase::Running if can_save => {
+                            ExecutionPhase::Saving(now + save_ms)
+                        }
+                        // A second stop aborts the checkpoint unless it grants a grace period.
+                        ExecutionPhase::Saving(until) if grace_s > 0.0 => {
                             ExecutionPhase::Saving(until)
                         }
                         _ => ExecutionPhase::Exited(ExitCause::Stopped, false),
@@ -241,9 +251,9 @@
                             .entry(key)
                             .or_insert(StoppingAttempt { stopped_at: now, progress });
                     }
-                    let (name, moved) = (task.name.clone(), task.advance_phase(to));
-                    worker.changed |= moved;
-                    if moved {
+                    let (name, changed) = (task.name.clone(), task.advance_phase(to));
+                    worker.changed |= changed;
+                    if changed {
                         self.stopped_tasks.push(name);
                     }
                 }
@@ -254,12 +264,12 @@
         }
     }
 
-    /// Lets time pass on a machine. Returns the report that is due, with the node it goes to.
+    /// Advances a machine to the time `now`. Returns the report that is due, with the index of the controller it goes to.
     pub fn step_machine(&mut self, name: &str, now: u64) -> Option<(usize, StatusReport)> {
         let before = self.last_step_at.insert(name.to_string(), now).unwrap_or(now);
-        let taken =
+        let reclaimed =
             self.workers.get(name).is_some_and(|w| w.reclaim_at.is_some_and(|at| now >= at));
-        if taken {
+        if reclaimed {
             self.terminate(&[name.to_string()], false, now);
             self.last_step_at.remove(name);
             return None;
@@ -277,44 +287,44 @@
     #[expect(clippy::too_many_lines, reason = "not split yet")]
     fn run_tasks(&mut self, name: &str, ms: f64, now: u64) {
         let Some(worker) = self.workers.get(name) else { return };
-        let mut moves: Vec<(usize, ExecutionPhase, f64)> = Vec::new();
+        let mut changes: Vec<(usize, ExecutionPhase, f64)> = Vec::new();
         for (n, task) in worker.tasks.iter().enumerate().filter(|(_, t)| t.occupies_resources()) {
             let Some(spec) = &task.spec else { continue };
-            let Some(load) = self.workloads.get(task.job()) else { continue };
+            let Some(workload) = self.workloads.get(task.job()) else { continue };
             let number = task_number(&task.name);
             let gang = spec.kind == JobKind::Gang;
-            let over = self.finished_tasks.contains(&task.name)
+            let finished = self.finished_tasks.contains(&task.name)
                 || gang
                     && (0..spec.tasks)
                         .any(|t| self.finished_tasks.contains(&format!("{}/{t}", task.job())));
             let saved_key = if gang { 0 } else { number };
-            let saved = load.saved_progress.get(&saved_key).copied().unwrap_or(0.0);
-            let here = worker.has_image(&spec.image);
-            let stage = task.phase();
+            let saved = workload.saved_progress.get(&saved_key).copied().unwrap_or(0.0);
+            let has_image = worker.has_image(&spec.image);
+            let phase = task.phase();
             let mut progress = task.progress;
-            let next = match stage {
-                ExecutionPhase::Fetching if !here => stage,
+            let new_phase = match phase {
+                ExecutionPhase::Fetching if !has_image => phase,
                 ExecutionPhase::Fetching
                     if worker.is_faulty || self.faulty_jobs.contains(task.job()) =>
                 {
                     ExecutionPhase::Exited(ExitCause::Failed, false)
                 }
-                _ if over => ExecutionPhase::Exited(ExitCause::Completed, false),
+                _ if finished => ExecutionPhase::Exited(ExitCause::Completed, false),
                 ExecutionPhase::Fetching if gang => ExecutionPhase::WaitingForGang(now),
                 ExecutionPhase::Fetching => {
                     progress = saved;
                     ExecutionPhase::Running
                 }
                 ExecutionPhase::WaitingForGang(since) => {
-                    let mates = self.gang_members_present(task.job(), task.attempt, now);
+                    let members = self.gang_members_present(task.job(), task.attempt, now);
                     let wait = (self.platform.workers.gang_wait_s * MS_PER_S) as u64;
-                    if mates == spec.tasks {
+                    if members == spec.tasks {
                         progress = saved;
                         ExecutionPhase::Running
                     } else if now >= since + wait {
                         ExecutionPhase::Exited(ExitCause::GangIncomplete, false)
                     } else {
-                        stage
+                        phase
                     }
                 }
                 ExecutionPhase::Running => {
@@ -323,7 +333,7 @@
                         let peer = (self.platform.workers.gang_peer_s * MS_PER_S) as u64;
                         ExecutionPhase::GangMemberLost(now + peer / 2)
                     } else {
-                        // A gang's progress stops with the first stop.
+                        // A gang makes no progress once its first task was told to stop.
                         if !(gang && self.stopping.contains_key(&key)) {
                             let slowest = if gang {
                                 self.slowest_member_speed(&key)
@@ -333,11 +343,11 @@
                             progress += ms * slowest;
                         }
                         let ends =
-                            spec.kind != JobKind::Service && progress >= load.true_runtime_ms;
+                            spec.kind != JobKind::Service && progress >= workload.true_runtime_ms;
                         if ends {
                             ExecutionPhase::Exited(ExitCause::Completed, false)
                         } else {
-                            stage
+                            phase
                         }
                     }
                 }
@@ -353,17 +363,17 @@
                     } else if now > first + peer {
                         ExecutionPhase::Exited(ExitCause::GangMemberLost, false)
                     } else {
-                        stage
+                        phase
                     }
                 }
-                _ => stage,
+                _ => phase,
             };
-            if next != stage || progress != task.progress {
-                moves.push((n, next, progress));
+            if new_phase != phase || progress != task.progress {
+                changes.push((n, new_phase, progress));
             }
         }
-        for (n, stage, progress) in moves {
-            self.apply_phase(name, n, stage, progress, now);
+        for (n, phase, progress) in changes {
+            self.apply_phase(name, n, phase, progress, now);
         }
     }
 
@@ -371,44 +381,45 @@
         &mut self,
         name: &str,
         n: usize,
-        stage: ExecutionPhase,
+        phase: ExecutionPhase,
         progress: f64,
         now: u64,
     ) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(task) = worker.tasks.get_mut(n) else { return };
         task.progress = progress;
-        let began = matches!(task.phase(), ExecutionPhase::Fetching) && task.spec.is_some();
+        let was_fetching = matches!(task.phase(), ExecutionPhase::Fetching) && task.spec.is_some();
         let Some(spec) = task.spec.clone() else { return };
-        let (job, launch, number) = (task.job().to_string(), task.attempt, task_number(&task.name));
-        let full = task.name.clone();
-        if !task.advance_phase(stage) {
+        let (job, attempt, number) =
+            (task.job().to_string(), task.attempt, task_number(&task.name));
+        let task_name = task.name.clone();
+        if !task.advance_phase(phase) {
             return self.record_checkpoint(&job, &spec, number, progress);
         }
         worker.changed = true;
         self.change_count += 1;
-        if began && !matches!(stage, ExecutionPhase::Exited(ExitCause::Failed, _)) {
+        if was_fetching && !matches!(phase, ExecutionPhase::Exited(ExitCause::Failed, _)) {
             worker.touch_image(&spec.image);
             self.task_starts += 1;
-            self.first_started_at.entry(full.clone()).or_insert(now);
+            self.first_started_at.entry(task_name.clone()).or_insert(now);
         }
-        match stage {
+        match phase {
             ExecutionPhase::Exited(ExitCause::Failed, _) => {
                 *self.failures_by_job.entry(job).or_default() += 1
             }
             ExecutionPhase::Exited(ExitCause::Completed, _) => {
-                self.finished_tasks.insert(full);
+                self.finished_tasks.insert(task_name);
             }
             ExecutionPhase::Exited(ExitCause::Stopped, true) => {
-                let kept =
-                    self.stopping.get(&(job.clone(), launch)).map_or(progress, |s| s.progress);
-                self.record_saved_progress(&job, &spec, number, kept);
+                let saved_progress =
+                    self.stopping.get(&(job.clone(), attempt)).map_or(progress, |s| s.progress);
+                self.record_saved_progress(&job, &spec, number, saved_progress);
             }
             _ => {}
         }
     }
 
-    /// A running task saves by itself at multiples of its interval.
+    /// A running task saves its progress at each multiple of its checkpoint interval.
     fn record_checkpoint(&mut self, job: &str, spec: &JobSpec, number: u32, progress: f64) {
         if spec.checkpoint_interval_s > 0.0 {
             let step = spec.checkpoint_interval_s * MS_PER_S;
@@ -418,36 +429,36 @@
 
     fn record_saved_progress(&mut self, job: &str, spec: &JobSpec, number: u32, progress: f64) {
         let key = if spec.kind == JobKind::Gang { 0 } else { number };
-        if let Some(load) = self.workloads.get_mut(job) {
-            let held = load.saved_progress.entry(key).or_insert(0.0);
-            *held = held.max(progress);
+        if let Some(workload) = self.workloads.get_mut(job) {
+            let saved = workload.saved_progress.entry(key).or_insert(0.0);
+            *saved = saved.max(progress);
         }
     }
 
-    /// Tasks of an attempt that are on machines that are up, by what they do.
+    /// The tasks of an attempt on machines that are up and do not hang, with their phases.
     fn tasks_of_attempt<'a>(
         &'a self,
         job: &'a str,
-        launch: u64,
+        attempt: u64,
         now: u64,
     ) -> impl Iterator<Item = (&'a FakeWorker, ExecutionPhase)> + 'a {
         let up = self.workers.values().filter(move |w| !w.is_terminated && now >= w.hang_until);
         up.flat_map(move |w| {
-            let its = w.tasks.iter().filter(move |t| t.attempt == launch && t.job() == job);
-            its.map(move |t| (w, t.phase()))
+            let matching = w.tasks.iter().filter(move |t| t.attempt == attempt && t.job() == job);
+            matching.map(move |t| (w, t.phase()))
         })
     }
 
-    fn gang_members_present(&self, job: &str, launch: u64, now: u64) -> u32 {
-        let there = |s: &ExecutionPhase| {
+    fn gang_members_present(&self, job: &str, attempt: u64, now: u64) -> u32 {
+        let is_present = |s: &ExecutionPhase| {
             matches!(s, ExecutionPhase::WaitingForGang(_) | ExecutionPhase::Running)
         };
-        self.tasks_of_attempt(job, launch, now).filter(|(_, s)| there(s)).count() as u32
+        self.tasks_of_attempt(job, attempt, now).filter(|(_, s)| is_present(s)).count() as u32
     }
 
-    /// Whether a running gang is all there: what is done, saves or has saved counts.
-    fn is_gang_complete(&self, job: &str, launch: u64, tasks: u32, now: u64) -> bool {
-        let there = |s: &ExecutionPhase| {
+    /// Whether no member of a running gang is lost. Members that have completed, are saving or have saved count as present.
+    fn is_gang_complete(&self, job: &str, attempt: u64, tasks: u32, now: u64) -> bool {
+        let is_present = |s: &ExecutionPhase| {
             !matches!(s, ExecutionPhase::GangMemberLost(_) | ExecutionPhase::Fetching)
                 && (!matches!(s, ExecutionPhase::Exited(..))
                     || matches!(
@@ -456,7 +467,8 @@
                             | ExecutionPhase::Exited(_, true)
                     ))
         };
-        self.tasks_of_attempt(job, launch, now).filter(|(_, s)| there(s)).count() as u32 == tasks
+        self.tasks_of_attempt(job, attempt, now).filter(|(_, s)| is_present(s)).count() as u32
+            == tasks
     }
 
     fn has_whole_gang_saved(&self, key: &(String, u64), tasks: u32, now: u64) -> bool {
@@ -469,31 +481,31 @@
     }
 
     fn slowest_member_speed(&self, key: &(String, u64)) -> f64 {
-        let mates = self.tasks_of_attempt(&key.0, key.1, u64::MAX);
-        mates.map(|(w, _)| w.hardware.speed).fold(f64::MAX, f64::min)
+        let members = self.tasks_of_attempt(&key.0, key.1, u64::MAX);
+        members.map(|(w, _)| w.hardware.speed).fold(f64::MAX, f64::min)
     }
 
-    /// The cloud takes spot machines, some of them without notice. Returns how many.
+    /// The cloud decides to reclaim up to `number` spot machines, a fifth of them without notice. Returns how many.
     pub fn reclaim_spot_machines(&mut self, number: usize, notice_ms: u64, now: u64) -> usize {
         let spot = self.workers.values_mut();
         let spot = spot.filter(|w| !w.is_terminated && w.hardware.spot && w.reclaim_at.is_none());
-        let mut taken = 0;
+        let mut reclaimed = 0;
         for worker in spot.filter(|w| now >= w.up_at).take(number) {
-            let without = self.rng.random_bool(0.2);
-            worker.reclaim_at = Some(if without { now } else { now + notice_ms });
+            let no_notice = self.rng.random_bool(0.2);
+            worker.reclaim_at = Some(if no_notice { now } else { now + notice_ms });
             worker.changed = true;
-            taken += 1;
+            reclaimed += 1;
         }
-        taken
+        reclaimed
     }
 
-    /// Machines hang for a while. Returns how many.
+    /// Makes up to `number` machines hang for a time. Returns how many.
     pub fn hang_machines(&mut self, number: usize, for_ms: u64, now: u64) -> usize {
-        let busy = self.workers.values_mut().filter(|w| w.is_responsive(now));
-        busy.take(number).map(|w| w.hang_until = now + for_ms).count()
+        let responsive = self.workers.values_mut().filter(|w| w.is_responsive(now));
+        responsive.take(number).map(|w| w.hang_until = now + for_ms).count()
     }
 
-    /// Every task that these machines start from now on fails. Returns how many.
+    /// Makes up to `number` machines faulty: every task that they start fails. Returns how many.
     pub fn make_machines_faulty(&mut self, number: usize, now: u64) -> usize {
         let up = self.workers.values_mut().filter(|w| w.is_responsive(now) && !w.is_faulty);
         up.take(number).map(|w| w.is_faulty = true).count()
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,6 +1,6 @@
-//! Fakes of all that surrounds swiftsail, written from the published protocol: state service, cloud, workers. They are
-//! state machines without I/O, and serve simulated time in tests ([`simulation`]) as well as real sockets in
-//! `swiftsail local`. [`model_checker`] explores every order of events in small models.
+//! Fakes of the services around swiftsail, written from the published protocol: state service, cloud and workers. They
+//! are state machines without I/O, used with simulated time in tests ([`simulation`]) and behind real sockets in
+//! `swiftsail local`. [`model_checker`] explores every order of steps in small models.
 
 #![forbid(unsafe_code)]
 
--- a/crates/simulation/src/model_checker.rs
+++ b/crates/simulation/src/model_checker.rs
@@ -1,82 +1,86 @@
-//! An explorer of small worlds: every order of steps, breadth first, so that the first history found that
-//! breaks something is a shortest one. Worlds that were seen are not entered again; of each only a number
-//! of 64 bits is remembered, as in hash compaction (Wolper and Leroy, 1993): at a million worlds the chance
-//! that any is taken for another is about one in forty million.
+//! An explicit-state model checker for small models. It searches breadth first, so the first counterexample found is a
+//! shortest one. Visited states are not expanded again. Only a 64-bit hash of each is stored, as in hash compaction
+//! (Wolper and Leroy, 1993): with a million states the probability of any collision is about one in forty million.
 
 use rustc_hash::{FxHashSet, FxHasher};
 use std::collections::VecDeque;
 use std::fmt::Debug;
 use std::hash::{Hash, Hasher};
 
-/// A small world.
+/// A state of a model, with its transitions.
 pub trait Model: Clone + Hash {
-    /// What may happen.
+    /// A transition to another state.
     type Step: Clone + Debug;
-    /// All that may happen now.
+    /// The steps that are possible in this state.
     fn enabled_steps(&self) -> Vec<Self::Step>;
-    /// Lets it happen.
+    /// Changes this state to the one after `step`, which must be enabled.
     fn apply(&mut self, step: &Self::Step);
-    /// What is broken, if anything is.
+    /// A description of the invariant that this state violates, or `None` if it violates none.
     fn violation(&self) -> Option<String>;
 }
 
-/// What was found.
+/// The outcome of a search, up to the first violation.
 #[derive(Debug, Clone)]
 pub struct CheckResult<S> {
-    /// Worlds entered.
+    /// Number of distinct states found.
     pub states: usize,
-    /// Steps of the longest history entered.
+    /// Largest number of steps from the initial state to a state that was checked.
     pub depth: usize,
-    /// Every world within the bounds was entered.
+    /// Whether no state within the depth limit was left out because of the limit on the number of states.
     pub is_exhaustive: bool,
-    /// What broke, and the history that led there.
+    /// Description of the violation found, and the steps from the initial state that lead to it.
     pub violation: Option<(String, Vec<S>)>,
 }
 
-/// Explores histories of at most so many steps, and at most so many worlds.
-pub fn check_model<W: Model>(first: W, depth: usize, most: usize) -> CheckResult<W::Step> {
-    // For each world entered: where it came from, and by which step.
-    let mut came: Vec<(usize, Option<W::Step>)> = vec![(0, None)];
+/// Checks the states reachable from `initial` in at most `max_depth` steps, and at most `max_states` states. Stops at the
+/// first violation.
+pub fn check_model<M: Model>(
+    initial: M,
+    max_depth: usize,
+    max_states: usize,
+) -> CheckResult<M::Step> {
+    // For each state: the index of its predecessor, and the step taken from there.
+    let mut predecessors: Vec<(usize, Option<M::Step>)> = vec![(0, None)];
     let mut seen = FxHashSet::default();
-    seen.insert(state_hash(&first));
-    let mut found = CheckResult { states: 1, depth: 0, is_exhaustive: true, violation: None };
-    let mut next = VecDeque::from([(first, 0, 0)]);
-    while let Some((world, index, steps)) = next.pop_front() {
-        if let Some(what) = world.violation() {
+    seen.insert(state_hash(&initial));
+    let mut result = CheckResult { states: 1, depth: 0, is_exhaustive: true, violation: None };
+    let mut queue = VecDeque::from([(initial, 0, 0)]);
+    while let Some((state, index, depth)) = queue.pop_front() {
+        if let Some(description) = state.violation() {
             let mut history = Vec::new();
             let mut at = index;
-            while let (from, Some(step)) = &came[at] {
+            while let (previous, Some(step)) = &predecessors[at] {
                 history.push(step.clone());
-                at = *from;
+                at = *previous;
             }
             history.reverse();
-            found.violation = Some((what, history));
-            return found;
+            result.violation = Some((description, history));
+            return result;
         }
-        found.depth = found.depth.max(steps);
-        if steps == depth {
+        result.depth = result.depth.max(depth);
+        if depth == max_depth {
             continue;
         }
-        for step in world.enabled_steps() {
-            let mut to = world.clone();
-            to.apply(&step);
-            if !seen.insert(state_hash(&to)) {
+        for step in state.enabled_steps() {
+            let mut successor = state.clone();
+            successor.apply(&step);
+            if !seen.insert(state_hash(&successor)) {
                 continue;
             }
-            if found.states == most {
-                found.is_exhaustive = false;
+            if result.states == max_states {
+                result.is_exhaustive = false;
                 break;
             }
-            found.states += 1;
-            came.push((index, Some(step)));
-            next.push_back((to, came.len() - 1, steps + 1));
+            result.states += 1;
+            predecessors.push((index, Some(step)));
+            queue.push_back((successor, predecessors.len() - 1, depth + 1));
         }
     }
-    found
+    result
 }
 
-fn state_hash<W: Hash>(world: &W) -> u64 {
+fn state_hash<S: Hash>(state: &S) -> u64 {
     let mut hasher = FxHasher::default();
-    world.hash(&mut hasher);
+    state.hash(&mut hasher);
     hasher.finish()
 }
--- a/crates/simulation/src/quota_model.rs
+++ b/crates/simulation/src/quota_model.rs
@@ -1,5 +1,9 @@
-//! Small worlds in which deciders move amounts, for the explorer: every order of what they do and of what
-//! becomes of their messages, with crashes, holders that stand still and wake, and settings that differ.
+//! A small model of quota transfers between controllers, for the model checker: every order of the controllers' steps
+//! and of the delivery of their messages, with crashes, replaced processes that go on, and limits that differ between
+//! the controllers' settings.
+//!
+//! A decider is the logical owner of a holding. A holder is a process that acts for a decider; only the latest one has
+//! the decider's current fencing token. Each task of the model uses one CPU.
 
 use crate::model_checker::Model;
 use std::collections::BTreeMap;
@@ -12,65 +16,65 @@
 /// The one team.
 const TEAM: &str = "t";
 
-/// A guard that is taken away on purpose.
+/// A safeguard that a model leaves out, to show that the checker finds a violation without it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RemovedGuard {
-    /// None is.
+    /// All safeguards are in place.
     None,
-    /// Transactions are not conditional on the holder's token.
+    /// Transactions are not conditional on the holder's fencing token.
     FencingToken,
-    /// Nor on the stamp of the sender's own record.
+    /// Transactions are not conditional on the revision of the sender's own record.
     OwnRevision,
-    /// Nor on the stamp of the other record.
+    /// Transactions are not conditional on the revision of the other record.
     OtherRevision,
-    /// What a transaction on its way will leave is not looked at.
+    /// Transfers in flight are not subtracted from the amount that a holder may use.
     InFlightTransactions,
-    /// What is being stopped is not counted as used.
+    /// Tasks that are being stopped do not count as used.
     UnconfirmedTerminations,
-    /// Each holder goes by its own settings alone.
+    /// Each holder applies only the limit of its own settings, instead of the lowest recorded one.
     LowestLimit,
 }
 
-/// What may happen once or a few times.
+/// How often each kind of fault may still happen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct FaultBudget {
-    /// Crashes of a holder: it may yet wake, and does not know that another holds its decider.
+    /// Takeovers of a decider by a new holder. The old holder may go on, unaware that it was replaced.
     pub crashes: u8,
-    /// Answers that are lost.
+    /// Lost responses of the state service.
     pub lost_answers: u8,
-    /// Settings that change: the limit of one controller is lowered by one, or raised again.
+    /// Changes of the limit in one controller's settings, by one in either direction.
     pub limit_changes: u8,
 }
 
-/// What happens. Deciders and holders go by number.
+/// A step of the model. Deciders and holders are identified by index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum QuotaStep {
-    /// A holder reads the page.
+    /// A holder reads all quota records.
     Read(usize),
-    /// A holder writes down what its settings say.
+    /// A holder records the limit of its settings.
     RecordLimit(usize),
-    /// A holder takes one from the pool.
+    /// A holder takes one CPU from the pool.
     TakeFromPool(usize),
-    /// A holder gives one to a decider, or back to the pool.
+    /// A holder transfers one CPU to a decider, or returns it to the pool (`None`).
     Give(usize, Option<usize>),
-    /// A holder binds a task that uses one.
+    /// A holder binds a task.
     BindTask(usize),
-    /// A holder wants a task stopped.
+    /// A decider's task is told to stop.
     StopTask(usize),
-    /// A stopped task is proved gone.
+    /// The termination of a stopping task is confirmed.
     ConfirmTermination(usize),
-    /// A message reaches the state service; its answer arrives or is lost.
+    /// The message at this index reaches the state service; `true` if its response arrives, `false` if it is lost.
     Deliver(usize, bool),
-    /// A holder crashes; another takes its decider over.
+    /// A new holder takes over the decider of this one, which may go on.
     Crash(usize),
-    /// A controller's settings are lowered or raised by one.
+    /// The limit in a holder's settings changes by one: up (`true`) or down.
     ChangeLimit(usize, bool),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum QuotaMessage {
     Transfer(QuotaTransaction),
-    /// Of a binding, conditional on the token.
+    /// A binding, conditional on this fencing token.
     BindTask(u64),
 }
 
@@ -80,33 +84,33 @@
     account: QuotaAccount,
     fencing_token: u64,
     limit: i64,
-    /// Bindings on their way.
+    /// Bindings sent and not yet processed by the state service.
     bindings_in_flight: i64,
 }
 
-/// The world.
+/// A state of the model.
 #[derive(Debug, Clone, Hash)]
 pub struct QuotaModel {
     removed_guard: RemovedGuard,
     fault_budget: FaultBudget,
     revision: u64,
     page: QuotaPage,
-    /// Token of each decider.
+    /// Current fencing token of each decider.
     fencing_tokens: Vec<u64>,
-    /// Tasks bound on each decider's machines and not being stopped, and those being stopped.
+    /// Running and stopping tasks of each decider.
     bound: Vec<(i64, i64)>,
     holders: Vec<QuotaHolder>,
-    /// Sender and message; one whose answer was lost may arrive again.
+    /// Sender and message. A transfer whose response was lost stays, and may be delivered again.
     messages_in_flight: Vec<(usize, QuotaMessage)>,
     violation: Option<String>,
 }
 
-fn cpu_parts(n: i64) -> ResourceQuantities {
+fn cpu_quantities(n: i64) -> ResourceQuantities {
     ResourceQuantities { cpus: Quantity::from_units(n), gpus: Quantity::ZERO }
 }
 
-fn team_parts(n: i64) -> BTreeMap<String, ResourceQuantities> {
-    BTreeMap::from([(TEAM.to_string(), cpu_parts(n))])
+fn team_quantities(n: i64) -> BTreeMap<String, ResourceQuantities> {
+    BTreeMap::from([(TEAM.to_string(), cpu_quantities(n))])
 }
 
 fn decider_name(decider: usize) -> String {
@@ -114,16 +118,16 @@
 }
 
 impl QuotaModel {
-    /// So many deciders whose settings name a limit.
+    /// A model in which no quota record is written yet and every holder's settings have the same limit, in tasks.
     pub fn new(
         deciders: usize,
         limit: i64,
-        without: RemovedGuard,
-        chances: FaultBudget,
+        removed_guard: RemovedGuard,
+        fault_budget: FaultBudget,
     ) -> QuotaModel {
-        let mut world = QuotaModel {
-            removed_guard: without,
-            fault_budget: chances,
+        let mut model = QuotaModel {
+            removed_guard,
+            fault_budget,
             revision: 0,
             page: QuotaPage::default(),
             fencing_tokens: vec![0; deciders],
@@ -133,9 +137,9 @@
             violation: None,
         };
         for decider in 0..deciders {
-            world.take_over(decider, limit);
+            model.take_over(decider, limit);
         }
-        world
+        model
     }
 
     fn take_over(&mut self, decider: usize, limit: i64) {
@@ -152,16 +156,16 @@
         self.holders.push(holder);
     }
 
-    /// What a holder counts as used, bindings on their way included.
-    fn used_parts(&self, holder: &QuotaHolder) -> i64 {
-        let (bound, leaving) = self.bound[holder.decider];
-        let leaving =
-            if self.removed_guard == RemovedGuard::UnconfirmedTerminations { 0 } else { leaving };
-        bound + leaving + holder.bindings_in_flight
+    /// The CPUs that a holder counts as used, including bindings in flight.
+    fn used_units(&self, holder: &QuotaHolder) -> i64 {
+        let (bound, stopping) = self.bound[holder.decider];
+        let stopping =
+            if self.removed_guard == RemovedGuard::UnconfirmedTerminations { 0 } else { stopping };
+        bound + stopping + holder.bindings_in_flight
     }
 
-    fn settings_of(&self, holder: usize) -> BTreeMap<String, ResourceQuantities> {
-        team_parts(self.holders[holder].limit)
+    fn configured_limits(&self, holder: usize) -> BTreeMap<String, ResourceQuantities> {
+        team_quantities(self.holders[holder].limit)
     }
 
     fn send(&mut self, holder: usize, txn: Option<QuotaTransaction>) {
@@ -176,21 +180,21 @@
     }
 
     fn revision_differs(&self, key: &QuotaKey, at: u64) -> bool {
-        let stamp = match key {
+        let revision = match key {
             QuotaKey::Pool => self.page.pool.1,
             QuotaKey::Holding(d) => self.page.holdings.get(d).map_or(0, |h| h.1),
             QuotaKey::FencingToken(d) => (0..self.fencing_tokens.len())
                 .find(|n| decider_name(*n) == *d)
                 .map_or(0, |n| self.fencing_tokens[n]),
         };
-        stamp != at
+        revision != at
     }
 
-    fn deliver(&mut self, packet: usize, answered: bool) {
-        let (holder, message) = self.messages_in_flight[packet].clone();
-        // A message whose answer is lost may arrive once more, late.
+    fn deliver(&mut self, index: usize, answered: bool) {
+        let (holder, message) = self.messages_in_flight[index].clone();
+        // A message whose response is lost may be delivered again later.
         if answered {
-            self.messages_in_flight.remove(packet);
+            self.messages_in_flight.remove(index);
         } else {
             self.fault_budget.lost_answers -= 1;
         }
@@ -200,10 +204,10 @@
                 if self.fencing_tokens[decider] == token {
                     self.bound[decider].0 += 1;
                 }
-                // The binding is known from the ledger, whether or not the answer came.
+                // The holder learns of the binding from the binding records even if the response is lost.
                 self.holders[holder].bindings_in_flight -= 1;
                 if !answered {
-                    self.messages_in_flight.remove(packet);
+                    self.messages_in_flight.remove(index);
                 }
             }
             QuotaMessage::Transfer(txn) => {
@@ -233,7 +237,7 @@
                 };
                 let outcome = if answered { outcome } else { TransactionOutcome::Unknown };
                 let next = self.holders[holder].account.on_outcome(txn.id, &outcome);
-                // What it sends again is the message that is still on its way.
+                // The account resends only after a lost response; the message to resend is still in flight.
                 debug_assert!(!matches!(next, AccountStep::Resend(_)) || !answered);
             }
         }
@@ -243,25 +247,25 @@
         if !self.page.is_conserved() {
             self.violation = Some(format!("amounts are not conserved: {:?}", self.page));
         }
-        let Some(kept) = self.page.pool.0.teams.get(TEAM).copied() else { return };
+        let Some(quota) = self.page.pool.0.teams.get(TEAM).copied() else { return };
         let used: i64 = self.bound.iter().map(|(b, l)| b + l).sum();
-        if used > kept.limit.cpus.units() {
-            self.violation = Some(format!("quota: {used} used of {}", kept.limit.cpus.units()));
+        if used > quota.limit.cpus.units() {
+            self.violation = Some(format!("quota: {used} used of {}", quota.limit.cpus.units()));
         }
-        for (d, (bound, leaving)) in self.bound.iter().enumerate() {
-            let has = self.page.holdings.get(&decider_name(d)).and_then(|(h, _)| h.held.get(TEAM));
-            let has = has.map_or(0, |h| h.cpus.units());
-            if bound + leaving > has {
+        for (d, (bound, stopping)) in self.bound.iter().enumerate() {
+            let held = self.page.holdings.get(&decider_name(d)).and_then(|(h, _)| h.held.get(TEAM));
+            let held = held.map_or(0, |h| h.cpus.units());
+            if bound + stopping > held {
                 self.violation =
-                    Some(format!("{} uses {} and holds {has}", decider_name(d), bound + leaving));
+                    Some(format!("{} uses {} and holds {held}", decider_name(d), bound + stopping));
             }
         }
-        let sees = self.page.holdings.values().filter_map(|(h, _)| h.configured_limits.get(TEAM));
-        let lowest = sees.map(|s| s.cpus.units()).min().unwrap_or(i64::MAX);
-        if kept.target.cpus.units() > lowest {
+        let limits = self.page.holdings.values().filter_map(|(h, _)| h.configured_limits.get(TEAM));
+        let lowest = limits.map(|s| s.cpus.units()).min().unwrap_or(i64::MAX);
+        if quota.target.cpus.units() > lowest {
             self.violation = Some(format!(
-                "a limit of {} is wanted, the lowest seen is {lowest}",
-                kept.target.cpus.units()
+                "target limit {} exceeds the lowest configured limit {lowest}",
+                quota.target.cpus.units()
             ));
         }
     }
@@ -273,7 +277,7 @@
     fn enabled_steps(&self) -> Vec<QuotaStep> {
         let mut steps = Vec::new();
         for (n, holder) in self.holders.iter().enumerate() {
-            let now = self.fencing_tokens[holder.decider] == holder.fencing_token;
+            let is_current = self.fencing_tokens[holder.decider] == holder.fencing_token;
             match holder.account.phase() {
                 AccountPhase::Closed => continue,
                 AccountPhase::Reading | AccountPhase::InDoubt => steps.push(QuotaStep::Read(n)),
@@ -284,13 +288,13 @@
                     if known.is_some_and(|k| k.free.cpus.units() > 0) {
                         steps.push(QuotaStep::TakeFromPool(n));
                     }
-                    if holder.account.held_amount(TEAM).cpus.units() > self.used_parts(holder) {
+                    if holder.account.held_amount(TEAM).cpus.units() > self.used_units(holder) {
                         steps.push(QuotaStep::Give(n, None));
                         let others =
                             (0..self.fencing_tokens.len()).filter(|d| *d != holder.decider);
                         steps.extend(others.map(|d| QuotaStep::Give(n, Some(d))));
                     }
-                    // What others have changed is read now and then.
+                    // A holder may read the records again once they have changed.
                     if *holder.account.page() != self.page {
                         steps.push(QuotaStep::Read(n));
                     }
@@ -300,29 +304,29 @@
                 RemovedGuard::InFlightTransactions => holder.account.held_amount(TEAM),
                 _ => holder.account.usable_amount(TEAM),
             };
-            if usable.cpus.units() > self.used_parts(holder) {
+            if usable.cpus.units() > self.used_units(holder) {
                 steps.push(QuotaStep::BindTask(n));
             }
-            if now && self.fault_budget.crashes > 0 {
+            if is_current && self.fault_budget.crashes > 0 {
                 steps.push(QuotaStep::Crash(n));
             }
-            if now && self.fault_budget.limit_changes > 0 {
+            if is_current && self.fault_budget.limit_changes > 0 {
                 steps.push(QuotaStep::ChangeLimit(n, false));
                 steps.push(QuotaStep::ChangeLimit(n, true));
             }
         }
-        for (decider, (bound, leaving)) in self.bound.iter().enumerate() {
+        for (decider, (bound, stopping)) in self.bound.iter().enumerate() {
             if *bound > 0 {
                 steps.push(QuotaStep::StopTask(decider));
             }
-            if *leaving > 0 {
+            if *stopping > 0 {
                 steps.push(QuotaStep::ConfirmTermination(decider));
             }
         }
-        for packet in 0..self.messages_in_flight.len() {
-            steps.push(QuotaStep::Deliver(packet, true));
+        for index in 0..self.messages_in_flight.len() {
+            steps.push(QuotaStep::Deliver(index, true));
             if self.fault_budget.lost_answers > 0 {
-                steps.push(QuotaStep::Deliver(packet, false));
+                steps.push(QuotaStep::Deliver(index, false));
             }
         }
         steps
@@ -340,19 +344,22 @@
                 self.holders[n].account.on_page(&page);
             }
             QuotaStep::RecordLimit(n) => {
-                let settings = self.settings_of(n);
+                let settings = self.configured_limits(n);
                 let txn = self.holders[n].account.reconcile_limits(&settings);
                 self.send(n, txn);
             }
             QuotaStep::TakeFromPool(n) => {
-                let txn = self.holders[n].account.take_from_pool(&team_parts(1));
+                let txn = self.holders[n].account.take_from_pool(&team_quantities(1));
                 self.send(n, txn);
             }
             QuotaStep::Give(n, to) => {
-                let used = team_parts(self.used_parts(&self.holders[n]));
+                let used = team_quantities(self.used_units(&self.holders[n]));
                 let to = to.map(decider_name);
-                let txn =
-                    self.holders[n].account.transfer_holding(to.as_deref(), &team_parts(1), &used);
+                let txn = self.holders[n].account.transfer_holding(
+                    to.as_deref(),
+                    &team_quantities(1),
+                    &used,
+                );
                 self.send(n, txn);
             }
             QuotaStep::BindTask(n) => {
@@ -365,7 +372,7 @@
                 self.bound[d].1 += 1;
             }
             QuotaStep::ConfirmTermination(d) => self.bound[d].1 -= 1,
-            QuotaStep::Deliver(packet, answered) => self.deliver(packet, answered),
+            QuotaStep::Deliver(index, answered) => self.deliver(index, answered),
             QuotaStep::Crash(n) => {
                 self.fault_budget.crashes -= 1;
                 self.take_over(self.holders[n].decider, self.holders[n].limit);
@@ -383,26 +390,26 @@
     }
 }
 
-/// The records of a page as they would be with this in the pool and nothing held: where worlds begin that
-/// are not about how a team becomes known.
+/// The quota records with the whole limit in the pool and nothing held by any decider: the initial state of models that
+/// leave out how a team's record is first written.
 pub fn initial_page(limit: i64, deciders: usize) -> QuotaPage {
-    let kept = swiftsail_quota::records::TeamQuota {
-        limit: cpu_parts(limit),
-        target: cpu_parts(limit),
-        free: cpu_parts(limit),
+    let quota = swiftsail_quota::records::TeamQuota {
+        limit: cpu_quantities(limit),
+        target: cpu_quantities(limit),
+        free: cpu_quantities(limit),
     };
-    let pool = QuotaPool { teams: BTreeMap::from([(TEAM.to_string(), kept)]) };
+    let pool = QuotaPool { teams: BTreeMap::from([(TEAM.to_string(), quota)]) };
     let holding = |_| QuotaHolding {
         last_transaction: (0, 0),
         held: BTreeMap::new(),
-        configured_limits: team_parts(limit),
+        configured_limits: team_quantities(limit),
     };
     let holdings = (0..deciders).map(|d| (decider_name(d), (holding(d), 1))).collect();
     QuotaPage { pool: (pool, 1), holdings }
 }
 
 impl QuotaModel {
-    /// The same, with its records written and read by all.
+    /// Returns this model with its quota records written, as by [`initial_page`], and read by every holder.
     pub fn with_initial_records(mut self, limit: i64) -> QuotaModel {
         self.page = initial_page(limit, self.fencing_tokens.len());
         self.revision += 1;
--- a/crates/simulation/src/store.rs
+++ b/crates/simulation/src/store.rs
@@ -1,4 +1,5 @@
-//! The state service as a pure machine: keys, stamps, transactions, leases, watches, limits.
+//! A fake state service, as a state machine without I/O: keys, revisions, transactions, leases, watches and limits.
+//! Times are milliseconds of the caller's monotonic clock.
 
 use crate::constants::{
     LEASE_TTL_RANGE_MS, MAX_KEY_BYTES, MAX_PAGE_BYTES, MAX_PAGE_KEYS, MAX_TRANSACTION_BYTES,
@@ -12,45 +13,45 @@
     KeyPage, KeyValue, Mutation, Transaction, WatchEvent, WatchResponse,
 };
 
-/// What came of a transaction.
+/// The result of a transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TransactionResult {
-    /// At this revision.
+    /// Committed at this revision.
     Committed(u64),
-    /// These conditions failed.
+    /// Not applied: the preconditions on these keys do not hold.
     PreconditionFailed(Vec<String>),
-    /// A lease that it names does not exist.
+    /// Not applied: a lease that it refers to does not exist.
     LeaseNotFound,
-    /// It is malformed, or larger than the limits.
+    /// Not applied: it is malformed or exceeds a limit, for this reason.
     Malformed(String),
 }
 
-/// The changes asked for are no longer kept.
+/// The requested changes are no longer in the history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CompactedRevision;
 
-/// A consistent store in memory.
+/// A linearizable key-value store in memory.
 pub struct FakeStore {
     keys: BTreeMap<String, KeyValue>,
     revision: u64,
-    /// Leases: end, and time to live.
+    /// By lease id: when it expires, and its time to live in ms.
     leases: BTreeMap<u64, (u64, u64)>,
     next_lease: u64,
     watch_history: VecDeque<WatchEvent>,
-    /// Changes up to this revision are no longer kept.
+    /// Changes up to this revision are no longer in the history.
     compacted_through: u64,
     limits: StoreSettings,
     request_limiter: TokenBucket,
     mutation_limiter: TokenBucket,
-    /// Largest value and transaction seen, in JSON bytes, and most changes in one.
+    /// Size of the largest value in a transaction so far, in bytes of JSON.
     pub largest_value: usize,
-    /// See `largest_value`.
+    /// Size of the largest transaction so far, in bytes of JSON.
     pub largest_transaction: usize,
-    /// See `largest_value`.
+    /// Most mutations in a transaction so far.
     pub most_operations: usize,
-    /// Changes asked for so far, and reads of keys, pages and news.
+    /// Mutations in all transactions so far, rejected ones included.
     pub mutation_count: usize,
-    /// See `changes`.
+    /// Reads of keys, pages and changes so far, counted by the caller.
     pub read_count: usize,
 }
 
@@ -75,164 +76,170 @@
         }
     }
 
-    /// A store as it was kept: pairs and revision. Leases did not outlive it.
-    pub fn restore(limits: StoreSettings, now: u64, pairs: Vec<KeyValue>, epoch: u64) -> FakeStore {
+    /// Restores a store from saved pairs and its last saved revision. Leases do not survive a restart: keys attached to
+    /// one are dropped.
+    pub fn restore(
+        limits: StoreSettings,
+        now: u64,
+        pairs: Vec<KeyValue>,
+        revision: u64,
+    ) -> FakeStore {
         let mut store = FakeStore::new(limits, now);
-        // Later revisions and leases are new ones, whatever was not kept of the last.
+        // Revisions and lease ids start beyond the last saved revision, so that none of those that clients have seen is
+        // used again. Watches from before the restart must reload.
         (store.revision, store.next_lease, store.compacted_through) =
-            (epoch + 1, epoch + 1, epoch + 1);
-        let kept = pairs.into_iter().filter(|p| p.lease.is_none());
-        store.keys = kept.map(|p| (p.key.clone(), p)).collect();
+            (revision + 1, revision + 1, revision + 1);
+        let persistent = pairs.into_iter().filter(|p| p.lease.is_none());
+        store.keys = persistent.map(|p| (p.key.clone(), p)).collect();
         store
     }
 
-    /// Other limits of requests and changes a second.
+    /// Changes the limits of requests and mutations per second.
     pub fn limit_rates(&mut self, rps: f64, write_rps: f64, now: u64) {
         self.request_limiter.set_rate(rps, now);
         self.mutation_limiter.set_rate(write_rps, now);
     }
 
-    /// It takes smaller values and transactions from now on, without notice.
+    /// Changes the size limits of values (KB) and transactions (mutations), without announcing it to clients.
     pub fn limit_sizes(&mut self, value_kb: f64, txn_ops: usize) {
         (self.limits.value_kb, self.limits.txn_ops) = (value_kb, txn_ops);
     }
 
-    /// Whether the limits let a request with so many changes through.
-    pub fn admit(&mut self, changes: usize, now: u64) -> bool {
-        let changes = changes as f64;
-        let open = self.request_limiter.can_take(1.0, 0.0, now)
-            && (changes == 0.0 || self.mutation_limiter.can_take(changes, 0.0, now));
-        if open {
+    /// Whether the rate limits admit a request with this number of mutations now. Consumes the capacity if so.
+    pub fn admit(&mut self, mutations: usize, now: u64) -> bool {
+        let mutations = mutations as f64;
+        let admitted = self.request_limiter.can_take(1.0, 0.0, now)
+            && (mutations == 0.0 || self.mutation_limiter.can_take(mutations, 0.0, now));
+        if admitted {
             self.request_limiter.take(1.0);
-            self.mutation_limiter.take(changes);
+            self.mutation_limiter.take(mutations);
         }
-        open
+        admitted
     }
 
-    /// Revision.
+    /// The current revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// One key.
+    /// The entry of a key.
     pub fn get(&self, key: &str) -> Option<&KeyValue> {
         self.keys.get(key)
     }
 
-    /// A page of keys.
-    pub fn list(&self, prefix: &str, from: Option<&str>, most: usize) -> KeyPage {
-        let begin = from.filter(|f| *f > prefix).unwrap_or(prefix);
-        let mut found = self
+    /// A page of at most `limit` keys with this prefix, after the key `from`.
+    pub fn list(&self, prefix: &str, from: Option<&str>, limit: usize) -> KeyPage {
+        let start = from.filter(|f| *f > prefix).unwrap_or(prefix);
+        let mut matching = self
             .keys
-            .range(begin.to_string()..)
+            .range(start.to_string()..)
             .map(|(_, p)| p)
             .take_while(|p| p.key.starts_with(prefix))
             .filter(|p| from.is_none_or(|f| p.key.as_str() > f))
             .peekable();
         let (mut pairs, mut bytes) = (Vec::new(), 0);
-        while let Some(pair) = found.peek() {
+        while let Some(pair) = matching.peek() {
             let size = json_size(&pair.value) + pair.key.len();
-            if pairs.len() >= most.min(MAX_PAGE_KEYS)
+            if pairs.len() >= limit.min(MAX_PAGE_KEYS)
                 || bytes + size > MAX_PAGE_BYTES && !pairs.is_empty()
             {
                 break;
             }
             bytes += size;
-            pairs.extend(found.next().cloned());
+            pairs.extend(matching.next().cloned());
         }
-        KeyPage { has_next: found.peek().is_some(), entries: pairs, revision: self.revision }
+        KeyPage { has_next: matching.peek().is_some(), entries: pairs, revision: self.revision }
     }
 
-    /// A transaction.
-    pub fn apply_transaction(&mut self, commit: &Transaction) -> TransactionResult {
-        let bytes = json_size(commit);
+    /// Applies a transaction atomically if it is well-formed, within the limits, and its preconditions hold.
+    pub fn apply_transaction(&mut self, transaction: &Transaction) -> TransactionResult {
+        let bytes = json_size(transaction);
         self.largest_transaction = self.largest_transaction.max(bytes);
-        self.most_operations = self.most_operations.max(commit.mutations.len());
-        self.mutation_count += commit.mutations.len();
+        self.most_operations = self.most_operations.max(transaction.mutations.len());
+        self.mutation_count += transaction.mutations.len();
         if bytes > MAX_TRANSACTION_BYTES
-            || commit.mutations.len() > self.limits.txn_ops
-            || commit.preconditions.len() > 4 * self.limits.txn_ops
+            || transaction.mutations.len() > self.limits.txn_ops
+            || transaction.preconditions.len() > 4 * self.limits.txn_ops
         {
             return TransactionResult::Malformed(
                 "the transaction is larger than the limits".into(),
             );
         }
-        for change in &commit.mutations {
+        for change in &transaction.mutations {
             let key = match change {
-                Mutation::Put { key: write, value, lease: mooring } => {
+                Mutation::Put { key, value, lease } => {
                     let bytes = json_size(value);
                     self.largest_value = self.largest_value.max(bytes);
                     if bytes as f64 > self.limits.value_kb * 1024.0 {
                         return TransactionResult::Malformed(format!(
-                            "the value of {write} is too large"
+                            "the value of {key} is too large"
                         ));
                     }
-                    if mooring.is_some_and(|m| !self.leases.contains_key(&m)) {
+                    if lease.is_some_and(|m| !self.leases.contains_key(&m)) {
                         return TransactionResult::LeaseNotFound;
                     }
-                    write
+                    key
                 }
-                Mutation::Delete { key: remove } => remove,
+                Mutation::Delete { key } => key,
             };
             if key.is_empty() || key.len() > MAX_KEY_BYTES || key.contains(' ') {
                 return TransactionResult::Malformed(format!("`{key}` is no key"));
             }
         }
-        let stamp = |key: &str| self.keys.get(key).map_or(0, |p| p.mod_revision);
-        let failed = commit.preconditions.iter().filter(|w| stamp(&w.key) != w.mod_revision);
+        let revision_of = |key: &str| self.keys.get(key).map_or(0, |p| p.mod_revision);
+        let failed =
+            transaction.preconditions.iter().filter(|w| revision_of(&w.key) != w.mod_revision);
         let failed: Vec<String> = failed.map(|w| w.key.clone()).collect();
         if !failed.is_empty() {
             return TransactionResult::PreconditionFailed(failed);
         }
-        if !commit.mutations.is_empty() {
+        if !transaction.mutations.is_empty() {
             self.revision += 1;
         }
-        for change in &commit.mutations {
+        for change in &transaction.mutations {
             match change {
-                Mutation::Put { key: write, value, lease: mooring } => {
-                    self.put(write, value, *mooring)
-                }
-                Mutation::Delete { key: remove } => self.remove(remove),
+                Mutation::Put { key, value, lease } => self.put(key, value, *lease),
+                Mutation::Delete { key } => self.remove(key),
             }
         }
         TransactionResult::Committed(self.revision)
     }
 
-    fn put(&mut self, key: &str, value: &Value, mooring: Option<u64>) {
-        let (stamp, value) = (self.revision, value.clone());
+    fn put(&mut self, key: &str, value: &Value, lease: Option<u64>) {
+        let (revision, value) = (self.revision, value.clone());
         let pair =
-            KeyValue { key: key.into(), value: value.clone(), mod_revision: stamp, lease: mooring };
+            KeyValue { key: key.into(), value: value.clone(), mod_revision: revision, lease };
         self.keys.insert(key.into(), pair);
         self.append_to_history(WatchEvent {
             put_key: Some(key.into()),
             deleted_key: None,
             value,
-            mod_revision: stamp,
+            mod_revision: revision,
         });
     }
 
     fn remove(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
-            let (value, stamp) = (Value::Null, self.revision);
+            let (value, revision) = (Value::Null, self.revision);
             self.append_to_history(WatchEvent {
                 put_key: None,
                 deleted_key: Some(key.into()),
                 value,
-                mod_revision: stamp,
+                mod_revision: revision,
             });
         }
     }
 
-    fn append_to_history(&mut self, item: WatchEvent) {
-        self.watch_history.push_back(item);
+    fn append_to_history(&mut self, event: WatchEvent) {
+        self.watch_history.push_back(event);
         if self.watch_history.len() > MAX_WATCH_HISTORY
-            && let Some(old) = self.watch_history.pop_front()
+            && let Some(oldest) = self.watch_history.pop_front()
         {
-            self.compacted_through = old.mod_revision;
+            self.compacted_through = oldest.mod_revision;
         }
     }
 
-    /// A new lease, if its time to live is one.
+    /// Creates a lease. `None` if the time to live is out of range.
     pub fn create_lease(&mut self, ttl_ms: u64, now: u64) -> Option<u64> {
         if !LEASE_TTL_RANGE_MS.contains(&ttl_ms) {
             return None;
@@ -242,38 +249,39 @@
         Some(self.next_lease)
     }
 
-    /// Extends a lease, if it is there.
+    /// Renews a lease for its time to live. Returns whether it exists.
     pub fn renew_lease(&mut self, id: u64, now: u64) -> bool {
         self.leases.get_mut(&id).map(|(until, ttl)| *until = now + *ttl).is_some()
     }
 
-    /// Ends a lease: the keys attached to it are deleted.
+    /// Revokes a lease and deletes the keys attached to it.
     pub fn revoke_lease(&mut self, id: u64) {
         self.leases.remove(&id);
-        let tied = self.keys.values().filter(|p| p.lease == Some(id));
-        let tied: Vec<String> = tied.map(|p| p.key.clone()).collect();
-        for key in tied {
+        let attached = self.keys.values().filter(|p| p.lease == Some(id));
+        let attached: Vec<String> = attached.map(|p| p.key.clone()).collect();
+        for key in attached {
             self.revision += 1;
             self.remove(&key);
         }
     }
 
-    /// Ends leases whose time is over. In an outage they keep their whole time. Returns whether any
-    /// has ended.
-    pub fn expire_leases(&mut self, now: u64, away: bool) -> bool {
-        if away {
+    /// Revokes expired leases. While the service is unavailable no lease expires, and each has its whole time to live
+    /// again afterwards. Returns whether any lease expired.
+    pub fn expire_leases(&mut self, now: u64, unavailable: bool) -> bool {
+        if unavailable {
             for (until, ttl) in self.leases.values_mut() {
                 *until = now + *ttl;
             }
             return false;
         }
-        let over = self.leases.iter().filter(|(_, (until, _))| *until < now);
-        let over: Vec<u64> = over.map(|(id, _)| *id).collect();
-        over.iter().for_each(|id| self.revoke_lease(*id));
-        !over.is_empty()
+        let expired = self.leases.iter().filter(|(_, (until, _))| *until < now);
+        let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
+        expired.iter().for_each(|id| self.revoke_lease(*id));
+        !expired.is_empty()
     }
 
-    /// Changes after a revision: None while there are none.
+    /// The changes after revision `from` of keys with this prefix, or `None` if there are none yet. Fails if the history
+    /// no longer reaches back that far.
     pub fn changes_since(
         &self,
         prefix: &str,
@@ -282,19 +290,19 @@
         if from < self.compacted_through {
             return Err(CompactedRevision);
         }
-        let begin = self.watch_history.partition_point(|item| item.mod_revision <= from);
+        let start = self.watch_history.partition_point(|event| event.mod_revision <= from);
         let key = |i: &WatchEvent| i.put_key.clone().or(i.deleted_key.clone()).unwrap_or_default();
-        let news = self.watch_history.range(begin..).filter(|i| key(i).starts_with(prefix));
-        let news: Vec<WatchEvent> = news.cloned().collect();
-        Ok((!news.is_empty()).then_some(WatchResponse { revision: self.revision, events: news }))
+        let events = self.watch_history.range(start..).filter(|i| key(i).starts_with(prefix));
+        let events: Vec<WatchEvent> = events.cloned().collect();
+        Ok((!events.is_empty()).then_some(WatchResponse { revision: self.revision, events }))
     }
 
-    /// What a watch answers when its time runs out.
+    /// The response to a watch whose time runs out without a change.
     pub fn empty_watch_response(&self) -> WatchResponse {
         WatchResponse { revision: self.revision, events: Vec::new() }
     }
 
-    /// Keys with a prefix.
+    /// Number of keys with a prefix.
     pub fn count_keys(&self, prefix: &str) -> usize {
         self.keys.keys().filter(|k| k.starts_with(prefix)).count()
     }
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -1,4 +1,5 @@
-//! One machine's worker as a pure machine: reports, sessions, tokens, leases, images, tasks.
+//! A fake worker of one machine, as a state machine without I/O: reports, sessions, fencing tokens, leases, images and
+//! tasks. Times are milliseconds of the caller's monotonic clock.
 
 use crate::constants::{
     CONTROLLER_FAILOVER_DELAY_MS, MIN_REPORT_INTERVAL_MS, MS_PER_S, WORKER_ANSWER_TIMEOUT_MS,
@@ -10,135 +11,136 @@
     DirectCommands, ExitCause, HeartbeatResponse, StatusReport, TaskPhase, TaskStatus,
 };
 
-/// Where a task stands.
+/// The phase of a task on its machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ExecutionPhase {
-    /// Waits for its image.
+    /// Waiting for its image.
     Fetching,
-    /// Gang: waits for the others, since then.
+    /// Waiting for the other members of its gang, since this time.
     WaitingForGang(u64),
-    /// Runs.
+    /// Running.
     Running,
-    /// Gang: runs, but another is gone: exits by then.
+    /// Still running, but another member of its gang is lost: it exits at this time.
     GangMemberLost(u64),
-    /// Was told to stop: has saved by then.
+    /// Told to stop: its own checkpoint is complete at this time.
     Saving(u64),
-    /// Ended, and whether its progress was saved.
+    /// Ended, with the cause, and whether its progress was saved.
     Exited(ExitCause, bool),
 }
 
 /// A task on a machine.
 #[derive(Debug, Clone)]
 pub struct WorkerTask {
-    /// Its name.
+    /// Name, as `JOB/NUMBER`.
     pub name: String,
-    /// Its attempt.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// Where it stands. Changed by [`Task::advance`] alone.
+    /// Changed only by [`WorkerTask::advance_phase`].
     phase: ExecutionPhase,
-    /// What it asks for; none if its job is not known.
+    /// The specification of its job, or `None` if the job is unknown.
     pub spec: Option<std::sync::Arc<JobSpec>>,
-    /// Progress, ms of run time.
+    /// Progress, in ms of run time at nominal speed.
     pub progress: f64,
 }
 
 impl WorkerTask {
-    /// Where it stands.
+    /// The task's current phase.
     pub fn phase(&self) -> ExecutionPhase {
         self.phase
     }
 
-    /// The one function that changes where a task stands: what has exited stays so.
+    /// Changes the phase, unless the task has exited: exited is final. Returns whether the phase changed.
     pub fn advance_phase(&mut self, to: ExecutionPhase) -> bool {
-        let moved = !matches!(self.phase, ExecutionPhase::Exited(..)) && self.phase != to;
-        if moved {
+        let changed = !matches!(self.phase, ExecutionPhase::Exited(..)) && self.phase != to;
+        if changed {
             self.phase = to;
         }
-        moved
+        changed
     }
 
-    /// On its machine, from the moment it has its image until it exits (protocol).
+    /// Whether the task counts as being on its machine: from when it has its image until it exits (protocol).
     pub fn is_on_machine(&self) -> bool {
         !matches!(self.phase, ExecutionPhase::Fetching | ExecutionPhase::Exited(..))
     }
 
-    /// Takes resources.
+    /// Whether the task occupies resources: until it exits.
     pub fn occupies_resources(&self) -> bool {
         !matches!(self.phase, ExecutionPhase::Exited(..))
     }
 
-    /// Its job's id.
+    /// The id of the task's job.
     pub fn job(&self) -> &str {
         self.name.rsplit_once('/').map_or(&self.name, |(job, _)| job)
     }
 }
 
-/// What a machine is.
+/// The properties of a machine.
 #[derive(Debug, Clone)]
 pub struct MachineHardware {
-    /// Name of its type.
+    /// Name of its machine type.
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot.
+    /// Whether it is a spot machine.
     pub spot: bool,
-    /// CPUs, accelerators, memory in GB.
+    /// CPUs, GPUs, memory in GB.
     pub resources: [f64; 3],
-    /// Image cache, GB.
+    /// Size of the image cache, GB.
     pub cache_gb: f64,
-    /// Rate of fetches, GB a second.
+    /// Image fetch rate of all fetches together, GB/s.
     pub image_fetch_gb_per_s: f64,
-    /// How many times as fast as usual its tasks run.
+    /// Speed of its tasks, as a multiple of the nominal speed.
     pub speed: f64,
 }
 
-/// A machine's worker.
+/// The fake worker of one machine.
 #[derive(Debug)]
 pub struct FakeWorker {
     /// The machine's name.
     pub name: String,
-    /// Where it takes commands.
+    /// Address at which it receives direct commands.
     pub address: String,
-    /// What the machine is.
+    /// The machine's properties.
     pub hardware: MachineHardware,
-    /// When it is up.
+    /// When the machine has booted.
     pub up_at: u64,
-    /// Gone for good.
+    /// Whether the machine was returned, reclaimed or has died.
     pub is_terminated: bool,
-    /// Does nothing until then.
+    /// Until then the machine hangs: it neither sends nor processes anything.
     pub hang_until: u64,
-    /// Every task that it starts fails.
+    /// Whether every task that it starts fails.
     pub is_faulty: bool,
-    /// When the cloud takes it.
+    /// When the cloud reclaims this spot machine, if it has decided to.
     pub reclaim_at: Option<u64>,
-    /// Its tasks.
+    /// The tasks on it, exited ones included until they are forgotten.
     pub tasks: Vec<WorkerTask>,
     pub(crate) changed: bool,
     timing: WorkerSettings,
     session: u64,
     sequence: u64,
     fencing_token: u64,
-    /// Node that it reports to, among so many.
+    /// Index of the controller that it reports to.
     controller: usize,
     controller_count: usize,
     unanswered_report_at: Option<u64>,
     next_report_at: u64,
     last_report_at: u64,
     lease_renewed_at: u64,
-    /// Images held, the latest last, with sizes; and those being fetched, with what is missing.
+    /// Cached images with their sizes in GB, most recently used last.
     cached_images: VecDeque<(String, f64)>,
+    /// Images being fetched, with the GB still missing.
     image_fetches: Vec<(String, f64)>,
-    /// Tasks killed by the end of a lease.
+    /// Number of tasks killed so far because the worker's lease expired.
     pub tasks_killed: u64,
 }
 
 impl FakeWorker {
-    /// A worker that comes up at a time.
+    /// A worker whose machine has booted at `up_at`.
     pub fn new(
         name: &str,
         hardware: MachineHardware,
         timing: WorkerSettings,
-        nodes: usize,
+        controller_count: usize,
         up_at: u64,
     ) -> FakeWorker {
         FakeWorker {
@@ -157,7 +159,7 @@
             sequence: 0,
             fencing_token: 0,
             controller: 0,
-            controller_count: nodes.max(1),
+            controller_count: controller_count.max(1),
             unanswered_report_at: None,
             next_report_at: up_at,
             last_report_at: 0,
@@ -168,7 +170,7 @@
         }
     }
 
-    /// It begins anew, with nothing on it.
+    /// Restarts the worker with no tasks; session and sequence numbers start again.
     pub fn restart(&mut self, now: u64) {
         let fresh = FakeWorker::new(
             &self.name,
@@ -177,30 +179,30 @@
             self.controller_count,
             now,
         );
-        let (addr, killed) = (std::mem::take(&mut self.address), self.tasks_killed);
+        let (address, tasks_killed) = (std::mem::take(&mut self.address), self.tasks_killed);
         *self = FakeWorker {
-            address: addr,
-            tasks_killed: killed,
+            address,
+            tasks_killed,
             is_faulty: self.is_faulty,
             reclaim_at: self.reclaim_at,
             ..fresh
         };
     }
 
-    /// Whether it does anything now.
+    /// Whether the machine is up and does not hang.
     pub fn is_responsive(&self, now: u64) -> bool {
         !self.is_terminated && now >= self.up_at && now >= self.hang_until
     }
 
-    /// Its session.
+    /// The current session number.
     pub fn session(&self) -> u64 {
         self.session
     }
 
-    /// Its report now.
+    /// Builds a status report and takes the next sequence number for it.
     pub fn build_report(&mut self, now: u64) -> StatusReport {
         self.sequence += 1;
-        let shards = self.tasks.iter().map(|t| {
+        let tasks = self.tasks.iter().map(|t| {
             let (status, exit) = match t.phase {
                 ExecutionPhase::Fetching => (TaskPhase::Fetching, None),
                 ExecutionPhase::WaitingForGang(_) => (TaskPhase::WaitingForGang, None),
@@ -228,11 +230,12 @@
             sequence: self.sequence,
             fencing_token: self.fencing_token,
             reclaim_in_s: self.reclaim_at.map(|at| at.saturating_sub(now) as f64 / MS_PER_S),
-            tasks: shards.collect(),
+            tasks: tasks.collect(),
         }
     }
 
-    /// The report that is due, and to which node.
+    /// Returns the report that is due and the index of the controller to send it to, or `None` if none is due. An
+    /// earlier report that has waited too long for its response counts as timed out first.
     pub fn take_due_report(&mut self, now: u64) -> Option<(usize, StatusReport)> {
         if let Some(sent) = self.unanswered_report_at {
             if now < sent + WORKER_ANSWER_TIMEOUT_MS {
@@ -247,15 +250,16 @@
         }
         self.unanswered_report_at = Some(now);
         self.last_report_at = now;
-        // A quarter more or less, by the machine and the report, so that reports spread.
-        let shift = (self.sequence * 7 + self.name.len() as u64 * 13 + self.up_at) % 51;
-        let period = self.timing.report_s * MS_PER_S * (0.75 + shift as f64 / 100.0);
+        // Reports are spread by a deterministic jitter of up to a quarter of the interval.
+        let jitter = (self.sequence * 7 + self.name.len() as u64 * 13 + self.up_at) % 51;
+        let period = self.timing.report_s * MS_PER_S * (0.75 + jitter as f64 / 100.0);
         self.next_report_at = now + period as u64;
         self.changed = false;
         Some((self.controller, self.build_report(now)))
     }
 
-    /// The report sent then had no answer that counts: the next node, a second later.
+    /// The report sent at `sent` got no usable response: the worker turns to the next controller after
+    /// [`CONTROLLER_FAILOVER_DELAY_MS`].
     pub fn handle_report_timeout(&mut self, sent: u64, now: u64) {
         if self.unanswered_report_at == Some(sent) {
             self.unanswered_report_at = None;
@@ -265,7 +269,7 @@
         }
     }
 
-    /// The node sent it to another.
+    /// A controller redirected the worker to another one. Without a different valid target this counts as a timeout.
     pub fn handle_redirect(&mut self, sent: u64, to: Option<usize>, now: u64) {
         match to.filter(|n| *n != self.controller && *n < self.controller_count) {
             Some(n) if self.unanswered_report_at == Some(sent) => {
@@ -277,41 +281,42 @@
         }
     }
 
-    /// The answer to the report sent then, in that session. Returns what must be executed.
+    /// Processes the response to the report sent at `sent` in `session`. Returns whether its commands are to be executed.
     pub fn handle_heartbeat_response(
         &mut self,
-        orders: &HeartbeatResponse,
+        response: &HeartbeatResponse,
         session: u64,
         sent: u64,
         now: u64,
     ) -> bool {
-        // An answer to a report given up, or of an earlier session, is dropped.
+        // A response to a report that has timed out, or that was sent in an earlier session, is ignored.
         if self.unanswered_report_at != Some(sent) || !self.is_responsive(now) {
             return false;
         }
         self.unanswered_report_at = None;
-        if session != self.session || orders.fencing_token < self.fencing_token {
+        if session != self.session || response.fencing_token < self.fencing_token {
             return false;
         }
-        self.changed |= orders.fencing_token > self.fencing_token;
-        self.fencing_token = orders.fencing_token;
+        self.changed |= response.fencing_token > self.fencing_token;
+        self.fencing_token = response.fencing_token;
         self.lease_renewed_at = sent;
         true
     }
 
-    /// Whether commands sent straight to it may be executed.
+    /// Returns whether direct commands are to be executed: their session is the current one and their fencing token is
+    /// not stale. If so, the token becomes the worker's.
     pub fn accept_direct_commands(&mut self, direct: &DirectCommands) -> bool {
-        let good = direct.fencing_token >= self.fencing_token && direct.session == self.session;
-        if good {
+        let accepted = direct.fencing_token >= self.fencing_token && direct.session == self.session;
+        if accepted {
             self.fencing_token = direct.fencing_token;
         }
-        good
+        accepted
     }
 
-    /// Ends the session if its lease has run out: all tasks are killed and forgotten.
+    /// Ends the session if its lease has expired: all tasks are killed and dropped. Returns whether it ended.
     pub fn enforce_lease(&mut self, now: u64) -> bool {
-        let over = now > self.lease_renewed_at + (self.timing.lease_s * MS_PER_S) as u64;
-        if over {
+        let expired = now > self.lease_renewed_at + (self.timing.lease_s * MS_PER_S) as u64;
+        if expired {
             self.tasks_killed +=
                 self.tasks.iter().filter(|t| t.occupies_resources()).count() as u64;
             self.tasks.clear();
@@ -321,42 +326,37 @@
             self.unanswered_report_at = None;
             self.changed = true;
         }
-        over
+        expired
     }
 
-    /// Starts an attempt, unless it is there in any state.
-    pub fn start_task(&mut self, name: &str, launch: u64, spec: Option<std::sync::Arc<JobSpec>>) {
-        if self.tasks.iter().any(|t| t.name == name && t.attempt == launch) {
+    /// Starts an attempt, unless the worker has it already in any phase. If it cannot start it exits at once, with the
+    /// cause.
+    pub fn start_task(&mut self, name: &str, attempt: u64, spec: Option<std::sync::Arc<JobSpec>>) {
+        if self.tasks.iter().any(|t| t.name == name && t.attempt == attempt) {
             return;
         }
         self.changed = true;
-        let mut room = self.hardware.resources;
+        let mut available = self.hardware.resources;
         for task in self.tasks.iter().filter(|t| t.occupies_resources()) {
             let Some(spec) = &task.spec else { continue };
-            let takes = [spec.cpus, spec.gpus, spec.memory_gb];
-            room.iter_mut().zip(takes).for_each(|(left, takes)| *left -= takes);
+            let needed = [spec.cpus, spec.gpus, spec.memory_gb];
+            available.iter_mut().zip(needed).for_each(|(left, needed)| *left -= needed);
         }
-        let twice = self.tasks.iter().any(|t| t.name == name && t.occupies_resources());
+        let is_duplicate = self.tasks.iter().any(|t| t.name == name && t.occupies_resources());
         let fits = spec.as_ref().is_some_and(|s| {
-            let takes = [s.cpus, s.gpus, s.memory_gb];
-            room.iter().zip(takes).all(|(left, takes)| left + 1e-6 >= takes)
+            let needed = [s.cpus, s.gpus, s.memory_gb];
+            available.iter().zip(needed).all(|(left, needed)| left + 1e-6 >= needed)
         });
-        let stage = match &spec {
+        let phase = match &spec {
             None => ExecutionPhase::Exited(ExitCause::UnknownJob, false),
-            Some(_) if twice => ExecutionPhase::Exited(ExitCause::ConflictingAttempt, false),
+            Some(_) if is_duplicate => ExecutionPhase::Exited(ExitCause::ConflictingAttempt, false),
             Some(_) if !fits => ExecutionPhase::Exited(ExitCause::InsufficientResources, false),
             Some(_) => ExecutionPhase::Fetching,
         };
-        self.tasks.push(WorkerTask {
-            name: name.into(),
-            attempt: launch,
-            phase: stage,
-            spec,
-            progress: 0.0,
-        });
+        self.tasks.push(WorkerTask { name: name.into(), attempt, phase, spec, progress: 0.0 });
     }
 
-    /// Fetches images for a while; returns whether any has come.
+    /// Lets image fetches progress for `ms`, sharing the fetch rate equally. Returns whether any image is complete.
     pub fn advance_image_fetches(&mut self, ms: f64) -> bool {
         let wanted: Vec<(String, f64)> = self
             .tasks
@@ -364,7 +364,7 @@
             .filter(|t| t.phase == ExecutionPhase::Fetching)
             .filter_map(|t| t.spec.as_ref().map(|s| (s.image.clone(), s.image_gb)))
             .collect();
-        // A fetch for which no task waits any more is given up.
+        // A fetch that no task waits for any more is cancelled.
         self.image_fetches.retain(|(image, _)| wanted.iter().any(|w| w.0 == *image));
         for (image, gb) in wanted {
             if !self.has_image(&image) && !self.image_fetches.iter().any(|f| f.0 == image) {
@@ -375,26 +375,27 @@
             / MS_PER_S
             / self.image_fetches.len().max(1) as f64;
         self.image_fetches.iter_mut().for_each(|f| f.1 -= share);
-        let (here, still): (Vec<_>, Vec<_>) =
+        let (fetched, pending): (Vec<_>, Vec<_>) =
             self.image_fetches.drain(..).partition(|f| f.1 <= 0.0);
-        self.image_fetches = still;
-        let came = !here.is_empty();
-        for (image, _) in here {
+        self.image_fetches = pending;
+        let completed_any = !fetched.is_empty();
+        for (image, _) in fetched {
             self.touch_image(&image);
         }
-        came
+        completed_any
     }
 
-    /// Whether an image is here.
+    /// Whether an image is in the cache.
     pub fn has_image(&self, image: &str) -> bool {
-        self.cached_images.iter().any(|(held, _)| held == image)
+        self.cached_images.iter().any(|(cached, _)| cached == image)
     }
 
-    /// Notes the use of an image; those used longest ago leave a full cache.
+    /// Marks an image as used now, and evicts the least recently used images from a cache that is too full.
     pub fn touch_image(&mut self, image: &str) {
-        let of = |t: &WorkerTask| t.spec.as_ref().filter(|s| s.image == image).map(|s| s.image_gb);
-        let gb = self.tasks.iter().find_map(of).unwrap_or(0.0);
-        self.cached_images.retain(|(held, _)| held != image);
+        let image_size =
+            |t: &WorkerTask| t.spec.as_ref().filter(|s| s.image == image).map(|s| s.image_gb);
+        let gb = self.tasks.iter().find_map(image_size).unwrap_or(0.0);
+        self.cached_images.retain(|(cached, _)| cached != image);
         self.cached_images.push_back((image.into(), gb));
         while self.cached_images.iter().map(|c| c.1).sum::<f64>() > self.hardware.cache_gb
             && self.cached_images.len() > 1
@@ -403,15 +404,15 @@
         }
     }
 
-    /// The task and attempt of a command.
-    pub fn task_mut(&mut self, name: &str, launch: u64) -> Option<&mut WorkerTask> {
-        self.tasks.iter_mut().find(|t| t.name == name && t.attempt == launch)
+    /// The task with this name and attempt.
+    pub fn task_mut(&mut self, name: &str, attempt: u64) -> Option<&mut WorkerTask> {
+        self.tasks.iter_mut().find(|t| t.name == name && t.attempt == attempt)
     }
 
-    /// Drops an exited attempt from the reports.
-    pub fn forget_task(&mut self, name: &str, launch: u64) {
-        let over =
-            |t: &WorkerTask| t.name == name && t.attempt == launch && !t.occupies_resources();
-        self.tasks.retain(|t| !over(t));
+    /// Removes an exited attempt, which is then no longer reported.
+    pub fn forget_task(&mut self, name: &str, attempt: u64) {
+        let exited =
+            |t: &WorkerTask| t.name == name && t.attempt == attempt && !t.occupies_resources();
+        self.tasks.retain(|t| !exited(t));
     }
 }
