--- a/crates/simulation/src/simulation/dependencies.rs
+++ b/crates/simulation/src/simulation/dependencies.rs
@@ -1,35 +1,38 @@
-//! Pipelines: what users expect of jobs that await others.
+//! Job dependencies: what users may expect of jobs that wait for others.
 
 use super::{START_MS, Simulation};
 use std::collections::HashSet;
 use swiftsail_protocol::controllers::Heartbeat;
 
 impl Simulation {
-    /// When the user of a job before this one, directly or through others, was first told that it is cancelled.
+    /// When a user was first told that a direct or indirect dependency of this job is cancelled.
     pub fn earliest_cancellation_told(&self, id: &str) -> Option<u64> {
-        let mut next = vec![id];
-        let (mut seen, mut told) = (HashSet::new(), None);
-        while let Some(id) = next.pop() {
+        let mut pending = vec![id];
+        let (mut seen, mut earliest) = (HashSet::new(), None);
+        while let Some(id) = pending.pop() {
             let Some(job) = self.jobs.iter().find(|j| j.id == id) else { continue };
-            for awaited in job.dependencies().filter(|a| seen.insert(*a)) {
-                let before = self.jobs.iter().find(|j| j.id == awaited);
-                let at = before.and_then(|j| j.cancellation_told_at);
-                told = [told, at].into_iter().flatten().min();
-                next.push(awaited);
+            for dependency in job.dependencies().filter(|a| seen.insert(*a)) {
+                let job = self.jobs.iter().find(|j| j.id == dependency);
+                let at = job.and_then(|j| j.cancellation_told_at);
+                earliest = [earliest, at].into_iter().flatten().min();
+                pending.push(dependency);
             }
         }
-        told
+        earliest
     }
 
-    /// An answer about a job says that it is open, or that it is cancelled or called off: only a cancellation that was
-    /// asked for, of it or of one before it, does that, whether or not its user was told by then.
+    /// Checks an answer about a job against the cancellations requested. A job may be reported as cancelled only if its
+    /// cancellation or that of a dependency was requested, whether or not a user was told of that yet. It must not be
+    /// reported as pending or running longer than `cancel_s` after a user was told that a dependency is cancelled.
     pub(super) fn check_reported_cancellation(&mut self, job: usize, status: &str) {
         let j = &self.jobs[job];
         let id = &j.id;
         let cancel_ms = (super::controller_settings(0).settings.workers.cancel_s * 1_000.0) as u64;
-        let late = |at: u64| self.now > at + cancel_ms;
-        let broken = match status {
-            "pending" | "running" if self.earliest_cancellation_told(id).is_some_and(late) => {
+        let is_overdue = |at: u64| self.now > at + cancel_ms;
+        let violation = match status {
+            "pending" | "running"
+                if self.earliest_cancellation_told(id).is_some_and(is_overdue) =>
+            {
                 format!("orphaned: {id} is called {status}")
             }
             "withdrawn"
@@ -39,44 +42,48 @@
             }
             _ => return,
         };
-        self.violations.push(broken);
+        self.violations.push(violation);
     }
 
-    /// Whether the cancellation of a job before this one was ever asked for.
+    /// Whether the cancellation of a direct or indirect dependency of this job was ever requested.
     fn is_dependency_cancellation_requested(&self, id: &str) -> bool {
         let Some(job) = self.jobs.iter().find(|j| j.id == id) else { return false };
-        job.dependencies().any(|awaited| {
-            let before = self.jobs.iter().find(|j| j.id == awaited);
-            before.is_some_and(|j| j.cancel_at.is_some())
-                || self.is_dependency_cancellation_requested(awaited)
+        job.dependencies().any(|dependency| {
+            let job = self.jobs.iter().find(|j| j.id == dependency);
+            job.is_some_and(|j| j.cancel_at.is_some())
+                || self.is_dependency_cancellation_requested(dependency)
         })
     }
 
-    /// A heartbeat as that controller's version writes or reads it.
-    pub(super) fn heartbeat_as_version(&self, node: usize, mut beat: Heartbeat) -> Heartbeat {
-        if self.now < START_MS + self.old_version_until_ms[node] {
-            beat.format_version = 0;
+    /// A heartbeat as the version that this controller runs would write or read it.
+    pub(super) fn heartbeat_as_version(
+        &self,
+        controller: usize,
+        mut heartbeat: Heartbeat,
+    ) -> Heartbeat {
+        if self.now < START_MS + self.old_version_until_ms[controller] {
+            heartbeat.format_version = 0;
         }
-        beat
+        heartbeat
     }
 
-    /// Whether one of the jobs that one awaits is somebody's and not accepted yet.
+    /// Whether a direct dependency of a job belongs to a simulated user and is not accepted yet.
     pub(super) fn has_unaccepted_dependency(&self, job: usize) -> bool {
-        let own = &self.jobs[job];
-        let open = |awaited: &str| {
-            self.jobs.iter().any(|j| j.id == awaited && j.id != own.id && !j.accepted)
+        let dependent = &self.jobs[job];
+        let is_unaccepted = |dependency: &str| {
+            self.jobs.iter().any(|j| j.id == dependency && j.id != dependent.id && !j.accepted)
         };
-        own.dependencies().any(open)
+        dependent.dependencies().any(is_unaccepted)
     }
 
-    /// Whether all jobs that one awaits are done, by their tasks.
+    /// Whether every task of every direct dependency of a job has completed.
     pub(super) fn are_dependencies_done(&self, id: &str) -> bool {
         let Some(job) = self.jobs.iter().find(|j| j.id == id) else { return true };
-        job.dependencies().all(|awaited| {
-            let before = self.jobs.iter().find(|j| j.id == awaited);
-            before.is_some_and(|j| {
+        job.dependencies().all(|dependency| {
+            let job = self.jobs.iter().find(|j| j.id == dependency);
+            job.is_some_and(|j| {
                 (0..j.task_count())
-                    .all(|t| self.cluster.finished_tasks.contains(&format!("{awaited}/{t}")))
+                    .all(|t| self.cluster.finished_tasks.contains(&format!("{dependency}/{t}")))
             })
         })
     }
--- a/crates/simulation/src/simulation/event_handlers.rs
+++ b/crates/simulation/src/simulation/event_handlers.rs
@@ -1,4 +1,4 @@
-//! What happens, event by event.
+//! Handles each event of the simulation's queue.
 
 use super::{
     Requester, SimulatedCpu, Simulation, SimulationEvent, WORKER_STEP_MS, controller_settings,
@@ -15,27 +15,29 @@
     #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub(super) fn handle_simulation_event(&mut self, ev: SimulationEvent) {
         match ev {
-            SimulationEvent::Tick(n, life) => {
+            SimulationEvent::Tick(n, incarnation) => {
                 if self.is_paused(n) {
                     let until = self.paused[n].0;
-                    return self.schedule(until, SimulationEvent::Tick(n, life));
+                    return self.schedule(until, SimulationEvent::Tick(n, incarnation));
                 }
-                if self.incarnations[n] == life && self.controllers[n].is_some() {
-                    self.deliver_to_controller(n, life, Event::Tick);
-                    // A timer that is late fires late again from then on.
+                if self.incarnations[n] == incarnation && self.controllers[n].is_some() {
+                    self.deliver_to_controller(n, incarnation, Event::Tick);
+                    // The next tick is scheduled from when this one is processed, so a late timer stays late.
                     let free = self.processors[n].free_at;
-                    self.schedule(free.max(self.now) + 100, SimulationEvent::Tick(n, life));
+                    self.schedule(free.max(self.now) + 100, SimulationEvent::Tick(n, incarnation));
                 }
             }
-            SimulationEvent::ProcessorFree(n, life) => self.process_next_event(n, life),
+            SimulationEvent::ProcessorFree(n, incarnation) => {
+                self.process_next_event(n, incarnation)
+            }
             SimulationEvent::PauseController(n, until) => {
                 self.paused[n].0 = until;
-                let life = self.incarnations[n];
-                self.schedule(until, SimulationEvent::ResumeController(n, life));
+                let incarnation = self.incarnations[n];
+                self.schedule(until, SimulationEvent::ResumeController(n, incarnation));
             }
-            SimulationEvent::ResumeController(n, life) => {
+            SimulationEvent::ResumeController(n, incarnation) => {
                 for event in std::mem::take(&mut self.paused[n].1) {
-                    self.deliver_to_controller(n, life, event);
+                    self.deliver_to_controller(n, incarnation, event);
                 }
             }
             SimulationEvent::Restart(n) => {
@@ -51,13 +53,13 @@
                 }
                 self.processors[n] = SimulatedCpu::default();
                 let settings = Arc::new(settings);
-                let node = Controller::with_operator_settings(
+                let controller = Controller::with_operator_settings(
                     settings,
                     &self.operator,
                     self.rng.random(),
                     now,
                 );
-                self.controllers[n] = Some(node);
+                self.controllers[n] = Some(controller);
                 self.schedule(self.now, SimulationEvent::Tick(n, self.incarnations[n]));
             }
             SimulationEvent::Crash(n) => {
@@ -70,40 +72,42 @@
             }
             SimulationEvent::DuplicateReport(n, report) => self.deliver_duplicate_report(n, report),
             SimulationEvent::RestartWorker(name) => self.cluster.restart_worker(&name, self.now),
-            SimulationEvent::DeliverToController(n, life, event) => {
-                self.deliver_to_controller(n, life, *event)
+            SimulationEvent::DeliverToController(n, incarnation, event) => {
+                self.deliver_to_controller(n, incarnation, *event)
             }
-            SimulationEvent::Heartbeat(from, life, to, beat) => {
-                let brief = beat.is_abridged;
-                let beat = self.heartbeat_as_version(to, beat);
-                self.deliver_to_controller(to, self.incarnations[to], Event::Heartbeat(beat));
+            SimulationEvent::Heartbeat(from, incarnation, to, heartbeat) => {
+                let is_abridged = heartbeat.is_abridged;
+                let heartbeat = self.heartbeat_as_version(to, heartbeat);
+                self.deliver_to_controller(to, self.incarnations[to], Event::Heartbeat(heartbeat));
                 if self.is_paused(to) {
                     return;
                 }
-                if let Some(ours) = self.controllers[to].as_mut().map(|n| n.build_heartbeat(brief))
+                if let Some(answer) =
+                    self.controllers[to].as_mut().map(|n| n.build_heartbeat(is_abridged))
                 {
-                    self.record_beat_answer(to, &ours);
-                    let ours = self.heartbeat_as_version(from, self.heartbeat_as_version(to, ours));
+                    self.record_heartbeat_response(to, &answer);
+                    let answer =
+                        self.heartbeat_as_version(from, self.heartbeat_as_version(to, answer));
                     let at = self.now + self.draw_message_delay();
                     self.schedule(
                         at,
                         SimulationEvent::DeliverToController(
                             from,
-                            life,
-                            Box::new(Event::Heartbeat(ours)),
+                            incarnation,
+                            Box::new(Event::Heartbeat(answer)),
                         ),
                     );
                 }
             }
-            SimulationEvent::StoreCall(n, life, id, call) => {
-                self.handle_store_call(n, life, id, call)
+            SimulationEvent::StoreCall(n, incarnation, id, call) => {
+                self.handle_store_call(n, incarnation, id, call)
             }
-            SimulationEvent::CloudCall(n, life, call) => {
+            SimulationEvent::CloudCall(n, incarnation, call) => {
                 if let Some((after, outcome)) = self.cloud_fault(&call) {
                     let event = Box::new(Event::CloudResponse(call, outcome));
                     return self.schedule(
                         self.now + after,
-                        SimulationEvent::DeliverToController(n, life, event),
+                        SimulationEvent::DeliverToController(n, incarnation, event),
                     );
                 }
                 let outcome = if self.is_message_lost() {
@@ -117,26 +121,28 @@
                     at,
                     SimulationEvent::DeliverToController(
                         n,
-                        life,
+                        incarnation,
                         Box::new(Event::CloudResponse(call, outcome)),
                     ),
                 );
             }
-            SimulationEvent::DirectCommands(n, life, addr, direct) => {
+            SimulationEvent::DirectCommands(n, incarnation, address, direct) => {
                 let now = self.now;
-                // A machine that hangs takes it, and carries it out if it goes on (protocol: delayed messages).
-                let hangs = self
+                // A machine that hangs processes the commands when it resumes (protocol: messages may be delayed).
+                let hang_until = self
                     .cluster
                     .workers
-                    .get(&addr)
+                    .get(&address)
                     .filter(|w| !w.is_terminated)
                     .map(|w| w.hang_until);
-                if let Some(until) = hangs.filter(|until| now < *until) {
+                if let Some(until) = hang_until.filter(|until| now < *until) {
                     self.count_fault("held by a hang");
-                    return self
-                        .schedule(until, SimulationEvent::DirectCommands(n, life, addr, direct));
+                    return self.schedule(
+                        until,
+                        SimulationEvent::DirectCommands(n, incarnation, address, direct),
+                    );
                 }
-                let Some((_, report)) = self.cluster.handle_direct_commands(&addr, &direct, now)
+                let Some((_, report)) = self.cluster.handle_direct_commands(&address, &direct, now)
                 else {
                     return;
                 };
@@ -146,139 +152,146 @@
                         at,
                         SimulationEvent::DeliverToController(
                             n,
-                            life,
+                            incarnation,
                             Box::new(Event::CommandResponse(Box::new(report))),
                         ),
                     );
                 }
             }
             SimulationEvent::WorkerStep(name) => self.step_worker(&name),
-            SimulationEvent::ForwardReports(from, from_life, from_id, to, report) => {
+            SimulationEvent::ForwardReports(from, from_incarnation, from_id, to, report) => {
                 self.next_request += 1;
-                let (id, life) = (self.next_request, self.incarnations[to]);
+                let (id, incarnation) = (self.next_request, self.incarnations[to]);
                 self.requesters.insert(
-                    (to, life, id),
-                    Requester::ForwardingController(from, from_life, from_id),
+                    (to, incarnation, id),
+                    Requester::ForwardingController(from, from_incarnation, from_id),
                 );
                 if self.is_paused(to) {
                     let event = Box::new(Event::ForwardedAnswers(from_id, None));
                     self.schedule(
                         self.now + 2_500,
-                        SimulationEvent::DeliverToController(from, from_life, event),
+                        SimulationEvent::DeliverToController(from, from_incarnation, event),
                     );
                 }
-                self.deliver_to_controller(to, life, Event::ForwardedReports(id, report));
+                self.deliver_to_controller(to, incarnation, Event::ForwardedReports(id, report));
             }
             SimulationEvent::StatusReport(n, report, sent) => {
-                let life = self.incarnations[n];
+                let incarnation = self.incarnations[n];
                 if let Some(until) = self.partition_releases_at(n, |c| c.workers) {
-                    let (name, watch) = (report.machine.clone(), report.session);
+                    let (name, session) = (report.machine.clone(), report.session);
                     self.schedule(until, SimulationEvent::DuplicateReport(n, report));
                     return self.schedule(
                         sent + 4_000,
-                        SimulationEvent::ReportAnswered(name, watch, sent, None),
+                        SimulationEvent::ReportAnswered(name, session, sent, None),
                     );
                 }
-                let cut = self.is_partitioned(n, |c| c.workers)
+                let is_cut_off = self.is_partitioned(n, |c| c.workers)
                     || self.is_machine_partitioned(n, &report.machine);
-                if self.controllers[n].is_none() || cut {
-                    let (name, watch) = (report.machine.clone(), report.session);
+                if self.controllers[n].is_none() || is_cut_off {
+                    let (name, session) = (report.machine.clone(), report.session);
                     return self.schedule(
                         self.now + 1,
-                        SimulationEvent::ReportAnswered(name, watch, sent, None),
+                        SimulationEvent::ReportAnswered(name, session, sent, None),
                     );
                 }
                 self.next_request += 1;
                 let id = self.next_request;
-                let asker = Requester::Worker(report.machine.clone(), report.session, sent);
-                self.requesters.insert((n, life, id), asker);
+                let requester = Requester::Worker(report.machine.clone(), report.session, sent);
+                self.requesters.insert((n, incarnation, id), requester);
                 if self.is_paused(n) {
-                    let (name, watch) = (report.machine.clone(), report.session);
+                    let (name, session) = (report.machine.clone(), report.session);
                     self.schedule(
                         sent + 4_000,
-                        SimulationEvent::ReportAnswered(name, watch, sent, None),
+                        SimulationEvent::ReportAnswered(name, session, sent, None),
                     );
                 }
-                self.deliver_to_controller(n, life, Event::StatusReport(id, report));
+                self.deliver_to_controller(n, incarnation, Event::StatusReport(id, report));
             }
-            SimulationEvent::ReportAnswered(name, watch, sent, reply) => {
+            SimulationEvent::ReportAnswered(name, session, sent, reply) => {
                 let now = self.now;
                 let Some(worker) = self.cluster.workers.get_mut(&name) else { return };
                 let Some(reply) = reply else { return worker.handle_report_timeout(sent, now) };
-                let orders =
+                let response =
                     (reply.status == 200).then(|| wire::decode::<HeartbeatResponse>(&reply.body));
-                let harbor =
+                let redirect =
                     wire::decode::<wire::workers::Redirect>(&reply.body).unwrap_or_default();
-                match orders {
-                    Some(Ok(orders)) => {
-                        self.cluster.handle_heartbeat_response(&name, &orders, watch, sent, now)
+                match response {
+                    Some(Ok(response)) => {
+                        self.cluster.handle_heartbeat_response(&name, &response, session, sent, now)
                     }
                     _ => {
-                        let to = harbor.controller.and_then(|h| h.strip_prefix('n')?.parse().ok());
+                        let to =
+                            redirect.controller.and_then(|h| h.strip_prefix('n')?.parse().ok());
                         worker.handle_redirect(sent, to, now);
                     }
                 }
             }
-            SimulationEvent::AdminRequest(n, id, ask) => {
-                let life = self.incarnations[n];
+            SimulationEvent::AdminRequest(n, id, admin_request) => {
+                let incarnation = self.incarnations[n];
                 self.next_request += 1;
                 let request = self.next_request;
-                self.requesters.insert((n, life, request), Requester::Operator(id));
-                self.deliver_to_controller(n, life, Event::AdminRequest(request, *ask));
+                self.requesters.insert((n, incarnation, request), Requester::Operator(id));
+                self.deliver_to_controller(
+                    n,
+                    incarnation,
+                    Event::AdminRequest(request, *admin_request),
+                );
             }
-            SimulationEvent::UserRequest(job, what) => self.send_user_request(job, what),
-            SimulationEvent::ProbeConsistency(job, n, what) => {
-                self.send_consistency_probe(job, n, what)
+            SimulationEvent::UserRequest(job, kind) => self.send_user_request(job, kind),
+            SimulationEvent::ProbeConsistency(job, n, kind) => {
+                self.send_consistency_probe(job, n, kind)
             }
-            SimulationEvent::ProbeReply(job, what, sent, reply) => {
-                self.check_probe_reply(job, what, sent, &reply)
+            SimulationEvent::ProbeReply(job, kind, sent, reply) => {
+                self.check_probe_reply(job, kind, sent, &reply)
             }
             SimulationEvent::UnusualRequest => self.send_unusual_request(),
-            SimulationEvent::UnusualReply(what, reply) => self.check_unusual_reply(&what, &reply),
+            SimulationEvent::UnusualReply(description, reply) => {
+                self.check_unusual_reply(&description, &reply)
+            }
             SimulationEvent::CancelRunningJobs(count, hang_ms) => {
                 self.cancel_running_jobs(count, hang_ms)
             }
-            SimulationEvent::UserReply(job, what, sent, reply) => {
-                self.handle_user_reply(job, what, sent, reply)
+            SimulationEvent::UserReply(job, kind, sent, reply) => {
+                self.handle_user_reply(job, kind, sent, reply)
             }
         }
     }
 
     pub(super) fn step_worker(&mut self, name: &str) {
         let now = self.now;
-        let paused = self.is_store_unavailable();
-        let ended = self.store.expire_leases(now, paused);
-        if ended || self.rng.random_bool(0.2) {
+        let store_unavailable = self.is_store_unavailable();
+        let any_expired = self.store.expire_leases(now, store_unavailable);
+        if any_expired || self.rng.random_bool(0.2) {
             self.answer_watches();
         }
-        let hang = !self.are_random_faults_over()
+        let hangs = !self.are_random_faults_over()
             && self.fault_rates.outages_and_hangs > 0
             && self.rng.random_bool(0.0005);
-        let taken = !self.are_random_faults_over()
+        let reclaim = !self.are_random_faults_over()
             && self.fault_rates.outages_and_hangs > 0
             && self.rng.random_bool(0.002);
-        let span = self.rng.random_range(2_000..15_000);
+        let duration_ms = self.rng.random_range(2_000..15_000);
         let Some(worker) = self.cluster.workers.get_mut(name).filter(|w| !w.is_terminated) else {
             return;
         };
-        if hang {
-            worker.hang_until = now + span;
+        if hangs {
+            worker.hang_until = now + duration_ms;
         }
-        // Spot machines are taken, mostly with a notice.
-        if taken && worker.hardware.spot && worker.reclaim_at.is_none() {
-            worker.reclaim_at = Some(now + if hang { 0 } else { span });
+        // Spot machines are reclaimed, mostly with notice.
+        if reclaim && worker.hardware.spot && worker.reclaim_at.is_none() {
+            worker.reclaim_at = Some(now + if hangs { 0 } else { duration_ms });
             worker.changed = true;
         }
-        if let Some((node, report)) = self.cluster.step_machine(name, now) {
+        if let Some((controller, report)) = self.cluster.step_machine(name, now) {
             let at = self.now + self.draw_message_delay();
-            self.maybe_duplicate_report(node, &report);
+            self.maybe_duplicate_report(controller, &report);
             self.maybe_keep_for_next_leader(&report);
             if self.is_outbound_unreachable(name) {
-                let none =
+                let no_answer =
                     SimulationEvent::ReportAnswered(name.to_string(), report.session, now, None);
-                self.schedule(now + 1, none);
+                self.schedule(now + 1, no_answer);
             } else if !self.is_message_lost() {
-                self.schedule(at, SimulationEvent::StatusReport(node, Box::new(report), now));
+                self.schedule(at, SimulationEvent::StatusReport(controller, Box::new(report), now));
             }
         }
         if !self.cluster.workers[name].is_terminated {
--- a/crates/simulation/src/simulation/fault_windows.rs
+++ b/crates/simulation/src/simulation/fault_windows.rs
@@ -1,4 +1,4 @@
-//! Troubles that last for a time, and what becomes of single transactions.
+//! Faults that last for a time, and faults of single transactions.
 
 use super::{CONTROLLER_COUNT, START_MS, Simulation, SimulationEvent};
 use rand::Rng;
@@ -8,71 +8,71 @@
 use swiftsail_protocol::state::Transaction;
 use swiftsail_protocol::workers::StatusReport;
 
-/// Time after which a controller gives a call to the state service up, ms.
+/// A controller's timeout for calls to the state service, ms.
 const STORE_CALLER_TIMEOUT_MS: u64 = 1_500;
-/// Time after which a controller gives a call to the cloud up, ms.
+/// A controller's timeout for calls to the cloud, ms.
 const CLOUD_CALLER_TIMEOUT_MS: u64 = 4_000;
-/// Reports kept for the next leader at most: those of some seconds of all machines of a world.
+/// Most report copies kept for the next leader: those of some seconds from all machines of a simulation.
 const MAX_KEPT_REPORTS: usize = 2_000;
-/// Machines that hang at most when jobs are called off (the operators' page).
+/// Most machines that hang when running jobs are cancelled (operators' scenario).
 const MAX_HUNG_MACHINES: usize = 8;
-/// Time within which users call off, ms (the operators' page).
+/// Time within which users cancel running jobs, ms (operators' scenario).
 const CANCEL_WITHIN_MS: u64 = 200;
 
-/// What becomes of a transaction.
+/// What happens to a controller's transaction on its way to the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TransactionFate {
-    /// What becomes of it by the weather.
+    /// Whatever the fault rates and fault windows of the simulation cause.
     AsConfigured,
-    /// It is carried out at once, and its answer is lost.
+    /// It is applied at once, and the response is lost.
     AnswerLost,
-    /// It gets no answer, and is carried out so much later, ms.
+    /// It is applied after this time, ms, and the caller gets no response.
     AppliedLate(u64),
-    /// It gets no answer, and is never carried out.
+    /// It is never applied, and the caller gets no response.
     Dropped,
-    /// It is refused with 503.
+    /// It is rejected with status 503.
     Refused,
-    /// It is refused with 400, for this reason.
+    /// It is rejected with status 400, for this reason.
     Malformed(String),
 }
 
-/// Says what becomes of a transaction: time from the beginning in ms, the controller, and it.
+/// Decides what happens to a transaction, given the time since the start in ms, the controller and the transaction.
 pub type TransactionInterceptor = Box<dyn FnMut(u64, usize, &Transaction) -> TransactionFate>;
 
-/// A trouble that lasts for a time.
+/// A fault that lasts for a time.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
-    /// That share of the transactions is carried out at once, and only the answer is lost.
+    /// This share of the transactions is applied at once, but the response is lost.
     AnswersLost(f64),
-    /// That share of the transactions gets no answer and is carried out 2 to 12 s later.
+    /// This share of the transactions gets no response and is applied 2 to 12 s later.
     TransactionsLate(f64),
-    /// Of that share of the reports a copy is kept, which reaches every controller as a new leader begins.
+    /// A copy of this share of the status reports is kept, and reaches every controller when a new leader starts.
     DuplicatesForNextLeader(f64),
-    /// These machines reach no controller; what is sent to them reaches them.
+    /// Nothing that these machines send arrives; what is sent to them does.
     OutboundUnreachable(Vec<String>),
-    /// The cloud refuses everything.
+    /// The cloud fails every call.
     CloudUnavailable,
-    /// The cloud answers only after so long at most, ms: beyond 4 s its caller has given up.
+    /// The cloud takes up to this time, ms, to respond. After 4 s the caller has timed out.
     SlowCloud(u64),
-    /// The workers of this zone and this controller reach each other and nobody else.
+    /// This zone is partitioned: its workers and this controller reach each other, and nobody outside it.
     ZonePartition {
         /// The zone.
         zone: String,
         /// The controller.
         controller: usize,
     },
-    /// Users ask at all nodes within milliseconds after a job was accepted or over, and repeat the submission; of
-    /// those who call off, one in four does so at once.
+    /// Within milliseconds after a job was accepted or its end reported, users poll it at all controllers and repeat the
+    /// submission. One in four of the users who cancel do so as soon as the job is accepted.
     ConsistencyProbes,
-    /// Users repeat submissions, cancel what is done, and send jobs that fit no machine or lack a field.
+    /// Users repeat submissions, cancel jobs that are done, and submit jobs that fit no machine or lack a field.
     UnusualRequests,
-    /// Every message takes from half of this time to this time, ms.
+    /// Every message takes between half of this time and this time, ms.
     SlowLinks(u64),
-    /// That share of the jobs that end is called off at the moment of the end.
+    /// This share of the jobs is cancelled within 300 ms after the last task completes.
     CancelAtCompletion(f64),
 }
 
-/// A trouble, from a time on, for so long.
+/// A fault with the times at which it starts and ends.
 #[derive(Debug, Clone)]
 pub struct FaultWindow {
     from: u64,
@@ -81,26 +81,27 @@
 }
 
 impl Simulation {
-    /// A trouble begins at a time and lasts for so long.
-    pub fn add_fault_window(&mut self, from_ms: u64, for_ms: u64, trouble: Fault) {
+    /// Adds a fault that lasts from `from_ms` after the start for `for_ms`.
+    pub fn add_fault_window(&mut self, from_ms: u64, for_ms: u64, fault: Fault) {
         let (from, until) = (START_MS + from_ms, START_MS + from_ms + for_ms);
-        if trouble == Fault::UnusualRequests {
+        if fault == Fault::UnusualRequests {
             for at in (from..until).step_by(700) {
                 self.schedule(at, SimulationEvent::UnusualRequest);
             }
         }
-        if let Fault::ZonePartition { controller: node, .. } = &trouble {
-            // It loses the state service too, which refuses it as an outage would.
-            let cut = super::NetworkPartition {
+        if let Fault::ZonePartition { controller, .. } = &fault {
+            // The controller is also cut off from the state service, which looks like an outage to it.
+            let partition = super::NetworkPartition {
                 store: true,
-                ..super::NetworkPartition::of(*node, from_ms, for_ms)
+                ..super::NetworkPartition::of(*controller, from_ms, for_ms)
             };
-            self.partitions.push(cut);
+            self.partitions.push(partition);
         }
-        self.fault_windows.push(FaultWindow { from, until, fault: trouble });
+        self.fault_windows.push(FaultWindow { from, until, fault });
     }
 
-    /// Users call off so many jobs that run, within a fifth of a second; some of their machines hang for so long.
+    /// Schedules the cancellation of up to `count` running jobs, all within a fifth of a second. If `hang_ms` is given,
+    /// some of the machines that run them hang for that time.
     pub fn schedule_running_cancellations(
         &mut self,
         at_ms: u64,
@@ -110,62 +111,76 @@
         self.schedule(START_MS + at_ms, SimulationEvent::CancelRunningJobs(count, hang_ms));
     }
 
-    /// A copy of a report arrives at a controller: nobody waits for its answer.
-    pub fn schedule_duplicate_report(&mut self, at_ms: u64, node: usize, report: StatusReport) {
-        self.schedule(START_MS + at_ms, SimulationEvent::DuplicateReport(node, Box::new(report)));
+    /// Schedules the delivery of a duplicate report to a controller. Nobody receives the response.
+    pub fn schedule_duplicate_report(
+        &mut self,
+        at_ms: u64,
+        controller: usize,
+        report: StatusReport,
+    ) {
+        self.schedule(
+            START_MS + at_ms,
+            SimulationEvent::DuplicateReport(controller, Box::new(report)),
+        );
     }
 
-    /// A number that a trouble of now has.
-    pub(super) fn active_fault_value<T>(&self, of: impl Fn(&Fault) -> Option<T>) -> Option<T> {
+    /// The first `Some` that `value` returns for a fault active now.
+    pub(super) fn active_fault_value<T>(&self, value: impl Fn(&Fault) -> Option<T>) -> Option<T> {
         let now = self.now;
-        let open = self.fault_windows.iter().filter(|s| (s.from..s.until).contains(&now));
-        open.filter_map(|s| of(&s.fault)).next()
+        let active = self.fault_windows.iter().filter(|s| (s.from..s.until).contains(&now));
+        active.filter_map(|s| value(&s.fault)).next()
     }
 
-    pub(super) fn count_fault(&mut self, what: &'static str) {
-        *self.fault_counts.entry(what).or_default() += 1;
+    /// Counts an occurrence in [`Simulation::fault_counts`]. Tests look these names up.
+    pub(super) fn count_fault(&mut self, name: &'static str) {
+        *self.fault_counts.entry(name).or_default() += 1;
     }
 
     // ---- transactions ----
 
+    /// Decides what happens to a transaction of a controller: by the interceptor first, then by the active faults.
     pub(super) fn draw_transaction_fate(
         &mut self,
         n: usize,
-        commit: &Transaction,
+        transaction: &Transaction,
     ) -> TransactionFate {
         let ms = self.now - START_MS;
-        if let Some(judge) = &mut self.transaction_interceptor {
-            let fate = judge(ms, n, commit);
+        if let Some(intercept) = &mut self.transaction_interceptor {
+            let fate = intercept(ms, n, transaction);
             if fate != TransactionFate::AsConfigured {
                 return fate;
             }
         }
-        let lost = |t: &Fault| match t {
+        let answer_lost_share = |t: &Fault| match t {
             Fault::AnswersLost(share) => Some(*share),
             _ => None,
         };
-        let late = |t: &Fault| match t {
+        let late_share = |t: &Fault| match t {
             Fault::TransactionsLate(share) => Some(*share),
             _ => None,
         };
-        if self.active_fault_value(lost).is_some_and(|share| self.rng.random_bool(share)) {
+        if self
+            .active_fault_value(answer_lost_share)
+            .is_some_and(|share| self.rng.random_bool(share))
+        {
             return TransactionFate::AnswerLost;
         }
-        match self.active_fault_value(late).is_some_and(|share| self.rng.random_bool(share)) {
+        match self.active_fault_value(late_share).is_some_and(|share| self.rng.random_bool(share)) {
             true => TransactionFate::AppliedLate(self.rng.random_range(2_000..12_000)),
             false => TransactionFate::AsConfigured,
         }
     }
 
+    /// Executes a transaction as `fate` says, and schedules the response to its controller.
     pub(super) fn apply_transaction_fate(
         &mut self,
         fate: TransactionFate,
         n: usize,
-        life: u64,
+        incarnation: u64,
         id: u64,
         call: StoreCall,
     ) {
-        let mut after = STORE_CALLER_TIMEOUT_MS;
+        let mut delay_ms = STORE_CALLER_TIMEOUT_MS;
         let outcome = match fate {
             TransactionFate::AsConfigured | TransactionFate::Dropped => StoreOutcome::Unknown,
             TransactionFate::AnswerLost => {
@@ -175,21 +190,21 @@
             }
             TransactionFate::AppliedLate(ms) => {
                 self.count_fault("write late");
-                // To a life that never was: carried out, told to nobody.
+                // Incarnation 0: the transaction is applied, and nobody receives the response.
                 self.schedule(self.now + ms, SimulationEvent::StoreCall(n, 0, 0, call));
                 StoreOutcome::Unknown
             }
             TransactionFate::Refused => StoreOutcome::Unavailable,
-            TransactionFate::Malformed(why) => StoreOutcome::Malformed(why),
+            TransactionFate::Malformed(reason) => StoreOutcome::Malformed(reason),
         };
         if outcome != StoreOutcome::Unknown {
-            after = self.draw_message_delay();
+            delay_ms = self.draw_message_delay();
         }
         self.schedule(
-            self.now + after,
+            self.now + delay_ms,
             SimulationEvent::DeliverToController(
                 n,
-                life,
+                incarnation,
                 Box::new(Event::StoreResponse(id, outcome)),
             ),
         );
@@ -198,69 +213,74 @@
 
     // ---- reports ----
 
+    /// Whether nothing that a machine sends arrives now.
     pub(super) fn is_outbound_unreachable(&mut self, name: &str) -> bool {
-        let its = |t: &Fault| match t {
+        let of_machine = |t: &Fault| match t {
             Fault::OutboundUnreachable(names) => names.iter().any(|n| n == name).then_some(()),
             _ => None,
         };
-        let mute = self.active_fault_value(its).is_some();
-        if mute {
+        let unreachable = self.active_fault_value(of_machine).is_some();
+        if unreachable {
             self.count_fault("mute");
         }
-        mute
+        unreachable
     }
 
+    /// Keeps a copy of a report for the next leader, if such a fault is active and chance selects the report.
     pub(super) fn maybe_keep_for_next_leader(&mut self, report: &StatusReport) {
         let share = self.active_fault_value(|t| match t {
             Fault::DuplicatesForNextLeader(share) => Some(*share),
             _ => None,
         });
-        let kept = share.is_some_and(|share| self.rng.random_bool(share));
-        if kept && self.reports_for_next_leader.len() < MAX_KEPT_REPORTS {
+        let is_kept = share.is_some_and(|share| self.rng.random_bool(share));
+        if is_kept && self.reports_for_next_leader.len() < MAX_KEPT_REPORTS {
             self.reports_for_next_leader.push(report.clone());
         }
     }
 
-    /// As a new leader begins, the copies kept for it reach every controller.
+    /// Sends the kept report copies to every controller when controller `n` has become a new leader.
     pub(super) fn deliver_kept_reports(&mut self, n: usize) {
         if !self.controllers[n].as_ref().is_some_and(Controller::is_leader) {
             return;
         }
-        let life = Some((n, self.incarnations[n]));
-        if std::mem::replace(&mut self.last_leader, life) == life {
+        let incarnation = Some((n, self.incarnations[n]));
+        if std::mem::replace(&mut self.last_leader, incarnation) == incarnation {
             return;
         }
         self.count_fault("leader");
         for report in std::mem::take(&mut self.reports_for_next_leader) {
             self.count_fault("copy for next");
-            for node in 0..CONTROLLER_COUNT {
+            for controller in 0..CONTROLLER_COUNT {
                 let at = self.now + self.rng.random_range(0..40);
-                self.schedule(at, SimulationEvent::DuplicateReport(node, Box::new(report.clone())));
+                self.schedule(
+                    at,
+                    SimulationEvent::DuplicateReport(controller, Box::new(report.clone())),
+                );
             }
         }
     }
 
     // ---- the cloud ----
 
-    /// What becomes of a call to the cloud, in a trouble of it: none, or what its caller hears, and after how long.
+    /// If a cloud fault is active, the outcome of a call that its caller receives, and the delay in ms.
     pub(super) fn cloud_fault(
         &mut self,
         call: &cloud::CloudCall,
     ) -> Option<(u64, cloud::CloudOutcome)> {
-        let slow = self.active_fault_value(|t| match t {
+        let max_delay_ms = self.active_fault_value(|t| match t {
             Fault::SlowCloud(ms) => Some(*ms),
             Fault::CloudUnavailable => Some(0),
             _ => None,
         })?;
         self.count_fault("cloud trouble");
-        if slow == 0 {
+        if max_delay_ms == 0 {
             return Some((self.draw_message_delay(), cloud::CloudOutcome::Failed));
         }
-        let after = self.rng.random_range(0..slow);
-        match after < CLOUD_CALLER_TIMEOUT_MS {
-            true => Some((after, self.execute_cloud_call(call))),
+        let delay_ms = self.rng.random_range(0..max_delay_ms);
+        match delay_ms < CLOUD_CALLER_TIMEOUT_MS {
+            true => Some((delay_ms, self.execute_cloud_call(call))),
             false => {
-                // It may be carried out after its caller has given up.
+                // The call may be executed although its caller has timed out.
                 if self.rng.random_bool(0.5) {
                     self.execute_cloud_call(call);
                 }
@@ -273,57 +293,60 @@
 
     fn active_zone_partition(&self) -> Option<(String, usize)> {
         self.active_fault_value(|t| match t {
-            Fault::ZonePartition { zone, controller: node } => Some((zone.clone(), *node)),
+            Fault::ZonePartition { zone, controller } => Some((zone.clone(), *controller)),
             _ => None,
         })
     }
 
-    /// Whether a controller is in a zone that is cut off.
+    /// Whether a controller is inside a partitioned zone.
     pub(super) fn is_zone_partitioned(&self, n: usize) -> bool {
-        self.active_zone_partition().is_some_and(|(_, node)| node == n)
+        self.active_zone_partition().is_some_and(|(_, controller)| controller == n)
     }
 
-    /// Whether a cut of a zone is between two controllers.
+    /// Whether a zone partition separates two controllers.
     pub(super) fn are_partitioned_by_zone(&self, a: usize, b: usize) -> bool {
-        self.active_zone_partition().is_some_and(|(_, node)| (node == a) != (node == b))
+        self.active_zone_partition()
+            .is_some_and(|(_, controller)| (controller == a) != (controller == b))
     }
 
-    /// Whether a cut of a zone is between a controller and a machine.
+    /// Whether a zone partition separates a controller from a machine.
     pub(super) fn is_machine_partitioned(&mut self, n: usize, machine: &str) -> bool {
-        let Some((zone, node)) = self.active_zone_partition() else { return false };
+        let Some((zone, controller)) = self.active_zone_partition() else { return false };
         let inside = self.cluster.workers.get(machine).is_some_and(|w| w.hardware.zone == zone);
-        let cut = inside != (node == n);
-        if cut && inside {
+        let is_cut_off = inside != (controller == n);
+        if is_cut_off && inside {
             self.count_fault("zone cut");
         }
-        cut
+        is_cut_off
     }
 
     // ---- users ----
 
-    /// Jobs that run are called off now.
+    /// Lets users cancel up to `count` running jobs. If `hang_ms` is given, some of their machines hang for that time.
     pub(super) fn cancel_running_jobs(&mut self, count: usize, hang_ms: Option<u64>) {
         let now = self.now;
         let mut machines: Vec<String> = Vec::new();
-        let mut picked = Vec::new();
+        let mut selected = Vec::new();
         for (number, job) in self.jobs.iter().enumerate() {
-            if picked.len() >= count
+            if selected.len() >= count
                 || !job.accepted
                 || job.is_over()
                 || job.cancellation_told_at.is_some()
             {
                 continue;
             }
-            let up = self.cluster.workers.values().filter(|w| w.is_responsive(now));
-            let its = |t: &&crate::worker::WorkerTask| t.is_on_machine() && t.job() == job.id;
-            let on: Vec<String> =
-                up.filter(|w| w.tasks.iter().any(|t| its(&t))).map(|w| w.name.clone()).collect();
-            if !on.is_empty() {
-                picked.push(number);
-                machines.extend(on);
+            let responsive = self.cluster.workers.values().filter(|w| w.is_responsive(now));
+            let is_of_job = |t: &&crate::worker::WorkerTask| t.is_on_machine() && t.job() == job.id;
+            let hosts: Vec<String> = responsive
+                .filter(|w| w.tasks.iter().any(|t| is_of_job(&t)))
+                .map(|w| w.name.clone())
+                .collect();
+            if !hosts.is_empty() {
+                selected.push(number);
+                machines.extend(hosts);
             }
         }
-        for job in picked {
+        for job in selected {
             self.count_fault("cancelled now");
             let at = now + self.rng.random_range(0..CANCEL_WITHIN_MS);
             self.jobs[job].cancel_at = Some(at);
@@ -340,26 +363,26 @@
         }
     }
 
-    /// What has just ended may be called off at that moment.
+    /// Lets users cancel a share of the jobs whose last task has just completed, if such a fault is active.
     pub(super) fn cancel_at_completion(&mut self) {
         let share = self.active_fault_value(|t| match t {
             Fault::CancelAtCompletion(share) => Some(*share),
             _ => None,
         });
         let Some(share) = share else { return };
-        let done = &self.cluster.finished_tasks;
-        let over = |j: &super::SimulatedJob| {
-            (0..j.task_count()).all(|t| done.contains(&format!("{}/{t}", j.id)))
+        let finished = &self.cluster.finished_tasks;
+        let is_complete = |j: &super::SimulatedJob| {
+            (0..j.task_count()).all(|t| finished.contains(&format!("{}/{t}", j.id)))
         };
-        let open = self.jobs.iter_mut().enumerate().filter(|(_, j)| j.accepted && !j.has_ended);
-        let mut ended = Vec::new();
-        for (number, job) in open.filter(|(_, j)| j.text_field("shape") != "service") {
-            if over(job) {
+        let active = self.jobs.iter_mut().enumerate().filter(|(_, j)| j.accepted && !j.has_ended);
+        let mut completed = Vec::new();
+        for (number, job) in active.filter(|(_, j)| j.text_field("shape") != "service") {
+            if is_complete(job) {
                 job.has_ended = true;
-                ended.push(number);
+                completed.push(number);
             }
         }
-        for job in ended {
+        for job in completed {
             if self.jobs[job].cancellation_told_at.is_none() && self.rng.random_bool(share) {
                 self.count_fault("cancelled at end");
                 let at = self.now + self.rng.random_range(0..300);
--- a/crates/simulation/src/simulation/invariants.rs
+++ b/crates/simulation/src/simulation/invariants.rs
@@ -1,4 +1,4 @@
-//! The protocol's rules, checked on what is on the machines.
+//! Checks the invariants of the protocol against the tasks that are on the machines.
 
 use super::{SimulatedJob, Simulation};
 use crate::worker::FakeWorker;
@@ -7,26 +7,27 @@
 use swiftsail_controller::controller::Controller;
 
 impl Simulation {
-    /// Checks every rule on what is on the machines now.
+    /// Checks all invariants on the current state, and adds each new violation to [`Simulation::violations`].
     #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub fn check_invariants(&mut self) {
-        let mut seen: HashMap<&str, &str> = HashMap::new();
-        let mut cpus: BTreeMap<&str, f64> = BTreeMap::new();
+        let mut machine_by_task: HashMap<&str, &str> = HashMap::new();
+        let mut cpus_by_team: BTreeMap<&str, f64> = BTreeMap::new();
         let mut zones: HashMap<&str, BTreeMap<&str, u32>> = HashMap::new();
         let jobs: HashMap<&str, &SimulatedJob> =
             self.jobs.iter().map(|j| (j.id.as_str(), j)).collect();
         let mut found = Vec::new();
         let cancel_ms = (super::controller_settings(0).settings.workers.cancel_s * 1_000.0) as u64;
-        let mut gpus: BTreeMap<&str, f64> = BTreeMap::new();
+        let mut gpus_by_team: BTreeMap<&str, f64> = BTreeMap::new();
         for worker in self.cluster.workers.values().filter(|w| !w.is_terminated) {
             for task in worker.tasks.iter().filter(|t| t.is_on_machine()) {
                 let id = task.name.split('/').next().unwrap_or("");
-                if let Some(other) = seen.insert(&task.name, &worker.name) {
+                if let Some(other) = machine_by_task.insert(&task.name, &worker.name) {
                     found.push(format!("ran_twice: {} on {other} and {}", task.name, worker.name));
                 }
                 let Some(job) = jobs.get(id) else { continue };
-                *cpus.entry(job.text_field("crew")).or_default() += job.number_field("cpus");
-                *gpus.entry(job.text_field("crew")).or_default() +=
+                *cpus_by_team.entry(job.text_field("crew")).or_default() +=
+                    job.number_field("cpus");
+                *gpus_by_team.entry(job.text_field("crew")).or_default() +=
                     job.number_field("accelerators");
                 if worker.hardware.spot && !job.body["driftwood"].as_bool().unwrap_or(false)
                     || job.body["dock"].as_str().is_some_and(|z| z != worker.hardware.zone)
@@ -47,32 +48,33 @@
             if job.body["one_zone"] == json!(true) && zones.len() > 1 {
                 found.push(format!("wrong_place: {id} in several zones"));
             }
-            let cap = job.task_count().div_ceil(2);
-            if job.body["scatter"] == json!(true) && zones.values().any(|n| *n > cap) {
+            let max_per_zone = job.task_count().div_ceil(2);
+            if job.body["scatter"] == json!(true) && zones.values().any(|n| *n > max_per_zone) {
                 found.push(format!("wrong_place: {id} not spread"));
             }
         }
-        // The leader counts a machine's room only when its work has changed: never to miss one.
-        for table in self.controllers.iter().flatten().filter_map(Controller::cluster_state) {
-            for machine in table.machines.values() {
+        // The leader recomputes a machine's free resources only when its tasks change, and must not miss a change.
+        for cluster_state in self.controllers.iter().flatten().filter_map(Controller::cluster_state)
+        {
+            for machine in cluster_state.machines.values() {
                 let total = match machine.machine_type.as_str() {
                     "s4" => 4.0,
                     "g2" => 24.0,
                     _ => 8.0,
                 };
-                let held = machine.tasks.keys().filter_map(|(job, task)| {
-                    let job = table.jobs.get(job)?;
+                let allocated = machine.tasks.keys().filter_map(|(job, task)| {
+                    let job = cluster_state.jobs.get(job)?;
                     job.attempts
                         .get(task)
                         .is_some_and(|a| a.occupies_resources())
                         .then_some(job.spec.cpus)
                 });
-                let unknown = machine.orphaned_tasks.values().any(Option::is_none);
-                let strays: f64 = machine.orphaned_tasks.values().flatten().map(|r| r.cpus).sum();
-                let left = total - held.sum::<f64>() - strays;
+                let has_unknown_orphan = machine.orphaned_tasks.values().any(Option::is_none);
+                let orphaned: f64 = machine.orphaned_tasks.values().flatten().map(|r| r.cpus).sum();
+                let expected_free = total - allocated.sum::<f64>() - orphaned;
                 if machine
                     .free_resources()
-                    .is_some_and(|f| !unknown && (f.cpus - left).abs() > 1e-6)
+                    .is_some_and(|f| !has_unknown_orphan && (f.cpus - expected_free).abs() > 1e-6)
                 {
                     found.push(format!(
                         "miscounted: {} holds {:?}",
@@ -82,30 +84,33 @@
                 }
             }
         }
-        let most = super::controller_settings(0);
-        for (crew, used) in gpus {
-            let team = most.settings.teams.iter().find(|t| t.name == crew);
+        let settings = super::controller_settings(0);
+        for (team_name, used) in gpus_by_team {
+            let team = settings.settings.teams.iter().find(|t| t.name == team_name);
             if team.is_some_and(|t| t.gpus_max > 0.0 && used > t.gpus_max + 1e-6) {
-                found.push(format!("quota: {crew} uses {used} accelerators"));
+                found.push(format!("quota: {team_name} uses {used} accelerators"));
             }
         }
-        for (crew, used) in cpus {
-            let team = most.settings.teams.iter().find(|t| t.name == crew);
+        for (team_name, used) in cpus_by_team {
+            let team = settings.settings.teams.iter().find(|t| t.name == team_name);
             if team.is_some_and(|t| t.cpus_max > 0.0 && used > t.cpus_max + 1e-6) {
-                found.push(format!("quota: {crew} uses {used}"));
+                found.push(format!("quota: {team_name} uses {used}"));
             }
         }
-        // A start after its user was told: the rule allows it for `cancel_s`, and it serves no one.
+        // Starts after the user was told of the cancellation: allowed within `cancel_s`, but wasted work, so counted.
         let mut starts = Vec::new();
         for worker in self.cluster.workers.values().filter(|w| !w.is_terminated) {
             for task in worker.tasks.iter().filter(|t| t.is_on_machine()) {
-                if self.latest_attempts.get(&task.name).is_none_or(|launch| *launch < task.attempt)
+                if self
+                    .latest_attempts
+                    .get(&task.name)
+                    .is_none_or(|attempt| *attempt < task.attempt)
                 {
                     starts.push((task.name.clone(), task.attempt));
                 }
             }
         }
-        for (name, launch) in starts {
+        for (name, attempt) in starts {
             let id = name.split('/').next().unwrap_or("");
             if jobs.get(id).is_some_and(|j| j.cancellation_told_at.is_some_and(|at| at < self.now))
             {
@@ -114,31 +119,31 @@
             if !self.are_dependencies_done(id) {
                 found.push(format!("too_early: {name}"));
             }
-            self.latest_attempts.insert(name, launch);
+            self.latest_attempts.insert(name, attempt);
         }
         found.extend(self.check_work_conservation());
-        for it in found {
-            if !self.violations.contains(&it) {
-                self.violations.push(it);
+        for violation in found {
+            if !self.violations.contains(&violation) {
+                self.violations.push(violation);
             }
         }
     }
 
-    /// What the leader holds of a job, to understand a failure.
+    /// Describes a job as the leaders know it, and its tasks on the machines, for the message of a failed test.
     pub fn describe_job(&self, id: &str) -> String {
         let tables = self.controllers.iter().flatten().filter_map(Controller::cluster_state);
         let jobs = tables.filter_map(|t| t.jobs.get(id));
-        let on: Vec<_> = self
+        let tasks: Vec<_> = self
             .cluster
             .workers
             .values()
             .flat_map(|w| w.tasks.iter().map(move |t| (&w.name, w.is_terminated, t)))
             .filter(|(_, _, t)| t.name.starts_with(&format!("{id}/")))
             .collect();
-        format!("{:#?} {on:?}", jobs.collect::<Vec<_>>())
+        format!("{:#?} {tasks:?}", jobs.collect::<Vec<_>>())
     }
 
-    /// A violation planted by hand: a task that runs is put on a second machine.
+    /// Injects a violation: copies a running task to a second machine. Returns whether it found a task and another machine.
     pub fn inject_duplicate_run(&mut self) -> bool {
         let workers = &mut self.cluster.workers;
         let running = workers.values().find_map(|w: &FakeWorker| {
--- a/crates/simulation/src/simulation/mod.rs
+++ b/crates/simulation/src/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A world in simulated time: the stand-ins around the pure cores of three controllers, and users;
-//! with crashes, delays, duplicates and lost answers. The protocol's rules are checked after every
-//! step. Every choice comes from one seed.
+//! A deterministic simulation in simulated time: the state machines of three real controllers, fakes of the services
+//! around them, and users, with crashes, delays, duplicated messages and lost responses. The invariants of the protocol
+//! are checked as the simulation runs. Every random choice derives from one seed.
 
 mod actions;
 mod consistency_probes;
@@ -48,13 +48,16 @@
 use swiftsail_protocol::controllers::{ForwardedReports, Heartbeat};
 use swiftsail_protocol::workers::{DirectCommands, StatusReport};
 
-/// Where the steady clock of the stand-in begins.
+/// Time of the monotonic clock at the start of a simulation, ms.
 pub const START_MS: u64 = 1_000_000_000;
-/// Most time between two checks of the rules, ms.
+/// Longest time between two checks of the invariants while events occur, ms.
 const CHECK_INTERVAL_MS: u64 = 1_000;
-/// Time between two looks at a machine, ms.
+/// Interval at which a machine is advanced, ms.
 const WORKER_STEP_MS: u64 = 200;
 
+/// An event in the queue. Its handler is [`Simulation::handle_simulation_event`]. A `usize` is the index of a controller
+/// or a job; a `u64` after a controller's index is the incarnation that the event belongs to. A `u8` is the kind of a
+/// user's request: 0 submission, 1 poll, 2 cancellation.
 #[derive(Debug)]
 enum SimulationEvent {
     Tick(usize, u64),
@@ -72,28 +75,29 @@
     Restart(usize),
     Crash(usize),
     AdminRequest(usize, u64, Box<AdminRequest>),
-    /// A node's processor is free again.
+    /// A controller's CPU is free again.
     ProcessorFree(usize, u64),
-    /// A node stands still until that time.
+    /// A controller is paused until this time.
     PauseController(usize, u64),
-    /// It goes on.
+    /// A paused controller resumes.
     ResumeController(usize, u64),
-    /// A copy of a report comes, to whoever is there.
+    /// A duplicate of a report arrives at a controller.
     DuplicateReport(usize, Box<StatusReport>),
-    /// A worker begins anew.
+    /// A machine's worker restarts.
     RestartWorker(String),
-    /// A user asks a controller beside its usual questions.
+    /// A user sends a consistency probe about a job to a controller.
     ProbeConsistency(usize, usize, u8),
-    /// Its answer: to what, and when it was asked.
+    /// The answer to a consistency probe: job, kind of request, when it was sent, and the reply.
     ProbeReply(usize, u8, u64, Reply),
-    /// Users send something odd.
+    /// A user sends an unusual request.
     UnusualRequest,
-    /// What came of a submission that can never run, or that lacks a field.
+    /// The answer to a submission that can never run or is malformed, with a description of it.
     UnusualReply(String, Reply),
-    /// Users call off so many jobs that run; some of their machines hang for so long.
+    /// Users cancel up to this number of running jobs; some of their machines hang for this time, ms.
     CancelRunningJobs(usize, Option<u64>),
 }
 
+/// Who sent a request to a controller, and what is needed to deliver the reply.
 enum Requester {
     ForwardingController(usize, u64, u64),
     Worker(String, u64, u64),
@@ -106,13 +110,14 @@
 /// How often random faults happen in a run.
 #[derive(Debug, Clone, Copy)]
 pub struct FaultRates {
-    /// Chance that a message or its answer is lost.
+    /// Probability that a message is lost.
     pub message_loss: f64,
-    /// Chance that a message is delivered many seconds late.
+    /// Probability that a message is delivered 2 to 20 s late.
     pub message_delay: f64,
-    /// Crashes of a controller, in all.
+    /// Number of crashes of controllers.
     pub crashes: u32,
-    /// Times the state service is away, and hangs of machines, in all.
+    /// Number of outages of the state service. Unless it is 0, machines also hang and spot machines are reclaimed at
+    /// random.
     pub outages_and_hangs: u32,
 }
 
@@ -125,27 +130,28 @@
         FaultRates { message_loss: 0.03, message_delay: 0.01, crashes: 4, outages_and_hangs: 2 };
 }
 
-/// A part of the network that is gone for a controller, for a time.
+/// A network partition that cuts one controller off from some of its peers for a time.
 #[derive(Debug, Clone, Copy)]
 pub struct NetworkPartition {
     /// The controller.
     pub controller: usize,
-    /// From the beginning, ms.
+    /// When it starts, ms from the start of the simulation.
     pub from_ms: u64,
-    /// For so long, ms.
+    /// Duration, ms.
     pub for_ms: u64,
-    /// It is without the workers.
+    /// Whether it cuts the controller off from the workers.
     pub workers: bool,
-    /// It is without the other controllers.
+    /// Whether it cuts the controller off from the other controllers.
     pub peers: bool,
-    /// It is without the state service, which refuses it.
+    /// Whether it cuts the controller off from the state service, which then refuses the controller's calls.
     pub store: bool,
-    /// What is sent in the meantime arrives, in order, when it is over: nobody waits for it any more.
+    /// Whether messages sent during the partition are delivered when it ends, after their senders have timed out, rather
+    /// than lost.
     pub holds_messages: bool,
 }
 
 impl NetworkPartition {
-    /// A cut that cuts nothing yet.
+    /// A partition that affects nothing yet: the flags are unset.
     pub fn of(controller: usize, from_ms: u64, for_ms: u64) -> NetworkPartition {
         let (workers, peers, store, holds_messages) = (false, false, false, false);
         NetworkPartition { controller, from_ms, for_ms, workers, peers, store, holds_messages }
@@ -157,7 +163,7 @@
     /// Simulated time, ms.
     pub now: u64,
     rng: StdRng,
-    /// The controllers; none: its process is not running.
+    /// The controllers; `None`: its process is not running.
     pub controllers: Vec<Option<Controller>>,
     incarnations: [u64; CONTROLLER_COUNT],
     event_queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
@@ -165,9 +171,9 @@
     event_sequence: u64,
     /// The state service.
     pub store: FakeStore,
-    /// Watches: node, life, call, prefix, revision, end.
+    /// Open watches: controller, incarnation, call id, prefix, revision, and when the watch times out.
     watches: Vec<(usize, u64, u64, String, u64, u64)>,
-    /// Cloud, machines and their work.
+    /// The cloud, the machines and the tasks on them.
     pub cluster: SimulatedCluster,
     /// Jobs as their users see them.
     pub jobs: Vec<SimulatedJob>,
@@ -178,108 +184,112 @@
     store_slowdowns: Vec<(u64, u64)>,
     random_faults_end_at: u64,
     observation_count: u64,
-    /// What report hooks were sent.
+    /// The events delivered to event receivers.
     pub delivered_events: Vec<EventDelivery>,
-    /// Share of a core that every node has, if its work is to take time.
+    /// The share of a core that each controller has; `None`: events take no CPU time.
     pub cores_per_controller: Option<f64>,
     processors: [SimulatedCpu; CONTROLLER_COUNT],
-    /// Parts of the network that are gone, some time.
+    /// The network partitions, past and future ones included.
     pub partitions: Vec<NetworkPartition>,
-    /// Until when a node stands still, and what has come for it meanwhile.
+    /// For each controller, until when it is paused, and the events that have arrived meanwhile.
     paused: [(u64, Vec<Event>); CONTROLLER_COUNT],
-    /// Time after which an ended controller is started again, ms; none: some seconds.
+    /// Delay before a crashed controller restarts, ms; `None`: 2 to 6 s at random.
     pub restart_delay_ms: Option<u64>,
-    /// Time between two polls of a user, ms.
+    /// Interval at which a user polls a job, ms.
     pub poll_interval_ms: u64,
-    /// Reports answered with a token that the state service no longer holds.
+    /// Number of responses to reports that a leader gave with a fencing token that is no longer that of the leader key.
     pub stale_answers: u32,
-    /// Requests that the gate has refused.
+    /// Number of requests that admission gates have refused.
     pub refused_requests: u64,
-    /// Memory that every node that starts is told it has, MB: with less, workers are shared sooner.
+    /// The memory in the settings of each controller that starts, MB. With less memory, workers are distributed among
+    /// controllers sooner.
     pub memory_mb: f64,
-    /// The limit of team red in each controller's settings, from its next start on.
+    /// The CPU limit of team red in each controller's settings, from its next start on.
     pub team_red_limits: [f64; CONTROLLER_COUNT],
-    /// The operators' file of every node that starts.
+    /// The operator settings of each controller that starts.
     pub operator: OperatorSettings,
-    /// Answers to operators, with the numbers of their requests.
+    /// Replies to administrative requests, by the request ids of [`Simulation::schedule_admin_request`].
     pub admin_answers: BTreeMap<u64, Reply>,
-    /// Machines that do not hear, some time.
+    /// One-way faults of machines, past and future ones included.
     pub inbound_failures: Vec<InboundFailure>,
-    /// What was said to each such machine so far.
+    /// Number of responses sent so far to each machine during an inbound failure.
     messages_to_unreachable: BTreeMap<String, u64>,
-    /// Chance that a report comes again, and how much later at most, ms.
+    /// Probability that a report is duplicated, and the longest delay of the duplicate, ms.
     pub duplicate_reports: Option<(f64, u64)>,
-    /// Copies that have come.
+    /// Number of duplicate reports delivered.
     pub duplicates_delivered: u64,
-    /// Users are sent to controllers that call themselves healthy, as a load balancer does.
+    /// Whether users' requests go only to controllers that report themselves healthy, if any do, as a load balancer does.
     pub routes_to_healthy: bool,
-    /// When the last trouble is over, ms from the beginning: from then on every job's questions are watched.
+    /// When the last fault ends, ms from the start. From then on the checks that depend on it apply: work conservation,
+    /// and that requests about every job are answered.
     pub faults_end_ms: Option<u64>,
     rejected_polls: [RejectedPolls; CONTROLLER_COUNT],
-    /// After each pass of a leader it is checked whether waiting core work was passed over.
+    /// Whether to check for priority inversions after each scheduling cycle of a leader.
     pub checks_priority_inversions: bool,
-    /// Where it was.
+    /// The priority inversions found.
     pub priority_inversions: Vec<String>,
     waiting_in_last_cycle: BTreeSet<JobId>,
     last_checked_cycle: Option<(usize, u64, u64)>,
     last_check_at: u64,
-    /// Rules broken, in words.
+    /// Descriptions of the violations of invariants found.
     pub violations: Vec<String>,
-    /// Troubles that last for a time: changed by [`World::spell`].
+    /// Faults that last for a time: added by [`Simulation::add_fault_window`].
     fault_windows: Vec<FaultWindow>,
-    /// Says what becomes of a transaction: time from the beginning in ms, the controller, and it.
+    /// Decides what happens to each transaction of a controller, if set.
     pub transaction_interceptor: Option<TransactionInterceptor>,
-    /// How often each trouble has really come about.
+    /// How often each kind of fault has had an effect, by name.
     pub fault_counts: BTreeMap<&'static str, u64>,
-    /// Reports kept for the next leader, and who led last, in which life.
+    /// Reports kept for the next leader.
     reports_for_next_leader: Vec<StatusReport>,
+    /// The controller that became leader last, with its incarnation.
     last_leader: Option<(usize, u64)>,
-    /// The state service answers 429 beyond its rates: see [`Simulation::limit_store`].
+    /// Whether the state service answers 429 beyond its rate limits: see [`Simulation::limit_store`].
     pub store_limited: bool,
-    /// Requests and changes a second that every controller which starts is told; none: the settings' own.
+    /// Requests and mutations per second in the settings of each controller that starts; `None`: the default settings.
     announced_store_rates: Option<(f64, f64)>,
-    /// Users' requests answered with 503: what was asked, why, and whether another controller reached the state
-    /// service then.
+    /// Number of users' requests answered with 503, by kind of request (0 submission, 1 poll, 2 cancellation), reason,
+    /// and whether another controller could have served them.
     pub unavailable_answers: BTreeMap<(u8, String, bool), u64>,
-    /// Starts of tasks after their user was told that the job is cancelled.
+    /// Tasks that started after their user was told that the job is cancelled.
     pub starts_after_cancellation: Vec<String>,
-    /// The latest launch of each task that was seen on a machine.
+    /// The latest attempt of each task seen on a machine.
     latest_attempts: HashMap<String, u64>,
-    /// Once the troubles are over no job may wait for long beside room: see `beside_room`.
+    /// Whether to check work conservation once all faults have ended ([`Simulation::faults_end_ms`]).
     pub checks_work_conservation: bool,
     unusual_requests_sent: u64,
-    /// Until when each controller's heartbeats are those of a version that knows no pipelines, ms from the beginning.
+    /// Until when each controller sends and reads heartbeats as a version without job dependencies, ms from the start.
     pub old_version_until_ms: [u64; CONTROLLER_COUNT],
-    /// Is given all that controllers send; none: nothing is recorded.
+    /// Receives every message that controllers send, if set.
     pub recorder: Option<Recorder>,
 }
 
 impl Simulation {
-    /// A simulation with these fault rates until `calm_after_ms`, in a cloud with room for six machines of each offer.
-    pub fn new(seed: u64, fault_rates: FaultRates, calm_after_ms: u64) -> Simulation {
-        Simulation::with_capacity(seed, fault_rates, calm_after_ms, 6)
+    /// A simulation with these fault rates until `random_faults_end_ms`, whose cloud has a capacity of six machines of
+    /// each type, in each zone, on-demand and spot separately.
+    pub fn new(seed: u64, fault_rates: FaultRates, random_faults_end_ms: u64) -> Simulation {
+        Simulation::with_capacity(seed, fault_rates, random_faults_end_ms, 6)
     }
 
-    /// A world whose cloud has so many machines of each type, zone and kind.
+    /// A simulation whose cloud has this capacity of each type, in each zone, on-demand and spot separately.
     pub fn with_capacity(
         seed: u64,
-        weather: FaultRates,
-        calm_after_ms: u64,
+        fault_rates: FaultRates,
+        random_faults_end_ms: u64,
         capacity: u32,
     ) -> Simulation {
-        Simulation::with_offers(seed, weather, calm_after_ms, machine_offers(capacity))
+        Simulation::with_offers(seed, fault_rates, random_faults_end_ms, machine_offers(capacity))
     }
 
-    /// A world whose cloud offers these machines.
+    /// A simulation whose cloud offers these machines.
     #[expect(clippy::too_many_lines, reason = "not split yet")]
     pub fn with_offers(
         seed: u64,
-        weather: FaultRates,
-        calm_after_ms: u64,
-        offered: Vec<MachineOffer>,
+        fault_rates: FaultRates,
+        random_faults_end_ms: u64,
+        offers: Vec<MachineOffer>,
     ) -> Simulation {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut world = Simulation {
+        let mut sim = Simulation {
             now: START_MS,
             controllers: Vec::new(),
             incarnations: [0; CONTROLLER_COUNT],
@@ -289,7 +299,7 @@
             store: FakeStore::new(unlimited_store_rates(), START_MS),
             watches: Vec::new(),
             cluster: SimulatedCluster::new(
-                offered,
+                offers,
                 controller_settings(0).settings.clone(),
                 CONTROLLER_COUNT,
                 1.0,
@@ -299,10 +309,10 @@
             jobs: Vec::new(),
             requesters: HashMap::new(),
             next_request: 1,
-            fault_rates: weather,
+            fault_rates,
             store_outages: Vec::new(),
             store_slowdowns: Vec::new(),
-            random_faults_end_at: START_MS + calm_after_ms,
+            random_faults_end_at: START_MS + random_faults_end_ms,
             observation_count: 0,
             delivered_events: Vec::new(),
             cores_per_controller: None,
@@ -347,23 +357,23 @@
             rng: StdRng::seed_from_u64(seed ^ 0xabcd),
         };
         for n in 0..CONTROLLER_COUNT {
-            world.controllers.push(None);
-            world.schedule(START_MS + n as u64, SimulationEvent::Restart(n));
+            sim.controllers.push(None);
+            sim.schedule(START_MS + n as u64, SimulationEvent::Restart(n));
         }
-        for _ in 0..weather.crashes {
-            let at = START_MS + rng.random_range(3_000..calm_after_ms);
-            world.schedule(at, SimulationEvent::Crash(rng.random_range(0..CONTROLLER_COUNT)));
+        for _ in 0..fault_rates.crashes {
+            let at = START_MS + rng.random_range(3_000..random_faults_end_ms);
+            sim.schedule(at, SimulationEvent::Crash(rng.random_range(0..CONTROLLER_COUNT)));
         }
-        for _ in 0..weather.outages_and_hangs {
-            let at = START_MS + rng.random_range(3_000..calm_after_ms);
-            world.store_outages.push((at, at + rng.random_range(2_000..15_000)));
+        for _ in 0..fault_rates.outages_and_hangs {
+            let at = START_MS + rng.random_range(3_000..random_faults_end_ms);
+            sim.store_outages.push((at, at + rng.random_range(2_000..15_000)));
         }
-        world
+        sim
     }
 
-    fn schedule(&mut self, time: u64, ev: SimulationEvent) {
+    fn schedule(&mut self, time: u64, event: SimulationEvent) {
         self.event_sequence += 1;
-        self.queued_events.insert(self.event_sequence as usize, ev);
+        self.queued_events.insert(self.event_sequence as usize, event);
         self.event_queue.push(Reverse((
             time.max(self.now),
             self.event_sequence,
@@ -395,14 +405,16 @@
         self.store_outages.iter().any(|(from, to)| (*from..*to).contains(&self.now))
     }
 
-    /// A user submits a job at a time, and cancels it later if told to.
+    /// Schedules the submission of a job at `at_ms` and its cancellation at `cancel_ms`, if given. Panics if the body is
+    /// no valid submission.
     pub fn submit(&mut self, at_ms: u64, cancel_ms: Option<u64>, body: Value) {
         let at = START_MS + at_ms;
         let id = body["name_id"].as_str().expect("a job has an id").to_string();
         let cancel_at = cancel_ms.map(|c| START_MS + c);
-        let packed = rmp_serde::to_vec_named(&body).expect("JSON packs");
-        let read = wire::users::read_submission(&packed).expect("the stand-in's jobs are sound");
-        if let Ok(spec) = read.spec {
+        let encoded = rmp_serde::to_vec_named(&body).expect("JSON packs");
+        let submission =
+            wire::users::read_submission(&encoded).expect("a test submits a readable job");
+        if let Ok(spec) = submission.spec {
             self.cluster.register_job(&id, spec, true);
         }
         self.jobs.push(SimulatedJob {
@@ -423,56 +435,69 @@
         self.schedule(at, SimulationEvent::UserRequest(self.jobs.len() - 1, 0));
     }
 
-    /// The state service takes so many requests and changes a second, and controllers that start are told so.
+    /// Limits the requests and mutations per second of the state service. Controllers that start have these limits in
+    /// their settings.
     pub fn limit_store(&mut self, rps: f64, write_rps: f64) {
         self.store_limited = true;
         self.announced_store_rates = Some((rps, write_rps));
         self.store.limit_rates(rps, write_rps, self.now);
     }
 
-    /// The state service is away for all from a time on, for so long.
+    /// Schedules an outage of the state service for all its clients.
     pub fn schedule_store_outage(&mut self, at_ms: u64, for_ms: u64) {
         self.store_outages.push((START_MS + at_ms, START_MS + at_ms + for_ms));
     }
 
-    /// The state service answers slowly from a time on, for so long.
+    /// Schedules a time during which the state service responds slowly, in part after its callers have timed out.
     pub fn schedule_store_slowdown(&mut self, at_ms: u64, for_ms: u64) {
         self.store_slowdowns.push((START_MS + at_ms, START_MS + at_ms + for_ms));
     }
 
-    /// A controller crashes at a time.
-    pub fn schedule_crash(&mut self, at_ms: u64, node: usize) {
-        self.schedule(START_MS + at_ms, SimulationEvent::Crash(node));
+    /// Schedules a crash of a controller. It restarts after [`Simulation::restart_delay_ms`].
+    pub fn schedule_crash(&mut self, at_ms: u64, controller: usize) {
+        self.schedule(START_MS + at_ms, SimulationEvent::Crash(controller));
     }
 
-    /// A controller stands still from a time on, for so long, while clocks run on: what comes for it waits.
-    pub fn schedule_pause(&mut self, at_ms: u64, node: usize, for_ms: u64) {
+    /// Schedules a pause of a controller, while its clocks go on: events for it wait until it resumes.
+    pub fn schedule_pause(&mut self, at_ms: u64, controller: usize, for_ms: u64) {
         self.schedule(
             START_MS + at_ms,
-            SimulationEvent::PauseController(node, START_MS + at_ms + for_ms),
+            SimulationEvent::PauseController(controller, START_MS + at_ms + for_ms),
         );
     }
 
-    /// So many `of` so many machines that are up die now, with all that is on them. Returns how many.
-    pub fn kill_machines(&mut self, part: usize, of: usize) -> usize {
+    /// Kills `killed` out of every `out_of` machines that are up, with all their tasks. Returns how many died.
+    pub fn kill_machines(&mut self, killed: usize, out_of: usize) -> usize {
         let now = self.now;
         let up = self.cluster.workers.iter().filter(|(_, w)| !w.is_terminated && w.up_at <= now);
         let names: Vec<String> = up.map(|(name, _)| name.clone()).collect();
-        let names: Vec<String> =
-            names.into_iter().enumerate().filter(|(n, _)| n % of < part).map(|(_, n)| n).collect();
+        let names: Vec<String> = names
+            .into_iter()
+            .enumerate()
+            .filter(|(n, _)| n % out_of < killed)
+            .map(|(_, n)| n)
+            .collect();
         self.cluster.terminate(&names, true, now);
         names.len()
     }
 
-    /// An operator asks a controller something at a time. Returns the number of the answer.
-    pub fn schedule_admin_request(&mut self, at_ms: u64, node: usize, ask: AdminRequest) -> u64 {
+    /// Schedules an administrative request to a controller. Returns its key in [`Simulation::admin_answers`].
+    pub fn schedule_admin_request(
+        &mut self,
+        at_ms: u64,
+        controller: usize,
+        request: AdminRequest,
+    ) -> u64 {
         self.next_request += 1;
         let id = self.next_request;
-        self.schedule(START_MS + at_ms, SimulationEvent::AdminRequest(node, id, Box::new(ask)));
+        self.schedule(
+            START_MS + at_ms,
+            SimulationEvent::AdminRequest(controller, id, Box::new(request)),
+        );
         id
     }
 
-    /// Lets time pass.
+    /// Runs the simulation until `until_ms` from the start.
     pub fn run_until(&mut self, until_ms: u64) {
         while let Some(Reverse((time, _, _))) = self.event_queue.peek() {
             if *time > START_MS + until_ms {
@@ -480,23 +505,26 @@
             }
             let Some(Reverse((time, _, key))) = self.event_queue.pop() else { break };
             self.now = time;
-            if let Some(ev) = self.queued_events.remove(&key) {
-                // Only these change what is on a machine, or what its user was told.
-                let matters = matches!(
-                    ev,
+            if let Some(event) = self.queued_events.remove(&key) {
+                // Only these events change the tasks on a machine or what a user was told.
+                let may_change_state = matches!(
+                    event,
                     SimulationEvent::WorkerStep(_)
                         | SimulationEvent::ReportAnswered(..)
                         | SimulationEvent::DirectCommands(..)
                         | SimulationEvent::UserReply(..)
                 );
                 let before = (self.observation_count, self.cluster.change_count);
-                self.handle_simulation_event(ev);
-                if matters && before.1 != self.cluster.change_count {
+                self.handle_simulation_event(event);
+                if may_change_state && before.1 != self.cluster.change_count {
                     self.cancel_at_completion();
                 }
-                // What stays where it is may be too late there.
+                // Without any change a violation can still arise as deadlines pass, hence the periodic check.
                 let due = self.now >= self.last_check_at + CHECK_INTERVAL_MS;
-                if due || matters && before != (self.observation_count, self.cluster.change_count) {
+                if due
+                    || may_change_state
+                        && before != (self.observation_count, self.cluster.change_count)
+                {
                     self.last_check_at = self.now;
                     self.check_invariants();
                 }
@@ -505,39 +533,41 @@
         self.now = START_MS + until_ms;
     }
 
-    fn deliver_to_controller(&mut self, n: usize, life: u64, event: Event) {
+    /// Delivers an event to this incarnation of a controller: held back while it is paused, queued if its CPU is limited.
+    fn deliver_to_controller(&mut self, n: usize, incarnation: u64, event: Event) {
         match self.cores_per_controller {
-            _ if self.incarnations[n] != life => {}
+            _ if self.incarnations[n] != incarnation => {}
             _ if self.is_paused(n) => self.paused[n].1.push(event),
-            None => self.process_event(n, life, event),
-            Some(_) => self.enqueue_event(n, life, event),
+            None => self.process_event(n, incarnation, event),
+            Some(_) => self.enqueue_event(n, incarnation, event),
         }
     }
 
-    /// Whether a controller is without a part of the network now.
-    fn is_partitioned(&self, n: usize, part: impl Fn(&NetworkPartition) -> bool) -> bool {
+    /// Whether a partition that `affects` selects cuts the controller off now.
+    fn is_partitioned(&self, n: usize, affects: impl Fn(&NetworkPartition) -> bool) -> bool {
         let now = self.now - START_MS;
-        let its = |c: &&NetworkPartition| {
+        let is_active = |c: &&NetworkPartition| {
             c.controller == n && (c.from_ms..c.from_ms + c.for_ms).contains(&now)
         };
-        self.partitions.iter().filter(its).any(part)
+        self.partitions.iter().filter(is_active).any(affects)
     }
 
-    /// When what is held back for that part of a controller's network arrives, if it is held back now.
+    /// When messages held back by a partition that `affects` selects are delivered, if there is such a partition now.
     fn partition_releases_at(
         &self,
         n: usize,
-        part: impl Fn(&NetworkPartition) -> bool,
+        affects: impl Fn(&NetworkPartition) -> bool,
     ) -> Option<u64> {
         let now = self.now - START_MS;
-        let its = |c: &&NetworkPartition| {
+        let is_active = |c: &&NetworkPartition| {
             c.controller == n && (c.from_ms..c.from_ms + c.for_ms).contains(&now)
         };
-        let held = self.partitions.iter().filter(its).filter(|c| c.holds_messages && part(c));
-        held.map(|c| START_MS + c.from_ms + c.for_ms).max()
+        let holding =
+            self.partitions.iter().filter(is_active).filter(|c| c.holds_messages && affects(c));
+        holding.map(|c| START_MS + c.from_ms + c.for_ms).max()
     }
 
-    /// Whether two controllers do not reach each other now.
+    /// Whether two controllers cannot reach each other now.
     fn are_controllers_partitioned(&self, a: usize, b: usize) -> bool {
         self.is_partitioned(a, |c| c.peers)
             || self.is_partitioned(b, |c| c.peers)
@@ -548,11 +578,12 @@
         self.now < self.paused[n].0
     }
 
-    fn process_event(&mut self, n: usize, life: u64, event: Event) {
+    /// Lets a controller handle an event, executes the actions that result, and runs the checks that follow an event.
+    fn process_event(&mut self, n: usize, incarnation: u64, event: Event) {
         let now =
             Now { monotonic: self.now, wall_clock: 1_700_000_000_000 + self.now + n as u64 * 7 };
-        let Some(node) = self.controllers[n].as_mut() else { return };
-        node.handle(event, now);
+        let Some(controller) = self.controllers[n].as_mut() else { return };
+        controller.handle(event, now);
         loop {
             let actions =
                 self.controllers[n].as_mut().map(Controller::take_actions).unwrap_or_default();
@@ -560,7 +591,7 @@
                 break;
             }
             for action in actions {
-                self.execute_action(n, life, action);
+                self.execute_action(n, incarnation, action);
             }
         }
         self.check_priority_inversions(n);
--- a/crates/simulation/src/simulation/scenario.rs
+++ b/crates/simulation/src/simulation/scenario.rs
@@ -1,4 +1,4 @@
-//! The stand-in's deployment and its jobs.
+//! The simulated deployment: settings, machine offers and jobs.
 
 use super::Simulation;
 use crate::cloud::MachineOffer;
@@ -12,10 +12,10 @@
 pub(super) const CONTROLLER_COUNT: usize = 3;
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// Settings of the stand-in's deployment, for a node.
-pub fn controller_settings(node: usize) -> Arc<Settings> {
-    let others: Vec<String> = (0..CONTROLLER_COUNT)
-        .filter(|n| *n != node)
+/// The settings of a controller of the simulated deployment, by its index.
+pub fn controller_settings(controller: usize) -> Arc<Settings> {
+    let other_controllers: Vec<String> = (0..CONTROLLER_COUNT)
+        .filter(|n| *n != controller)
         .map(|n| {
             format!(
                 "[[others]]\nhost_name = \"n{n}\"\nsite = \"a\"\naddress = \"127.0.0.1:{}\"\n",
@@ -24,7 +24,7 @@
         })
         .collect();
     let text = format!(
-        "host_name = \"n{node}\"\nsite = \"a\"\nfront = \"127.0.0.1:{}\"\ncluster_listen = \"127.0.0.1:{}\"\n\
+        "host_name = \"n{controller}\"\nsite = \"a\"\nfront = \"127.0.0.1:{}\"\ncluster_listen = \"127.0.0.1:{}\"\n\
          future = 1\n{}\
          [endpoints]\ncloud = \"127.0.0.1:1\"\nstate = \"127.0.0.1:2\"\n\
          [settings]\nzones = [\"a\",\"b\",\"c\"]\nclock_off_ms = 20.0\n\
@@ -37,14 +37,17 @@
          [settings.state]\nrps = 150.0\nwrite_rps = 40.0\nvalue_kb = 8.0\ntxn_ops = 16\n\
          [settings.cloud]\nrps = 4.0\nlist_lag_s = 5.0\n\
          [settings.machine_limits]\ncores = 0.1\nmem_mb = 40.0\nmax_connections = 500\n",
-        6000 + node,
-        7000 + node,
-        others.concat(),
+        6000 + controller,
+        7000 + controller,
+        other_controllers.concat(),
     );
-    Arc::new(Settings::parse("stand-in", &text).expect("the stand-in's settings are sound"))
+    Arc::new(
+        Settings::parse("simulated settings", &text)
+            .expect("the settings of the simulated deployment are valid"),
+    )
 }
 
-/// What a job of a kind asks for: the class is named after the kind.
+/// A specification of a job of a kind; its class is named after the kind.
 pub fn job_spec(kind: JobKind, tasks: u32, cpus: f64, image: &str) -> JobSpec {
     JobSpec {
         class: format!("{kind:?}"),
@@ -69,16 +72,16 @@
     }
 }
 
-/// Limits that no test runs into: the node keeps its own.
+/// Limits of the fake store that no test reaches: controllers limit their own rates by their settings.
 pub(super) fn unlimited_store_rates() -> StoreSettings {
     let limits = controller_settings(0).settings.state.clone();
     StoreSettings { rps: 1e6, write_rps: 1e6, ..limits }
 }
 
-/// Two machine types in three zones, so many of each, zone and kind.
+/// Two machine types in three zones. `capacity` holds for each type and zone, on-demand and spot separately.
 pub fn machine_offers(capacity: u32) -> Vec<MachineOffer> {
-    let hull = |sku: &str, cpus: f64, price: f64| ListedMachineType {
-        name: sku.into(),
+    let listed_type = |name: &str, cpus: f64, price: f64| ListedMachineType {
+        name: name.into(),
         cpus,
         gpus: 0.0,
         memory_gb: 64.0,
@@ -89,21 +92,22 @@
         boot_s: 5.0,
         zones: ZONES.iter().map(|z| z.to_string()).collect(),
     };
-    let types = [hull("s4", 4.0, 0.3), hull("m8", 8.0, 0.5)];
-    types.into_iter().map(|hull| MachineOffer { machine_type: hull, capacity }).collect()
+    let types = [listed_type("s4", 4.0, 0.3), listed_type("m8", 8.0, 0.5)];
+    types.into_iter().map(|machine_type| MachineOffer { machine_type, capacity }).collect()
 }
 
-/// Machines with two accelerators beside the usual ones, so many in each zone, ordinary and spot each.
+/// The offers of [`machine_offers`] with capacity 2, and a type with two GPUs. `capacity` is that of the GPU type, in each
+/// zone, on-demand and spot separately.
 pub fn gpu_machine_offers(capacity: u32) -> Vec<MachineOffer> {
-    let mut all = machine_offers(2);
-    let mut hull = all[1].machine_type.clone();
-    (hull.name, hull.cpus, hull.gpus) = ("g2".into(), 24.0, 2.0);
-    (hull.price, hull.spot_price) = (6.0, 2.4);
-    all.push(MachineOffer { machine_type: hull, capacity });
-    all
+    let mut offers = machine_offers(2);
+    let mut listed_type = offers[1].machine_type.clone();
+    (listed_type.name, listed_type.cpus, listed_type.gpus) = ("g2".into(), 24.0, 2.0);
+    (listed_type.price, listed_type.spot_price) = (6.0, 2.4);
+    offers.push(MachineOffer { machine_type: listed_type, capacity });
+    offers
 }
 
-/// A job that takes accelerators.
+/// The submission of a job that uses GPUs.
 pub fn gpu_job_body(
     id: &str,
     shape: &str,
@@ -122,7 +126,7 @@
     body
 }
 
-/// A job of a shape, with what the tests vary.
+/// The submission of a job: its id, kind, team, number of tasks, CPUs per task and estimated run time in s.
 pub fn job_body(id: &str, shape: &str, crew: &str, shards: u32, cpus: f64, eta_s: f64) -> Value {
     json!({"name_id": id, "jobclass": shape, "crew": crew, "shape": shape,
         "rank": if shape == "service" { "production" } else { "standard" },
@@ -133,16 +137,16 @@
         "due_s": if shape == "array" { json!(eta_s * 4.0 + 60.0) } else { Value::Null }})
 }
 
-/// A mixed load: as many arrays, gangs and services, some of them cancelled.
-pub fn submit_mixed_load(world: &mut Simulation, number: u64) {
+/// Submits `number` arrays, gangs and services each; some of them are cancelled.
+pub fn submit_mixed_load(sim: &mut Simulation, number: u64) {
     for n in 0..number {
         let id = format!("wk-a{n}");
         let cancel = (n % 3 == 2).then_some(20_000 + n * 5_000);
-        world.submit(500 + n * 4_000, cancel, job_body(&id, "array", "red", 8, 2.0, 6.0));
+        sim.submit(500 + n * 4_000, cancel, job_body(&id, "array", "red", 8, 2.0, 6.0));
         let id = format!("wk-g{n}");
-        world.submit(1_000 + n * 5_000, None, job_body(&id, "gang", "blue", 3, 2.0, 8.0));
+        sim.submit(1_000 + n * 5_000, None, job_body(&id, "gang", "blue", 3, 2.0, 8.0));
         let id = format!("wk-s{n}");
         let cancel = (n % 2 == 1).then_some(45_000 + n * 3_000);
-        world.submit(200 + n * 2_000, cancel, job_body(&id, "service", "blue", 2, 1.0, 0.0));
+        sim.submit(200 + n * 2_000, cancel, job_body(&id, "service", "blue", 2, 1.0, 0.0));
     }
 }
--- a/crates/simulation/src/simulation/services.rs
+++ b/crates/simulation/src/simulation/services.rs
@@ -1,4 +1,4 @@
-//! State service and cloud, and what becomes of calls on the way.
+//! Delivers the controllers' calls to the state service and the cloud, with the faults that calls and responses meet.
 
 use super::{CONTROLLER_COUNT, Simulation, SimulationEvent, TransactionFate};
 use crate::constants::MAX_MACHINE_PAGE;
@@ -11,136 +11,152 @@
 use swiftsail_protocol::cloud::MachineNames;
 
 impl Simulation {
+    /// Executes a controller's call to the state service and schedules its response, subject to the current faults.
+    /// Incarnation 0 stands for no process: such a call is only executed, and nobody receives its response.
     #[expect(clippy::too_many_lines, reason = "not split yet")]
-    pub(super) fn handle_store_call(&mut self, n: usize, life: u64, id: u64, call: StoreCall) {
-        let away = self.is_store_unavailable() || self.is_partitioned(n, |c| c.store) && life != 0;
+    pub(super) fn handle_store_call(
+        &mut self,
+        n: usize,
+        incarnation: u64,
+        id: u64,
+        call: StoreCall,
+    ) {
+        let unavailable =
+            self.is_store_unavailable() || self.is_partitioned(n, |c| c.store) && incarnation != 0;
         if let StoreCall::Watch { prefix, from } = &call {
-            self.watches.push((n, life, id, prefix.clone(), *from, self.now + 10_000));
+            self.watches.push((n, incarnation, id, prefix.clone(), *from, self.now + 10_000));
             return self.answer_watches();
         }
-        if let Some(until) = self.partition_releases_at(n, |c| c.store).filter(|_| life != 0) {
+        if let Some(until) = self.partition_releases_at(n, |c| c.store).filter(|_| incarnation != 0)
+        {
             let outcome = Event::StoreResponse(id, StoreOutcome::Unknown);
             self.schedule(
                 self.now + 1_500,
-                SimulationEvent::DeliverToController(n, life, Box::new(outcome)),
+                SimulationEvent::DeliverToController(n, incarnation, Box::new(outcome)),
             );
             if matches!(call, StoreCall::Commit(_)) {
                 self.schedule(until, SimulationEvent::StoreCall(n, 0, 0, call));
             }
             return;
         }
-        if !away
-            && life != 0
-            && let StoreCall::Commit(commit) = &call
+        if !unavailable
+            && incarnation != 0
+            && let StoreCall::Commit(transaction) = &call
         {
-            match self.draw_transaction_fate(n, commit) {
+            match self.draw_transaction_fate(n, transaction) {
                 TransactionFate::AsConfigured => {}
-                fate => return self.apply_transaction_fate(fate, n, life, id, call),
+                fate => return self.apply_transaction_fate(fate, n, incarnation, id, call),
             }
         }
-        let back = self.now + self.draw_message_delay();
-        // Slow answers: some come after their caller has given up, of what was done at once or only then.
+        let response_at = self.now + self.draw_message_delay();
+        // Slow responses: those that take longer than the caller's timeout count as unknown, and their transactions are
+        // applied only after that.
         if self.store_slowdowns.iter().any(|(from, to)| (*from..*to).contains(&self.now))
-            && life != 0
-            && !away
+            && incarnation != 0
+            && !unavailable
         {
-            let after = self.rng.random_range(0..3_000);
-            if after > 1_500 {
+            let delay_ms = self.rng.random_range(0..3_000);
+            if delay_ms > 1_500 {
                 let outcome = Event::StoreResponse(id, StoreOutcome::Unknown);
                 self.schedule(
                     self.now + 1_500,
-                    SimulationEvent::DeliverToController(n, life, Box::new(outcome)),
+                    SimulationEvent::DeliverToController(n, incarnation, Box::new(outcome)),
                 );
                 if matches!(call, StoreCall::Commit(_)) {
-                    self.schedule(self.now + after * 4, SimulationEvent::StoreCall(n, 0, 0, call));
+                    self.schedule(
+                        self.now + delay_ms * 4,
+                        SimulationEvent::StoreCall(n, 0, 0, call),
+                    );
                 }
                 return;
             }
             let outcome = Event::StoreResponse(id, self.execute_store_call(&call));
             self.schedule(
-                self.now + after,
-                SimulationEvent::DeliverToController(n, life, Box::new(outcome)),
+                self.now + delay_ms,
+                SimulationEvent::DeliverToController(n, incarnation, Box::new(outcome)),
             );
             return self.answer_watches();
         }
-        if away {
+        if unavailable {
             let event = Event::StoreResponse(id, StoreOutcome::Unavailable);
-            return self
-                .schedule(back, SimulationEvent::DeliverToController(n, life, Box::new(event)));
+            return self.schedule(
+                response_at,
+                SimulationEvent::DeliverToController(n, incarnation, Box::new(event)),
+            );
         }
-        if self.store_limited && life != 0 {
-            let changes = match &call {
-                StoreCall::Commit(commit) => commit.mutations.len(),
+        if self.store_limited && incarnation != 0 {
+            let mutations = match &call {
+                StoreCall::Commit(transaction) => transaction.mutations.len(),
                 _ => 0,
             };
-            if !self.store.admit(changes, self.now) {
+            if !self.store.admit(mutations, self.now) {
                 *self.fault_counts.entry("limited").or_default() += 1;
                 return self.schedule(
-                    back,
+                    response_at,
                     SimulationEvent::DeliverToController(
                         n,
-                        life,
+                        incarnation,
                         Box::new(Event::StoreResponse(id, StoreOutcome::RateLimited)),
                     ),
                 );
             }
         }
-        // Lost on the way, lost on the way back, or applied late after the caller gave up.
-        let fate =
+        // The request is lost, the response is lost, or a transaction is applied after the caller's timeout.
+        let draw =
             if self.are_random_faults_over() { 1.0 } else { self.rng.random_range(0.0..1.0) };
-        if fate < self.fault_rates.message_loss {
+        if draw < self.fault_rates.message_loss {
             let outcome = Event::StoreResponse(id, StoreOutcome::Unknown);
             self.schedule(
                 self.now + 1_500,
-                SimulationEvent::DeliverToController(n, life, Box::new(outcome)),
+                SimulationEvent::DeliverToController(n, incarnation, Box::new(outcome)),
             );
-            if fate < self.fault_rates.message_loss / 2.0 && matches!(call, StoreCall::Commit(_)) {
+            if draw < self.fault_rates.message_loss / 2.0 && matches!(call, StoreCall::Commit(_)) {
                 let at = self.now + self.rng.random_range(1..20_000);
-                // To a life that never was: applied, told to nobody.
+                // Incarnation 0: the transaction is applied, and nobody receives the response.
                 return self.schedule(at, SimulationEvent::StoreCall(n, 0, 0, call));
             }
             return;
         }
         let outcome = self.execute_store_call(&call);
         let lost = self.is_message_lost();
-        let (at, outcome) =
-            if lost { (self.now + 1_500, StoreOutcome::Unknown) } else { (back, outcome) };
+        let (deliver_at, outcome) =
+            if lost { (self.now + 1_500, StoreOutcome::Unknown) } else { (response_at, outcome) };
         self.schedule(
-            at,
+            deliver_at,
             SimulationEvent::DeliverToController(
                 n,
-                life,
+                incarnation,
                 Box::new(Event::StoreResponse(id, outcome)),
             ),
         );
         self.answer_watches();
     }
 
-    /// The store's answer to a call.
+    /// Executes a call on the store and returns its outcome.
     pub(super) fn execute_store_call(&mut self, call: &StoreCall) -> StoreOutcome {
         let now = self.now;
         self.store.expire_leases(now, false);
-        let reads = matches!(
+        let is_read = matches!(
             call,
             StoreCall::Get(_) | StoreCall::List { .. } | StoreCall::ReadChanges { .. }
         );
-        self.store.read_count += usize::from(reads);
+        self.store.read_count += usize::from(is_read);
         match call {
             StoreCall::Get(key) => match self.store.get(key) {
                 Some(pair) => StoreOutcome::Found(pair.clone()),
                 None => StoreOutcome::Missing { revision: self.store.revision() },
             },
-            // A small page, so that paging is exercised.
+            // Small pages, so that paging is exercised.
             StoreCall::List { prefix, from } => {
                 StoreOutcome::Page(self.store.list(prefix, from.as_deref(), 7))
             }
-            StoreCall::Commit(commit) => match self.store.apply_transaction(commit) {
-                TransactionResult::Committed(epoch) => StoreOutcome::Committed(epoch),
+            StoreCall::Commit(transaction) => match self.store.apply_transaction(transaction) {
+                TransactionResult::Committed(revision) => StoreOutcome::Committed(revision),
                 TransactionResult::PreconditionFailed(keys) => StoreOutcome::Conflict(keys),
                 TransactionResult::LeaseNotFound => StoreOutcome::NoSuchLease,
-                TransactionResult::Malformed(why) => {
+                TransactionResult::Malformed(reason) => {
                     self.count_fault("malformed");
-                    StoreOutcome::Malformed(why)
+                    StoreOutcome::Malformed(reason)
                 }
             },
             StoreCall::GrantLease { ttl_ms } => match self.store.create_lease(*ttl_ms, now) {
@@ -158,8 +174,8 @@
             StoreCall::ReadChanges { prefix, from } => {
                 match self.store.changes_since(prefix, *from) {
                     Err(CompactedRevision) => StoreOutcome::Compacted,
-                    Ok(news) => StoreOutcome::Changes(
-                        news.unwrap_or_else(|| self.store.empty_watch_response()),
+                    Ok(changes) => StoreOutcome::Changes(
+                        changes.unwrap_or_else(|| self.store.empty_watch_response()),
                     ),
                 }
             }
@@ -167,14 +183,15 @@
         }
     }
 
+    /// Executes a call on the cloud and returns its outcome. Machines that it provisions start to step once booted.
     pub(super) fn execute_cloud_call(&mut self, call: &cloud::CloudCall) -> cloud::CloudOutcome {
         use cloud::{CloudCall, CloudOutcome};
         let now = self.now;
         match call {
             CloudCall::ListTypes => CloudOutcome::Types(self.cluster.cloud.list_machine_types(now)),
-            CloudCall::Provision(rent) => {
+            CloudCall::Provision(request) => {
                 let before: BTreeSet<String> = self.cluster.workers.keys().cloned().collect();
-                let Some(names) = self.cluster.provision(rent, now) else {
+                let Some(names) = self.cluster.provision(request, now) else {
                     return CloudOutcome::Malformed("no such type".into());
                 };
                 for name in names.iter().filter(|n| !before.contains(*n)) {
@@ -198,35 +215,36 @@
         }
     }
 
+    /// Schedules the responses of watches that have changes to report, whose revision is compacted, or that time out.
     pub(super) fn answer_watches(&mut self) {
-        // An open watch waits through an outage, and through a refusal of its controller.
+        // An open watch persists through an outage and through a partition of its controller.
         if self.is_store_unavailable() {
             return;
         }
-        let refused: Vec<usize> =
+        let cut_off: Vec<usize> =
             (0..CONTROLLER_COUNT).filter(|n| self.is_partitioned(*n, |c| c.store)).collect();
         let mut ready = Vec::new();
         let (store, now) = (&self.store, self.now);
-        self.watches.retain(|(n, life, id, prefix, from, until)| {
-            if refused.contains(n) {
+        self.watches.retain(|(n, incarnation, id, prefix, from, until)| {
+            if cut_off.contains(n) {
                 return true;
             }
             let outcome = match store.changes_since(prefix, *from) {
                 Err(CompactedRevision) => StoreOutcome::Compacted,
-                Ok(Some(news)) => StoreOutcome::Changes(news),
+                Ok(Some(changes)) => StoreOutcome::Changes(changes),
                 Ok(None) if now >= *until => StoreOutcome::Changes(store.empty_watch_response()),
                 Ok(None) => return true,
             };
-            ready.push((*n, *life, *id, outcome));
+            ready.push((*n, *incarnation, *id, outcome));
             false
         });
-        for (n, life, id, outcome) in ready {
+        for (n, incarnation, id, outcome) in ready {
             let at = self.now + self.draw_message_delay();
             self.schedule(
                 at,
                 SimulationEvent::DeliverToController(
                     n,
-                    life,
+                    incarnation,
                     Box::new(Event::StoreResponse(id, outcome)),
                 ),
             );
--- a/crates/simulation/src/simulation/simulated_cpu.rs
+++ b/crates/simulation/src/simulation/simulated_cpu.rs
@@ -1,6 +1,6 @@
-//! What a node's work takes of its share of a core: events wait while it is busy, and the gate refuses
-//! what it would at the entry of the program. The costs are the node's own counts; what an event leads
-//! to is sent when its work begins, which is the one thing that real processes do not do.
+//! Simulates a controller with a limited share of a core: events queue while it is busy, and the admission gate refuses
+//! the requests that it refuses at the entry of a real process. The CPU time of an event is the controller's own
+//! estimate. Unlike in a real process, the actions of an event are executed when its processing starts.
 
 use super::{Simulation, SimulationEvent};
 use std::collections::VecDeque;
@@ -8,18 +8,19 @@
 use swiftsail_overload_control::admission::{AdmissionGate, RequestPriority};
 use swiftsail_overload_control::memory_budget::MemoryBudget;
 
-/// A node's processor.
+/// The CPU of a controller.
 #[derive(Debug, Default)]
 pub(super) struct SimulatedCpu {
-    /// When what it does now is done.
+    /// When the event being processed is done.
     pub free_at: u64,
+    /// Queued events, each with the body bytes that the gate has admitted for it.
     waiting: VecDeque<(Event, usize)>,
     body_gate: Option<AdmissionGate>,
-    /// It will be told when it is free.
+    /// Whether a [`SimulationEvent::ProcessorFree`] is scheduled.
     is_wakeup_scheduled: bool,
 }
 
-/// A request from outside: its number, urgency, and about the length of its body.
+/// The request number, priority and approximate body length in bytes of an event that is an external request.
 fn request_properties(event: &Event) -> Option<(u64, RequestPriority, usize)> {
     Some(match event {
         Event::StatusReport(id, report) => {
@@ -41,54 +42,56 @@
 }
 
 impl Simulation {
-    /// An event comes to a node whose work takes time.
-    pub(super) fn enqueue_event(&mut self, n: usize, life: u64, event: Event) {
-        let Some(node) = &self.controllers[n] else { return };
-        let level = node.load_level();
-        let most = MemoryBudget::divide(self.memory_mb, usize::MAX / 2).body_bytes;
-        let processor = &mut self.processors[n];
-        let gate = processor.body_gate.get_or_insert_with(|| AdmissionGate::new(most));
-        let mut held = 0;
-        if let Some((id, urgency, length)) = request_properties(&event) {
-            match gate.try_admit(urgency, Some(length), level) {
-                Some(bytes) => held = bytes,
+    /// Queues an event for a controller with a limited CPU, and processes it at once if the CPU is free. A request that
+    /// the admission gate refuses is answered at once.
+    pub(super) fn enqueue_event(&mut self, n: usize, incarnation: u64, event: Event) {
+        let Some(controller) = &self.controllers[n] else { return };
+        let load_level = controller.load_level();
+        let max_body_bytes = MemoryBudget::divide(self.memory_mb, usize::MAX / 2).body_bytes;
+        let cpu = &mut self.processors[n];
+        let gate = cpu.body_gate.get_or_insert_with(|| AdmissionGate::new(max_body_bytes));
+        let mut admitted_bytes = 0;
+        if let Some((id, priority, length)) = request_properties(&event) {
+            match gate.try_admit(priority, Some(length), load_level) {
+                Some(bytes) => admitted_bytes = bytes,
                 None => {
                     self.refused_requests += 1;
                     let reply = Reply::retry_later("this node has more to do than it can");
-                    return self.execute_action(n, life, Action::Reply(id, reply));
+                    return self.execute_action(n, incarnation, Action::Reply(id, reply));
                 }
             }
         }
-        processor.waiting.push_back((event, held));
-        if self.now >= processor.free_at {
-            self.process_next_event(n, life);
-        } else if !std::mem::replace(&mut processor.is_wakeup_scheduled, true) {
-            let at = processor.free_at;
-            self.schedule(at, SimulationEvent::ProcessorFree(n, life));
+        cpu.waiting.push_back((event, admitted_bytes));
+        if self.now >= cpu.free_at {
+            self.process_next_event(n, incarnation);
+        } else if !std::mem::replace(&mut cpu.is_wakeup_scheduled, true) {
+            let at = cpu.free_at;
+            self.schedule(at, SimulationEvent::ProcessorFree(n, incarnation));
         }
     }
 
-    /// A node takes the next event that waits.
-    pub(super) fn process_next_event(&mut self, n: usize, life: u64) {
-        if self.incarnations[n] != life {
+    /// Processes the next queued event of a controller, and schedules the end of its processing.
+    pub(super) fn process_next_event(&mut self, n: usize, incarnation: u64) {
+        if self.incarnations[n] != incarnation {
             return;
         }
-        let cost = |node: &Option<Controller>| node.as_ref().map_or(0.0, Controller::cost_us);
+        let cost =
+            |controller: &Option<Controller>| controller.as_ref().map_or(0.0, Controller::cost_us);
         let before = cost(&self.controllers[n]);
-        let Some((event, held)) = self.processors[n].waiting.pop_front() else { return };
-        self.process_event(n, life, event);
-        let us = cost(&self.controllers[n]) - before;
+        let Some((event, admitted_bytes)) = self.processors[n].waiting.pop_front() else { return };
+        self.process_event(n, incarnation, event);
+        let cpu_us = cost(&self.controllers[n]) - before;
         let now = self.now;
-        let processor = &mut self.processors[n];
-        if let Some(gate) = &mut processor.body_gate {
-            gate.release(held);
+        let cpu = &mut self.processors[n];
+        if let Some(gate) = &mut cpu.body_gate {
+            gate.release(admitted_bytes);
         }
-        processor.free_at =
-            now + (us / 1_000.0 / self.cores_per_controller.unwrap_or(1.0)).ceil() as u64;
-        processor.is_wakeup_scheduled = !processor.waiting.is_empty();
-        if processor.is_wakeup_scheduled {
-            let at = processor.free_at;
-            self.schedule(at, SimulationEvent::ProcessorFree(n, life));
+        cpu.free_at =
+            now + (cpu_us / 1_000.0 / self.cores_per_controller.unwrap_or(1.0)).ceil() as u64;
+        cpu.is_wakeup_scheduled = !cpu.waiting.is_empty();
+        if cpu.is_wakeup_scheduled {
+            let at = cpu.free_at;
+            self.schedule(at, SimulationEvent::ProcessorFree(n, incarnation));
         }
     }
 }
