--- a/examples/trace/recording.rs
+++ b/examples/trace/recording.rs
@@ -42,15 +42,15 @@
 
 impl Recording {
     /// Plays a world, and records what its controllers send and what the state service holds in the end.
-    pub fn of(mut world: Simulation, play: fn(&mut Simulation)) -> Recording {
+    pub fn of(mut sim: Simulation, play: fn(&mut Simulation)) -> Recording {
         let tally = Rc::new(RefCell::new(Tally::default()));
         let taken = tally.clone();
-        world.recorder = Some(Box::new(move |now, node, life, bytes| {
+        sim.recorder = Some(Box::new(move |now, node, life, bytes| {
             taken.borrow_mut().message(now, node, life, bytes);
         }));
-        play(&mut world);
+        play(&mut sim);
         let mut tally = tally.take();
-        tally.add(&world.stored_bytes());
+        tally.add(&sim.stored_bytes());
         Recording { digest: short(tally.hash), bytes: tally.bytes, kinds: tally.kinds }
     }
 }
--- a/examples/trace/scenarios.rs
+++ b/examples/trace/scenarios.rs
@@ -89,9 +89,9 @@
 }
 
 fn operated(seed: u64, text: &str) -> Simulation {
-    let mut world = calm(seed);
-    world.operator = OperatorSettings::parse("trace", text).expect("it is sound");
-    world
+    let mut sim = calm(seed);
+    sim.operator = OperatorSettings::parse("trace", text).expect("it is sound");
+    sim
 }
 
 fn durable(seed: u64) -> Simulation {
@@ -111,131 +111,127 @@
 }
 
 fn gpus(seed: u64) -> Simulation {
-    let mut world = Simulation::with_offers(seed, FaultRates::NONE, 400_000, gpu_machine_offers(1));
-    world.operator =
+    let mut sim = Simulation::with_offers(seed, FaultRates::NONE, 400_000, gpu_machine_offers(1));
+    sim.operator =
         OperatorSettings::parse("trace", "[loans]\ndurable = true\n").expect("it is sound");
-    world
+    sim
 }
 
 // ---- what happens --------------------------------------------------------------------------------
 
-fn leader(world: &Simulation) -> Option<usize> {
-    (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::is_leader))
+fn leader(sim: &Simulation) -> Option<usize> {
+    (0..3).find(|n| sim.controllers[*n].as_ref().is_some_and(Controller::is_leader))
 }
 
-fn crash_leader(world: &mut Simulation, at_ms: u64) {
-    world.run_until(at_ms);
-    if let Some(node) = leader(world) {
-        world.schedule_crash(at_ms, node);
+fn crash_leader(sim: &mut Simulation, at_ms: u64) {
+    sim.run_until(at_ms);
+    if let Some(node) = leader(sim) {
+        sim.schedule_crash(at_ms, node);
     }
 }
 
-fn mixed(world: &mut Simulation, until_ms: u64) {
-    submit_mixed_load(world, 6);
-    world.run_until(until_ms);
+fn mixed(sim: &mut Simulation, until_ms: u64) {
+    submit_mixed_load(sim, 6);
+    sim.run_until(until_ms);
 }
 
-fn leader_crashes(world: &mut Simulation) {
-    submit_mixed_load(world, 6);
-    (1..6).for_each(|n| crash_leader(world, n * 14_000));
-    world.run_until(180_000);
+fn leader_crashes(sim: &mut Simulation) {
+    submit_mixed_load(sim, 6);
+    (1..6).for_each(|n| crash_leader(sim, n * 14_000));
+    sim.run_until(180_000);
 }
 
-fn network_cuts(world: &mut Simulation) {
+fn network_cuts(sim: &mut Simulation) {
     let cut = |node, from_ms| NetworkPartition::of(node, from_ms, 15_000);
-    world.partitions.push(NetworkPartition { workers: true, ..cut(0, 10_000) });
-    world.partitions.push(NetworkPartition { peers: true, ..cut(1, 30_000) });
-    world.partitions.push(NetworkPartition { store: true, ..cut(2, 50_000) });
-    world.partitions.push(NetworkPartition {
+    sim.partitions.push(NetworkPartition { workers: true, ..cut(0, 10_000) });
+    sim.partitions.push(NetworkPartition { peers: true, ..cut(1, 30_000) });
+    sim.partitions.push(NetworkPartition { store: true, ..cut(2, 50_000) });
+    sim.partitions.push(NetworkPartition {
         workers: true,
         peers: true,
         holds_messages: true,
         ..cut(0, 70_000)
     });
-    mixed(world, 200_000);
+    mixed(sim, 200_000);
 }
 
-fn zone_away(world: &mut Simulation) {
-    world.add_fault_window(
-        30_000,
-        30_000,
-        Fault::ZonePartition { zone: "b".into(), controller: 1 },
-    );
-    mixed(world, 180_000);
+fn zone_away(sim: &mut Simulation) {
+    sim.add_fault_window(30_000, 30_000, Fault::ZonePartition { zone: "b".into(), controller: 1 });
+    mixed(sim, 180_000);
 }
 
-fn store_outages(world: &mut Simulation) {
-    world.schedule_store_outage(20_000, 12_000);
-    world.schedule_store_slowdown(45_000, 20_000);
-    world.schedule_store_outage(80_000, 4_000);
-    mixed(world, 200_000);
+fn store_outages(sim: &mut Simulation) {
+    sim.schedule_store_outage(20_000, 12_000);
+    sim.schedule_store_slowdown(45_000, 20_000);
+    sim.schedule_store_outage(80_000, 4_000);
+    mixed(sim, 200_000);
 }
 
-fn store_limits(world: &mut Simulation) {
-    world.limit_store(40.0, 12.0);
-    mixed(world, 200_000);
+fn store_limits(sim: &mut Simulation) {
+    sim.limit_store(40.0, 12.0);
+    mixed(sim, 200_000);
 }
 
-fn lost_and_late_writes(world: &mut Simulation) {
-    world.add_fault_window(10_000, 40_000, Fault::AnswersLost(0.2));
-    world.add_fault_window(60_000, 40_000, Fault::TransactionsLate(0.1));
-    mixed(world, 200_000);
+fn lost_and_late_writes(sim: &mut Simulation) {
+    sim.add_fault_window(10_000, 40_000, Fault::AnswersLost(0.2));
+    sim.add_fault_window(60_000, 40_000, Fault::TransactionsLate(0.1));
+    mixed(sim, 200_000);
 }
 
-fn cloud_trouble(world: &mut Simulation) {
-    world.add_fault_window(2_000, 20_000, Fault::SlowCloud(6_000));
-    world.add_fault_window(40_000, 20_000, Fault::CloudUnavailable);
-    mixed(world, 180_000);
+fn cloud_trouble(sim: &mut Simulation) {
+    sim.add_fault_window(2_000, 20_000, Fault::SlowCloud(6_000));
+    sim.add_fault_window(40_000, 20_000, Fault::CloudUnavailable);
+    mixed(sim, 180_000);
 }
 
-fn frozen(world: &mut Simulation) {
+fn frozen(sim: &mut Simulation) {
     for (n, for_ms) in [1_000, 2_600, 25_000, 7_000].into_iter().enumerate() {
-        world.schedule_pause(12_000 + n as u64 * 22_000, n % 3, for_ms);
+        sim.schedule_pause(12_000 + n as u64 * 22_000, n % 3, for_ms);
     }
-    mixed(world, 200_000);
+    mixed(sim, 200_000);
 }
 
-fn rolling_restarts(world: &mut Simulation) {
-    world.restart_delay_ms = Some(800);
+fn rolling_restarts(sim: &mut Simulation) {
+    sim.restart_delay_ms = Some(800);
     for node in 0..3 {
-        world.schedule_crash(30_000 + node as u64 * 15_000, node);
+        sim.schedule_crash(30_000 + node as u64 * 15_000, node);
     }
-    mixed(world, 180_000);
+    mixed(sim, 180_000);
 }
 
-fn without(world: &mut Simulation, nodes: &[usize]) {
-    world.restart_delay_ms = Some(10_000_000);
-    nodes.iter().for_each(|node| world.schedule_crash(500, *node));
-    mixed(world, 180_000);
+fn without(sim: &mut Simulation, nodes: &[usize]) {
+    sim.restart_delay_ms = Some(10_000_000);
+    nodes.iter().for_each(|node| sim.schedule_crash(500, *node));
+    mixed(sim, 180_000);
 }
 
-fn memory_pressure(world: &mut Simulation) {
-    world.memory_mb = 0.2;
-    mixed(world, 180_000);
+fn memory_pressure(sim: &mut Simulation) {
+    sim.memory_mb = 0.2;
+    mixed(sim, 180_000);
 }
 
-fn memory_pressure_one(world: &mut Simulation) {
-    world.memory_mb = 0.2;
-    without(world, &[0, 2]);
+fn memory_pressure_one(sim: &mut Simulation) {
+    sim.memory_mb = 0.2;
+    without(sim, &[0, 2]);
 }
 
-fn scarce_processor(world: &mut Simulation) {
-    world.cores_per_controller = Some(0.02);
-    mixed(world, 150_000);
+fn scarce_processor(sim: &mut Simulation) {
+    sim.cores_per_controller = Some(0.02);
+    mixed(sim, 150_000);
 }
 
-fn gangs(world: &mut Simulation) {
+fn gangs(sim: &mut Simulation) {
     for n in 0..8u64 {
         let body = job_body(&format!("wk-g{n}"), "gang", "blue", 2 + n as u32, 4.0, 12.0);
-        world.submit(500 + n * 4_000, (n == 5).then_some(40_000), body);
+        sim.submit(500 + n * 4_000, (n == 5).then_some(40_000), body);
     }
-    world.run_until(40_000);
-    let now = world.now;
-    world.cluster.hang_machines(2, 13_000, now);
-    world.run_until(60_000);
-    world.kill_machines(1, 4);
-    crash_leader(world, 75_000);
-    world.run_until(180_000);
+    sim.run_until(40_000);
+    let now = sim.now;
+    sim.cluster.hang_machines(2, 13_000, now);
+    sim.run_until(60_000);
+    sim.kill_machines(1, 4);
+    crash_leader(sim, 75_000);
+    sim.run_until(180_000);
 }
 
 fn awaiting(id: &str, awaits: &[&str], tasks: u32) -> Value {
@@ -244,70 +240,70 @@
     body
 }
 
-fn submit_pipelines(world: &mut Simulation) {
+fn submit_pipelines(sim: &mut Simulation) {
     for (n, line) in ["a", "b", "c"].into_iter().enumerate() {
         let id = |k: u32| format!("wk-{line}{k}");
         let at = 6_000 + n as u64 * 9_000;
-        world.submit(at, None, awaiting(&id(0), &[], 6));
-        world.submit(at + 200, None, awaiting(&id(1), &[&id(0)], 3));
+        sim.submit(at, None, awaiting(&id(0), &[], 6));
+        sim.submit(at + 200, None, awaiting(&id(1), &[&id(0)], 3));
         let cancel = (n == 1).then_some(at + 9_000);
-        world.submit(at + 400, cancel, awaiting(&id(2), &[&id(0)], 4));
-        world.submit(at + 600, None, awaiting(&id(3), &[&id(1), &id(2)], 2));
+        sim.submit(at + 400, cancel, awaiting(&id(2), &[&id(0)], 4));
+        sim.submit(at + 600, None, awaiting(&id(3), &[&id(1), &id(2)], 2));
     }
 }
 
-fn pipelines(world: &mut Simulation) {
-    submit_pipelines(world);
-    crash_leader(world, 20_000);
-    crash_leader(world, 32_000);
-    world.run_until(150_000);
+fn pipelines(sim: &mut Simulation) {
+    submit_pipelines(sim);
+    crash_leader(sim, 20_000);
+    crash_leader(sim, 32_000);
+    sim.run_until(150_000);
 }
 
-fn mixed_versions(world: &mut Simulation) {
-    world.old_version_until_ms[1] = 40_000;
-    world.schedule_crash(30_000, 2);
-    submit_pipelines(world);
-    world.run_until(150_000);
+fn mixed_versions(sim: &mut Simulation) {
+    sim.old_version_until_ms[1] = 40_000;
+    sim.schedule_crash(30_000, 2);
+    submit_pipelines(sim);
+    sim.run_until(150_000);
 }
 
-fn dispatch_deadlines(world: &mut Simulation) {
-    world.run_until(8_000);
-    let at_ms = 1_700_000_000_000 + world.now + 240_000;
+fn dispatch_deadlines(sim: &mut Simulation) {
+    sim.run_until(8_000);
+    let at_ms = 1_700_000_000_000 + sim.now + 240_000;
     let body = json!({"name": "north", "chain": "lists", "at_ms": at_ms}).to_string();
     (0..3).for_each(|node| {
-        world.schedule_admin_request(
+        sim.schedule_admin_request(
             8_000,
             node,
             AdminRequest::AddOccurrence(body.clone().into_bytes()),
         );
-        world.schedule_admin_request(60_000, node, AdminRequest::Occurrences(None));
+        sim.schedule_admin_request(60_000, node, AdminRequest::Occurrences(None));
     });
     for (n, class) in ["count", "list"].into_iter().enumerate() {
         let mut body = job_body(&format!("wk-{class}"), "array", "blue", 4, 1.0, 20.0);
         (body["jobclass"], body["due_s"]) = (class.into(), 3_000.0.into());
-        world.submit(14_000 + n as u64 * 45_000, None, body);
+        sim.submit(14_000 + n as u64 * 45_000, None, body);
     }
-    [20_000, 40_000, 75_000].into_iter().for_each(|at| crash_leader(world, at));
-    world.run_until(160_000);
+    [20_000, 40_000, 75_000].into_iter().for_each(|at| crash_leader(sim, at));
+    sim.run_until(160_000);
 }
 
-fn gpu_loans(world: &mut Simulation) {
+fn gpu_loans(sim: &mut Simulation) {
     for n in 0..4u64 {
         let body = gpu_job_body(&format!("wk-t{n}"), "gang", "tuning", 2, 1.0, 200.0);
-        world.submit(500 + n * 900, None, body);
+        sim.submit(500 + n * 900, None, body);
         let body = gpu_job_body(&format!("wk-b{n}"), "array", "lab", 4, 1.0, 60.0);
-        world.submit(30_000 + n * 500, None, body);
+        sim.submit(30_000 + n * 500, None, body);
     }
     for n in 0..3u64 {
         let mut body = gpu_job_body(&format!("wk-s{n}"), "service", "serving", 2, 1.0, 0.0);
         body["scatter"] = false.into();
-        world.submit(90_000 + n * 2_000, Some(172_000 + n * 4_000), body);
+        sim.submit(90_000 + n * 2_000, Some(172_000 + n * 4_000), body);
     }
     for node in 0..3 {
-        world.schedule_admin_request(120_000, node, AdminRequest::Loans(None));
+        sim.schedule_admin_request(120_000, node, AdminRequest::Loans(None));
     }
-    [100_000, 130_000, 180_000].into_iter().for_each(|at| crash_leader(world, at));
-    world.run_until(400_000);
+    [100_000, 130_000, 180_000].into_iter().for_each(|at| crash_leader(sim, at));
+    sim.run_until(400_000);
 }
 
 fn offer(name: &str, kind: PluginKind, source: &str) -> AdminRequest {
@@ -315,57 +311,57 @@
     AdminRequest::OfferPlugin(name.into(), serde_json::to_vec(&offer).expect("our own type"))
 }
 
-fn play_plugins(world: &mut Simulation) {
+fn play_plugins(sim: &mut Simulation) {
     let advice = "fn priority(job, cluster) { if job.waiting > 3 { 50 } else { -50 } }\n\
                   fn spot_share(job, cluster) { 0.5 }";
-    world.schedule_admin_request(5_000, 0, offer("advice", PluginKind::Decision, advice));
-    world.schedule_admin_request(
+    sim.schedule_admin_request(5_000, 0, offer("advice", PluginKind::Decision, advice));
+    sim.schedule_admin_request(
         5_500,
         1,
         offer("faulty", PluginKind::Decision, "fn class_order(c, l) { \"soon\" }"),
     );
-    world.schedule_admin_request(6_000, 2, offer("events", PluginKind::EventReceiver, REPORT_HOOK));
+    sim.schedule_admin_request(6_000, 2, offer("events", PluginKind::EventReceiver, REPORT_HOOK));
     for node in 0..3 {
-        world.schedule_admin_request(30_000, node, AdminRequest::Plugins);
-        world.schedule_admin_request(31_000, node, AdminRequest::ExplainJob("wk-s0".into()));
+        sim.schedule_admin_request(30_000, node, AdminRequest::Plugins);
+        sim.schedule_admin_request(31_000, node, AdminRequest::ExplainJob("wk-s0".into()));
     }
-    submit_mixed_load(world, 6);
-    crash_leader(world, 40_000);
-    world.run_until(150_000);
-    assert!(!world.delivered_events.is_empty(), "the report hook was sent nothing");
+    submit_mixed_load(sim, 6);
+    crash_leader(sim, 40_000);
+    sim.run_until(150_000);
+    assert!(!sim.delivered_events.is_empty(), "the report hook was sent nothing");
 }
 
-fn binding_limits(world: &mut Simulation) {
+fn binding_limits(sim: &mut Simulation) {
     let mut long = job_body("wk-long", "array", "red", 90, 2.0, 30.0);
     long["due_s"] = Value::Null;
-    world.submit(500, None, long);
-    submit_mixed_load(world, 4);
-    world.run_until(40_000);
-    world.team_red_limits[1] = 24.0;
-    world.schedule_crash(40_000, 1);
-    crash_leader(world, 70_000);
-    world.run_until(160_000);
+    sim.submit(500, None, long);
+    submit_mixed_load(sim, 4);
+    sim.run_until(40_000);
+    sim.team_red_limits[1] = 24.0;
+    sim.schedule_crash(40_000, 1);
+    crash_leader(sim, 70_000);
+    sim.run_until(160_000);
 }
 
-fn odd_users(world: &mut Simulation) {
-    world.add_fault_window(5_000, 60_000, Fault::UnusualRequests);
-    world.add_fault_window(5_000, 60_000, Fault::ConsistencyProbes);
-    world.add_fault_window(5_000, 90_000, Fault::CancelAtCompletion(0.3));
-    world.schedule_running_cancellations(45_000, 3, Some(6_000));
-    mixed(world, 180_000);
+fn odd_users(sim: &mut Simulation) {
+    sim.add_fault_window(5_000, 60_000, Fault::UnusualRequests);
+    sim.add_fault_window(5_000, 60_000, Fault::ConsistencyProbes);
+    sim.add_fault_window(5_000, 90_000, Fault::CancelAtCompletion(0.3));
+    sim.schedule_running_cancellations(45_000, 3, Some(6_000));
+    mixed(sim, 180_000);
 }
 
-fn deaf_machines(world: &mut Simulation) {
+fn deaf_machines(sim: &mut Simulation) {
     let zone = Some("a".to_string());
     let names = Vec::new();
-    world.inbound_failures.push(InboundFailure {
+    sim.inbound_failures.push(InboundFailure {
         from_ms: 25_000,
         for_ms: 20_000,
         zone,
         machines: names,
         delivers_every: 0,
     });
-    world.duplicate_reports = Some((0.05, 20_000));
-    world.add_fault_window(60_000, 40_000, Fault::SlowLinks(300));
-    mixed(world, 180_000);
+    sim.duplicate_reports = Some((0.05, 20_000));
+    sim.add_fault_window(60_000, 40_000, Fault::SlowLinks(300));
+    mixed(sim, 180_000);
 }
--- a/tests/concurrent_faults.rs
+++ b/tests/concurrent_faults.rs
@@ -1,5 +1,6 @@
-//! Two troubles at once: what a leader must know that the state service refuses, on the real cores against the
-//! stand-in, and every order of steps of a small world of what controllers hold for each other.
+//! Two concurrent faults: a leader that cannot reach the state service must still know every cancellation that users
+//! were told of. Checked with the controllers' real state machines in a simulation, and with a model checker on every
+//! order of steps of a small model of the cancellation quorum. `MEETINGS=0..300` sets the seeds of the random runs.
 
 mod common;
 
@@ -28,7 +29,7 @@
     job_body,
 };
 
-/// All are cancelled within some seconds of the 41st.
+/// Long jobs that are all cancelled within a few seconds, from 40.5 s on.
 const LONG_JOBS: LongJobs = LongJobs {
     id_prefix: "wk-a",
     run_time_s: 150.0,
@@ -38,136 +39,155 @@
 
 const JOB: &str = "wk-000001";
 
-fn store_partition(node: usize, from_ms: u64, for_ms: u64) -> NetworkPartition {
-    NetworkPartition { store: true, ..NetworkPartition::of(node, from_ms, for_ms) }
+fn store_partition(controller: usize, from_ms: u64, for_ms: u64) -> NetworkPartition {
+    NetworkPartition { store: true, ..NetworkPartition::of(controller, from_ms, for_ms) }
 }
 
-/// Jobs whose users were told between these times.
-fn cancellations_told(world: &Simulation, from_ms: u64, to_ms: u64) -> usize {
-    let times = world.jobs.iter().filter_map(|j| j.cancellation_told_at);
+/// Number of jobs whose users were told of the cancellation between these times, ms from the start.
+fn cancellations_told(sim: &Simulation, from_ms: u64, to_ms: u64) -> usize {
+    let times = sim.jobs.iter().filter_map(|j| j.cancellation_told_at);
     times.filter(|at| (START_MS + from_ms..START_MS + to_ms).contains(at)).count()
 }
 
-/// The state service refuses the leader alone, another controller confirms cancellations, then it is away for
-/// all for longer than `cancel_s` while workers report to the old leader.
+/// The leader alone loses the state service, another controller confirms cancellations, and then the state service is
+/// unavailable for all for longer than `cancel_s` while workers report to the old leader. The tasks of the confirmed
+/// cancellations must still end in time.
 #[test]
-fn what_others_confirmed_ends_in_time_though_the_leader_cannot_read_it() {
-    let mut met = 0;
+fn cancellations_confirmed_by_others_end_in_time_when_the_leader_cannot_read_the_store() {
+    let mut confirmed = 0;
     for seed in 0..6 {
-        let BusyCluster { mut world, leader, now_ms } =
+        let BusyCluster { world: mut sim, leader, now_ms } =
             BusyCluster::run_until_busy(seed, &LONG_JOBS);
-        world.partitions.push(store_partition(leader, now_ms, 14_000));
-        world.schedule_store_outage(now_ms + 2_000, 59_000);
-        world.run_until(now_ms + 2_000);
-        let before = cancellations_told(&world, now_ms, now_ms + 2_000);
-        met += before;
-        assert_eq!(leader_index(&world), Some(leader), "its grant has not ended yet");
-        world.run_until(now_ms + 60_000);
-        let voice = world.controllers[leader].as_ref().and_then(Controller::answer_authority);
+        sim.partitions.push(store_partition(leader, now_ms, 14_000));
+        sim.schedule_store_outage(now_ms + 2_000, 59_000);
+        sim.run_until(now_ms + 2_000);
+        let before = cancellations_told(&sim, now_ms, now_ms + 2_000);
+        confirmed += before;
+        assert_eq!(leader_index(&sim), Some(leader), "its leadership has not ended yet");
+        sim.run_until(now_ms + 60_000);
+        let authority = sim.controllers[leader].as_ref().and_then(Controller::answer_authority);
         assert_eq!(
-            voice,
+            authority,
             Some(AnswerAuthority::Endorsed),
-            "it has not read for longer than a leader may go on"
+            "its last read is older than a leader may rely on without endorsements"
         );
-        let killed = tasks_killed(&world);
-        assert_eq!(killed, 0, "seed {seed}: with a majority's word no lease ends");
-        world.run_until(now_ms + 200_000);
-        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
+        let killed = tasks_killed(&sim);
+        assert_eq!(killed, 0, "seed {seed}: with endorsements by a majority no worker lease ends");
+        sim.run_until(now_ms + 200_000);
+        assert!(sim.violations.is_empty(), "seed {seed}: {:?}", sim.violations);
     }
-    assert!(met >= 20, "{met} cancellations were confirmed in the gap");
+    assert!(confirmed >= 20, "{confirmed} cancellations were confirmed before the outage");
 }
 
-/// Cut off from the state service and the others, with its workers, and then it is away for all: the leader answers
-/// until what it read is too old, and no longer; what others confirmed ends in time.
+/// The leader, with its workers, is cut off from the state service and the other controllers, and then the state service
+/// is unavailable for all. The leader may answer only until its last read is too old; cancellations that others confirmed
+/// must end in time.
 #[test]
-fn a_leader_that_learns_nothing_falls_silent() {
+fn an_isolated_leader_stops_answering_when_its_state_is_too_old() {
     for seed in 0..4 {
-        let BusyCluster { mut world, leader, now_ms } =
+        let BusyCluster { world: mut sim, leader, now_ms } =
             BusyCluster::run_until_busy(seed, &LONG_JOBS);
-        world
-            .partitions
+        sim.partitions
             .push(NetworkPartition { peers: true, ..store_partition(leader, now_ms, 60_000) });
-        world.schedule_store_outage(now_ms + 2_000, 58_000);
-        let voice = |world: &Simulation| {
-            world.controllers[leader].as_ref().and_then(Controller::answer_authority)
+        sim.schedule_store_outage(now_ms + 2_000, 58_000);
+        let authority = |sim: &Simulation| {
+            sim.controllers[leader].as_ref().and_then(Controller::answer_authority)
         };
-        world.run_until(now_ms + 18_000);
-        assert_eq!(voice(&world), Some(AnswerAuthority::OwnReads), "19 s are left to it");
-        world.run_until(now_ms + 21_000);
-        assert_eq!(voice(&world), Some(AnswerAuthority::Lost));
-        world.run_until(now_ms + 200_000);
-        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
-        assert_eq!(cancellations_told(&world, now_ms, now_ms + 200_000), 24);
+        sim.run_until(now_ms + 18_000);
+        assert_eq!(
+            authority(&sim),
+            Some(AnswerAuthority::OwnReads),
+            "it may rely on its last read for 19 s"
+        );
+        sim.run_until(now_ms + 21_000);
+        assert_eq!(authority(&sim), Some(AnswerAuthority::Lost));
+        sim.run_until(now_ms + 200_000);
+        assert!(sim.violations.is_empty(), "seed {seed}: {:?}", sim.violations);
+        assert_eq!(cancellations_told(&sim, now_ms, now_ms + 200_000), 24);
     }
 }
 
-/// The same with a crash of the one that confirmed, of the other, or of both, once or again, before the outage
-/// or in it; and with the refusal of two.
+/// As above, with crashes of the other controllers before or during the outage, or with a second controller cut off from
+/// the state service or from its peers.
 #[test]
-fn the_gap_holds_with_crashes_and_second_refusals() {
-    let mut met = 0;
+fn confirmed_cancellations_end_in_time_with_crashes_and_further_partitions() {
+    let mut confirmed = 0;
     for seed in 0..24u64 {
-        let BusyCluster { mut world, leader, now_ms } =
+        let BusyCluster { world: mut sim, leader, now_ms } =
             BusyCluster::run_until_busy(seed, &LONG_JOBS);
         let mut rng = StdRng::seed_from_u64(seed);
         let other = |n: usize| (leader + 1 + n) % 3;
-        world.restart_delay_ms = Some([100, 1_000, 4_000][seed as usize % 3]);
-        world.partitions.push(store_partition(leader, now_ms, rng.random_range(1_500..20_000)));
-        let gap = rng.random_range(800..2_200);
-        world.schedule_store_outage(now_ms + gap, 59_000);
+        sim.restart_delay_ms = Some([100, 1_000, 4_000][seed as usize % 3]);
+        sim.partitions.push(store_partition(leader, now_ms, rng.random_range(1_500..20_000)));
+        let outage_delay_ms = rng.random_range(800..2_200);
+        sim.schedule_store_outage(now_ms + outage_delay_ms, 59_000);
         for n in 0..2 {
             match rng.random_range(0..4) {
-                0 => world.schedule_crash(now_ms + rng.random_range(300..gap), other(n)),
-                1 => world.schedule_crash(now_ms + rng.random_range(gap..20_000), other(n)),
-                2 => world.partitions.push(store_partition(
+                0 => sim.schedule_crash(now_ms + rng.random_range(300..outage_delay_ms), other(n)),
+                1 => {
+                    sim.schedule_crash(now_ms + rng.random_range(outage_delay_ms..20_000), other(n))
+                }
+                2 => sim.partitions.push(store_partition(
                     other(n),
-                    now_ms + rng.random_range(0..gap),
+                    now_ms + rng.random_range(0..outage_delay_ms),
                     3_000,
                 )),
                 _ => {
-                    let cut = store_partition(other(n), now_ms + rng.random_range(0..gap), 30_000);
-                    world.partitions.push(NetworkPartition { peers: true, store: false, ..cut });
+                    let partition = store_partition(
+                        other(n),
+                        now_ms + rng.random_range(0..outage_delay_ms),
+                        30_000,
+                    );
+                    sim.partitions.push(NetworkPartition {
+                        peers: true,
+                        store: false,
+                        ..partition
+                    });
                 }
             }
         }
-        world.run_until(now_ms + gap);
-        met += cancellations_told(&world, now_ms, now_ms + gap);
-        world.run_until(now_ms + 250_000);
-        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
+        sim.run_until(now_ms + outage_delay_ms);
+        confirmed += cancellations_told(&sim, now_ms, now_ms + outage_delay_ms);
+        sim.run_until(now_ms + 250_000);
+        assert!(sim.violations.is_empty(), "seed {seed}: {:?}", sim.violations);
     }
-    assert!(met >= 30, "{met} cancellations were confirmed in the gap");
+    assert!(confirmed >= 30, "{confirmed} cancellations were confirmed before the outage");
 }
 
-/// Controllers that hear no other tell no user that a job is cancelled while any of its tasks is on a machine: only
-/// the job's last record, which the leader writes when nothing is left, needs no other's word.
+/// Controllers cut off from each other must not tell a user that a job is cancelled while any of its tasks is on a
+/// machine: only the job's final record, which the leader writes once no task is left, needs no confirmation by others.
 #[test]
-fn nobody_is_told_of_a_cancellation_that_one_controller_holds_alone() {
-    let BusyCluster { mut world, leader, now_ms } = BusyCluster::run_until_busy(3, &LONG_JOBS);
+fn a_cancellation_known_to_one_controller_is_not_confirmed_while_tasks_run() {
+    let BusyCluster { world: mut sim, leader, now_ms } = BusyCluster::run_until_busy(3, &LONG_JOBS);
     for n in 0..3 {
-        world.partitions.push(NetworkPartition {
+        sim.partitions.push(NetworkPartition {
             peers: true,
             store: false,
             ..store_partition(n, now_ms, 20_000)
         });
     }
     for step in 1..200 {
-        world.run_until(now_ms + step * 100);
-        for job in world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()) {
-            let workers = world.cluster.workers.values().filter(|w| !w.is_terminated);
+        sim.run_until(now_ms + step * 100);
+        for job in sim.jobs.iter().filter(|j| j.cancellation_told_at.is_some()) {
+            let workers = sim.cluster.workers.values().filter(|w| !w.is_terminated);
             let mut tasks = workers.flat_map(|w| &w.tasks).filter(|t| t.is_on_machine());
-            let its = |t: &swiftsail_simulation::worker::WorkerTask| {
+            let is_of_job = |t: &swiftsail_simulation::worker::WorkerTask| {
                 t.name.split('/').next() == Some(&job.id)
             };
-            assert!(!tasks.any(its), "{} was told of and is there", job.id);
+            assert!(
+                !tasks.any(is_of_job),
+                "{} was reported as cancelled while a task is on a machine",
+                job.id
+            );
         }
     }
-    assert_eq!(cancellations_told(&world, now_ms, now_ms + 20_000), 24);
-    assert_eq!(leader_index(&world), Some(leader));
-    assert!(world.violations.is_empty(), "{:?}", world.violations);
+    assert_eq!(cancellations_told(&sim, now_ms, now_ms + 20_000), 24);
+    assert_eq!(leader_index(&sim), Some(leader));
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
 }
 
 #[test]
-fn those_that_hold_and_those_that_vouch_meet() {
+fn replica_and_endorsement_quorums_intersect() {
     for n in 1..=9 {
         assert!(replicas_needed(n) + endorsements_needed(n) > n, "{n} controllers");
         assert!(replicas_needed(n) <= n && 2 * endorsements_needed(n) > n);
@@ -175,120 +195,121 @@
     assert_eq!((replicas_needed(1), replicas_needed(2), replicas_needed(3)), (1, 1, 2));
 }
 
-/// A heartbeat of an earlier version says nothing of what its sender holds: it counts for no user and no leader, and a
-/// leader that goes by such words is given none.
+/// A heartbeat of an earlier version says nothing of the cancellations that its sender has recorded. It must count
+/// neither as a replica of a cancellation nor as an endorsement, and a leader of such a version is not endorsed.
 #[test]
-fn an_earlier_versions_heartbeat_says_nothing() {
-    let mut held = CancellationQuorum::default();
-    held.on_store_read(10);
+fn heartbeats_of_an_earlier_version_endorse_nothing() {
+    let mut quorum = CancellationQuorum::default();
+    quorum.on_store_read(10);
     let old = Heartbeat {
         controller: "n1".into(),
         fencing_token: 5,
         since_store_response_ms: 60_000,
         ..Heartbeat::default()
     };
-    let lead = LeaderProgress { token: 9, read_revision: 50, endorsements_from: 0 };
-    held.fill_heartbeat(&mut Heartbeat::default(), 1_000);
-    held.on_heartbeat("n0", 7, &old, Some(lead));
-    assert_eq!(held.known_as_of(Some(400), 0, 2, 2_000), Some(400));
-    held.record_cancellation(&JobId::from(JOB), 60, 0);
-    assert!(!held.is_replicated(JOB, 60, 3), "two of three must hold it");
+    let progress = LeaderProgress { token: 9, read_revision: 50, endorsements_from: 0 };
+    quorum.fill_heartbeat(&mut Heartbeat::default(), 1_000);
+    quorum.on_heartbeat("n0", 7, &old, Some(progress));
+    assert_eq!(quorum.known_as_of(Some(400), 0, 2, 2_000), Some(400));
+    quorum.record_cancellation(&JobId::from(JOB), 60, 0);
+    assert!(!quorum.is_replicated(JOB, 60, 3), "two of three must have recorded it");
 
     let mut now = Now { monotonic: START_MS, wall_clock: START_MS };
-    let mut node = Controller::new(controller_settings(1), 1, now);
+    let mut controller = Controller::new(controller_settings(1), 1, now);
     for _ in 0..60 {
         now.monotonic += 100;
-        for action in node.take_actions() {
+        for action in controller.take_actions() {
             if let Action::CallStore(id, _) = action {
-                node.handle(Event::StoreResponse(id, StoreOutcome::Unavailable), now);
+                controller.handle(Event::StoreResponse(id, StoreOutcome::Unavailable), now);
             }
         }
-        node.handle(Event::Tick, now);
+        controller.handle(Event::Tick, now);
     }
     let old = Heartbeat { controller: "n0".into(), is_leader: true, ..old };
-    for (process, vouches) in [(0, false), (3, true)] {
-        node.handle(
-            Event::Heartbeat(Heartbeat { incarnation: process, sequence: 1, ..old.clone() }),
-            now,
-        );
+    for (incarnation, endorses) in [(0, false), (3, true)] {
+        controller
+            .handle(Event::Heartbeat(Heartbeat { incarnation, sequence: 1, ..old.clone() }), now);
         assert_eq!(
-            node.build_heartbeat(true).since_store_response_ms > 5_000,
-            vouches,
-            "process {process}"
+            controller.build_heartbeat(true).since_store_response_ms > 5_000,
+            endorses,
+            "incarnation {incarnation}"
         );
     }
 }
 
-/// Whatever a heartbeat names, in whatever numbers: what is held stays bounded, and one that names more than a
-/// controller holds is not acknowledged as if all of it were held.
+/// Whatever number of cancellations heartbeats carry, the number recorded stays bounded, and a heartbeat with more of
+/// them than a controller can record is not acknowledged.
 #[test]
-fn heartbeats_that_name_very_much_are_bounded() {
+fn pending_cancellations_from_heartbeats_are_bounded() {
     let names = (0..100_000).map(|n| (format!("wk-{n}"), n + 1, 0));
-    let many: Vec<(String, u64, u64)> = names.chain([("no id".into(), 1, 0)]).collect();
-    for opened in [false, true] {
-        let mut held = CancellationQuorum::default();
-        if opened {
-            held.on_store_read(0);
+    let cancellations: Vec<(String, u64, u64)> = names.chain([("no id".into(), 1, 0)]).collect();
+    for has_read_store in [false, true] {
+        let mut quorum = CancellationQuorum::default();
+        if has_read_store {
+            quorum.on_store_read(0);
         }
-        for (number, from) in (1..).zip((0..many.len()).step_by(300)) {
-            let cancelled = many[from..(from + 300).min(many.len())].to_vec();
-            let beat = Heartbeat {
+        for (number, from) in (1..).zip((0..cancellations.len()).step_by(300)) {
+            let cancelled = cancellations[from..(from + 300).min(cancellations.len())].to_vec();
+            let heartbeat = Heartbeat {
                 controller: "n1".into(),
                 incarnation: 3,
                 sequence: number,
                 pending_cancellations: cancelled,
                 ..Heartbeat::default()
             };
-            held.on_heartbeat("n0", 7, &beat, None);
-            assert!(held.pending().count() <= MAX_PENDING_CANCELLATIONS);
+            quorum.on_heartbeat("n0", 7, &heartbeat, None);
+            assert!(quorum.pending().count() <= MAX_PENDING_CANCELLATIONS);
         }
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             controller: "n2".into(),
             incarnation: 4,
             sequence: 1,
-            pending_cancellations: many.clone(),
+            pending_cancellations: cancellations.clone(),
             ..Heartbeat::default()
         };
-        held.on_heartbeat("n0", 7, &beat, None);
-        assert!(held.pending().count() <= MAX_PENDING_CANCELLATIONS);
-        let mut ours = Heartbeat::default();
-        held.fill_heartbeat(&mut ours, 1_000);
+        quorum.on_heartbeat("n0", 7, &heartbeat, None);
+        assert!(quorum.pending().count() <= MAX_PENDING_CANCELLATIONS);
+        let mut own_heartbeat = Heartbeat::default();
+        quorum.fill_heartbeat(&mut own_heartbeat, 1_000);
         assert!(
-            ours.acknowledged_heartbeats.iter().all(|(node, ..)| node != "n2"),
-            "not all of it is held"
+            own_heartbeat.acknowledged_heartbeats.iter().all(|(controller, ..)| controller != "n2"),
+            "not all of it was recorded"
+        );
+        assert_eq!(
+            own_heartbeat.acknowledged_heartbeats.iter().any(|t| t.0 == "n1" && t.2 > 300),
+            has_read_store
         );
-        assert_eq!(ours.acknowledged_heartbeats.iter().any(|t| t.0 == "n1" && t.2 > 300), opened);
         assert!(
-            opened || ours.required_leader_revision.is_none(),
-            "it has read nothing, and vouches for nobody"
+            has_read_store || own_heartbeat.required_leader_revision.is_none(),
+            "without a read it endorses nobody"
         );
     }
 }
 
 // ---- every order of steps ----------------------------------------------------------------------
 
-/// What is left out of the small world to see that the explorer finds it.
+/// A safeguard that the model leaves out, to show that the model checker then finds a violation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum RemovedGuard {
     None,
     /// Heartbeats carry no cancellations.
     CancellationNotes,
-    /// Users are told by whoever commits, alone.
+    /// The controller that commits a cancellation tells the user without confirmation by others.
     CancellationQuorum,
-    /// A process that begins anew vouches as if it had read the state service.
+    /// A restarted process endorses the leader as if it had read the state service.
     ReadBeforeEndorsing,
-    /// A word counts as given when it is heard.
+    /// An endorsement counts from when it is received, not from when the heartbeat that it acknowledges was sent.
     FreshEndorsement,
-    /// A leader that has not read up to a floor goes on all the same.
+    /// A leader that has not read up to the required revision goes on answering.
     ReplicationFloor,
 }
 
-/// A heartbeat under way: from, to, which process it was sent to, and it.
+/// A heartbeat in flight: sender, receiver and message.
 #[derive(Debug, Clone, PartialEq)]
 struct HeartbeatInFlight(usize, usize, Heartbeat);
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum GapStep {
+enum CancellationStep {
     Cancel(usize),
     PollStatus(usize),
     TellUser(usize),
@@ -297,11 +318,11 @@
     Deliver(usize),
     Crash(usize),
     Read,
-    Refuse,
+    PartitionLeader,
     Outage,
 }
 
-/// Three controllers, the first of which leads, and one job. Time counts what users were told.
+/// Three controllers, the first of which leads, and one job. Time advances when the user is told of the cancellation.
 #[derive(Clone)]
 struct CancellationModel {
     removed_guard: RemovedGuard,
@@ -310,7 +331,7 @@
     store_reachable: [bool; 3],
     cancellation_quorums: [CancellationQuorum; 3],
     incarnations: [u64; 3],
-    has_read_store: [bool; 3],
+    knows_cancellation: [bool; 3],
     heartbeats_in_flight: Vec<HeartbeatInFlight>,
     leader_read: (u64, u64),
     cancellation_told_at: Option<u64>,
@@ -321,11 +342,11 @@
 
 impl Hash for CancellationModel {
     fn hash<H: std::hash::Hasher>(&self, state: &mut H) {
-        let flying = format!("{:?}", self.heartbeats_in_flight);
+        let in_flight = format!("{:?}", self.heartbeats_in_flight);
         (
             &self.cancellation_quorums,
             &self.incarnations,
-            self.has_read_store,
+            self.knows_cancellation,
             self.store,
             self.cancelled,
         )
@@ -336,22 +357,22 @@
             self.cancellation_told_at,
             self.leader_knows,
             self.now,
-            flying,
+            in_flight,
         )
             .hash(state);
     }
 }
 
 impl CancellationModel {
-    fn new(without: RemovedGuard) -> CancellationModel {
-        let mut gap = CancellationModel {
-            removed_guard: without,
+    fn new(removed_guard: RemovedGuard) -> CancellationModel {
+        let mut model = CancellationModel {
+            removed_guard,
             store: 10,
             cancelled: None,
             store_reachable: [true; 3],
             cancellation_quorums: Default::default(),
             incarnations: [1, 2, 3],
-            has_read_store: [false; 3],
+            knows_cancellation: [false; 3],
             heartbeats_in_flight: Vec::new(),
             leader_read: (10, 0),
             cancellation_told_at: None,
@@ -359,68 +380,65 @@
             now: 1,
             crashes: 0,
         };
-        for held in &mut gap.cancellation_quorums {
-            held.on_store_read(10);
+        for quorum in &mut model.cancellation_quorums {
+            quorum.on_store_read(10);
         }
-        // Everybody has heard everybody.
+        // All controllers have exchanged heartbeats.
         for (a, b) in [(0, 1), (0, 2), (1, 2)] {
-            gap.exchange_heartbeats(a, b);
+            model.exchange_heartbeats(a, b);
         }
-        gap
+        model
     }
 
     fn build_heartbeat(&mut self, n: usize) -> Heartbeat {
-        let mut beat = Heartbeat {
+        let mut heartbeat = Heartbeat {
             controller: format!("n{n}"),
             incarnation: self.incarnations[n],
             fencing_token: 1,
             since_store_response_ms: 60_000,
             ..Heartbeat::default()
         };
-        self.cancellation_quorums[n].fill_heartbeat(&mut beat, self.now);
+        self.cancellation_quorums[n].fill_heartbeat(&mut heartbeat, self.now);
         if self.removed_guard == RemovedGuard::CancellationNotes {
-            beat.pending_cancellations.clear();
+            heartbeat.pending_cancellations.clear();
         }
-        beat
+        heartbeat
     }
 
-    fn receive_heartbeat(&mut self, to: usize, beat: &Heartbeat) {
-        let mut beat = beat.clone();
-        let read = if self.removed_guard == RemovedGuard::ReplicationFloor {
+    fn receive_heartbeat(&mut self, to: usize, heartbeat: &Heartbeat) {
+        let mut heartbeat = heartbeat.clone();
+        let read_revision = if self.removed_guard == RemovedGuard::ReplicationFloor {
             u64::MAX
         } else {
             self.leader_read.0
         };
-        let lead = (to == 0).then_some(LeaderProgress {
-            token: 1,
-            read_revision: read,
-            endorsements_from: 0,
-        });
+        let progress =
+            (to == 0).then_some(LeaderProgress { token: 1, read_revision, endorsements_from: 0 });
         if self.removed_guard == RemovedGuard::FreshEndorsement && to == 0 {
-            // As if it answered the latest heartbeat.
-            let made = self.build_heartbeat(0).sequence;
-            beat.acknowledged_heartbeats = vec![("n0".into(), self.incarnations[0], made)];
+            // As if the heartbeat acknowledged the leader's latest one.
+            let sequence = self.build_heartbeat(0).sequence;
+            heartbeat.acknowledged_heartbeats = vec![("n0".into(), self.incarnations[0], sequence)];
         }
-        let heard = self.cancellation_quorums[to].on_heartbeat(
+        let outcome = self.cancellation_quorums[to].on_heartbeat(
             &format!("n{to}"),
             self.incarnations[to],
-            &beat,
-            lead,
+            &heartbeat,
+            progress,
         );
         if to == 0 {
-            self.leader_knows |= !heard.cancelled.is_empty();
+            self.leader_knows |= !outcome.cancelled.is_empty();
         }
     }
 
-    /// A question and its answer.
+    /// A heartbeat and the heartbeat that answers it.
     fn exchange_heartbeats(&mut self, from: usize, to: usize) {
-        let beat = self.build_heartbeat(from);
-        self.receive_heartbeat(to, &beat);
+        let heartbeat = self.build_heartbeat(from);
+        self.receive_heartbeat(to, &heartbeat);
         let answer = self.build_heartbeat(to);
         self.receive_heartbeat(from, &answer);
     }
 
-    fn release_cancellation(&mut self, n: usize) {
+    fn read_store_after_restart(&mut self, n: usize) {
         if self.store_reachable[n] || self.removed_guard == RemovedGuard::ReadBeforeEndorsing {
             self.cancellation_quorums[n].on_store_read(if self.store_reachable[n] {
                 self.store
@@ -432,84 +450,84 @@
 }
 
 impl Model for CancellationModel {
-    type Step = GapStep;
+    type Step = CancellationStep;
 
-    fn enabled_steps(&self) -> Vec<GapStep> {
+    fn enabled_steps(&self) -> Vec<CancellationStep> {
         let mut steps = Vec::new();
         if self.cancelled.is_none() && self.store_reachable[1] {
-            steps.push(GapStep::Cancel(1));
+            steps.push(CancellationStep::Cancel(1));
         }
         for n in 1..3 {
-            if self.store_reachable[n] && self.cancelled.is_some() && !self.has_read_store[n] {
-                steps.push(GapStep::PollStatus(n));
+            if self.store_reachable[n] && self.cancelled.is_some() && !self.knows_cancellation[n] {
+                steps.push(CancellationStep::PollStatus(n));
             }
-            if self.has_read_store[n] && self.cancellation_told_at.is_none() {
-                steps.push(GapStep::TellUser(n));
+            if self.knows_cancellation[n] && self.cancellation_told_at.is_none() {
+                steps.push(CancellationStep::TellUser(n));
             }
             if self.crashes < 1 {
-                steps.push(GapStep::Crash(n));
+                steps.push(CancellationStep::Crash(n));
             }
-            steps.push(GapStep::ExchangeHeartbeats(0, n));
+            steps.push(CancellationStep::ExchangeHeartbeats(0, n));
             if self.heartbeats_in_flight.is_empty() {
-                steps.push(GapStep::SendHeartbeat(n, 0));
+                steps.push(CancellationStep::SendHeartbeat(n, 0));
             }
         }
-        steps.push(GapStep::ExchangeHeartbeats(1, 2));
-        steps.extend((0..self.heartbeats_in_flight.len()).map(GapStep::Deliver));
+        steps.push(CancellationStep::ExchangeHeartbeats(1, 2));
+        steps.extend((0..self.heartbeats_in_flight.len()).map(CancellationStep::Deliver));
         if self.store_reachable[0] {
-            steps.extend([GapStep::Refuse, GapStep::Read]);
+            steps.extend([CancellationStep::PartitionLeader, CancellationStep::Read]);
         }
         if self.store_reachable[1] {
-            steps.push(GapStep::Outage);
+            steps.push(CancellationStep::Outage);
         }
         steps
     }
 
-    fn apply(&mut self, step: &GapStep) {
+    fn apply(&mut self, step: &CancellationStep) {
         match *step {
-            GapStep::Cancel(n) | GapStep::PollStatus(n) => {
+            CancellationStep::Cancel(n) | CancellationStep::PollStatus(n) => {
                 if self.cancelled.is_none() {
                     self.store += 1;
                     self.cancelled = Some(self.store);
                 }
                 let revision = self.cancelled.expect("just cancelled");
-                self.has_read_store[n] = self.cancellation_quorums[n].record_cancellation(
+                self.knows_cancellation[n] = self.cancellation_quorums[n].record_cancellation(
                     &JobId::from(JOB),
                     revision,
                     0,
                 );
             }
-            GapStep::TellUser(n) => {
+            CancellationStep::TellUser(n) => {
                 let revision = self.cancelled.expect("seen");
-                let enough = self.cancellation_quorums[n].is_replicated(JOB, revision, 3);
-                if enough || self.removed_guard == RemovedGuard::CancellationQuorum {
+                let is_confirmed = self.cancellation_quorums[n].is_replicated(JOB, revision, 3);
+                if is_confirmed || self.removed_guard == RemovedGuard::CancellationQuorum {
                     self.cancellation_told_at = Some(self.now);
                     self.now += 1;
                 }
             }
-            GapStep::ExchangeHeartbeats(from, to) => self.exchange_heartbeats(from, to),
-            GapStep::SendHeartbeat(from, to) => {
-                let beat = self.build_heartbeat(from);
-                self.heartbeats_in_flight.push(HeartbeatInFlight(from, to, beat));
+            CancellationStep::ExchangeHeartbeats(from, to) => self.exchange_heartbeats(from, to),
+            CancellationStep::SendHeartbeat(from, to) => {
+                let heartbeat = self.build_heartbeat(from);
+                self.heartbeats_in_flight.push(HeartbeatInFlight(from, to, heartbeat));
             }
-            GapStep::Deliver(n) => {
-                let HeartbeatInFlight(_, to, beat) = self.heartbeats_in_flight.remove(n);
-                self.receive_heartbeat(to, &beat);
+            CancellationStep::Deliver(n) => {
+                let HeartbeatInFlight(_, to, heartbeat) = self.heartbeats_in_flight.remove(n);
+                self.receive_heartbeat(to, &heartbeat);
             }
-            GapStep::Crash(n) => {
+            CancellationStep::Crash(n) => {
                 self.crashes += 1;
                 self.cancellation_quorums[n] = CancellationQuorum::default();
                 self.incarnations[n] += 10;
-                self.has_read_store[n] = false;
-                self.release_cancellation(n);
+                self.knows_cancellation[n] = false;
+                self.read_store_after_restart(n);
             }
-            GapStep::Read => {
+            CancellationStep::Read => {
                 self.leader_read = (self.store, self.now);
                 self.leader_knows |= self.cancelled.is_some();
                 self.cancellation_quorums[0].advance_required_revision(self.store);
             }
-            GapStep::Refuse => self.store_reachable[0] = false,
-            GapStep::Outage => self.store_reachable = [false; 3],
+            CancellationStep::PartitionLeader => self.store_reachable[0] = false,
+            CancellationStep::Outage => self.store_reachable = [false; 3],
         }
     }
 
@@ -517,163 +535,174 @@
         let known =
             self.cancellation_quorums[0].known_as_of(Some(self.leader_read.1), 0, 3, self.now)?;
         let told = self.cancellation_told_at?;
-        (told < known && !self.leader_knows).then(|| "it answers and does not know".into())
+        (told < known && !self.leader_knows)
+            .then(|| "the leader answers without knowing a confirmed cancellation".into())
     }
 }
 
-fn check_gap_model(without: RemovedGuard, depth: usize) -> CheckResult<GapStep> {
-    check_model(CancellationModel::new(without), depth, 600_000)
+fn check_cancellation_model(
+    removed_guard: RemovedGuard,
+    depth: usize,
+) -> CheckResult<CancellationStep> {
+    check_model(CancellationModel::new(removed_guard), depth, 600_000)
 }
 
 #[test]
-fn in_every_order_of_steps_a_leader_that_answers_knows_what_users_were_told() {
-    let found = check_gap_model(RemovedGuard::None, 7);
-    assert!(found.violation.is_none(), "{:?}", found.violation);
-    assert!(found.is_exhaustive && found.states > 20_000, "{} worlds", found.states);
+fn an_answering_leader_knows_every_confirmed_cancellation_in_every_order_of_steps() {
+    let result = check_cancellation_model(RemovedGuard::None, 7);
+    assert!(result.violation.is_none(), "{:?}", result.violation);
+    assert!(result.is_exhaustive && result.states > 20_000, "{} states", result.states);
 }
 
-/// Each part of the condition is needed: without it the explorer finds a history that breaks it.
+/// Without any one of the safeguards the model checker finds a violation.
 #[test]
-fn without_any_part_of_the_condition_a_leader_goes_on_unknowing() {
+fn each_safeguard_is_needed_for_an_answering_leader_to_know_confirmed_cancellations() {
     let mut shortest = BTreeSet::new();
-    for without in [
+    for removed_guard in [
         RemovedGuard::CancellationNotes,
         RemovedGuard::CancellationQuorum,
         RemovedGuard::ReadBeforeEndorsing,
         RemovedGuard::FreshEndorsement,
         RemovedGuard::ReplicationFloor,
     ] {
-        let found = check_gap_model(without, 9);
-        let (_, history) = found.violation.unwrap_or_else(|| panic!("{without:?} is not found"));
+        let result = check_cancellation_model(removed_guard, 9);
+        let (_, history) =
+            result.violation.unwrap_or_else(|| panic!("{removed_guard:?} is not found"));
         shortest.insert(history.len());
     }
-    assert!(shortest.len() > 1, "not the same history each time");
+    assert!(shortest.len() > 1, "the histories differ");
 }
 
-// ---- two troubles at once, at random -----------------------------------------------------------
+// ---- two concurrent faults at random -----------------------------------------------------------
 
-/// A trouble that begins then, of one of those that two at a time meet.
-fn inject_fault(world: &mut Simulation, kind: usize, at: u64, rng: &mut StdRng) {
-    let node = match leader_index(world).filter(|_| rng.random_bool(0.6)) {
+/// Injects a fault of this kind that starts at `at`, ms from the start.
+fn inject_fault(sim: &mut Simulation, kind: usize, at: u64, rng: &mut StdRng) {
+    let controller = match leader_index(sim).filter(|_| rng.random_bool(0.6)) {
         Some(leads) => leads,
         None => rng.random_range(0..3),
     };
     let for_ms = rng.random_range(1_000..45_000);
-    let cut = NetworkPartition {
+    let partition = NetworkPartition {
         holds_messages: rng.random_bool(0.3),
-        ..NetworkPartition::of(node, at, for_ms)
+        ..NetworkPartition::of(controller, at, for_ms)
     };
     match kind {
-        0 => world.partitions.push(NetworkPartition { store: true, ..cut }),
-        1 => world.partitions.push(NetworkPartition { store: true, peers: true, ..cut }),
-        2 => world.partitions.push(NetworkPartition { peers: true, ..cut }),
-        3 => world.partitions.push(NetworkPartition { workers: true, ..cut }),
-        4 => world.schedule_store_outage(at, for_ms + 15_000),
-        5 => world.schedule_crash(at, node),
-        6 => (0..3).for_each(|n| world.schedule_crash(at + rng.random_range(0..1_500), n)),
-        7 => world.schedule_pause(at, node, for_ms.min(25_000)),
+        0 => sim.partitions.push(NetworkPartition { store: true, ..partition }),
+        1 => sim.partitions.push(NetworkPartition { store: true, peers: true, ..partition }),
+        2 => sim.partitions.push(NetworkPartition { peers: true, ..partition }),
+        3 => sim.partitions.push(NetworkPartition { workers: true, ..partition }),
+        4 => sim.schedule_store_outage(at, for_ms + 15_000),
+        5 => sim.schedule_crash(at, controller),
+        6 => (0..3).for_each(|n| sim.schedule_crash(at + rng.random_range(0..1_500), n)),
+        7 => sim.schedule_pause(at, controller, for_ms.min(25_000)),
         8 => {
             let zone = Some(["a", "b", "c"][rng.random_range(0..3)].to_string());
-            let hears_each = rng.random_range(0..4);
+            let delivers_every = rng.random_range(0..4);
             let from_ms = at;
-            world.inbound_failures.push(InboundFailure {
+            sim.inbound_failures.push(InboundFailure {
                 from_ms,
                 for_ms,
                 zone,
                 machines: vec![],
-                delivers_every: hears_each,
+                delivers_every,
             });
         }
         9 => {
-            world.cluster.hang_machines(rng.random_range(1..8), for_ms.min(25_000), world.now);
+            sim.cluster.hang_machines(rng.random_range(1..8), for_ms.min(25_000), sim.now);
         }
         10 => {
-            for name in world.running_machines().into_iter().take(3) {
-                world.schedule_worker_restart(at, &name);
+            for name in sim.running_machines().into_iter().take(3) {
+                sim.schedule_worker_restart(at, &name);
             }
         }
-        11 => world.schedule_store_slowdown(at, for_ms),
-        _ => world.duplicate_reports = Some((0.1, 40_000)),
+        11 => sim.schedule_store_slowdown(at, for_ms),
+        _ => sim.duplicate_reports = Some((0.1, 40_000)),
     }
 }
 
-/// One day on which two or three troubles meet, twice, while users cancel and ask.
+/// Runs a simulation in which two or three faults overlap, twice, while users cancel and poll jobs.
 fn run_with_two_faults(seed: u64) -> Simulation {
     let mut rng = StdRng::seed_from_u64(seed);
-    let late = [0.0, 0.01, 0.03][seed as usize % 3];
-    let mut world = Simulation::new(
+    let fault_rate = [0.0, 0.01, 0.03][seed as usize % 3];
+    let mut sim = Simulation::new(
         seed,
-        FaultRates { message_loss: late, message_delay: late, crashes: 0, outages_and_hangs: 0 },
+        FaultRates {
+            message_loss: fault_rate,
+            message_delay: fault_rate,
+            crashes: 0,
+            outages_and_hangs: 0,
+        },
         160_000,
     );
-    world.restart_delay_ms = [None, Some(100), Some(1_000)][rng.random_range(0..3)];
+    sim.restart_delay_ms = [None, Some(100), Some(1_000)][rng.random_range(0..3)];
     if rng.random_bool(0.3) {
-        world.memory_mb = 0.2;
+        sim.memory_mb = 0.2;
     }
     for n in 0..14u64 {
         let cancel = rng.random_bool(0.6).then(|| rng.random_range(30_000..120_000));
-        let eta = [8.0, 40.0, 120.0][rng.random_range(0..3)];
+        let run_time_s = [8.0, 40.0, 120.0][rng.random_range(0..3)];
         let shape = ["array", "gang", "array", "service"][n as usize % 4];
         let (crew, tasks) = [("red", 6), ("blue", 3)][rng.random_range(0..2)];
         let cancel = cancel.or((shape == "service").then_some(150_000));
-        world.submit(
+        sim.submit(
             500 + n * 5_000,
             cancel,
-            job_body(&format!("wk-{n}"), shape, crew, tasks, 2.0, eta),
+            job_body(&format!("wk-{n}"), shape, crew, tasks, 2.0, run_time_s),
         );
     }
     for at in [40_000, 95_000] {
-        world.run_until(at);
-        let last = 2 + usize::from(rng.random_bool(0.3));
-        for _ in 0..last {
+        sim.run_until(at);
+        let fault_count = 2 + usize::from(rng.random_bool(0.3));
+        for _ in 0..fault_count {
             let (kind, after) = (rng.random_range(0..13), rng.random_range(0..3_000));
-            inject_fault(&mut world, kind, at + after, &mut rng);
+            inject_fault(&mut sim, kind, at + after, &mut rng);
         }
     }
-    world.faults_end_ms = Some(200_000);
-    world.run_until(420_000);
-    world
+    sim.faults_end_ms = Some(200_000);
+    sim.run_until(420_000);
+    sim
 }
 
-/// Whatever two troubles meet: no rule is broken, and in the end every job is over.
+/// Whichever faults overlap, no invariant is violated, and in the end every job is over.
 #[test]
-fn meetings_of_two_troubles_break_no_rule() {
+fn random_runs_with_two_concurrent_faults_violate_no_invariant() {
     let mut told = 0;
     for seed in seeds_from_environment("MEETINGS").unwrap_or(0..48) {
-        let world = run_with_two_faults(seed);
-        assert_ends_well(&world, &format!("seed {seed}"));
-        told += world.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
+        let sim = run_with_two_faults(seed);
+        assert_ends_well(&sim, &format!("seed {seed}"));
+        told += sim.jobs.iter().filter(|j| j.cancellation_told_at.is_some()).count();
     }
     assert!(told > 0);
 }
 
-/// A worker that has begun anew counts from the start: what its earlier life sent has higher numbers, and was
-/// taken as news that what had been started since is gone.
+/// A restarted worker counts sessions and sequence numbers from the start. Delayed reports from before the restart have
+/// higher numbers, and were once taken as current: as proof that tasks started since were gone.
 #[test]
-fn what_an_earlier_life_of_a_worker_sent_proves_nothing() {
-    let (mut tables, now) = (ClusterState::new(9, 1, 1_000), 2_000);
-    let report = |watch, tick, helm| StatusReport {
+fn reports_from_before_a_worker_restart_are_not_taken_as_current() {
+    let (mut cluster_state, now) = (ClusterState::new(9, 1, 1_000), 2_000);
+    let report = |session, sequence, fencing_token| StatusReport {
         machine: "m-1".into(),
         address: "10.1.0.1:9000".into(),
         machine_type: "s4".into(),
         zone: "a".into(),
-        session: watch,
-        sequence: tick,
-        fencing_token: helm,
+        session,
+        sequence,
+        fencing_token,
         spot: false,
         reclaim_in_s: None,
         tasks: Vec::new(),
     };
-    tables.on_status_report(&report(1, 60, 8), ReportSource::StatusReport, now, &[]);
-    tables.on_status_report(&report(1, 61, 9), ReportSource::StatusReport, now, &[]);
+    cluster_state.on_status_report(&report(1, 60, 8), ReportSource::StatusReport, now, &[]);
+    cluster_state.on_status_report(&report(1, 61, 9), ReportSource::StatusReport, now, &[]);
     let id = MachineId::from("m-1");
-    assert!(tables.machines[&id].may_receive_work());
-    // Under this term's token another life's higher number is seen through by the token that it shows.
-    tables.on_status_report(&report(2, 5, 8), ReportSource::StatusReport, now, &[]);
-    assert_eq!(tables.machines[&id].last_message, MessageOrder { session: 1, sequence: 61 });
-    // Of a life that had this term's token nothing can be told: the machine is given no more.
-    tables.machines.get_mut(&id).expect("known").probe_baseline =
+    assert!(cluster_state.machines[&id].may_receive_work());
+    // A report that shows an older fencing token than the worker has is recognized as stale despite its higher session.
+    cluster_state.on_status_report(&report(2, 5, 8), ReportSource::StatusReport, now, &[]);
+    assert_eq!(cluster_state.machines[&id].last_message, MessageOrder { session: 1, sequence: 61 });
+    // Delayed messages from before a restart that carry the current token cannot be told from later ones, so the machine
+    // gets no more work.
+    cluster_state.machines.get_mut(&id).expect("known").probe_baseline =
         Some(MessageOrder { session: 1, sequence: 61 });
-    tables.on_probed(&id, ProbeOutcome::Answered, Some(&report(1, 3, 9)), now);
-    assert!(!tables.machines[&id].may_receive_work(), "it is emptied and returned");
+    cluster_state.on_probed(&id, ProbeOutcome::Answered, Some(&report(1, 3, 9)), now);
+    assert!(!cluster_state.machines[&id].may_receive_work(), "it is drained and returned");
 }
--- a/tests/protocol_invariants.rs
+++ b/tests/protocol_invariants.rs
@@ -10,22 +10,22 @@
 
 #[test]
 fn a_calm_day_runs_everything() {
-    let mut world = Simulation::new(1, FaultRates::NONE, 1_000);
-    submit_mixed_load(&mut world, 6);
-    world.run_until(150_000);
-    assert_all_jobs_over(&world, "calm");
-    assert_eq!(world.store.count_keys("bind/"), 3, "only services that run are bound");
+    let mut sim = Simulation::new(1, FaultRates::NONE, 1_000);
+    submit_mixed_load(&mut sim, 6);
+    sim.run_until(150_000);
+    assert_all_jobs_over(&sim, "calm");
+    assert_eq!(sim.store.count_keys("bind/"), 3, "only services that run are bound");
 }
 
 #[test]
 fn rough_days_break_no_rule_and_everything_ends() {
     for seed in (0..16).chain([147]) {
-        let mut world = Simulation::new(seed, FaultRates::MANY, 90_000);
-        submit_mixed_load(&mut world, 6);
-        world.run_until(300_000);
-        assert_all_jobs_over(&world, &format!("seed {seed}"));
-        assert!(world.store.largest_value <= 8 * 1024, "value of {}", world.store.largest_value);
-        assert!(world.store.largest_transaction <= 64 * 1024 && world.store.most_operations <= 16);
+        let mut sim = Simulation::new(seed, FaultRates::MANY, 90_000);
+        submit_mixed_load(&mut sim, 6);
+        sim.run_until(300_000);
+        assert_all_jobs_over(&sim, &format!("seed {seed}"));
+        assert!(sim.store.largest_value <= 8 * 1024, "value of {}", sim.store.largest_value);
+        assert!(sim.store.largest_transaction <= 64 * 1024 && sim.store.most_operations <= 16);
     }
 }
 
@@ -35,46 +35,46 @@
 fn rough_days_with_workers_shared_break_no_rule() {
     let mut passed_on = 0;
     for seed in 0..8 {
-        let mut world = Simulation::new(seed, FaultRates::MANY, 90_000);
-        world.memory_mb = 0.2;
-        submit_mixed_load(&mut world, 6);
+        let mut sim = Simulation::new(seed, FaultRates::MANY, 90_000);
+        sim.memory_mb = 0.2;
+        submit_mixed_load(&mut sim, 6);
         for at in 1..10 {
-            world.run_until(at * 10_000);
-            let leader = world.controllers.iter().flatten().find_map(Controller::cluster_state);
+            sim.run_until(at * 10_000);
+            let leader = sim.controllers.iter().flatten().find_map(Controller::cluster_state);
             let machines = leader.iter().flat_map(|l| l.machines.values());
             passed_on += machines.filter(|m| m.forwarded_by.is_some()).count();
         }
-        world.run_until(300_000);
-        assert_all_jobs_over(&world, &format!("seed {seed}"));
+        sim.run_until(300_000);
+        assert_all_jobs_over(&sim, &format!("seed {seed}"));
     }
     assert!(passed_on > 200, "{passed_on} workers report through another controller");
 }
 
 #[test]
 fn the_checks_can_fail() {
-    let mut world = Simulation::new(3, FaultRates::NONE, 1_000);
-    submit_mixed_load(&mut world, 6);
-    world.run_until(40_000);
-    assert!(world.violations.is_empty());
-    assert!(world.inject_duplicate_run(), "something runs by now");
-    world.check_invariants();
-    assert!(world.violations.iter().any(|b| b.starts_with("ran_twice")), "{:?}", world.violations);
+    let mut sim = Simulation::new(3, FaultRates::NONE, 1_000);
+    submit_mixed_load(&mut sim, 6);
+    sim.run_until(40_000);
+    assert!(sim.violations.is_empty());
+    assert!(sim.inject_duplicate_run(), "something runs by now");
+    sim.check_invariants();
+    assert!(sim.violations.iter().any(|b| b.starts_with("ran_twice")), "{:?}", sim.violations);
 }
 
 #[test]
 fn a_gang_larger_than_a_transaction_starts_whole() {
-    let mut world = Simulation::new(5, FaultRates::NONE, 1_000);
+    let mut sim = Simulation::new(5, FaultRates::NONE, 1_000);
     let mut gang = job_body("wk-g1", "gang", "blue", 700, 0.05, 4.0);
     gang["memory_gb"] = 0.05.into();
-    world.submit(500, None, gang);
-    world.run_until(90_000);
-    assert_all_jobs_over(&world, "large gang");
+    sim.submit(500, None, gang);
+    sim.run_until(90_000);
+    assert_all_jobs_over(&sim, "large gang");
     assert!(
-        world.store.largest_transaction <= 64 * 1024,
+        sim.store.largest_transaction <= 64 * 1024,
         "transaction of {}",
-        world.store.largest_transaction
+        sim.store.largest_transaction
     );
-    assert!(world.store.largest_value <= 8 * 1024);
+    assert!(sim.store.largest_value <= 8 * 1024);
 }
 
 /// Two zones that cannot reach each other: a worker that its own zone's controller keeps sending
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -9,9 +9,9 @@
 fn recorded(seed: u64) -> Recording {
     let weather =
         FaultRates { message_loss: 0.02, message_delay: 0.01, crashes: 2, outages_and_hangs: 1 };
-    Recording::of(Simulation::new(seed, weather, 40_000), |world| {
-        submit_mixed_load(world, 3);
-        world.run_until(60_000);
+    Recording::of(Simulation::new(seed, weather, 40_000), |sim| {
+        submit_mixed_load(sim, 3);
+        sim.run_until(60_000);
     })
 }
 
