--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -1,5 +1,5 @@
-//! What a pass costs with 0, 1 and 10 plug-ins at 800 machines, on this machine's processor:
-//! `cargo run --release --example pass_cost`. Figures go into docs/plugins.md.
+//! Measures the CPU time of a scheduling cycle with 0, 1 and 10 plug-ins at 800 machines:
+//! `cargo run --release --example pass_cost`. The results are recorded in docs/plugins.md.
 
 use std::time::Instant;
 use swiftsail_controller::cluster_state::{ClusterState, ReportSource};
@@ -16,11 +16,11 @@
 
 const MACHINES: usize = 800;
 const JOBS: usize = 190;
-const PASSES: u32 = 20;
+const CYCLES: u32 = 20;
 const TOKEN: u64 = 40;
 
-fn tables(types: &[MachineType]) -> ClusterState {
-    let mut tables = ClusterState::new(TOKEN, 1, START_MS);
+fn loaded_cluster_state(types: &[MachineType]) -> ClusterState {
+    let mut cluster_state = ClusterState::new(TOKEN, 1, START_MS);
     for n in 0..JOBS {
         let record = JobRecord {
             depends_on: Vec::new(),
@@ -33,7 +33,7 @@
             spec: job_spec(JobKind::Array, 60, 1.0, &format!("i{}", n % 9)),
         };
         let value = serde_json::to_value(&record).expect("our own record");
-        tables.apply_job_record(
+        cluster_state.apply_job_record(
             &keys::job(&format!("wk-{n}")),
             &value,
             n as u64 + 1,
@@ -41,18 +41,24 @@
             START_MS,
         );
     }
-    report(&mut tables, types, 1, START_MS);
-    tables
+    report_all_machines(&mut cluster_state, types, 1, START_MS);
+    cluster_state
 }
 
-/// Every machine reports that what is bound to it runs.
-fn report(tables: &mut ClusterState, types: &[MachineType], tick: u64, now: u64) {
+/// Lets every machine report that all tasks bound to it run.
+fn report_all_machines(
+    cluster_state: &mut ClusterState,
+    types: &[MachineType],
+    sequence: u64,
+    now: u64,
+) {
     for n in 0..MACHINES {
         let name = format!("m-{n:06}");
-        let held = tables.machines.get(name.as_str()).map(|m| m.tasks.clone()).unwrap_or_default();
-        let shards = held.iter().map(|((job, task), launch)| TaskStatus {
+        let tasks =
+            cluster_state.machines.get(name.as_str()).map(|m| m.tasks.clone()).unwrap_or_default();
+        let reports = tasks.iter().map(|((job, task), attempt)| TaskStatus {
             task: format!("{job}/{task}"),
-            attempt: *launch,
+            attempt: *attempt,
             phase: TaskPhase::Running,
             exit_cause: None,
             progress_saved: None,
@@ -64,20 +70,20 @@
             zone: ["a", "b", "c"][n % 3].into(),
             spot: n % 2 == 0,
             session: 1,
-            sequence: tick,
+            sequence,
             fencing_token: TOKEN,
             reclaim_in_s: None,
-            tasks: shards.collect(),
+            tasks: reports.collect(),
         };
-        tables.on_status_report(&report, ReportSource::StatusReport, now, types);
+        cluster_state.on_status_report(&report, ReportSource::StatusReport, now, types);
     }
 }
 
 fn host(number: usize) -> PluginHost {
     let source = include_str!("plugins/night-batches.rhai");
     let mut host = PluginHost::default();
-    let hooks = host.validate_source(PluginKind::Decision, source).expect("the example is sound");
-    let set = (0..number).map(|n| {
+    let hooks = host.validate_source(PluginKind::Decision, source).expect("the example is valid");
+    let plugins = (0..number).map(|n| {
         let record = PluginRecord {
             name: format!("p{n}"),
             kind: PluginKind::Decision,
@@ -92,11 +98,11 @@
         };
         (record, source.to_string())
     });
-    host.install(set.collect());
+    host.install(plugins.collect());
     host
 }
 
-/// Memory of this process, KB.
+/// Resident memory of this process, KB.
 fn memory_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or("");
@@ -108,65 +114,69 @@
     let types: Vec<MachineType> =
         machine_offers(6).iter().map(|o| MachineType::from(&o.machine_type)).collect();
     let settings = controller_settings(0);
-    println!(
-        "plug-ins  asking, ms  pass, ms  calls a pass  operations a pass  plug-ins' memory, KB"
-    );
-    // The largest first: what a later one takes may have been given back by an earlier.
+    println!("plug-ins  policy, ms  cycle, ms  calls/cycle  operations/cycle  plug-in memory, KB");
+    // Most plug-ins first: memory that a later host uses may have been freed by an earlier one.
     for number in [10, 1, 0] {
-        let before = memory_kb();
+        let before_kb = memory_kb();
         let mut host = host(number);
-        let held = memory_kb().saturating_sub(before);
-        let mut tables = tables(&types);
-        let (mut policy, mut steering) = (SchedulingPolicy::default(), CyclePolicy::default());
-        let (mut asking_s, mut pass_s, mut now) = (0.0, 0.0, START_MS);
-        let (mut looked, mut scored) = (0, 0);
-        for n in 0..PASSES {
+        let plugin_memory_kb = memory_kb().saturating_sub(before_kb);
+        let mut cluster_state = loaded_cluster_state(&types);
+        let (mut policy, mut cycle_policy) = (SchedulingPolicy::default(), CyclePolicy::default());
+        let (mut policy_s, mut cycle_s, mut now) = (0.0, 0.0, START_MS);
+        let (mut targets, mut scores) = (0, 0);
+        for n in 0..CYCLES {
             now += 2_000;
-            report(&mut tables, &types, u64::from(n) + 2, now);
-            let begin = Instant::now();
+            report_all_machines(&mut cluster_state, &types, u64::from(n) + 2, now);
+            let started = Instant::now();
             let teams = &settings.settings.teams;
             let at = Now { monotonic: now, wall_clock: now };
-            let asking = PolicyContext {
+            let policy_context = PolicyContext {
                 policy: &mut policy,
                 plugin_host: &mut host,
                 teams,
                 machine_types: &types,
                 now: at,
             };
-            controller::evaluate_job_policies(&tables, asking, &mut steering, true);
-            asking_s += begin.elapsed().as_secs_f64();
-            let begin = Instant::now();
-            let view = PlanningContext {
+            controller::evaluate_job_policies(
+                &cluster_state,
+                policy_context,
+                &mut cycle_policy,
+                true,
+            );
+            policy_s += started.elapsed().as_secs_f64();
+            let started = Instant::now();
+            let planning_context = PlanningContext {
                 now,
                 wall_now: 0,
                 settings: &settings,
                 machine_types: &types,
-                policy: &steering,
+                policy: &cycle_policy,
             };
-            let passed = controller::run_scheduling_cycle(&mut tables, view, true);
-            pass_s += begin.elapsed().as_secs_f64();
-            host.end_cycle(passed.scores_computed);
-            looked += passed.targets_evaluated;
-            scored += passed.scores_computed;
+            let cycle =
+                controller::run_scheduling_cycle(&mut cluster_state, planning_context, true);
+            cycle_s += started.elapsed().as_secs_f64();
+            host.end_cycle(cycle.scores_computed);
+            targets += cycle.targets_evaluated;
+            scores += cycle.scores_computed;
         }
-        let shown = host.statuses();
-        let calls: u64 = shown.iter().map(|p| p.calls).sum();
-        let ops: u64 = shown.iter().map(|p| p.ops).sum();
-        let passes = f64::from(PASSES);
+        let statuses = host.statuses();
+        let calls: u64 = statuses.iter().map(|p| p.calls).sum();
+        let ops: u64 = statuses.iter().map(|p| p.ops).sum();
+        let cycles = f64::from(CYCLES);
         println!(
-            "{number:8}  {:10.2}  {:8.2}  {:12.0}  {:17.0}  {:10}",
-            asking_s / passes * 1e3,
-            pass_s / passes * 1e3,
-            calls as f64 / passes,
-            ops as f64 / passes,
-            held
+            "{number:8}  {:10.2}  {:9.2}  {:11.0}  {:16.0}  {:18}",
+            policy_s / cycles * 1e3,
+            cycle_s / cycles * 1e3,
+            calls as f64 / cycles,
+            ops as f64 / cycles,
+            plugin_memory_kb
         );
         println!(
-            "          a pass looks at {} places and computes {} scores",
-            looked / u64::from(PASSES),
-            scored / u64::from(PASSES)
+            "          a cycle evaluates {} placement targets and computes {} scores",
+            targets / u64::from(CYCLES),
+            scores / u64::from(CYCLES)
         );
-        for plugin in shown.iter().filter(|p| p.record.state != PluginState::Active) {
+        for plugin in statuses.iter().filter(|p| p.record.state != PluginState::Active) {
             println!(
                 "          {} is {:?}: {:?}",
                 plugin.record.name, plugin.record.state, plugin.record.reason
--- a/examples/plugins/careful-spot.rhai
+++ b/examples/plugins/careful-spot.rhai
@@ -1,10 +1,10 @@
-// Long work is not put on spot machines beyond a third, since a wave of losses would cost it dearly;
-// short work may use as many as there are.
+// At most a third of the tasks of a long job run on spot machines, since many reclaimed at once would lose much of its
+// work. Short jobs may use spot machines for all their tasks.
 fn spot_share(job, cluster) {
     if job.estimate_s > 120.0 { 0.33 } else { 1.0 }
 }
 
-// Small tasks stay off large machines that a gang may need whole.
+// Keeps small tasks off large machines, which gangs may need as a whole.
 fn avoid_types(job, types) {
     if job.kind == "gang" || job.cpus >= 4.0 { return []; }
     let avoided = [];
--- a/examples/plugins/night-batches.rhai
+++ b/examples/plugins/night-batches.rhai
@@ -1,5 +1,5 @@
-// Batches of the class `reconcile` must be done before the morning shift. From 03:00 UTC on, and for
-// every job with less than twice its estimate left, they come before other work of their level.
+// Jobs of the class `reconcile` must be done before the morning shift. From 03:00 to 06:00 UTC, and while less than twice
+// their estimated run time is left until the deadline, they precede other jobs of their priority.
 fn priority(job, cluster) {
     if job.class != "reconcile" { return 0; }
     let late_night = cluster.day_s > 10800.0 && cluster.day_s < 21600.0;
@@ -7,7 +7,7 @@
     if late_night || tight { 50 } else { 0 }
 }
 
-// The classes whose jobs are late already go first, the rest keep their order.
+// Classes with late jobs come first; the others keep their order.
 fn class_order(class, cluster) {
     if class.late > 0 { 1 } else { 2 }
 }
--- a/examples/trace/recording.rs
+++ b/examples/trace/recording.rs
@@ -1,4 +1,4 @@
-//! The digest of what the controllers of one world send.
+//! The digest of what the controllers of one simulation send.
 
 use sha2::{Digest, Sha256};
 use std::cell::RefCell;
@@ -6,14 +6,14 @@
 use std::rc::Rc;
 use swiftsail_simulation::simulation::Simulation;
 
-/// Digest and size of what was recorded.
+/// Digest and size of a recording.
 #[derive(Debug, PartialEq)]
 pub struct Recording {
-    /// SHA-256, its first 16 hexadecimal digits.
+    /// The first 16 hexadecimal digits of the SHA-256 hash.
     pub digest: String,
-    /// Bytes that went into it.
+    /// Number of bytes hashed.
     pub bytes: usize,
-    /// Messages of each kind.
+    /// Number of messages of each kind.
     pub kinds: BTreeMap<String, usize>,
 }
 
@@ -30,9 +30,9 @@
         self.bytes += bytes.len();
     }
 
-    /// A message: when, who, in which life, how long, what.
-    fn message(&mut self, now: u64, node: usize, life: u64, bytes: &[u8]) {
-        for number in [now, node as u64, life, bytes.len() as u64] {
+    /// Hashes a message, preceded by its time, controller, incarnation and length.
+    fn add_message(&mut self, now: u64, controller: usize, incarnation: u64, bytes: &[u8]) {
+        for number in [now, controller as u64, incarnation, bytes.len() as u64] {
             self.add(&number.to_le_bytes());
         }
         self.add(bytes);
@@ -41,26 +41,26 @@
 }
 
 impl Recording {
-    /// Plays a world, and records what its controllers send and what the state service holds in the end.
+    /// Runs a simulation with `play`, and records what its controllers send and the final content of the state service.
     pub fn of(mut sim: Simulation, play: fn(&mut Simulation)) -> Recording {
         let tally = Rc::new(RefCell::new(Tally::default()));
-        let taken = tally.clone();
-        sim.recorder = Some(Box::new(move |now, node, life, bytes| {
-            taken.borrow_mut().message(now, node, life, bytes);
+        let shared_tally = tally.clone();
+        sim.recorder = Some(Box::new(move |now, controller, incarnation, bytes| {
+            shared_tally.borrow_mut().add_message(now, controller, incarnation, bytes);
         }));
         play(&mut sim);
         let mut tally = tally.take();
         tally.add(&sim.stored_bytes());
-        Recording { digest: short(tally.hash), bytes: tally.bytes, kinds: tally.kinds }
+        Recording { digest: hex_prefix(tally.hash), bytes: tally.bytes, kinds: tally.kinds }
     }
 }
 
-/// The kind of a message: the short MessagePack string with which it begins.
+/// The kind of a message: the short MessagePack string with which it starts.
 fn kind_of(bytes: &[u8]) -> String {
     let length = bytes.first().map_or(0, |b| usize::from(b & 0x1f));
     String::from_utf8_lossy(bytes.get(1..=length).unwrap_or_default()).into_owned()
 }
 
-fn short(hash: Sha256) -> String {
+fn hex_prefix(hash: Sha256) -> String {
     hex::encode(&hash.finalize()[..8])
 }
--- a/examples/trace/scenarios.rs
+++ b/examples/trace/scenarios.rs
@@ -1,4 +1,4 @@
-//! The fixed worlds: what each is, and what happens in it.
+//! The fixed scenarios: how each simulation is set up, and what happens in it.
 
 use serde_json::{Value, json};
 use swiftsail_controller::controller::{AdminRequest, Controller};
@@ -9,7 +9,7 @@
     gpu_machine_offers, job_body, submit_mixed_load,
 };
 
-/// Seeds under which every scenario is played.
+/// Seeds with which every scenario runs.
 pub const SEEDS: [u64; 3] = [1, 2, 3];
 
 const CHAIN: &str = r#"
@@ -29,13 +29,13 @@
 "#;
 const REPORT_HOOK: &str = "to = \"127.0.0.1:9\"\npath = \"/events\"\n";
 
-/// A world of a seed, and what happens in it.
+/// A simulated scenario.
 pub struct Scenario {
-    /// Its name.
+    /// Its name in the output.
     pub name: &'static str,
-    /// Builds the world of a seed.
+    /// Sets up the simulation for a seed.
     pub build: fn(u64) -> Simulation,
-    /// Plays it to the end.
+    /// Runs the simulation to its end.
     pub play: fn(&mut Simulation),
 }
 
@@ -43,77 +43,83 @@
 #[rustfmt::skip]
 pub fn all() -> Vec<Scenario> {
     vec![
-        Scenario { name: "calm", build: calm, play: |w| mixed(w, 180_000) },
-        Scenario { name: "faults", build: |s| weather(s, 0.03, 0.01, 4, 2), play: |w| mixed(w, 240_000) },
-        Scenario { name: "late-messages", build: |s| weather(s, 0.02, 0.05, 0, 0), play: |w| mixed(w, 240_000) },
-        Scenario { name: "leader-crashes", build: calm, play: leader_crashes },
-        Scenario { name: "network-cuts", build: calm, play: network_cuts },
-        Scenario { name: "zone-away", build: calm, play: zone_away },
-        Scenario { name: "store-outages", build: calm, play: store_outages },
-        Scenario { name: "store-limits", build: calm, play: store_limits },
-        Scenario { name: "lost-and-late-writes", build: calm, play: lost_and_late_writes },
-        Scenario { name: "cloud-trouble", build: calm, play: cloud_trouble },
-        Scenario { name: "frozen-controllers", build: calm, play: frozen },
+        Scenario { name: "calm", build: without_faults, play: |w| mixed(w, 180_000) },
+        Scenario { name: "faults", build: |s| with_faults(s, 0.03, 0.01, 4, 2), play: |w| mixed(w, 240_000) },
+        Scenario { name: "late-messages", build: |s| with_faults(s, 0.02, 0.05, 0, 0), play: |w| mixed(w, 240_000) },
+        Scenario { name: "leader-crashes", build: without_faults, play: leader_crashes },
+        Scenario { name: "network-cuts", build: without_faults, play: network_partitions },
+        Scenario { name: "zone-away", build: without_faults, play: zone_partition },
+        Scenario { name: "store-outages", build: without_faults, play: store_outages },
+        Scenario { name: "store-limits", build: without_faults, play: store_limits },
+        Scenario { name: "lost-and-late-writes", build: without_faults, play: lost_and_late_writes },
+        Scenario { name: "cloud-trouble", build: without_faults, play: cloud_faults },
+        Scenario { name: "frozen-controllers", build: without_faults, play: pause_controllers },
         Scenario { name: "rolling-restarts", build: durable, play: rolling_restarts },
-        Scenario { name: "two-controllers", build: calm, play: |w| without(w, &[2]) },
-        Scenario { name: "one-controller", build: calm, play: |w| without(w, &[1, 2]) },
-        Scenario { name: "memory-pressure", build: calm, play: memory_pressure },
-        Scenario { name: "memory-pressure-one", build: calm, play: memory_pressure_one },
-        Scenario { name: "scarce-processor", build: calm, play: scarce_processor },
-        Scenario { name: "gangs", build: calm, play: gangs },
-        Scenario { name: "pipelines", build: calm, play: pipelines },
-        Scenario { name: "mixed-versions", build: calm, play: mixed_versions },
+        Scenario { name: "two-controllers", build: without_faults, play: |w| without_controllers(w, &[2]) },
+        Scenario { name: "one-controller", build: without_faults, play: |w| without_controllers(w, &[1, 2]) },
+        Scenario { name: "memory-pressure", build: without_faults, play: memory_pressure },
+        Scenario { name: "memory-pressure-one", build: without_faults, play: memory_pressure_one },
+        Scenario { name: "scarce-processor", build: without_faults, play: scarce_processor },
+        Scenario { name: "gangs", build: without_faults, play: gangs },
+        Scenario { name: "pipelines", build: without_faults, play: pipelines },
+        Scenario { name: "mixed-versions", build: without_faults, play: mixed_versions },
         Scenario { name: "tiers", build: tiers, play: leader_crashes },
-        Scenario { name: "dispatch-deadlines", build: dispatch, play: dispatch_deadlines },
+        Scenario { name: "dispatch-deadlines", build: deadline_plan, play: dispatch_deadlines },
         Scenario { name: "gpu-loans", build: gpus, play: gpu_loans },
         Scenario { name: "plugins", build: plugins, play: play_plugins },
         Scenario { name: "durable-limits", build: durable, play: binding_limits },
-        Scenario { name: "binding-limits", build: calm, play: binding_limits },
-        Scenario { name: "odd-users", build: calm, play: odd_users },
-        Scenario { name: "deaf-machines", build: calm, play: deaf_machines },
+        Scenario { name: "binding-limits", build: without_faults, play: binding_limits },
+        Scenario { name: "odd-users", build: without_faults, play: unusual_users },
+        Scenario { name: "deaf-machines", build: without_faults, play: fail_inbound },
     ]
 }
 
-// ---- worlds --------------------------------------------------------------------------------------
+// ---- set-up --------------------------------------------------------------------------------------
 
-fn calm(seed: u64) -> Simulation {
+fn without_faults(seed: u64) -> Simulation {
     Simulation::new(seed, FaultRates::NONE, 150_000)
 }
 
-fn weather(seed: u64, loss: f64, late: f64, crashes: u32, outages: u32) -> Simulation {
+fn with_faults(
+    seed: u64,
+    message_loss: f64,
+    message_delay: f64,
+    crashes: u32,
+    outages: u32,
+) -> Simulation {
     Simulation::new(
         seed,
-        FaultRates { message_loss: loss, message_delay: late, crashes, outages_and_hangs: outages },
+        FaultRates { message_loss, message_delay, crashes, outages_and_hangs: outages },
         90_000,
     )
 }
 
-fn operated(seed: u64, text: &str) -> Simulation {
-    let mut sim = calm(seed);
-    sim.operator = OperatorSettings::parse("trace", text).expect("it is sound");
+fn with_operator_settings(seed: u64, text: &str) -> Simulation {
+    let mut sim = without_faults(seed);
+    sim.operator = OperatorSettings::parse("trace", text).expect("the settings are valid");
     sim
 }
 
 fn durable(seed: u64) -> Simulation {
-    operated(seed, "[amounts]\ndurable = true\n")
+    with_operator_settings(seed, "[amounts]\ndurable = true\n")
 }
 
 fn tiers(seed: u64) -> Simulation {
-    operated(seed, include_str!("../../deploy/tiers.toml"))
+    with_operator_settings(seed, include_str!("../../deploy/tiers.toml"))
 }
 
-fn dispatch(seed: u64) -> Simulation {
-    operated(seed, CHAIN)
+fn deadline_plan(seed: u64) -> Simulation {
+    with_operator_settings(seed, CHAIN)
 }
 
 fn plugins(seed: u64) -> Simulation {
-    operated(seed, "[plugins]\nenabled = true\n")
+    with_operator_settings(seed, "[plugins]\nenabled = true\n")
 }
 
 fn gpus(seed: u64) -> Simulation {
     let mut sim = Simulation::with_offers(seed, FaultRates::NONE, 400_000, gpu_machine_offers(1));
-    sim.operator =
-        OperatorSettings::parse("trace", "[loans]\ndurable = true\n").expect("it is sound");
+    sim.operator = OperatorSettings::parse("trace", "[loans]\ndurable = true\n")
+        .expect("the settings are valid");
     sim
 }
 
@@ -125,8 +131,8 @@
 
 fn crash_leader(sim: &mut Simulation, at_ms: u64) {
     sim.run_until(at_ms);
-    if let Some(node) = leader(sim) {
-        sim.schedule_crash(at_ms, node);
+    if let Some(controller) = leader(sim) {
+        sim.schedule_crash(at_ms, controller);
     }
 }
 
@@ -141,21 +147,21 @@
     sim.run_until(180_000);
 }
 
-fn network_cuts(sim: &mut Simulation) {
-    let cut = |node, from_ms| NetworkPartition::of(node, from_ms, 15_000);
-    sim.partitions.push(NetworkPartition { workers: true, ..cut(0, 10_000) });
-    sim.partitions.push(NetworkPartition { peers: true, ..cut(1, 30_000) });
-    sim.partitions.push(NetworkPartition { store: true, ..cut(2, 50_000) });
+fn network_partitions(sim: &mut Simulation) {
+    let partition = |controller, from_ms| NetworkPartition::of(controller, from_ms, 15_000);
+    sim.partitions.push(NetworkPartition { workers: true, ..partition(0, 10_000) });
+    sim.partitions.push(NetworkPartition { peers: true, ..partition(1, 30_000) });
+    sim.partitions.push(NetworkPartition { store: true, ..partition(2, 50_000) });
     sim.partitions.push(NetworkPartition {
         workers: true,
         peers: true,
         holds_messages: true,
-        ..cut(0, 70_000)
+        ..partition(0, 70_000)
     });
     mixed(sim, 200_000);
 }
 
-fn zone_away(sim: &mut Simulation) {
+fn zone_partition(sim: &mut Simulation) {
     sim.add_fault_window(30_000, 30_000, Fault::ZonePartition { zone: "b".into(), controller: 1 });
     mixed(sim, 180_000);
 }
@@ -178,13 +184,13 @@
     mixed(sim, 200_000);
 }
 
-fn cloud_trouble(sim: &mut Simulation) {
+fn cloud_faults(sim: &mut Simulation) {
     sim.add_fault_window(2_000, 20_000, Fault::SlowCloud(6_000));
     sim.add_fault_window(40_000, 20_000, Fault::CloudUnavailable);
     mixed(sim, 180_000);
 }
 
-fn frozen(sim: &mut Simulation) {
+fn pause_controllers(sim: &mut Simulation) {
     for (n, for_ms) in [1_000, 2_600, 25_000, 7_000].into_iter().enumerate() {
         sim.schedule_pause(12_000 + n as u64 * 22_000, n % 3, for_ms);
     }
@@ -193,15 +199,15 @@
 
 fn rolling_restarts(sim: &mut Simulation) {
     sim.restart_delay_ms = Some(800);
-    for node in 0..3 {
-        sim.schedule_crash(30_000 + node as u64 * 15_000, node);
+    for controller in 0..3 {
+        sim.schedule_crash(30_000 + controller as u64 * 15_000, controller);
     }
     mixed(sim, 180_000);
 }
 
-fn without(sim: &mut Simulation, nodes: &[usize]) {
+fn without_controllers(sim: &mut Simulation, controllers: &[usize]) {
     sim.restart_delay_ms = Some(10_000_000);
-    nodes.iter().for_each(|node| sim.schedule_crash(500, *node));
+    controllers.iter().for_each(|controller| sim.schedule_crash(500, *controller));
     mixed(sim, 180_000);
 }
 
@@ -212,7 +218,7 @@
 
 fn memory_pressure_one(sim: &mut Simulation) {
     sim.memory_mb = 0.2;
-    without(sim, &[0, 2]);
+    without_controllers(sim, &[0, 2]);
 }
 
 fn scarce_processor(sim: &mut Simulation) {
@@ -234,7 +240,7 @@
     sim.run_until(180_000);
 }
 
-fn awaiting(id: &str, awaits: &[&str], tasks: u32) -> Value {
+fn dependent_body(id: &str, awaits: &[&str], tasks: u32) -> Value {
     let mut body = job_body(id, "array", "blue", tasks, 1.0, 4.0);
     (body["awaits"], body["due_s"]) = (json!(awaits), Value::Null);
     body
@@ -244,11 +250,11 @@
     for (n, line) in ["a", "b", "c"].into_iter().enumerate() {
         let id = |k: u32| format!("wk-{line}{k}");
         let at = 6_000 + n as u64 * 9_000;
-        sim.submit(at, None, awaiting(&id(0), &[], 6));
-        sim.submit(at + 200, None, awaiting(&id(1), &[&id(0)], 3));
+        sim.submit(at, None, dependent_body(&id(0), &[], 6));
+        sim.submit(at + 200, None, dependent_body(&id(1), &[&id(0)], 3));
         let cancel = (n == 1).then_some(at + 9_000);
-        sim.submit(at + 400, cancel, awaiting(&id(2), &[&id(0)], 4));
-        sim.submit(at + 600, None, awaiting(&id(3), &[&id(1), &id(2)], 2));
+        sim.submit(at + 400, cancel, dependent_body(&id(2), &[&id(0)], 4));
+        sim.submit(at + 600, None, dependent_body(&id(3), &[&id(1), &id(2)], 2));
     }
 }
 
@@ -270,13 +276,13 @@
     sim.run_until(8_000);
     let at_ms = 1_700_000_000_000 + sim.now + 240_000;
     let body = json!({"name": "north", "chain": "lists", "at_ms": at_ms}).to_string();
-    (0..3).for_each(|node| {
+    (0..3).for_each(|controller| {
         sim.schedule_admin_request(
             8_000,
-            node,
+            controller,
             AdminRequest::AddOccurrence(body.clone().into_bytes()),
         );
-        sim.schedule_admin_request(60_000, node, AdminRequest::Occurrences(None));
+        sim.schedule_admin_request(60_000, controller, AdminRequest::Occurrences(None));
     });
     for (n, class) in ["count", "list"].into_iter().enumerate() {
         let mut body = job_body(&format!("wk-{class}"), "array", "blue", 4, 1.0, 20.0);
@@ -299,8 +305,8 @@
         body["scatter"] = false.into();
         sim.submit(90_000 + n * 2_000, Some(172_000 + n * 4_000), body);
     }
-    for node in 0..3 {
-        sim.schedule_admin_request(120_000, node, AdminRequest::Loans(None));
+    for controller in 0..3 {
+        sim.schedule_admin_request(120_000, controller, AdminRequest::Loans(None));
     }
     [100_000, 130_000, 180_000].into_iter().for_each(|at| crash_leader(sim, at));
     sim.run_until(400_000);
@@ -321,9 +327,9 @@
         offer("faulty", PluginKind::Decision, "fn class_order(c, l) { \"soon\" }"),
     );
     sim.schedule_admin_request(6_000, 2, offer("events", PluginKind::EventReceiver, REPORT_HOOK));
-    for node in 0..3 {
-        sim.schedule_admin_request(30_000, node, AdminRequest::Plugins);
-        sim.schedule_admin_request(31_000, node, AdminRequest::ExplainJob("wk-s0".into()));
+    for controller in 0..3 {
+        sim.schedule_admin_request(30_000, controller, AdminRequest::Plugins);
+        sim.schedule_admin_request(31_000, controller, AdminRequest::ExplainJob("wk-s0".into()));
     }
     submit_mixed_load(sim, 6);
     crash_leader(sim, 40_000);
@@ -343,7 +349,7 @@
     sim.run_until(160_000);
 }
 
-fn odd_users(sim: &mut Simulation) {
+fn unusual_users(sim: &mut Simulation) {
     sim.add_fault_window(5_000, 60_000, Fault::UnusualRequests);
     sim.add_fault_window(5_000, 60_000, Fault::ConsistencyProbes);
     sim.add_fault_window(5_000, 90_000, Fault::CancelAtCompletion(0.3));
@@ -351,7 +357,7 @@
     mixed(sim, 180_000);
 }
 
-fn deaf_machines(sim: &mut Simulation) {
+fn fail_inbound(sim: &mut Simulation) {
     let zone = Some("a".to_string());
     let names = Vec::new();
     sim.inbound_failures.push(InboundFailure {
