--- a/tests/pauses_and_partitions.rs
+++ b/tests/pauses_and_partitions.rs
@@ -332,7 +332,7 @@
 fn machines_that_boot_late_at_once_or_never() {
     for (never, slow) in [(0.5, 1.0), (0.0, 0.02), (0.1, 6.0), (0.4, 0.3)] {
         let mut sim = Simulation::with_capacity(8, FaultRates::NONE, 600_000, 8);
-        (sim.cluster.cloud.never_boots_probability, sim.cluster.cloud.slow_boot_probability) =
+        (sim.cluster.cloud.never_boots_probability, sim.cluster.cloud.boot_time_factor) =
             (never, slow);
         for n in 0..6 {
             let id = format!("wk-a{n}");
